--- a/crates/expect/src/explore/moves.rs
+++ b/crates/expect/src/explore/moves.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use pewterwharf::interface::Ending;
+use pewterwharf::interface::DispatchOutcome;
 use pewterwharf_fleet::Condition;
 
 /// One thing that happens to a mixer. Scans, parts and searchers are numbered as in the arena.
@@ -43,12 +43,12 @@
 }
 
 impl How {
-    pub fn ending(self) -> Ending {
+    pub fn ending(self) -> DispatchOutcome {
         match self {
-            Self::Ok => Ending::Ok,
-            Self::Error => Ending::Error,
-            Self::Full => Ending::Full,
-            Self::Refused => Ending::ConnectFailed,
+            Self::Ok => DispatchOutcome::Ok,
+            Self::Error => DispatchOutcome::Error,
+            Self::Full => DispatchOutcome::Full,
+            Self::Refused => DispatchOutcome::ConnectFailed,
         }
     }
 }
--- a/crates/expect/src/explore/world.rs
+++ b/crates/expect/src/explore/world.rs
@@ -7,7 +7,9 @@
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hasher};
 
-use pewterwharf::interface::{Action, Decide, Ending, Event, Life, ListKind, Listed, Repeat};
+use pewterwharf::interface::{
+    Action, DecisionModule, DispatchOutcome, Event, Idempotency, ListKind, ListedSearcher, SearcherStatus,
+};
 use pewterwharf_fleet::Condition;
 
 use super::arena::Arena;
@@ -15,9 +17,9 @@
 use crate::claim::{Deed, Final, Watch};
 
 /// What is explored: it decides, and prints all that its further decisions depend on.
-pub trait Subject: Decide + fmt::Debug {}
+pub trait Subject: DecisionModule + fmt::Debug {}
 
-impl<T: Decide + fmt::Debug> Subject for T {}
+impl<T: DecisionModule + fmt::Debug> Subject for T {}
 
 /// Opens a subject on a seed.
 pub type Open<'a> = dyn Fn(u64) -> Box<dyn Subject> + Sync + 'a;
@@ -83,7 +85,7 @@
 }
 
 /// A dispatch: when it went out, and how it ended.
-type Sent = (f64, Option<Ending>);
+type Sent = (f64, Option<DispatchOutcome>);
 
 #[derive(Clone, Debug)]
 struct Part {
@@ -102,7 +104,7 @@
 #[derive(Clone, Debug)]
 struct State {
     truth: Condition,
-    told: Life,
+    told: SearcherStatus,
     /// Start of its process, as it is and as the list has it.
     since: f64,
     listed_since: f64,
@@ -328,9 +330,9 @@
             Move::Tell(place) => self.tell(place),
             Move::Pong(place, good) => {
                 self.probes.retain(|p| *p != place);
-                let ending = if good { Ending::Ok } else { Ending::TimedOut };
+                let ending = if good { DispatchOutcome::Ok } else { DispatchOutcome::TimedOut };
                 let searcher = self.arena.places[place].addr;
-                self.turn(vec![Event::Probed { searcher, ending, took_ms: 1.0 }]);
+                self.turn(vec![Event::ProbeEnded { searcher, outcome: ending, took_ms: 1.0 }]);
             }
             Move::Leaves(nth) => {
                 self.left.leaves -= 1;
@@ -377,17 +379,17 @@
 
     fn list(&mut self, kind: ListKind) {
         let lines = (0..self.places.len()).map(|p| self.listed(p)).collect();
-        self.turn(vec![Event::List { kind, lines }]);
+        self.turn(vec![Event::List { kind, searchers: lines }]);
     }
 
-    fn listed(&self, place: usize) -> Listed {
+    fn listed(&self, place: usize) -> ListedSearcher {
         let (at, state) = (&self.arena.places[place], &self.places[place]);
-        Listed {
+        ListedSearcher {
             searcher: at.addr,
             cell: at.cell,
             zone: at.hall as u16,
-            since: state.listed_since,
-            life: state.told,
+            started_at: state.listed_since,
+            status: state.told,
         }
     }
 
@@ -401,7 +403,7 @@
             number,
             table_type: plan.table_type,
             customer: 0,
-            gone_at,
+            deadline_at: gone_at,
             work_ms: None,
             retry: false,
         }];
@@ -418,16 +420,16 @@
         self.turn(events);
     }
 
-    fn end(&mut self, leg: Leg, ending: Ending) -> Option<Event> {
+    fn end(&mut self, leg: Leg, ending: DispatchOutcome) -> Option<Event> {
         let flight = self.flights.remove(&leg)?;
         if let Some(scan) = &mut self.scans[leg.0] {
             scan.parts[leg.1].sent[usize::from(leg.2)].1 = Some(ending);
         }
-        Some(Event::Ended {
+        Some(Event::DispatchEnded {
             part: id(leg.0) + 1 + leg.1 as u64,
             dispatch: leg.2,
             searcher: self.arena.places[flight.place].addr,
-            ending,
+            outcome: ending,
             took_ms: self.now - flight.sent_at,
             busy: None,
         })
@@ -436,7 +438,7 @@
     fn lose(&mut self, place: usize) {
         let legs: Vec<Leg> =
             self.flights.iter().filter(|(_, f)| f.place == place).map(|(leg, _)| *leg).collect();
-        let events = legs.into_iter().filter_map(|leg| self.end(leg, Ending::Reset)).collect();
+        let events = legs.into_iter().filter_map(|leg| self.end(leg, DispatchOutcome::Reset)).collect();
         self.turn(events);
     }
 
@@ -456,7 +458,7 @@
         state.told = life(state.truth);
         state.listed_since = state.since;
         let lines = vec![self.listed(place)];
-        self.turn(vec![Event::List { kind: ListKind::Changes, lines }]);
+        self.turn(vec![Event::List { kind: ListKind::Changes, searchers: lines }]);
     }
 
     fn restart(&mut self) {
@@ -486,7 +488,7 @@
                 self.flights.iter().filter(|(_, f)| f.until <= self.now).map(|(leg, _)| *leg).collect();
             let timed_out = !due.is_empty();
             let mut events: Vec<Event> =
-                due.into_iter().filter_map(|leg| self.end(leg, Ending::TimedOut)).collect();
+                due.into_iter().filter_map(|leg| self.end(leg, DispatchOutcome::TimedOut)).collect();
             if events.is_empty() {
                 events.push(Event::Wake);
             }
@@ -507,7 +509,7 @@
     /// One turn of the module; whether it did anything that others see.
     fn turn(&mut self, mut events: Vec<Event>) -> bool {
         events.append(&mut self.waiting);
-        let actions = self.subject.turn(self.now, events);
+        let actions = self.subject.handle_events(self.now, events);
         let mut acted = false;
         for action in actions {
             acted |= !matches!(action, Action::WakeAt { .. } | Action::Log { .. } | Action::Subscribe);
@@ -518,13 +520,13 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Dispatch { part, searcher, patience_ms } => {
-                self.dispatch(part, searcher.port(), patience_ms)
+            Action::Dispatch { part, searcher, timeout_ms } => {
+                self.dispatch(part, searcher.port(), timeout_ms)
             }
             Action::Cancel { part, dispatch } => {
                 let leg = leg_of(part, dispatch);
                 if self.arena.terms.permits.cancel
-                    && let Some(event) = self.end(leg, Ending::Cancelled)
+                    && let Some(event) = self.end(leg, DispatchOutcome::Cancelled)
                 {
                     self.line(&format!("    gives up part {}.{} dispatch {}", leg.0, leg.1, leg.2));
                     self.waiting.push(event);
@@ -540,7 +542,7 @@
                     self.probes.push(place);
                 }
             }
-            Action::Hangup { .. } | Action::Subscribe => {}
+            Action::CloseIdleConnections { .. } | Action::Subscribe => {}
             Action::WakeAt { at } => self.wake = at,
             Action::Log { line } => {
                 if self.lines.is_some() {
@@ -553,7 +555,7 @@
         }
     }
 
-    fn dispatch(&mut self, part: u64, port: u16, patience_ms: f64) {
+    fn dispatch(&mut self, part: u64, port: u16, timeout_ms: f64) {
         let (now, place) = (self.now, usize::from(port) - 1);
         let (nth, index, _) = leg_of(part, 0);
         let at = &self.arena.places[place];
@@ -570,7 +572,7 @@
         let (truth, told, epoch) = (state.truth, state.told, state.epoch);
         self.flights.insert(
             (nth, index, dispatch),
-            Flight { place, sent_at: now, until: now + patience_ms.max(0.0), epoch, hangs: false },
+            Flight { place, sent_at: now, until: now + timeout_ms.max(0.0), epoch, hangs: false },
         );
         let (name, hall) = (at.name.clone(), at.hall);
         let which = format!("part {nth}.{index}");
@@ -578,9 +580,9 @@
         if done {
             self.breach(Rule::NoScanLost, format!("{which} is sent to {name} after its scan's end"));
         }
-        self.repeat(&which, &name, &earlier, terms.repeat, taken_at);
-        if told != Life::Ready {
-            let word = if told == Life::Gone { "gone" } else { "draining" };
+        self.repeat(&which, &name, &earlier, terms.idempotency, taken_at);
+        if told != SearcherStatus::Ready {
+            let word = if told == SearcherStatus::Gone { "gone" } else { "draining" };
             self.breach(Rule::DrainsKept, format!("{which} is sent to {name}, which was told to be {word}"));
         }
         self.spare(&which, place);
@@ -606,23 +608,23 @@
     }
 
     /// Rule 2, and the number of dispatches that a part may have.
-    fn repeat(&mut self, which: &str, name: &str, earlier: &[Sent], repeat: Repeat, taken_at: f64) {
+    fn repeat(&mut self, which: &str, name: &str, earlier: &[Sent], repeat: Idempotency, taken_at: f64) {
         let permits = &self.arena.terms.permits;
-        if earlier.len() >= permits.dispatches as usize {
-            let what = format!("{which} gets dispatch {} of {}", earlier.len() + 1, permits.dispatches);
+        if earlier.len() >= permits.max_dispatches as usize {
+            let what = format!("{which} gets dispatch {} of {}", earlier.len() + 1, permits.max_dispatches);
             self.breach(Rule::NoEffectTwice, what);
         }
         let out = earlier.iter().any(|s| s.1.is_none());
-        if out && !permits.second_copies {
+        if out && !permits.hedge {
             self.breach(Rule::NoEffectTwice, format!("{which} gets a second copy, which is not allowed"));
         }
         let may_have_run = |s: &&Sent| s.1.is_none_or(|ending| !ending.never_ran());
         let ran: Vec<&Sent> = earlier.iter().filter(may_have_run).collect();
         let first = ran.iter().map(|s| s.0).fold(f64::INFINITY, f64::min);
         let broken = match repeat {
-            Repeat::Replayable => false,
-            Repeat::Keyed { window_ms } => !ran.is_empty() && self.now > first.max(taken_at) + window_ms,
-            Repeat::NonReplayable => !ran.is_empty(),
+            Idempotency::Replayable => false,
+            Idempotency::Keyed { window_ms } => !ran.is_empty() && self.now > first.max(taken_at) + window_ms,
+            Idempotency::NonReplayable => !ran.is_empty(),
         };
         if broken {
             let what = format!("{which} is sent again, to {name}, though it may have run");
@@ -637,16 +639,16 @@
         let state = &mut self.places[place];
         // What the list does not tell, a mixer can't spare; it is held to what it was told.
         let age = now - state.listed_since;
-        if state.listed_since <= 0.0 || age >= guards.warm_ms || state.told != Life::Ready {
+        if state.listed_since <= 0.0 || age >= guards.warm_up_ms || state.told != SearcherStatus::Ready {
             return;
         }
-        while state.cold_work.front().is_some_and(|w| w.0 < now - guards.fall_ms) {
+        while state.cold_work.front().is_some_and(|w| w.0 < now - guards.overload_window_ms) {
             state.cold_work.pop_front();
         }
         state.cold_work.push_back((now, work));
-        let able = guards.cold_from + (1.0 - guards.cold_from) * age / guards.warm_ms;
+        let able = guards.cold_capacity_share + (1.0 - guards.cold_capacity_share) * age / guards.warm_up_ms;
         let mixers = f64::from(self.arena.terms.berth.mixers.max(1));
-        let share = guards.tip_multiple * able * guards.fall_ms / mixers;
+        let share = guards.overload_multiple * able * guards.overload_window_ms / mixers;
         let (parts, sum) = (state.cold_work.len(), state.cold_work.iter().map(|w| w.1).sum::<f64>());
         if parts > 1 && sum > share {
             let name = &self.arena.places[place].name;
@@ -658,7 +660,7 @@
 
     /// Rule 6, where a budget is stated.
     fn afford(&mut self) {
-        let Some(budget) = self.arena.terms.guards.budget else { return };
+        let Some(budget) = self.arena.terms.guards.retry_budget else { return };
         let from = self.now - budget.window_ms;
         for queue in [&mut self.taken, &mut self.extras] {
             while queue.front().is_some_and(|t| *t < from) {
@@ -680,10 +682,10 @@
         let Some(open) = &self.scans[nth] else { return self.answered(scan, Final::Completed, Some(whole)) };
         let plan = &self.arena.plans[open.plan];
         let terms = &self.arena.terms.types[plan.table_type];
-        let is_in = |p: &Part| p.sent.iter().any(|s| s.1 == Some(Ending::Ok));
+        let is_in = |p: &Part| p.sent.iter().any(|s| s.1 == Some(DispatchOutcome::Ok));
         let weights = open.parts.iter().zip(&plan.parts).filter(|(p, _)| is_in(p)).map(|(_, w)| w.1);
         let have = weights.fold(0.0, |sum, weight| sum + weight);
-        let (need, least) = (terms.need, terms.floor.min(terms.need));
+        let (need, least) = (terms.required_weight, terms.minimum_weight.min(terms.required_weight));
         const HAIR: f64 = 1e-4;
         if have + HAIR < least || have <= 0.0 {
             let what = format!("scan {nth} is answered from {have:.2} of its parts, {least:.2} is the least");
@@ -700,9 +702,11 @@
     fn throttle(&mut self, scan: u64) {
         let nth = (scan / 100 - 1) as usize;
         if let Some(open) = &self.scans[nth] {
-            let repeat = self.arena.terms.types[self.arena.plans[open.plan].table_type].repeat;
+            let repeat = self.arena.terms.types[self.arena.plans[open.plan].table_type].idempotency;
             let may_have_run = |s: &Sent| s.1.is_none_or(|ending| !ending.never_ran());
-            if repeat == Repeat::NonReplayable && open.parts.iter().any(|p| p.sent.iter().any(may_have_run)) {
+            if repeat == Idempotency::NonReplayable
+                && open.parts.iter().any(|p| p.sent.iter().any(may_have_run))
+            {
                 let what = format!("scan {nth} is throttled though a part of it may have run");
                 self.breach(Rule::NoEffectTwice, what);
             }
@@ -796,11 +800,11 @@
     }
 }
 
-fn life(condition: Condition) -> Life {
+fn life(condition: Condition) -> SearcherStatus {
     match condition {
-        Condition::Up | Condition::Cold => Life::Ready,
-        Condition::Draining => Life::Draining,
-        Condition::Gone => Life::Gone,
+        Condition::Up | Condition::Cold => SearcherStatus::Ready,
+        Condition::Draining => SearcherStatus::Draining,
+        Condition::Gone => SearcherStatus::Gone,
     }
 }
 
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -212,7 +212,7 @@
         let fleet = self.fleet;
         let holding = fleet.holding();
         let sets = ranges(scene, holding.sets());
-        let cold = fleet.terms().guards.cold_from;
+        let cold = fleet.terms().guards.cold_capacity_share;
         let (weights, classes, average) = (self.weights.clone(), self.classes.clone(), self.average);
         let mut least = None;
         for (set, held) in classes.iter().enumerate() {
@@ -302,17 +302,17 @@
 const HAIR: f64 = 1e-9;
 
 /// What a searcher can do, as a share of a warm one.
-pub(crate) fn able(condition: Condition, cold_from: f64) -> f64 {
+pub(crate) fn able(condition: Condition, cold_capacity_share: f64) -> f64 {
     match condition {
         Condition::Up => 1.0,
-        Condition::Cold => cold_from,
+        Condition::Cold => cold_capacity_share,
         Condition::Draining | Condition::Gone => 0.0,
     }
 }
 
 /// The load of a searcher if all of the fleet as listed bore the same.
 pub(crate) fn average(fleet: &Fleet, weights: &[f64]) -> f64 {
-    let ready = fleet.in_life(pewterwharf::interface::Life::Ready).count_ones(..);
+    let ready = fleet.in_life(pewterwharf::interface::SearcherStatus::Ready).count_ones(..);
     (weights.iter().sum::<f64>() / ready.max(1) as f64).max(f64::MIN_POSITIVE)
 }
 
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -5,7 +5,7 @@
 
 use common::{TERMS, fleet, suite, told, verdicts};
 use insta::assert_snapshot;
-use pewterwharf::interface::{Action, Budget, Decide, Ending, Event, Life};
+use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, RetryBudget, SearcherStatus};
 use pewterwharf::logic::Mixer;
 use pewterwharf_expect::explore::Subject;
 use pewterwharf_expect::{Outcome, Verdict};
@@ -32,30 +32,40 @@
     restarted: bool,
 }
 
-impl Decide for Faulty {
-    fn turn(&mut self, now: f64, mut events: Vec<Event>) -> Vec<Action> {
+impl DecisionModule for Faulty {
+    fn handle_events(&mut self, now: f64, mut events: Vec<Event>) -> Vec<Action> {
         for event in &mut events {
             match (self.fault, event) {
                 (Fault::DrainIgnoredAfterRestart, _) if !self.restarted => {}
-                (Fault::DrainIgnored | Fault::DrainIgnoredAfterRestart, Event::List { lines, .. }) => {
-                    lines.iter_mut().filter(|l| l.life == Life::Draining).for_each(|l| l.life = Life::Ready);
+                (
+                    Fault::DrainIgnored | Fault::DrainIgnoredAfterRestart,
+                    Event::List { searchers: lines, .. },
+                ) => {
+                    lines
+                        .iter_mut()
+                        .filter(|l| l.status == SearcherStatus::Draining)
+                        .for_each(|l| l.status = SearcherStatus::Ready);
                 }
                 (
                     Fault::ResentThoughRun,
-                    Event::Ended { ending: ending @ (Ending::Error | Ending::Reset), .. },
+                    Event::DispatchEnded {
+                        outcome: ending @ (DispatchOutcome::Error | DispatchOutcome::Reset),
+                        ..
+                    },
                 ) => {
-                    *ending = Ending::ConnectFailed;
+                    *ending = DispatchOutcome::ConnectFailed;
                 }
-                (Fault::AllowanceSkipped, Event::List { lines, .. }) => {
-                    lines.iter_mut().for_each(|l| l.since = 0.0);
-                }
-                (Fault::CountedEarly, Event::Ended { ending: ending @ Ending::Error, .. }) => {
-                    *ending = Ending::Ok
+                (Fault::AllowanceSkipped, Event::List { searchers: lines, .. }) => {
+                    lines.iter_mut().for_each(|l| l.started_at = 0.0);
                 }
+                (
+                    Fault::CountedEarly,
+                    Event::DispatchEnded { outcome: ending @ DispatchOutcome::Error, .. },
+                ) => *ending = DispatchOutcome::Ok,
                 _ => {}
             }
         }
-        let mut actions = self.mixer.turn(now, events);
+        let mut actions = self.mixer.handle_events(now, events);
         match self.fault {
             Fault::AnswerKept => actions.retain(|a| !matches!(a, Action::Throttle { .. })),
             Fault::AnsweredTwice => {
@@ -74,7 +84,7 @@
     let real = stated.clone();
     if fault == Some(Fault::BudgetIgnored) {
         // The module is opened on a budget that is wider than the one stated.
-        stated.guards.budget = Some(Budget { free: 0.0, share: 0.1, window_ms: 1000.0 });
+        stated.guards.retry_budget = Some(RetryBudget { free: 0.0, share: 0.1, window_ms: 1000.0 });
     }
     let fleet = Fleet::new(stated, &common::six()).expect("a fleet");
     let suite = suite(fleet, "").expect("no claims");
--- a/crates/fleet/src/holding.rs
+++ b/crates/fleet/src/holding.rs
@@ -30,7 +30,7 @@
         // Where no number of slices is stated, they repeat with the sets.
         let slices = if terms.shards == u32::MAX { layout.cells } else { terms.shards };
         ensure!(slices <= MOST_SLICES, "{slices} slices are over {MOST_SLICES}");
-        let reach = layout.reach.min(layout.cells);
+        let reach = layout.cells_per_shard.min(layout.cells);
         let sets = |slice: u32| (0..reach).map(|j| (slice % layout.cells + j) % layout.cells).collect();
         Self::new(layout.cells as usize, (0..slices).map(sets).collect())
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,7 +24,7 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use fixedbitset::FixedBitSet;
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use pewterwharf_terms::Terms;
 use pewterwharf_terms::list::List;
 
@@ -39,7 +39,7 @@
     pub name: String,
     pub hall: usize,
     pub set: u32,
-    pub life: Life,
+    pub life: SearcherStatus,
     /// When its process started, in milliseconds since 1970; zero means long ago.
     pub since: f64,
     /// How old the word of it was when the list was written, in milliseconds.
@@ -70,11 +70,11 @@
     passed_over: Vec<String>,
 }
 
-fn rank(life: Life) -> usize {
+fn rank(life: SearcherStatus) -> usize {
     match life {
-        Life::Ready => 0,
-        Life::Draining => 1,
-        Life::Gone => 2,
+        SearcherStatus::Ready => 0,
+        SearcherStatus::Draining => 1,
+        SearcherStatus::Gone => 2,
     }
 }
 
@@ -193,7 +193,7 @@
     }
 
     /// Searchers that the list has in that state.
-    pub fn in_life(&self, life: Life) -> &FixedBitSet {
+    pub fn in_life(&self, life: SearcherStatus) -> &FixedBitSet {
         &self.by_life[rank(life)]
     }
 
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/standing.rs
@@ -1,6 +1,6 @@
 //! What has become of a fleet's searchers since they were listed.
 
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 
 use crate::Fleet;
 
@@ -18,11 +18,11 @@
 
 impl Condition {
     /// As listed. Nothing is cold in the list itself: `since` against what time would be a guess.
-    pub fn of(life: Life) -> Self {
+    pub fn of(life: SearcherStatus) -> Self {
         match life {
-            Life::Ready => Self::Up,
-            Life::Draining => Self::Draining,
-            Life::Gone => Self::Gone,
+            SearcherStatus::Ready => Self::Up,
+            SearcherStatus::Draining => Self::Draining,
+            SearcherStatus::Gone => Self::Gone,
         }
     }
 
--- a/crates/mixer/src/copies.rs
+++ b/crates/mixer/src/copies.rs
@@ -144,7 +144,11 @@
             let stands = own.marked || own.late;
             let again = |before: Said| before.own != own || stands && now - before.at >= AGAIN_MS;
             if before.is_none_or(again) {
-                let (normals, parts) = if known.marked { known.evidence } else { (known.late, 1) };
+                let (normals, parts) = if known.marked {
+                    (known.evidence.relative_latency, known.evidence.parts)
+                } else {
+                    (known.overdue, 1)
+                };
                 let cold = known.cold;
                 says.push(Say::Searcher { at: known.searcher, own: Some(own), cold, normals, parts });
                 said.insert(known.searcher, Said { own, at: now });
--- a/crates/mixer/src/counters.rs
+++ b/crates/mixer/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use pewterwharf::report::BARS;
+use pewterwharf::report::REJECTION_REASONS;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
@@ -134,7 +134,7 @@
     pub completed: u64,
     pub throttled: u64,
     /// Of the throttled, those refused by the door, in the order of its counters above.
-    pub door: [u64; BARS],
+    pub door: [u64; REJECTION_REASONS],
     pub abandoned: u64,
     pub gone: u64,
 }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Action, Decide, Ending, Event, Life};
+use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, SearcherStatus};
 use pewterwharf::logic::Mixer;
-use pewterwharf::report::{Beliefs, Known};
+use pewterwharf::report::{MixerStatus, ObservedSearcher};
 use pewterwharf_terms::Terms;
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
@@ -78,7 +78,7 @@
         let mut terms = terms;
         for kind in &mut terms.types {
             // How a second step travels on sockets is not stated, so none is opened.
-            kind.second_step = false;
+            kind.has_second_step = false;
         }
         let names = terms.type_names.iter().cloned();
         let by_type = names.map(|name| ByType { name, ..ByType::default() }).collect();
@@ -118,27 +118,27 @@
 
     /// Share of the slices for which the decision module has a usable searcher.
     pub fn usable(&self) -> f64 {
-        self.module.usable()
+        self.module.usable_share()
     }
 
     /// What the decision module believes, and why it refused.
-    pub fn beliefs(&self) -> Beliefs {
-        self.module.beliefs()
+    pub fn beliefs(&self) -> MixerStatus {
+        self.module.status()
     }
 
     /// What the decision module knows of each searcher by itself.
-    pub fn searchers(&self) -> impl Iterator<Item = Known> {
-        self.module.known()
+    pub fn searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
+        self.module.observed_searchers()
     }
 
     /// Scans of each customer in the last seconds, and whether connections were lost while idle.
     pub fn used(&self) -> (&[usize], bool) {
-        self.module.used()
+        (self.module.recent_scans_by_customer(), self.module.idle_connections_lost())
     }
 
     /// The version of the list that is gone by, and the searchers in it that are up.
     pub fn list(&self) -> (u64, u32) {
-        let ready = self.srvs.values().filter(|s| s.life == Life::Ready).count();
+        let ready = self.srvs.values().filter(|s| s.life == SearcherStatus::Ready).count();
         (self.list_index, ready as u32)
     }
 
@@ -149,7 +149,7 @@
 
     /// Of each table type, the weight of parts that makes a whole answer, and the least for any.
     pub fn needs(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.terms.types.iter().map(|t| (t.need, t.floor))
+        self.terms.types.iter().map(|t| (t.required_weight, t.minimum_weight))
     }
 
     /// The names of table types, in the same order.
@@ -169,10 +169,11 @@
 
     /// The counts, with what is open now.
     pub fn counters(&self) -> Counters {
-        let beliefs = self.module.beliefs();
-        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] = beliefs.refused_in_all();
+        let beliefs = self.module.status();
+        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] =
+            beliefs.rejections_by_reason();
         let mut by_type = self.counters.by_type.clone();
-        by_type.iter_mut().zip(beliefs.refused).for_each(|(counts, door)| counts.door = door);
+        by_type.iter_mut().zip(beliefs.rejected).for_each(|(counts, door)| counts.door = door);
         Counters {
             by_type,
             door_nobody_up,
@@ -370,7 +371,7 @@
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             let mut calls: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
-            for action in self.module.turn(now, events) {
+            for action in self.module.handle_events(now, events) {
                 self.act(now, action, &mut calls);
             }
             for (srv, attempt_ids) in calls {
@@ -383,12 +384,14 @@
 
     fn act(&mut self, now: f64, action: Action, calls: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>) {
         match action {
-            Action::Dispatch { part, searcher, patience_ms } => {
-                if let Some(attempt_id) = self.dispatch(now, part, searcher, patience_ms) {
+            Action::Dispatch { part, searcher, timeout_ms } => {
+                if let Some(attempt_id) = self.dispatch(now, part, searcher, timeout_ms) {
                     calls.entry(searcher).or_default().push(attempt_id);
                 }
             }
-            Action::Cancel { part, dispatch } => self.give_up(now, (part, dispatch), Ending::Cancelled),
+            Action::Cancel { part, dispatch } => {
+                self.give_up(now, (part, dispatch), DispatchOutcome::Cancelled)
+            }
             Action::Complete { scan, whole } => {
                 let Some(held) = self.scans.get(&scan) else { return };
                 self.counters.scans_completed += 1;
@@ -401,10 +404,10 @@
                 let body = http::rows(whole, values);
                 self.answer_scan(now, scan, 200, None, &body);
             }
-            Action::Throttle { scan, back_in_ms } => {
+            Action::Throttle { scan, retry_after_ms } => {
                 self.counters.scans_throttled += u64::from(self.scans.contains_key(&scan));
                 self.count_type(scan, |of| &mut of.throttled);
-                self.answer_scan(now, scan, 503, back_in_ms, b"throttled\n");
+                self.answer_scan(now, scan, 503, retry_after_ms, b"throttled\n");
             }
             Action::Abandon { scan } => {
                 self.counters.scans_abandoned += u64::from(self.scans.contains_key(&scan));
@@ -412,7 +415,7 @@
                 self.answer_scan(now, scan, 504, None, b"abandoned\n");
             }
             Action::Probe { searcher } => self.probe(now, searcher),
-            Action::Hangup { searcher } => self.hang_up_links(searcher),
+            Action::CloseIdleConnections { searcher } => self.hang_up_links(searcher),
             Action::WakeAt { at } => self.add_due(at, Due::Wake),
             Action::Subscribe => {} // the watch is always held
             Action::Log { line } => info!("{line}"),
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use pewterwharf::interface::{Ending, Event};
+use pewterwharf::interface::{DispatchOutcome, Event};
 use tracing::debug;
 
 use super::Reducer;
@@ -32,7 +32,7 @@
         }
         self.attempts
             .insert(attempt_id, Attempt { name, link: 0, call: 0, srv, sent_at: now, until, frame: None });
-        if u32::from(attempt_id.1) >= self.terms.permits.dispatches {
+        if u32::from(attempt_id.1) >= self.terms.permits.max_dispatches {
             self.refuse_send(now, attempt_id, SendRefusal::AttemptsUsedUp);
             return None;
         }
@@ -41,16 +41,18 @@
     }
 
     /// Counts a further attempt by how the part's last one ended; one that is still out makes it a hedge.
-    fn count_retry(&mut self, name: &str, number: u8, last_ending: Option<Ending>) {
+    fn count_retry(&mut self, name: &str, number: u8, last_ending: Option<DispatchOutcome>) {
         self.counters.dispatches_further += 1;
         let count = match last_ending {
             None => &mut self.counters.hedges,
-            Some(Ending::Ok | Ending::Cancelled | Ending::Moot) => &mut self.counters.retries_after_none_sent,
-            Some(Ending::Error) => &mut self.counters.retries_after_error,
-            Some(Ending::Full) => &mut self.counters.retries_after_full,
-            Some(Ending::TimedOut) => &mut self.counters.retries_after_time_out,
-            Some(Ending::ConnectFailed) => &mut self.counters.retries_after_connect_failed,
-            Some(Ending::Reset) => &mut self.counters.retries_after_reset,
+            Some(DispatchOutcome::Ok | DispatchOutcome::Cancelled | DispatchOutcome::Moot) => {
+                &mut self.counters.retries_after_none_sent
+            }
+            Some(DispatchOutcome::Error) => &mut self.counters.retries_after_error,
+            Some(DispatchOutcome::Full) => &mut self.counters.retries_after_full,
+            Some(DispatchOutcome::TimedOut) => &mut self.counters.retries_after_time_out,
+            Some(DispatchOutcome::ConnectFailed) => &mut self.counters.retries_after_connect_failed,
+            Some(DispatchOutcome::Reset) => &mut self.counters.retries_after_reset,
         };
         *count += 1;
         debug!("{name}: attempt {number} after {last_ending:?}");
@@ -72,7 +74,7 @@
         let Some(id) = link else {
             attempt_ids
                 .iter()
-                .for_each(|attempt_id| self.end_attempt(now, *attempt_id, Ending::ConnectFailed));
+                .for_each(|attempt_id| self.end_attempt(now, *attempt_id, DispatchOutcome::ConnectFailed));
             return;
         };
         let call = self.id();
@@ -90,14 +92,14 @@
     pub(super) fn time_out(&mut self, now: f64, attempt_id: AttemptId) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // What still waits for its connection was never sent.
-        let ending = if attempt.frame.is_some() { Ending::TimedOut } else { Ending::Moot };
+        let ending = if attempt.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::Moot };
         let (link, sent_at) = (attempt.link, attempt.sent_at);
         self.give_up(now, attempt_id, ending);
         self.doubt(link, sent_at);
     }
 
     /// Stops waiting for a dispatch, and tells its searcher where that may be done.
-    pub(super) fn give_up(&mut self, now: f64, attempt_id: AttemptId, ending: Ending) {
+    pub(super) fn give_up(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.terms.permits.cancel {
             let (link, name) = (attempt.link, attempt.name.clone());
@@ -106,22 +108,22 @@
         self.end_attempt(now, attempt_id, ending);
     }
 
-    pub(super) fn end_attempt(&mut self, now: f64, attempt_id: AttemptId, ending: Ending) {
+    pub(super) fn end_attempt(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome) {
         self.end_reported(now, attempt_id, ending, None);
     }
 
     /// The one ending of a dispatch, with the busy share that its searcher reported.
-    fn end_reported(&mut self, now: f64, attempt_id: AttemptId, ending: Ending, busy: Option<f64>) {
+    fn end_reported(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome, busy: Option<f64>) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else { return };
         let count = match ending {
-            Ending::Ok => &mut self.counters.ended_ok,
-            Ending::Error => &mut self.counters.ended_error,
-            Ending::Full => &mut self.counters.ended_full,
-            Ending::TimedOut => &mut self.counters.ended_timed_out,
-            Ending::ConnectFailed => &mut self.counters.ended_connect_failed,
-            Ending::Reset => &mut self.counters.ended_reset,
-            Ending::Cancelled => &mut self.counters.ended_cancelled,
-            Ending::Moot => &mut self.counters.ended_moot,
+            DispatchOutcome::Ok => &mut self.counters.ended_ok,
+            DispatchOutcome::Error => &mut self.counters.ended_error,
+            DispatchOutcome::Full => &mut self.counters.ended_full,
+            DispatchOutcome::TimedOut => &mut self.counters.ended_timed_out,
+            DispatchOutcome::ConnectFailed => &mut self.counters.ended_connect_failed,
+            DispatchOutcome::Reset => &mut self.counters.ended_reset,
+            DispatchOutcome::Cancelled => &mut self.counters.ended_cancelled,
+            DispatchOutcome::Moot => &mut self.counters.ended_moot,
         };
         *count += 1;
         if let Some(part) = self.parts.get_mut(&attempt_id.0) {
@@ -146,7 +148,14 @@
             self.rest(now, attempt.link);
         }
         let (part, dispatch) = attempt_id;
-        self.events.push(Event::Ended { part, dispatch, searcher: attempt.srv, ending, took_ms, busy });
+        self.events.push(Event::DispatchEnded {
+            part,
+            dispatch,
+            searcher: attempt.srv,
+            outcome: ending,
+            took_ms,
+            busy,
+        });
     }
 
     pub(super) fn frame(&mut self, now: f64, id: u64, frame: Frame) {
@@ -157,11 +166,13 @@
                 Some(held) if let Some(attempt_id) = held.attempt_id() => {
                     *held = Awaits::Copy;
                     let ending = match verdict {
-                        Verdict::Ok => Ending::Ok,
-                        Verdict::Error => Ending::Error,
-                        Verdict::Full => Ending::Full,
+                        Verdict::Ok => DispatchOutcome::Ok,
+                        Verdict::Error => DispatchOutcome::Error,
+                        Verdict::Full => DispatchOutcome::Full,
                     };
-                    if let Some(part) = self.parts.get_mut(&attempt_id.0).filter(|_| ending == Ending::Ok) {
+                    if let Some(part) =
+                        self.parts.get_mut(&attempt_id.0).filter(|_| ending == DispatchOutcome::Ok)
+                    {
                         part.value.get_or_insert(value);
                     }
                     self.end_reported(now, attempt_id, ending, busy.filter(|_| self.terms.busy_at.is_some()));
@@ -179,10 +190,14 @@
                     return;
                 };
                 if !probe.over {
-                    let ending = if verdict == Some(Verdict::Error) { Ending::Error } else { Ending::Ok };
-                    self.counters.probes_ok += u64::from(ending == Ending::Ok);
+                    let ending = if verdict == Some(Verdict::Error) {
+                        DispatchOutcome::Error
+                    } else {
+                        DispatchOutcome::Ok
+                    };
+                    self.counters.probes_ok += u64::from(ending == DispatchOutcome::Ok);
                     let (searcher, took_ms) = (link.srv, now - probe.sent_at);
-                    self.events.push(Event::Probed { searcher, ending, took_ms });
+                    self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
                 }
                 self.rest(now, id);
             }
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! The reducer's part for clients: their connections, what they ask, and the answers.
 
-use pewterwharf::interface::{Event, Repeat};
+use pewterwharf::interface::{Event, Idempotency};
 use tracing::debug;
 
 use super::Reducer;
@@ -224,13 +224,13 @@
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"closing\n");
+            return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"closing\n");
         }
         if !rules::may_take_query(open, ask.parts.len(), self.terms.open_cap) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"full\n");
+            return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"full\n");
         }
         let id = self.id();
         self.scan_number = self.scan_number.wrapping_add(1);
@@ -242,11 +242,19 @@
         let work: Option<Vec<f64>> = ask.parts.iter().map(|p| p.work_ms).collect();
         let work_ms = work.map(|w| w.iter().sum());
         let retry = ask.retry;
-        self.events.push(Event::Scan { id, number, table_type, customer, gone_at, work_ms, retry });
-        let repeat_until = match self.terms.types[table_type].repeat {
-            Repeat::Replayable => f64::INFINITY,
-            Repeat::Keyed { window_ms } => now + window_ms,
-            Repeat::NonReplayable => f64::NEG_INFINITY,
+        self.events.push(Event::Scan {
+            id,
+            number,
+            table_type,
+            customer,
+            deadline_at: gone_at,
+            work_ms,
+            retry,
+        });
+        let repeat_until = match self.terms.types[table_type].idempotency {
+            Idempotency::Replayable => f64::INFINITY,
+            Idempotency::Keyed { window_ms } => now + window_ms,
+            Idempotency::NonReplayable => f64::NEG_INFINITY,
         };
         let mut parts = Vec::with_capacity(ask.parts.len());
         for part in &ask.parts {
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use pewterwharf::interface::Ending;
+use pewterwharf::interface::DispatchOutcome;
 use tracing::debug;
 
 use super::Reducer;
@@ -191,7 +191,7 @@
             part,
             attempt_id.1,
             attempt.until,
-            self.terms.permits.dispatches,
+            self.terms.permits.max_dispatches,
             searcher,
             link,
             now,
@@ -239,7 +239,7 @@
             self.violated(Violation::Send, &format!("{name}: {refusal}"));
         }
         if !refusal.is_called_off() {
-            self.end_attempt(now, attempt_id, Ending::Moot);
+            self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
         }
     }
 }
--- a/crates/mixer/src/reducer/held.rs
+++ b/crates/mixer/src/reducer/held.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use pewterwharf::interface::{Ending, Life};
+use pewterwharf::interface::{DispatchOutcome, SearcherStatus};
 use tracing::info;
 
 /// A part and the number of its dispatch.
@@ -35,7 +35,7 @@
     /// (minus infinity) where it must not.
     pub(super) repeat_until: f64,
     /// How its latest attempt ended.
-    pub(super) last_ending: Option<Ending>,
+    pub(super) last_ending: Option<DispatchOutcome>,
     pub(super) value: Option<String>,
 }
 
@@ -130,7 +130,7 @@
 pub(super) struct Searcher {
     pub(super) name: String,
     pub(super) addr: SocketAddrV4,
-    pub(super) life: Life,
+    pub(super) life: SearcherStatus,
     /// When its process started, as the list says.
     pub(super) since: f64,
     pub(super) links: Vec<u64>,
@@ -140,9 +140,9 @@
     /// Logs that one which was ready drains or is gone.
     pub(super) fn log_if_left(&self) {
         match self.life {
-            Life::Ready => {}
-            Life::Draining => info!("{} drains", self.name),
-            Life::Gone => info!("{} is gone", self.name),
+            SearcherStatus::Ready => {}
+            SearcherStatus::Draining => info!("{} drains", self.name),
+            SearcherStatus::Gone => info!("{} is gone", self.name),
         }
     }
 }
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Ending, Event};
+use pewterwharf::interface::{DispatchOutcome, Event};
 use tracing::debug;
 
 use super::Reducer;
@@ -28,8 +28,8 @@
     pub(super) fn probe(&mut self, now: f64, srv: SocketAddrV4) {
         self.counters.probes += 1;
         let Some(id) = self.links_to(srv).first().copied().or_else(|| self.connect(now, srv)) else {
-            let ending = Ending::ConnectFailed;
-            return self.events.push(Event::Probed { searcher: srv, ending, took_ms: 0.0 });
+            let ending = DispatchOutcome::ConnectFailed;
+            return self.events.push(Event::ProbeEnded { searcher: srv, outcome: ending, took_ms: 0.0 });
         };
         let number = self.id();
         self.add_due(now + self.terms.connect_timeout_ms, Due::ProbeTimedOut { link: id, number });
@@ -43,9 +43,10 @@
         let Some(probe) = at.probes.iter_mut().find(|p| p.number == number && !p.over) else { return };
         probe.over = true;
         // No connection in time is told as that, whichever of the two clocks rings first.
-        let ending = if probe.frame.is_some() { Ending::TimedOut } else { Ending::ConnectFailed };
+        let ending =
+            if probe.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::ConnectFailed };
         let (searcher, sent_at, took_ms) = (at.srv, probe.sent_at, now - probe.sent_at);
-        self.events.push(Event::Probed { searcher, ending, took_ms });
+        self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
         self.doubt(link, sent_at);
     }
 
@@ -186,12 +187,12 @@
             srv.links.retain(|l| *l != id);
         }
         let told = |frame: Option<u64>| match frame {
-            Some(frame) if frame < written => Ending::Reset,
-            _ => Ending::ConnectFailed,
+            Some(frame) if frame < written => DispatchOutcome::Reset,
+            _ => DispatchOutcome::ConnectFailed,
         };
         for probe in link.probes.iter().filter(|p| !p.over) {
             let (searcher, ending, took_ms) = (link.srv, told(probe.frame), now - probe.sent_at);
-            self.events.push(Event::Probed { searcher, ending, took_ms });
+            self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
         }
         let mut attempt_ids: Vec<AttemptId> = link.out.into_values().filter_map(Awaits::attempt_id).collect();
         attempt_ids.sort_unstable();
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use pewterwharf::interface::{Ending, Event, Life, ListKind, Listed};
+use pewterwharf::interface::{DispatchOutcome, Event, ListKind, ListedSearcher, SearcherStatus};
 use pewterwharf_terms::Change;
 use pewterwharf_terms::list::{Entry, List};
 use tracing::info;
@@ -84,21 +84,21 @@
         list.bad.iter().for_each(|why| self.warn(now, &format!("discovery: {why}")));
         let left = |s: &Searcher| match news {
             News::Newer => false,
-            News::OtherPlace => s.life == Life::Draining,
-            News::Older => s.life != Life::Ready,
+            News::OtherPlace => s.life == SearcherStatus::Draining,
+            News::Older => s.life != SearcherStatus::Ready,
         };
-        let left: HashMap<String, (f64, Life)> =
+        let left: HashMap<String, (f64, SearcherStatus)> =
             self.srvs.values().filter(|s| left(s)).map(|s| (s.name.clone(), (s.since, s.life))).collect();
         let mut ready = Vec::new();
         if kind != ListKind::Changes {
-            ready.extend(self.srvs.iter().filter(|s| s.1.life == Life::Ready).map(|s| *s.0));
-            self.srvs.values_mut().for_each(|s| s.life = Life::Gone);
+            ready.extend(self.srvs.iter().filter(|s| s.1.life == SearcherStatus::Ready).map(|s| *s.0));
+            self.srvs.values_mut().for_each(|s| s.life = SearcherStatus::Gone);
         }
         let mut lines = Vec::with_capacity(list.entries.len());
         for mut entry in list.entries {
             // A drain was told: a list made before that, or by another place that has not heard of it, takes nothing back.
             if let Some((since, life)) = left.get(&entry.name)
-                && entry.life == Life::Ready
+                && entry.life == SearcherStatus::Ready
                 && entry.since <= *since
             {
                 entry.life = *life;
@@ -108,25 +108,26 @@
         ready.iter().filter_map(|key| self.srvs.get(key)).for_each(Searcher::log_if_left);
         // What waits for a connection to one that takes nothing new is not sent.
         let unsent = self.attempts.iter().filter(|(_, f)| f.frame.is_none());
-        let off = unsent.filter(|(_, f)| self.srvs.get(&f.srv).is_none_or(|s| s.life != Life::Ready));
+        let off =
+            unsent.filter(|(_, f)| self.srvs.get(&f.srv).is_none_or(|s| s.life != SearcherStatus::Ready));
         for attempt_id in off.map(|f| *f.0).collect::<Vec<_>>() {
-            self.end_attempt(now, attempt_id, Ending::Moot);
+            self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
         }
-        self.events.push(Event::List { kind, lines });
+        self.events.push(Event::List { kind, searchers: lines });
         // Who is gone and has nothing open is forgotten, as releases bring new ones.
-        self.srvs.retain(|_, s| s.life != Life::Gone || !s.links.is_empty());
+        self.srvs.retain(|_, s| s.life != SearcherStatus::Gone || !s.links.is_empty());
         self.names.retain(|_, key| self.srvs.contains_key(key));
-        if self.phase == Phase::Opening && self.srvs.values().any(|s| s.life == Life::Ready) {
+        if self.phase == Phase::Opening && self.srvs.values().any(|s| s.life == SearcherStatus::Ready) {
             self.enter(Phase::Ready);
         }
     }
 
     /// A searcher is known by its name; the module knows it by the first address under which it was listed.
-    pub(super) fn entry(&mut self, entry: Entry) -> Option<Listed> {
+    pub(super) fn entry(&mut self, entry: Entry) -> Option<ListedSearcher> {
         let Entry { name, addr, zone, cell, since, life, .. } = entry;
         let key = match self.names.get(&name) {
             Some(key) => *key,
-            None if life == Life::Gone => return None,
+            None if life == SearcherStatus::Gone => return None,
             None => {
                 let mut key = addr;
                 while self.srvs.contains_key(&key) {
@@ -140,12 +141,12 @@
         };
         let zone = self.terms.zones.iter().position(|z| *z == zone).unwrap_or(self.terms.zones.len()) as u16;
         let srv = self.srvs.get_mut(&key)?;
-        let was_ready = srv.life == Life::Ready;
+        let was_ready = srv.life == SearcherStatus::Ready;
         (srv.life, srv.since) = (life, since);
         if was_ready {
             srv.log_if_left();
         }
-        if srv.addr != addr && life != Life::Gone {
+        if srv.addr != addr && life != SearcherStatus::Gone {
             info!("{} has moved from {} to {addr}", srv.name, srv.addr);
             srv.addr = addr;
             // Links to where it was take nothing new, and close once nothing is out on them.
@@ -153,6 +154,6 @@
                 self.close_link(link, LinkCloseReason::Moved);
             }
         }
-        Some(Listed { searcher: key, cell, zone, since, life })
+        Some(ListedSearcher { searcher: key, cell, zone, started_at: since, status: life })
     }
 }
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -6,7 +6,7 @@
 
 use std::fmt;
 
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 
 use super::held::{Client, ClientStanding, Link, LinkStanding, Part, Searcher};
 
@@ -99,7 +99,8 @@
     if part.may_have_run > 0 && now >= part.repeat_until {
         return Err(SendRefusal::WindowPassed);
     }
-    let searcher = searcher.filter(|s| s.life == Life::Ready).ok_or(SendRefusal::SearcherNotReady)?;
+    let searcher =
+        searcher.filter(|s| s.life == SearcherStatus::Ready).ok_or(SendRefusal::SearcherNotReady)?;
     if searcher.addr != link.addr {
         return Err(SendRefusal::SearcherMoved);
     }
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -79,7 +79,7 @@
         let (to, received) = bounded(WAITING);
         let messages = MessageSender { to, clock };
         let connect = Duration::from_secs_f64(start.terms.connect_timeout_ms.max(1.0) / 1000.0);
-        if start.terms.types.iter().any(|t| t.second_step) {
+        if start.terms.types.iter().any(|t| t.has_second_step) {
             warn!("table types with a second step are answered from the first: the protocol states no other");
         }
         let copies = Copies::open(settings, &mut start, &messages)?;
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use insta::assert_snapshot;
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
@@ -37,7 +37,7 @@
     })
 }
 
-fn entry(n: u8, life: Life, since: f64) -> Entry {
+fn entry(n: u8, life: SearcherStatus, since: f64) -> Entry {
     let addr = std::net::SocketAddrV4::new([10, 0, 0, n].into(), 80);
     Entry { name: format!("s{n}"), addr, zone: "hall".into(), cell: 0, since, life, age_ms: 0.0 }
 }
@@ -64,7 +64,7 @@
     fn on(settings: &serde_json::Value, searchers: u8, sockets: usize) -> Self {
         let terms = Terms::of_json(settings).expect("good settings");
         let mut rig = Self { reducer: Reducer::new(terms, 7, sockets), now: START, trace: String::new() };
-        rig.list(true, (1..=searchers).map(|n| entry(n, Life::Ready, 0.0)).collect());
+        rig.list(true, (1..=searchers).map(|n| entry(n, SearcherStatus::Ready, 0.0)).collect());
         rig.tell(Input::ClientOpen { conn: 1 });
         rig
     }
@@ -267,7 +267,7 @@
 fn rule_3_what_waits_for_a_connection_is_not_sent_once_its_searcher_drains() {
     let mut rig = Rig::new(2);
     rig.asks(1, "all", "q1", 1);
-    rig.list(false, vec![entry(1, Life::Draining, 0.0), entry(2, Life::Draining, 0.0)]);
+    rig.list(false, vec![entry(1, SearcherStatus::Draining, 0.0), entry(2, SearcherStatus::Draining, 0.0)]);
     rig.tell(Input::LinkUp { link: 3 });
     assert_snapshot!(rig.counted());
 }
@@ -277,7 +277,7 @@
     let mut rig = Rig::new(1);
     // What an earlier process of this mixer may have sent is over: a new one waits a window.
     rig.pass(1500.0);
-    rig.list(true, vec![entry(1, Life::Ready, START + 1400.0)]);
+    rig.list(true, vec![entry(1, SearcherStatus::Ready, START + 1400.0)]);
     rig.tell(Input::ClientOpen { conn: 2 });
     rig.asks(1, "all", "q1", 3);
     rig.asks(2, "all", "q2", 3);
@@ -377,7 +377,7 @@
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a");
-    let mut moved = entry(1, Life::Ready, 0.0);
+    let mut moved = entry(1, SearcherStatus::Ready, 0.0);
     moved.addr.set_port(81);
     rig.list(false, vec![moved]);
     rig.tell(Input::LinkEnd { link: 3, written: 1 });
@@ -532,7 +532,7 @@
 fn a_restarted_mixer_goes_by_the_list_it_held_once_the_watch_was_silent_until_it_is_told_another() {
     let terms = Terms::of_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
-    let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
+    let known = vec![entry(1, SearcherStatus::Ready, 0.0), entry(2, SearcherStatus::Ready, 0.0)];
     rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
     // What the agent has counts as told from the first moment: nothing is sent before it had its time to say so.
     rig.pass(1499.0);
@@ -542,7 +542,7 @@
     rig.tell(Input::ClientOpen { conn: 1 });
     rig.asks(1, "all", "q1", 1);
     // The one it went to is gone by the list; what still waits for a connection goes to its replica.
-    rig.list(true, vec![entry(1, Life::Ready, 0.0)]);
+    rig.list(true, vec![entry(1, SearcherStatus::Ready, 0.0)]);
     rig.tell(Input::LinkUp { link: 3 });
     assert_snapshot!(rig.counted());
 }
@@ -551,12 +551,12 @@
 fn a_restarted_mixer_sends_nothing_by_an_old_list_that_the_agent_has_newer_word_on() {
     let terms = Terms::of_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
-    let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
+    let known = vec![entry(1, SearcherStatus::Ready, 0.0), entry(2, SearcherStatus::Ready, 0.0)];
     rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
     rig.tell(Input::ClientOpen { conn: 1 });
     rig.asks(1, "all", "q1", 1);
     // Changes since the list that was held: both are gone by together, before anything is sent.
-    rig.list(false, vec![entry(1, Life::Draining, 0.0)]);
+    rig.list(false, vec![entry(1, SearcherStatus::Draining, 0.0)]);
     rig.asks(1, "all", "q2", 1);
     assert_snapshot!(rig.counted());
 }
@@ -569,12 +569,24 @@
         let list = List { index, whole, entries, bad: Vec::new() };
         Input::List { watch: 0, list }
     };
-    rig.tell(list(7, false, vec![entry(1, Life::Draining, 0.0), entry(3, Life::Ready, 0.0)]));
+    rig.tell(list(
+        7,
+        false,
+        vec![entry(1, SearcherStatus::Draining, 0.0), entry(3, SearcherStatus::Ready, 0.0)],
+    ));
     // Made before the drain was told, and before the third came.
-    rig.tell(list(5, true, vec![entry(1, Life::Ready, 0.0), entry(2, Life::Draining, 0.0)]));
+    rig.tell(list(
+        5,
+        true,
+        vec![entry(1, SearcherStatus::Ready, 0.0), entry(2, SearcherStatus::Draining, 0.0)],
+    ));
     rig.asks(1, "all", "q1", 1);
     // A new process at the first's place is another matter, whatever the number of its list.
-    rig.tell(list(6, false, vec![entry(1, Life::Ready, START + 1400.0), entry(3, Life::Draining, 0.0)]));
+    rig.tell(list(
+        6,
+        false,
+        vec![entry(1, SearcherStatus::Ready, START + 1400.0), entry(3, SearcherStatus::Draining, 0.0)],
+    ));
     rig.tell(Input::ClientOpen { conn: 2 });
     rig.asks(2, "all", "q2", 1);
     assert_snapshot!(rig.counted());
@@ -586,10 +598,10 @@
     let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), 80);
     rig.tell(Input::Reloaded(Ok(Change { discovery, at_restart: Vec::new() })));
     // The old place tells it while the watch is moving; the new one's list was made before.
-    rig.watch(0, false, vec![entry(1, Life::Draining, 0.0)]);
-    rig.watch(1, true, vec![entry(1, Life::Ready, 0.0)]);
+    rig.watch(0, false, vec![entry(1, SearcherStatus::Draining, 0.0)]);
+    rig.watch(1, true, vec![entry(1, SearcherStatus::Ready, 0.0)]);
     rig.asks(1, "all", "q1", 1);
-    rig.watch(1, false, vec![entry(1, Life::Ready, 0.0)]);
+    rig.watch(1, false, vec![entry(1, SearcherStatus::Ready, 0.0)]);
     rig.asks(1, "all", "q2", 1);
     assert_snapshot!(rig.counted());
 }
@@ -598,7 +610,7 @@
 fn it_is_ready_once_a_searcher_is() {
     let mut rig = Rig::new(0);
     rig.tell(Input::Asked { conn: 1, ask: Ask::Ready, close: false });
-    rig.list(false, vec![entry(1, Life::Ready, 0.0)]);
+    rig.list(false, vec![entry(1, SearcherStatus::Ready, 0.0)]);
     rig.tell(Input::Asked { conn: 1, ask: Ask::Ready, close: false });
     assert_snapshot!(rig.counted());
 }
@@ -616,9 +628,9 @@
     rig.asks(1, "all", "q1", 1); // by the old list
     rig.tell(moved(2));
     rig.watch(1, true, Vec::new()); // it never spoke while it counted
-    rig.watch(0, true, vec![entry(2, Life::Ready, 0.0)]);
-    rig.watch(2, true, vec![entry(3, Life::Ready, 0.0)]);
-    rig.watch(0, true, vec![entry(4, Life::Ready, 0.0)]); // late
+    rig.watch(0, true, vec![entry(2, SearcherStatus::Ready, 0.0)]);
+    rig.watch(2, true, vec![entry(3, SearcherStatus::Ready, 0.0)]);
+    rig.watch(0, true, vec![entry(4, SearcherStatus::Ready, 0.0)]); // late
     rig.tell(Input::ClientOpen { conn: 2 });
     rig.asks(2, "all", "q2", 1);
     assert_snapshot!(rig.counted());
@@ -701,12 +713,12 @@
     let mut rig = Rig::new(0);
     let name = |n: u32| {
         let addr = std::net::SocketAddrV4::new([10, 1, (n >> 8) as u8, n as u8].into(), 80);
-        Entry { name: format!("s{n}"), addr, ..entry(1, Life::Ready, 0.0) }
+        Entry { name: format!("s{n}"), addr, ..entry(1, SearcherStatus::Ready, 0.0) }
     };
     let mut sizes = Vec::new();
     rig.list(false, vec![name(0)]);
     for n in 1..=4000 {
-        rig.list(false, vec![name(n), Entry { life: Life::Gone, ..name(n - 1) }]);
+        rig.list(false, vec![name(n), Entry { life: SearcherStatus::Gone, ..name(n - 1) }]);
         let conn = u64::from(n) + 1;
         rig.tell(Input::ClientOpen { conn });
         rig.asks(conn, "all", &format!("q{n}"), 1);
@@ -808,7 +820,7 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "once", "q1", 1);
     let link = rig.last_link();
-    let mut moved = entry(1, Life::Ready, 0.0);
+    let mut moved = entry(1, SearcherStatus::Ready, 0.0);
     moved.addr.set_port(81);
     rig.list(false, vec![moved]);
     rig.tell(Input::LinkUp { link });
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use oorandom::Rand64;
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
@@ -113,7 +113,7 @@
     links: HashMap<u64, (u8, Vec<Vec<String>>, bool)>,
     /// Links whose searcher takes no more for now.
     blocked: BTreeSet<u64>,
-    lives: Vec<Life>,
+    lives: Vec<SearcherStatus>,
     answers: usize,
 }
 
@@ -124,8 +124,8 @@
     }
 
     fn list(&mut self, whole: bool) -> Input {
-        let entries =
-            self.lives.iter().enumerate().filter(|e| !whole || *e.1 != Life::Gone).map(|(n, life)| Entry {
+        let entries = self.lives.iter().enumerate().filter(|e| !whole || *e.1 != SearcherStatus::Gone).map(
+            |(n, life)| Entry {
                 name: format!("s{n}"),
                 addr: std::net::SocketAddrV4::new([10, 0, 0, n as u8].into(), 80),
                 zone: "hall".into(),
@@ -133,7 +133,8 @@
                 since: 0.0,
                 life: *life,
                 age_ms: 0.0,
-            });
+            },
+        );
         self.count += 1;
         let list = List { index: self.count, whole, entries: entries.collect(), bad: Vec::new() };
         Input::List { watch: 0, list }
@@ -227,7 +228,7 @@
         for name in names {
             assert_eq!(
                 self.lives[usize::from(srv)],
-                Life::Ready,
+                SearcherStatus::Ready,
                 "{name} goes to one that drains or is gone"
             );
             let id = name.split('.').next().unwrap_or_default();
@@ -236,20 +237,20 @@
             let kind = &self.terms.types[asked.kind];
             let sent = self.sent.entry(name.clone()).or_default();
             let may_have_run = sent.0.iter().filter(|s| !s.2).map(|s| s.0).reduce(f64::min);
-            match kind.repeat {
-                pewterwharf::interface::Repeat::NonReplayable => {
+            match kind.idempotency {
+                pewterwharf::interface::Idempotency::NonReplayable => {
                     assert!(may_have_run.is_none(), "{name} may run twice");
                 }
-                pewterwharf::interface::Repeat::Keyed { window_ms } => {
+                pewterwharf::interface::Idempotency::Keyed { window_ms } => {
                     assert!(
                         may_have_run.is_none_or(|at| self.now <= at + window_ms),
                         "{name} past its window"
                     );
                 }
-                pewterwharf::interface::Repeat::Replayable => {}
+                pewterwharf::interface::Idempotency::Replayable => {}
             }
             sent.0.push((self.now, link, false));
-            assert!(sent.0.len() <= permits.dispatches as usize, "{name} is sent too often");
+            assert!(sent.0.len() <= permits.max_dispatches as usize, "{name} is sent too often");
             let take = within(&mut self.seed, 1.0, 600.0);
             let verdict = match self.seed.rand_range(0..20) {
                 0..=13 => Some(Verdict::Ok),
@@ -289,10 +290,16 @@
             let had =
                 names.iter().filter(|n| self.values.contains(*n)).count() as f64 / f64::from(asked.parts);
             assert!(rows <= had + 1e-6, "{id} is answered with what no searcher gave");
-            assert!(rows + 1e-3 >= kind.floor.min(kind.need), "{id} is answered under the floor");
-            assert!(!text.contains("\"exact\":true") || rows + 1e-3 >= kind.need, "{id} is called whole");
+            assert!(
+                rows + 1e-3 >= kind.minimum_weight.min(kind.required_weight),
+                "{id} is answered under the floor"
+            );
+            assert!(
+                !text.contains("\"exact\":true") || rows + 1e-3 >= kind.required_weight,
+                "{id} is called whole"
+            );
         } else if text.starts_with("HTTP/1.1 503") {
-            let unsafe_kind = kind.repeat == pewterwharf::interface::Repeat::NonReplayable;
+            let unsafe_kind = kind.idempotency == pewterwharf::interface::Idempotency::NonReplayable;
             assert!(!unsafe_kind || !names.iter().any(open), "{id} is throttled and may have run");
         }
     }
@@ -325,7 +332,7 @@
         let terms = Terms::of_json(&settings).unwrap_or_else(|why| panic!("{why:#}: {settings}"));
         let reducer = Reducer::new(terms.clone(), seed.rand_u64(), 400);
         let mut day = Self {
-            lives: vec![Life::Ready; seed.rand_range(1..6) as usize],
+            lives: vec![SearcherStatus::Ready; seed.rand_range(1..6) as usize],
             seed,
             terms,
             reducer,
@@ -349,7 +356,10 @@
             match day.seed.rand_range(0..20) {
                 0 => {
                     let n = day.seed.rand_range(0..day.lives.len() as u64) as usize;
-                    day.lives[n] = *one_of(&mut day.seed, &[Life::Draining, Life::Gone, Life::Ready]);
+                    day.lives[n] = *one_of(
+                        &mut day.seed,
+                        &[SearcherStatus::Draining, SearcherStatus::Gone, SearcherStatus::Ready],
+                    );
                     let whole = chance(&mut day.seed, 0.3);
                     let list = day.list(whole);
                     day.step(vec![list]);
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use oorandom::Rand64;
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{Ask, ScanAsk, request};
@@ -45,7 +45,7 @@
         zone: "hall".to_owned(),
         cell: 0,
         since: 0.0,
-        life: Life::Ready,
+        life: SearcherStatus::Ready,
         age_ms: 0.0,
     };
     let list = List { index: 1, whole: true, entries: vec![searcher], bad: Vec::new() };
--- a/crates/rehearse/src/words.rs
+++ b/crates/rehearse/src/words.rs
@@ -1,7 +1,7 @@
 //! Mixers that tell each other what they know: the replicas and how far they are heeded, on ways that are late and lossy.
 
 use pewterwharf::interface::Event;
-use pewterwharf::report::Known;
+use pewterwharf::report::ObservedSearcher;
 use pewterwharf_peers::Start;
 use pewterwharf_replica::kinds::{Began, Mark};
 use pewterwharf_replica::{Advice, Heed, Limits, Own, Part, Refused, Replica};
@@ -33,7 +33,7 @@
     }
 
     /// Says what is new of what the module knows; a liar marks all. What the others are to be told.
-    pub fn look(&mut self, now: f64, known: &[Known], lies: bool) -> (Vec<Event>, Option<Part>) {
+    pub fn look(&mut self, now: f64, known: &[ObservedSearcher], lies: bool) -> (Vec<Event>, Option<Part>) {
         let mut events = Vec::new();
         for one in known {
             let (own, name) = (Own::of(one), one.searcher.to_string());
@@ -45,8 +45,8 @@
                 (true, held) => {
                     let (normals, parts) = match lies {
                         true => (9.0, 9),
-                        false if own.late => (one.late, 1),
-                        false => one.evidence,
+                        false if own.late => (one.overdue, 1),
+                        false => (one.evidence.relative_latency, one.evidence.parts),
                     };
                     let late = own.late && !lies;
                     self.replica.say(now, &name, &Mark { normals, parts, late }, now);
@@ -61,8 +61,8 @@
             }
             if one.cold {
                 let said = self.replica.said::<Began>(now, &name);
-                if !said.iter().any(|s| s.0 == self.replica.me() && s.1.since == one.since) {
-                    self.replica.say(now, &name, &Began { since: one.since }, now);
+                if !said.iter().any(|s| s.0 == self.replica.me() && s.1.since == one.started_at) {
+                    self.replica.say(now, &name, &Began { since: one.started_at }, now);
                 }
             }
         }
--- a/crates/rehearse/src/world.rs
+++ b/crates/rehearse/src/world.rs
@@ -33,15 +33,19 @@
         target_ms: fleet.target_ms,
         query_timeout_ms: CLIENT_MS,
         benefit: 1.0,
-        late_share: fleet.late_share,
-        target_stretch: 0.0,
-        repeat,
-        need,
-        floor: need,
-        partial_share: 0.9,
-        second_step: false,
+        late_benefit_share: fleet.late_share,
+        target_ms_per_work_ms: 0.0,
+        idempotency: repeat,
+        required_weight: need,
+        minimum_weight: need,
+        partial_benefit_share: 0.9,
+        has_second_step: false,
     };
-    vec![of(Repeat::Replayable, 0.6), of(Repeat::Replayable, 1.0), of(Repeat::NonReplayable, 1.0)]
+    vec![
+        of(Idempotency::Replayable, 0.6),
+        of(Idempotency::Replayable, 1.0),
+        of(Idempotency::NonReplayable, 1.0),
+    ]
 }
 
 /// Parts of a scan of each type, and how often the type is asked, of ten.
@@ -141,22 +145,28 @@
 
 impl<'a> World<'a> {
     fn new(fleet: &'a Fleet, spells: &'a [Spell], length_ms: f64, seed: u64) -> Self {
-        let layout = Layout { cells: fleet.sets as u32, reach: 1, parts_per_call: 1, call_work_ms: 0.0 };
-        let guards =
-            Guards { cold_from: 0.3, warm_ms: 4000.0, tip_multiple: 2.0, fall_ms: 1000.0, budget: None };
-        let permits = Permits {
+        let layout =
+            Layout { cells: fleet.sets as u32, cells_per_shard: 1, parts_per_call: 1, call_work_ms: 0.0 };
+        let guards = SafetyLimits {
+            cold_capacity_share: 0.3,
+            warm_up_ms: 4000.0,
+            overload_multiple: 2.0,
+            overload_window_ms: 1000.0,
+            retry_budget: None,
+        };
+        let permits = Permissions {
             cancel: true,
             probe: true,
-            second_copies: true,
-            dispatches: 3,
-            back_in_ms: Some(500.0),
-            ask_within_ms: None,
+            hedge: true,
+            max_dispatches: 3,
+            retry_after_ms: Some(500.0),
+            resubscribe_within_ms: None,
         };
         let open = |nth: usize| {
-            let berth = Berth { mixers: fleet.mixers as u32, zone: (nth % 2) as u16 };
-            let customers = vec![Customer { scans_per_s: fleet.scans_per_s, over_share: 0.2 }];
+            let berth = Placement { mixers: fleet.mixers as u32, zone: (nth % 2) as u16 };
+            let customers = vec![Customer { scans_per_s: fleet.scans_per_s, over_quota_benefit_share: 0.2 }];
             let seed = seed.wrapping_mul(1000).wrapping_add(nth as u64);
-            Mixer::open(seed, types(fleet), customers, layout.clone(), guards.clone(), permits.clone(), berth)
+            Mixer::new(seed, types(fleet), customers, layout.clone(), guards.clone(), permits.clone(), berth)
         };
         let moments = vec![Moment::default(); (length_ms / MOMENT_MS) as usize];
         let mut world = Self {
@@ -181,9 +191,9 @@
             day: Day { moments, ..Day::default() },
             ends: length_ms,
         };
-        let lines: Vec<Listed> = (0..fleet.searchers()).map(|s| world.listed(s, 0.0)).collect();
+        let lines: Vec<ListedSearcher> = (0..fleet.searchers()).map(|s| world.listed(s, 0.0)).collect();
         for mixer in 0..fleet.mixers {
-            world.tell(mixer, Event::List { kind: ListKind::Full, lines: lines.clone() });
+            world.tell(mixer, Event::List { kind: ListKind::Full, searchers: lines.clone() });
             world.add(0.0, Next::Wake(mixer));
         }
         if fleet.words.is_some() {
@@ -200,13 +210,13 @@
         world
     }
 
-    fn listed(&self, searcher: usize, since: f64) -> Listed {
-        Listed {
+    fn listed(&self, searcher: usize, since: f64) -> ListedSearcher {
+        ListedSearcher {
             searcher: address(searcher),
             cell: (searcher / self.fleet.in_set) as u32,
             zone: self.fleet.zone_of(searcher) as u16,
-            since,
-            life: Life::Ready,
+            started_at: since,
+            status: SearcherStatus::Ready,
         }
     }
 
@@ -281,11 +291,11 @@
             Next::Ends(job, how) => {
                 let Some((searcher, since)) = self.out.remove(&job) else { return };
                 let ending = match how {
-                    OK => Ending::Ok,
-                    TIMED_OUT => Ending::TimedOut,
-                    FAILED => Ending::Error,
-                    REFUSED => Ending::ConnectFailed,
-                    _ => Ending::Reset,
+                    OK => DispatchOutcome::Ok,
+                    TIMED_OUT => DispatchOutcome::TimedOut,
+                    FAILED => DispatchOutcome::Error,
+                    REFUSED => DispatchOutcome::ConnectFailed,
+                    _ => DispatchOutcome::Reset,
                 };
                 if how == TIMED_OUT {
                     self.searchers[searcher].cancel(job);
@@ -293,9 +303,9 @@
                 self.ended(job, searcher, ending, self.now - since);
             }
             Next::Probed { mixer, searcher, ok, began } => {
-                let ending = if ok { Ending::Ok } else { Ending::TimedOut };
+                let ending = if ok { DispatchOutcome::Ok } else { DispatchOutcome::TimedOut };
                 let took_ms = self.now - began as f64 / 1000.0;
-                self.tell(mixer, Event::Probed { searcher: address(searcher), ending, took_ms });
+                self.tell(mixer, Event::ProbeEnded { searcher: address(searcher), outcome: ending, took_ms });
             }
             Next::Wake(mixer) => self.tell(mixer, Event::Wake),
             Next::Look(mixer) => self.look(mixer),
@@ -318,7 +328,7 @@
         if self.now < self.ends {
             self.add(self.now + LOOK_MS, Next::Look(mixer));
         }
-        let known: Vec<_> = self.mixers[mixer].0.known().collect();
+        let known: Vec<_> = self.mixers[mixer].0.observed_searchers().collect();
         if let Some((searcher, since)) = self.hung
             && known.iter().any(|k| k.marked && searcher_at(k.searcher) == searcher)
             && self.knows.insert(mixer)
@@ -356,11 +366,18 @@
         }
     }
 
-    fn ended(&mut self, job: Job, searcher: usize, ending: Ending, took_ms: f64) {
+    fn ended(&mut self, job: Job, searcher: usize, ending: DispatchOutcome, took_ms: f64) {
         let Job { mixer, part, dispatch, .. } = job;
         self.tell(
             mixer,
-            Event::Ended { part, dispatch, searcher: address(searcher), ending, took_ms, busy: None },
+            Event::DispatchEnded {
+                part,
+                dispatch,
+                searcher: address(searcher),
+                outcome: ending,
+                took_ms,
+                busy: None,
+            },
         );
     }
 
@@ -385,9 +402,9 @@
                 }
                 if !begins {
                     let since = EPOCH + self.now;
-                    let lines: Vec<Listed> = who.iter().map(|s| self.listed(*s, since)).collect();
+                    let lines: Vec<ListedSearcher> = who.iter().map(|s| self.listed(*s, since)).collect();
                     for mixer in 0..self.mixers.len() {
-                        self.tell(mixer, Event::List { kind: ListKind::Changes, lines: lines.clone() });
+                        self.tell(mixer, Event::List { kind: ListKind::Changes, searchers: lines.clone() });
                     }
                 }
             }
@@ -412,7 +429,7 @@
                 number,
                 table_type,
                 customer: 0,
-                gone_at: EPOCH + gone_at,
+                deadline_at: EPOCH + gone_at,
                 work_ms: None,
                 retry: tries > 0,
             },
@@ -471,7 +488,7 @@
         for mixer in 0..self.mixers.len() {
             while !self.mixers[mixer].1.is_empty() {
                 let (module, events) = &mut self.mixers[mixer];
-                let actions = module.turn(EPOCH + self.now, std::mem::take(events));
+                let actions = module.handle_events(EPOCH + self.now, std::mem::take(events));
                 actions.into_iter().for_each(|action| self.act(mixer, action));
             }
         }
@@ -479,7 +496,7 @@
 
     fn act(&mut self, mixer: usize, action: Action) {
         match action {
-            Action::Dispatch { part, searcher, patience_ms } => {
+            Action::Dispatch { part, searcher, timeout_ms } => {
                 let scan = self.parts.get(&part).and_then(|scan| self.scans.get_mut(scan));
                 let table_type = scan.as_ref().map_or(0, |s| s.table_type);
                 let asked_at = scan.as_ref().map_or(self.now, |s| s.asked_at);
@@ -491,18 +508,18 @@
                 self.out.insert(job, (searcher_at(searcher), self.now));
                 self.moment(asked_at).sent += 1;
                 self.add(self.now + WAY_MS, Next::Reaches(searcher_at(searcher), job));
-                self.add(self.now + patience_ms, Next::Ends(job, TIMED_OUT));
+                self.add(self.now + timeout_ms, Next::Ends(job, TIMED_OUT));
             }
             Action::Cancel { part, dispatch } => {
                 let job = self.out.keys().find(|j| j.part == part && j.dispatch == dispatch).copied();
                 let Some(job) = job else { return };
                 let Some((searcher, since)) = self.out.remove(&job) else { return };
                 self.searchers[searcher].cancel(job);
-                self.ended(job, searcher, Ending::Cancelled, self.now - since);
+                self.ended(job, searcher, DispatchOutcome::Cancelled, self.now - since);
             }
             Action::Complete { scan, .. } => self.answered(scan, Some(true)),
-            Action::Throttle { scan, back_in_ms } => {
-                self.again(scan, back_in_ms.unwrap_or(AGAIN_MS));
+            Action::Throttle { scan, retry_after_ms } => {
+                self.again(scan, retry_after_ms.unwrap_or(AGAIN_MS));
                 self.answered(scan, None);
             }
             Action::Abandon { scan } => {
@@ -518,7 +535,7 @@
                 self.add(at, Next::Probed { mixer, searcher, ok, began });
             }
             Action::WakeAt { at } => self.add(at - EPOCH, Next::Wake(mixer)),
-            Action::Hangup { .. } | Action::Subscribe | Action::Log { .. } => {}
+            Action::CloseIdleConnections { .. } | Action::Subscribe | Action::Log { .. } => {}
         }
     }
 
--- a/crates/replica/src/heed.rs
+++ b/crates/replica/src/heed.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Event, Life, Word};
-use pewterwharf::report::Known;
+use pewterwharf::interface::{Event, PeerReport, SearcherStatus};
+use pewterwharf::report::ObservedSearcher;
 
 use crate::kinds::{Began, IdleLost, Kind, Leaving, Mark, Stage};
 use crate::store::{News, Replica};
@@ -72,16 +72,16 @@
 impl Advice {
     /// As the decision module is told.
     pub fn event(self) -> Event {
-        let of = |searcher, word| Event::Heard { searcher, word };
+        let of = |searcher, word| Event::PeerReport { searcher, report: word };
         match self {
-            Self::Look(searcher) => of(searcher, Word::Look),
-            Self::Doubt(searcher) => of(searcher, Word::Doubt),
-            Self::Leaves(searcher) => of(searcher, Word::Leaves(true)),
-            Self::Stays(searcher) => of(searcher, Word::Leaves(false)),
-            Self::Began(searcher, since) => of(searcher, Word::Began(since)),
-            Self::NotBegan(searcher) => of(searcher, Word::Began(0.0)),
-            Self::IdleLost => Event::IdleLost,
-            Self::Mixers(count) => Event::Mixers(count),
+            Self::Look(searcher) => of(searcher, PeerReport::Marked),
+            Self::Doubt(searcher) => of(searcher, PeerReport::MarkedBySeveral),
+            Self::Leaves(searcher) => of(searcher, PeerReport::Leaving { leaving: true }),
+            Self::Stays(searcher) => of(searcher, PeerReport::Leaving { leaving: false }),
+            Self::Began(searcher, since) => of(searcher, PeerReport::Restarted { started_at: since }),
+            Self::NotBegan(searcher) => of(searcher, PeerReport::Restarted { started_at: 0.0 }),
+            Self::IdleLost => Event::IdleConnectionsLost,
+            Self::Mixers(count) => Event::MixerCount { mixers: count },
         }
     }
 }
@@ -99,13 +99,13 @@
 
 impl Own {
     /// As the decision module knows it.
-    pub fn of(known: &Known) -> Self {
-        let stage = match known.life {
-            Life::Ready => Stage::Up,
-            Life::Draining => Stage::Draining,
-            Life::Gone => Stage::Going,
+    pub fn of(known: &ObservedSearcher) -> Self {
+        let stage = match known.status {
+            SearcherStatus::Ready => Stage::Up,
+            SearcherStatus::Draining => Stage::Draining,
+            SearcherStatus::Gone => Stage::Going,
         };
-        Self { marked: known.marked, late: known.late > 0.0, since: known.since, stage }
+        Self { marked: known.marked, late: known.overdue > 0.0, since: known.started_at, stage }
     }
 }
 
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use byteorder::{ByteOrder, LE, ReadBytesExt, WriteBytesExt};
-use pewterwharf::interface::{Action, Ending, Life, ListKind, Listed};
+use pewterwharf::interface::{Action, DispatchOutcome, ListKind, ListedSearcher, SearcherStatus};
 
 /// A batch as it came in; its records keep their order.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     },
     Table {
         slot: u32,
-        lines: Vec<Listed>,
+        lines: Vec<ListedSearcher>,
     },
     PeersKnown {
         kind: ListKind,
@@ -38,7 +38,7 @@
         part: u64,
         dispatch: u8,
         searcher: SocketAddrV4,
-        ending: Ending,
+        ending: DispatchOutcome,
         took_ms: f64,
         report: Vec<f32>,
     },
@@ -49,7 +49,7 @@
     Pong {
         searcher: SocketAddrV4,
         took_ms: f64,
-        ending: Ending,
+        ending: DispatchOutcome,
     },
     Wakeup,
 }
@@ -196,16 +196,16 @@
     Ok(SocketAddrV4::new(Ipv4Addr::from(ip), r.read_u16::<LE>()?))
 }
 
-fn ending(r: &mut &[u8]) -> Result<Ending> {
+fn ending(r: &mut &[u8]) -> Result<DispatchOutcome> {
     Ok(match r.read_u16::<LE>()? {
-        0 => Ending::Error,
-        1 => Ending::Ok,
-        2 => Ending::Full,
-        3 => Ending::TimedOut,
-        4 => Ending::ConnectFailed,
-        5 => Ending::Reset,
-        6 => Ending::Cancelled,
-        7 => Ending::Moot,
+        0 => DispatchOutcome::Error,
+        1 => DispatchOutcome::Ok,
+        2 => DispatchOutcome::Full,
+        3 => DispatchOutcome::TimedOut,
+        4 => DispatchOutcome::ConnectFailed,
+        5 => DispatchOutcome::Reset,
+        6 => DispatchOutcome::Cancelled,
+        7 => DispatchOutcome::Moot,
         other => bail!("ending {other} is unknown"),
     })
 }
@@ -216,7 +216,7 @@
     (0..n).map(|_| Ok(r.read_f32::<LE>()?)).collect()
 }
 
-fn entry(r: &mut &[u8]) -> Result<Listed> {
+fn entry(r: &mut &[u8]) -> Result<ListedSearcher> {
     let cell = u32::from(r.read_u16::<LE>()?);
     let since = finite(r)?;
     let _kind = r.read_u16::<LE>()?;
@@ -224,12 +224,12 @@
     let _weight = r.read_f32::<LE>()?;
     let searcher = address(r)?;
     let life = match r.read_u8()? {
-        0 => Life::Gone,
-        1 => Life::Ready,
-        2 => Life::Draining,
+        0 => SearcherStatus::Gone,
+        1 => SearcherStatus::Ready,
+        2 => SearcherStatus::Draining,
         other => bail!("state {other} of a searcher is unknown"),
     };
-    Ok(Listed { searcher, cell, zone, since, life })
+    Ok(ListedSearcher { searcher, cell, zone, started_at: since, status: life })
 }
 
 /// A reply that grows record by record.
@@ -266,17 +266,17 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Dispatch { part, searcher, patience_ms } => {
-                self.record(65, &[&part.to_le_bytes(), &packed(searcher), &patience_ms.to_le_bytes()]);
+            Action::Dispatch { part, searcher, timeout_ms } => {
+                self.record(65, &[&part.to_le_bytes(), &packed(searcher), &timeout_ms.to_le_bytes()]);
             }
-            Action::Throttle { scan, back_in_ms } => {
-                self.record(66, &[&scan.to_le_bytes(), &back_in_ms.unwrap_or(0.0).to_le_bytes()]);
+            Action::Throttle { scan, retry_after_ms } => {
+                self.record(66, &[&scan.to_le_bytes(), &retry_after_ms.unwrap_or(0.0).to_le_bytes()]);
             }
             Action::Abandon { scan } => self.record(67, &[&scan.to_le_bytes()]),
             Action::Cancel { part, dispatch } => self.record(68, &[&part.to_le_bytes(), &[*dispatch]]),
             Action::WakeAt { at } => self.record(69, &[&at.to_le_bytes(), &0u64.to_le_bytes()]),
             Action::Probe { searcher } => self.record(70, &[&packed(searcher)]),
-            Action::Hangup { searcher } => self.record(71, &[&packed(searcher)]),
+            Action::CloseIdleConnections { searcher } => self.record(71, &[&packed(searcher)]),
             Action::Log { line } => {
                 let text = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
                 self.record(73, &[&(text.len() as u16).to_le_bytes(), text]);
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::{Context, Result};
-use pewterwharf::interface::{Decide, Event, Listed};
+use pewterwharf::interface::{DecisionModule, Event, ListedSearcher};
 use pewterwharf::logic::Mixer;
 use pewterwharf_terms::Terms;
 
@@ -14,7 +14,7 @@
 pub struct Host {
     /// With the place of the busy share in a load report.
     mixers: BTreeMap<u32, (Mixer, Option<usize>)>,
-    lists: BTreeMap<u32, Vec<Listed>>,
+    lists: BTreeMap<u32, Vec<ListedSearcher>>,
 }
 
 impl Host {
@@ -37,7 +37,7 @@
         let mut reply = Reply::to(batch.number);
         for (mixer, events) in heard {
             if let Some((module, _)) = self.mixers.get_mut(&mixer) {
-                reply.actions(mixer, &module.turn(batch.now, events));
+                reply.actions(mixer, &module.handle_events(batch.now, events));
             }
         }
         Ok(reply)
@@ -57,16 +57,18 @@
                 return Ok(());
             }
             Record::PeersKnown { kind, slot } => {
-                Event::List { kind, lines: self.lists.get(&slot).cloned().unwrap_or_default() }
+                Event::List { kind, searchers: self.lists.get(&slot).cloned().unwrap_or_default() }
             }
             Record::Knock(knock) => knocked(&knock),
             Record::Settled { part, dispatch, searcher, ending, took_ms, report } => {
                 let at = self.mixers.get(&mixer).and_then(|m| m.1);
                 let busy = at.and_then(|at| report.get(at)).map(|share| f64::from(*share));
-                Event::Ended { part, dispatch, searcher, ending, took_ms, busy }
+                Event::DispatchEnded { part, dispatch, searcher, outcome: ending, took_ms, busy }
             }
             Record::TimedOutClient { scan } => Event::ClientGone { scan },
-            Record::Pong { searcher, took_ms, ending } => Event::Probed { searcher, ending, took_ms },
+            Record::Pong { searcher, took_ms, ending } => {
+                Event::ProbeEnded { searcher, outcome: ending, took_ms }
+            }
             Record::Wakeup => Event::Wake,
             // Streams and talk among mixers have no part in scans.
             Record::Begun | Record::Datagram => return Ok(()),
@@ -88,7 +90,7 @@
         number,
         table_type: usize::from(knock.table_type),
         customer: knock.customer as usize,
-        gone_at: knock.gone_at,
+        deadline_at: knock.gone_at,
         work_ms: (knock.flags & 1 != 0).then_some(knock.work_ms),
         retry: knock.flags & 2 != 0,
     }
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simhost/tests/codec.rs
@@ -72,10 +72,10 @@
     reply.actions(
         3,
         &[
-            Action::Dispatch { part: 0x4a2375d3a91c4, searcher, patience_ms: 80.0 },
+            Action::Dispatch { part: 0x4a2375d3a91c4, searcher, timeout_ms: 80.0 },
             Action::WakeAt { at: 8912.25 },
             Action::Complete { scan: 0xe22550e6f2b19, whole: true },
-            Action::Hangup { searcher },
+            Action::CloseIdleConnections { searcher },
         ],
     );
     reply.actions(5, &[Action::Log { line: "two servers known".to_owned() }]);
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -10,7 +10,9 @@
 use std::str::FromStr;
 
 use anyhow::{Context, Result, bail, ensure};
-use pewterwharf::interface::{Berth, Budget, Customer, Guards, Layout, Permits, Repeat, TableType};
+use pewterwharf::interface::{
+    Customer, Idempotency, Layout, Permissions, Placement, RetryBudget, SafetyLimits, TableType,
+};
 use pewterwharf::logic::Mixer;
 use serde_json::Value;
 
@@ -119,9 +121,9 @@
     pub customer_names: Vec<String>,
     pub layout: Layout,
     pub shards: u32,
-    pub guards: Guards,
-    pub permits: Permits,
-    pub berth: Berth,
+    pub guards: SafetyLimits,
+    pub permits: Permissions,
+    pub berth: Placement,
     pub zones: Vec<String>,
     /// Scans and parts that a mixer may hold.
     pub open_cap: usize,
@@ -145,7 +147,7 @@
 
     /// Starts a module on these terms.
     pub fn open(&self, seed: u64) -> Mixer {
-        Mixer::open(
+        Mixer::new(
             seed,
             self.types.clone(),
             self.customers.clone(),
@@ -176,25 +178,25 @@
         let customer_names = (0..count).map(|i| name("customers", i).unwrap_or_default()).collect();
         let layout = Layout {
             cells: lines.must("family_info.positions")?,
-            reach: lines.must("family_info.in_a_row")?,
+            cells_per_shard: lines.must("family_info.in_a_row")?,
             parts_per_call: lines.maybe("family_info.bundle_max")?.unwrap_or(1),
             call_work_ms: lines.number("family_info.overhead_ms")?.unwrap_or(0.0),
         };
         if layout.cells == 0 {
             bail!("family_info.positions=0 can't be read");
         }
-        let permits = Permits {
+        let permits = Permissions {
             cancel: lines.must("permissions.cancel")?,
             probe,
-            second_copies: lines.must("permissions.parallel_tries")?,
-            dispatches: lines.must("permissions.max_attempts")?,
-            back_in_ms: match lines.must("permissions.retry_after")? {
+            hedge: lines.must("permissions.parallel_tries")?,
+            max_dispatches: lines.must("permissions.max_attempts")?,
+            retry_after_ms: match lines.must("permissions.retry_after")? {
                 true => lines.number("permissions.max_retry_after_ms")?,
                 false => None,
             },
-            ask_within_ms: ask_within_ms.filter(|_| asks),
+            resubscribe_within_ms: ask_within_ms.filter(|_| asks),
         };
-        let berth = Berth { mixers: lines.must("peers_total")?, zone: lines.must("zone")? };
+        let berth = Placement { mixers: lines.must("peers_total")?, zone: lines.must("zone")? };
         Ok(Self {
             types,
             type_names,
@@ -221,9 +223,9 @@
 fn table_type(lines: &Lines, i: usize) -> Result<TableType> {
     let key = |name: &str| format!("services.{i}.{name}");
     let repeat = match lines.must::<String>(&key("idempotency"))?.as_str() {
-        "pure" => Repeat::Replayable,
-        "token" => Repeat::Keyed { window_ms: lines.figure(&key("key_ttl_ms"))? },
-        "side_effect" => Repeat::NonReplayable,
+        "pure" => Idempotency::Replayable,
+        "token" => Idempotency::Keyed { window_ms: lines.figure(&key("key_ttl_ms"))? },
+        "side_effect" => Idempotency::NonReplayable,
         other => bail!("{}={other} can't be read", key("idempotency")),
     };
     let need = lines.share("family_info.class_need", i)?.unwrap_or(1.0);
@@ -236,37 +238,37 @@
         target_ms: lines.figure(&key("slo_ms"))?,
         query_timeout_ms: lines.figure(&key("hard_limit_ms"))?,
         benefit: lines.figure(&key("points"))?,
-        late_share: lines.number(&key("late_worth"))?.unwrap_or(0.0),
-        target_stretch: lines.number(&key("aim_stretch"))?.unwrap_or(0.0),
-        repeat,
-        need,
-        floor,
-        partial_share: lines.share("family_info.partial_earns", i)?.unwrap_or(0.0),
-        second_step: lines.nth("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
+        late_benefit_share: lines.number(&key("late_worth"))?.unwrap_or(0.0),
+        target_ms_per_work_ms: lines.number(&key("aim_stretch"))?.unwrap_or(0.0),
+        idempotency: repeat,
+        required_weight: need,
+        minimum_weight: floor,
+        partial_benefit_share: lines.share("family_info.partial_earns", i)?.unwrap_or(0.0),
+        has_second_step: lines.nth("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
     })
 }
 
 fn customer(lines: &Lines, i: usize) -> Result<Customer> {
     Ok(Customer {
         scans_per_s: lines.figure(&format!("customers.{i}.quota_per_s"))?,
-        over_share: lines.number("over_share_worth")?.unwrap_or(1.0),
+        over_quota_benefit_share: lines.number("over_share_worth")?.unwrap_or(1.0),
     })
 }
 
-fn guards(lines: &Lines) -> Result<Guards> {
+fn guards(lines: &Lines) -> Result<SafetyLimits> {
     let budget = match lines.number("rules.repeat_ratio")? {
-        Some(share) => Some(Budget {
+        Some(share) => Some(RetryBudget {
             free: lines.number("rules.free_resends")?.unwrap_or(0.0),
             share,
             window_ms: lines.figure("rules.extra_window_ms")?,
         }),
         None => None,
     };
-    Ok(Guards {
-        cold_from: lines.figure("rules.cold_from")?,
-        warm_ms: lines.figure("rules.warm_after_ms")?,
-        tip_multiple: lines.figure("rules.tip_multiple")?,
-        fall_ms: lines.figure("rules.fall_ms")?,
-        budget,
+    Ok(SafetyLimits {
+        cold_capacity_share: lines.figure("rules.cold_from")?,
+        warm_up_ms: lines.figure("rules.warm_after_ms")?,
+        overload_multiple: lines.figure("rules.tip_multiple")?,
+        overload_window_ms: lines.figure("rules.fall_ms")?,
+        retry_budget: budget,
     })
 }
--- a/crates/terms/src/list.rs
+++ b/crates/terms/src/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use anyhow::{Context, Result, bail};
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use serde_json::Value;
 
 /// One searcher as discovery describes it.
@@ -14,7 +14,7 @@
     pub zone: String,
     pub cell: u32,
     pub since: f64,
-    pub life: Life,
+    pub life: SearcherStatus,
     /// Milliseconds that this word was old when the list was written; zero where the list does not say.
     pub age_ms: f64,
 }
@@ -50,9 +50,9 @@
 fn read(entry: &Value) -> Result<Entry> {
     let word = |key: &str| entry[key].as_str().with_context(|| format!("{key} is missing"));
     let life = match word("status")? {
-        "up" => Life::Ready,
-        "draining" => Life::Draining,
-        "removed" => Life::Gone,
+        "up" => SearcherStatus::Ready,
+        "draining" => SearcherStatus::Draining,
+        "removed" => SearcherStatus::Gone,
         other => bail!("status {other} is unknown"),
     };
     let since = entry["since_ms"].as_f64().unwrap_or(0.0);
--- a/crates/terms/tests/terms.rs
+++ b/crates/terms/tests/terms.rs
@@ -51,15 +51,21 @@
 fn the_new_shape_is_read_and_the_old_one_keeps_its_defaults() {
     let terms = Terms::of_json(&moved()).expect("good settings");
     let permits = &terms.permits;
-    assert_eq!((permits.probe, permits.ask_within_ms, permits.back_in_ms), (false, Some(10_000.0), None));
-    assert_eq!((terms.types[0].need, terms.types[0].floor, terms.busy_at), (1.0, 0.8, Some(1)));
+    assert_eq!(
+        (permits.probe, permits.resubscribe_within_ms, permits.retry_after_ms),
+        (false, Some(10_000.0), None)
+    );
+    assert_eq!(
+        (terms.types[0].required_weight, terms.types[0].minimum_weight, terms.busy_at),
+        (1.0, 0.8, Some(1))
+    );
     let mut old = moved();
     old["permissions"]["probing"] = json!(true);
     for key in ["discovery", "report", "weight_source", "worth_by"] {
         old.as_object_mut().expect("an object").remove(key);
     }
     let terms = Terms::of_json(&old).expect("good settings");
-    assert_eq!((terms.permits.ask_within_ms, terms.busy_at), (None, None));
+    assert_eq!((terms.permits.resubscribe_within_ms, terms.busy_at), (None, None));
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -7,7 +7,7 @@
 
 /// How often the effect of a part may happen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     Replayable,
     /// Repeats are dropped for so long after the first dispatch that may have run.
     Keyed {
@@ -23,18 +23,18 @@
     pub query_timeout_ms: f64,
     pub benefit: f64,
     /// Share of the benefit that is left after the target time.
-    pub late_share: f64,
+    pub late_benefit_share: f64,
     /// The target time grows by this many times a scan's own work.
-    pub target_stretch: f64,
-    pub repeat: Repeat,
+    pub target_ms_per_work_ms: f64,
+    pub idempotency: Idempotency,
     /// Weight of parts that makes a whole answer.
-    pub need: f64,
+    pub required_weight: f64,
     /// Least weight of parts for any answer.
-    pub floor: f64,
+    pub minimum_weight: f64,
     /// An answer that is not whole earns this times its share of `need`.
-    pub partial_share: f64,
+    pub partial_benefit_share: f64,
     /// The first answer brings a second step of parts.
-    pub second_step: bool,
+    pub has_second_step: bool,
 }
 
 /// A customer and its share of the fleet.
@@ -42,7 +42,7 @@
 pub struct Customer {
     pub scans_per_s: f64,
     /// What a scan beyond the share is worth, as a share of its benefit.
-    pub over_share: f64,
+    pub over_quota_benefit_share: f64,
 }
 
 /// Where shards lie and how parts travel.
@@ -50,14 +50,14 @@
 pub struct Layout {
     pub cells: u32,
     /// A shard is held by this many cells in a row.
-    pub reach: u32,
+    pub cells_per_shard: u32,
     pub parts_per_call: u32,
     pub call_work_ms: f64,
 }
 
 /// At most `free` further dispatches, plus `share` of what was taken, in any `window_ms`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     pub free: f64,
     pub share: f64,
     pub window_ms: f64,
@@ -65,37 +65,37 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Guards {
-    pub cold_from: f64,
-    pub warm_ms: f64,
-    pub tip_multiple: f64,
-    pub fall_ms: f64,
-    pub budget: Option<Budget>,
+pub struct SafetyLimits {
+    pub cold_capacity_share: f64,
+    pub warm_up_ms: f64,
+    pub overload_multiple: f64,
+    pub overload_window_ms: f64,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// What the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Permits {
+pub struct Permissions {
     pub cancel: bool,
     pub probe: bool,
-    pub second_copies: bool,
-    pub dispatches: u32,
+    pub hedge: bool,
+    pub max_dispatches: u32,
     /// The longest time to come back that clients respect; absent where none may be given.
-    pub back_in_ms: Option<f64>,
+    pub retry_after_ms: Option<f64>,
     /// The list has to be asked for, at least this often, in milliseconds, while no subscription holds; absent
     /// where it comes by itself.
-    pub ask_within_ms: Option<f64>,
+    pub resubscribe_within_ms: Option<f64>,
 }
 
 /// This mixer among its peers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Berth {
+pub struct Placement {
     pub mixers: u32,
     pub zone: u16,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum SearcherStatus {
     Gone,
     Ready,
     Draining,
@@ -103,13 +103,13 @@
 
 /// One line of the searcher list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedSearcher {
     pub searcher: SocketAddrV4,
     pub cell: u32,
     pub zone: u16,
     /// When its process started; zero means long ago.
-    pub since: f64,
-    pub life: Life,
+    pub started_at: f64,
+    pub status: SearcherStatus,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -122,7 +122,7 @@
 
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum DispatchOutcome {
     Ok,
     Error,
     /// Rejected unseen.
@@ -135,7 +135,7 @@
     Moot,
 }
 
-impl Ending {
+impl DispatchOutcome {
     /// Whether it is proved that the dispatch never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
@@ -144,31 +144,33 @@
 
 /// What other mixers say of a searcher, as far as the host heeds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum PeerReport {
     /// One has marked it: a reason to look.
-    Look,
+    Marked,
     /// Several that agree have marked it.
-    Doubt,
+    MarkedBySeveral,
     /// It drains or goes, or after all does not.
-    Leaves(bool),
+    Leaving { leaving: bool },
     /// Its process has a later start than the list says, by the list's figures; zero takes that back.
-    Began(f64),
+    Restarted { started_at: f64 },
 }
 
 /// What happened, in the order it happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Heard {
+    PeerReport {
         searcher: SocketAddrV4,
-        word: Word,
+        report: PeerReport,
     },
     /// Other mixers lose connections while they are idle.
-    IdleLost,
+    IdleConnectionsLost,
     /// So many mixers are there, this one among them.
-    Mixers(u32),
+    MixerCount {
+        mixers: u32,
+    },
     List {
         kind: ListKind,
-        lines: Vec<Listed>,
+        searchers: Vec<ListedSearcher>,
     },
     Scan {
         id: u64,
@@ -177,7 +179,7 @@
         table_type: usize,
         customer: usize,
         /// When its client gives up.
-        gone_at: f64,
+        deadline_at: f64,
         work_ms: Option<f64>,
         retry: bool,
     },
@@ -187,11 +189,11 @@
         shard: u32,
         weight: f64,
     },
-    Ended {
+    DispatchEnded {
         part: u64,
         dispatch: u8,
         searcher: SocketAddrV4,
-        ending: Ending,
+        outcome: DispatchOutcome,
         took_ms: f64,
         /// Share of its cores that its searcher reports as busy, 0 to 1 or a little over; where it does.
         busy: Option<f64>,
@@ -199,9 +201,9 @@
     ClientGone {
         scan: u64,
     },
-    Probed {
+    ProbeEnded {
         searcher: SocketAddrV4,
-        ending: Ending,
+        outcome: DispatchOutcome,
         took_ms: f64,
     },
     Wake,
@@ -213,7 +215,7 @@
     Dispatch {
         part: u64,
         searcher: SocketAddrV4,
-        patience_ms: f64,
+        timeout_ms: f64,
     },
     Cancel {
         part: u64,
@@ -227,7 +229,7 @@
     /// Turned away; asking again is harmless.
     Throttle {
         scan: u64,
-        back_in_ms: Option<f64>,
+        retry_after_ms: Option<f64>,
     },
     /// Given up; nothing is promised.
     Abandon {
@@ -237,7 +239,7 @@
         searcher: SocketAddrV4,
     },
     /// Closes idle connections to it.
-    Hangup {
+    CloseIdleConnections {
         searcher: SocketAddrV4,
     },
     WakeAt {
@@ -250,7 +252,7 @@
 }
 
 /// The decisions of one mixer.
-pub trait Decide {
+pub trait DecisionModule {
     /// Takes in everything that happened at `now` and says what to do about it.
-    fn turn(&mut self, now: f64, events: Vec<Event>) -> Vec<Action>;
+    fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action>;
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -12,6 +12,7 @@
 use oorandom::Rand64;
 
 use crate::interface::*;
+use crate::report::MarkEvidence;
 pub use crate::state::Mixer;
 use crate::state::*;
 
@@ -45,11 +46,12 @@
                 }
             }
             Note::Filed(leg, share, normal, ending, sent_at) => {
-                self.ok_from = if ending == Ending::Ok { self.ok_from.max(sent_at) } else { self.ok_from };
+                self.ok_from =
+                    if ending == DispatchOutcome::Ok { self.ok_from.max(sent_at) } else { self.ok_from };
                 let lag = Self::faded(&self.tile, &self.norms, self.zone, now);
                 // Of silence one part says no more than that it was beyond the multiple: a lost answer at its
                 // full time would outweigh a score of good ones, and lift what the next is held against.
-                let silent = matches!(ending, Ending::TimedOut | Ending::Cancelled);
+                let silent = matches!(ending, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
                 let counts = if silent { share.min(self.norms.limit + lag[0]) } else { share };
                 let counts = [counts, (counts - 1.0) * normal];
                 post.put(GAUGE, Note::Zone(self.zone, counts));
@@ -58,9 +60,9 @@
                 let weight = if probing { Self::SMOOTH } else { Self::SMOOTH.max(old) };
                 self.tile.lag = std::array::from_fn(|i| lag[i] + weight * (counts[i] - lag[i]));
                 self.tile.lag_at = now;
-                self.tile.down = matches!(ending, Ending::ConnectFailed | Ending::Reset);
+                self.tile.down = matches!(ending, DispatchOutcome::ConnectFailed | DispatchOutcome::Reset);
                 // A lost connection marks and is probed at once: no slice need fill to tell the dead.
-                self.dead |= ending == Ending::ConnectFailed;
+                self.dead |= ending == DispatchOutcome::ConnectFailed;
                 if self.tile.down && !self.tile.marked {
                     self.mark(share, 1, post);
                     self.probe_at = if probing { now } else { self.probe_at };
@@ -69,18 +71,24 @@
                     slice.out.retain(|l| l.0 != leg);
                     slice.sum += share;
                     // Failing is not being slow: it must not lift the median that all are held against.
-                    slice.sound &= !matches!(ending, Ending::Error | Ending::ConnectFailed | Ending::Reset);
-                    let good = share <= self.norms.limit && ending == Ending::Ok;
-                    if self.tile.trial && !good && !matches!(ending, Ending::Cancelled | Ending::Moot) {
+                    slice.sound &= !matches!(
+                        ending,
+                        DispatchOutcome::Error | DispatchOutcome::ConnectFailed | DispatchOutcome::Reset
+                    );
+                    let good = share <= self.norms.limit && ending == DispatchOutcome::Ok;
+                    if self.tile.trial
+                        && !good
+                        && !matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::Moot)
+                    {
                         self.mark(share, 1, post);
                     }
                     self.tile.trial &= !good && !self.tile.marked;
                 }
             }
             Note::Pong(ending, took) if self.tile.marked || self.asked => {
-                self.dead |= ending == Ending::ConnectFailed;
+                self.dead |= ending == DispatchOutcome::ConnectFailed;
                 let quick = self.norms.normal.iter().copied().fold(f64::INFINITY, f64::min);
-                let good = ending == Ending::Ok && took < self.norms.limit * quick;
+                let good = ending == DispatchOutcome::Ok && took < self.norms.limit * quick;
                 self.asked = false;
                 match self.tile.marked {
                     true if good => self.readmit(post),
@@ -172,7 +180,7 @@
     }
 
     fn mark(&mut self, mean: f64, parts: u32, post: &mut Post) {
-        (self.tile.marked, self.tile.evidence) = (true, (mean, parts));
+        (self.tile.marked, self.tile.evidence) = (true, MarkEvidence { relative_latency: mean, parts });
         self.probe_at = post.now + Self::PROBE_MS;
         post.out.push(Action::Log { line: format!("{} marked at {mean:.1} normals", self.addr) });
     }
@@ -223,12 +231,12 @@
 
 impl Purse {
     /// Our own: a tenth of the parts, and a few; more was measured to feed overload.
-    const OWN: Budget = Budget { free: 5.0, share: 0.1, window_ms: 2000.0 };
+    const OWN: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
 
     /// Where searchers are this busy nothing fits, half as busy all: so much is left for the swings of load.
     const FULL: f64 = 0.8;
 
-    /// What fits shrinks with what searchers report as free, as under load each copy delays others. Guards
+    /// What fits shrinks with what searchers report as free, as under load each copy delays others. SafetyLimits
     /// against jams fed by copies; harms scans with lost answers while all is busy.
     fn fits(&mut self, now: f64, busy: Option<f64>) -> bool {
         let part = busy.map_or(1.0, |b| (2.0 - 2.0 * b / Self::FULL).clamp(0.0, 1.0));
@@ -298,11 +306,19 @@
             }
             Note::Norms(norms) => self.norms = norms,
             Note::Back(srv) => (self.seats[srv].since, self.seats[srv].known_at) = (now, now),
-            Note::Told(Event::Scan { id, number, table_type: kind, customer, gone_at, work_ms, retry }) => {
+            Note::Told(Event::Scan {
+                id,
+                number,
+                table_type: kind,
+                customer,
+                deadline_at: gone_at,
+                work_ms,
+                retry,
+            }) => {
                 self.took(now);
                 self.door.see(customer, now, Door::SEEN_MS);
                 let Some(terms) = self.types.get(kind) else { return };
-                let target = terms.target_ms + terms.target_stretch * work_ms.unwrap_or(0.0);
+                let target = terms.target_ms + terms.target_ms_per_work_ms * work_ms.unwrap_or(0.0);
                 let left = if retry { Self::RETRY_LEFT * target } else { target };
                 let target_at = now + left.min(terms.query_timeout_ms) - Self::AHEAD_MS;
                 let gone_at = gone_at - Self::AHEAD_MS;
@@ -323,7 +339,7 @@
                 self.asked[scan.kind] += scan.need * self.norms.work[scan.kind] / Self::FLOW_MS;
                 scan.parts.push(Part::new(id, shard, weight, now));
             }
-            Note::Told(Event::Ended { part, dispatch, ending, took_ms, busy, .. }) => {
+            Note::Told(Event::DispatchEnded { part, dispatch, outcome: ending, took_ms, busy, .. }) => {
                 let mean = |b: f64| self.busy.map_or(b, |m| m + Gauge::TEN * (b - m));
                 // Reports may be untrue: one can't say more than that all its cores are busy.
                 self.busy = busy.filter(|b| *b >= 0.0).map(|b| mean(b.min(1.0))).or(self.busy);
@@ -343,7 +359,7 @@
         }
     }
 
-    fn ended(&mut self, leg: Leg, ending: Ending, took: f64, post: &mut Post) {
+    fn ended(&mut self, leg: Leg, ending: DispatchOutcome, took: f64, post: &mut Post) {
         let Some(flight) = self.flights.remove(&leg) else { return };
         if Rc::strong_count(&flight.call) == 1 {
             self.seats[flight.srv].calls -= 1;
@@ -352,19 +368,19 @@
         // part counts with its age, and as normal at least.
         let normal = self.norms.normal[flight.kind];
         let seat = &mut self.seats[flight.srv];
-        let silent = matches!(ending, Ending::Cancelled | Ending::TimedOut);
+        let silent = matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::TimedOut);
         let lost = silent && self.norms.overtaken(flight.kind, flight.sent_at, seat.ok_from);
         let ms = match ending {
-            Ending::Ok => took,
+            DispatchOutcome::Ok => took,
             // It says that its searcher loses answers, not that it is slow: it cost the wait for another.
             _ if lost => took.clamp(normal, self.norms.limit * normal),
-            Ending::Cancelled | Ending::Moot => took.max(normal),
+            DispatchOutcome::Cancelled | DispatchOutcome::Moot => took.max(normal),
             _ => took.max(flight.allotted),
         };
-        if !matches!(ending, Ending::Cancelled | Ending::ConnectFailed) {
-            self.lines.judge(flight.idle, ending != Ending::Ok, post.now);
+        if !matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::ConnectFailed) {
+            self.lines.judge(flight.idle, ending != DispatchOutcome::Ok, post.now);
         }
-        if ending == Ending::Ok {
+        if ending == DispatchOutcome::Ok {
             (seat.heard_at, seat.ok_from) = (post.now, seat.ok_from.max(flight.sent_at));
             post.put(GAUGE, Note::Heard(flight.kind, ms));
         }
@@ -375,13 +391,13 @@
         post.put(SRVS + flight.srv, Note::Filed(leg, ms / normal, normal, ending, flight.sent_at));
         let Some(&(at, nth)) = self.owners.get(&leg.0) else { return };
         let Some(scan) = self.scans.get_mut(&at) else { return };
-        scan.deaths += u32::from(ending == Ending::Reset);
+        scan.deaths += u32::from(ending == DispatchOutcome::Reset);
         let part = &mut scan.parts[nth];
         (part.sent[usize::from(leg.1)].1, part.ended_at) = (Some(ending), post.now);
         if part.state == State::In {
             return;
         }
-        if ending == Ending::Ok {
+        if ending == DispatchOutcome::Ok {
             (part.state, part.caught) = (State::In, false); // caught no more, or it would be sent again
             post.call_off(part.legs_out(), self.permits.cancel);
         } else if part.legs_out().is_empty() {
@@ -415,7 +431,7 @@
                     let Some(scan) = self.scans.get(&at) else { continue };
                     let terms = &self.types[scan.kind];
                     let partial = if scan.have() + Self::HAIR >= scan.floor { scan.have() } else { 0.0 };
-                    if terms.late_share <= partial / scan.need * terms.partial_share {
+                    if terms.late_benefit_share <= partial / scan.need * terms.partial_benefit_share {
                         self.end(at, post);
                     }
                 }
@@ -492,13 +508,12 @@
     fn choice(&self, scan: &Scan, nth: usize, affords: bool, now: f64) -> Option<Choice> {
         let part = &scan.parts[nth];
         let (first, copy) = (part.state == State::Unsent, part.state == State::Out);
-        let again =
-            part.state == State::Broken || part.caught && self.permits.second_copies && part.sent.len() == 1;
-        let free = self.guards.budget.is_none() && part.proved_unrun();
+        let again = part.state == State::Broken || part.caught && self.permits.hedge && part.sent.len() == 1;
+        let free = self.guards.retry_budget.is_none() && part.proved_unrun();
         let again = again && self.may_repeat(scan, part, now) && (affords || free);
         let (tier, cost, srv) = self.replica(scan, part, now).filter(|_| first || again)?;
         // Who has just refused it unseen has no room yet: its next dispatch would be refused as well.
-        let full = part.sent.contains(&(srv, Some(Ending::Full)));
+        let full = part.sent.contains(&(srv, Some(DispatchOutcome::Full)));
         let waits = full && now < part.ended_at + self.norms.work[scan.kind];
         let cost = (cost / part.weight.max(Self::HAIR)).to_bits();
         (!waits && (!copy || tier == 0)).then_some(Choice { tier, again: !first, cost, nth, srv })
@@ -507,16 +522,16 @@
     /// Whether a further run of a part does no harm. Beyond its window a keyed one that may have run would
     /// run again, whoever asks for it.
     fn harmless(&self, scan: &Scan, part: &Part, now: f64) -> bool {
-        match self.types[scan.kind].repeat {
-            Repeat::Replayable => true,
-            Repeat::Keyed { window_ms } => part.proved_unrun() || now < part.taken_at + window_ms,
-            Repeat::NonReplayable => part.proved_unrun(),
+        match self.types[scan.kind].idempotency {
+            Idempotency::Replayable => true,
+            Idempotency::Keyed { window_ms } => part.proved_unrun() || now < part.taken_at + window_ms,
+            Idempotency::NonReplayable => part.proved_unrun(),
         }
     }
 
     /// Whether the effect of a part allows one more dispatch (budget and places aside).
     fn may_repeat(&self, scan: &Scan, part: &Part, now: f64) -> bool {
-        self.harmless(scan, part, now) && part.sent.len() < self.permits.dispatches as usize
+        self.harmless(scan, part, now) && part.sent.len() < self.permits.max_dispatches as usize
     }
 
     fn work(&self, kind: usize, srv: usize) -> f64 {
@@ -574,10 +589,10 @@
             return true;
         }
         let (g, age) = (&self.guards, now - seat.began());
-        let able = g.cold_from + (1.0 - g.cold_from) * (age / g.warm_ms).max(0.0);
+        let able = g.cold_capacity_share + (1.0 - g.cold_capacity_share) * (age / g.warm_up_ms).max(0.0);
         let busy = self.busy.map_or(1.0, |b| b.clamp(Self::IDLE, 1.0));
         let of_each = self.mixers / self.ready.max(1.0);
-        let borne = g.tip_multiple * able * (self.flow * of_each / busy).max(1.0) * g.fall_ms;
+        let borne = g.overload_multiple * able * (self.flow * of_each / busy).max(1.0) * g.overload_window_ms;
         let worth = |kind: usize| self.types[kind].benefit * self.asked[kind];
         let part = worth(scan.kind) / (0..self.types.len()).map(worth).sum::<f64>().max(f64::MIN_POSITIVE);
         let (share, together) = (part * borne / self.mixers, scan.in_one * work);
@@ -586,16 +601,17 @@
         let chance = Self::DEVIATIONS * together.sqrt();
         let mean = ((chance * chance + 4.0 * most).sqrt() - chance).powi(2) / 4.0;
         let asked = self.asked.iter().sum::<f64>().max(self.flow);
-        let asked = Self::SURGE * asked * of_each * g.fall_ms;
+        let asked = Self::SURGE * asked * of_each * g.overload_window_ms;
         let held = asked.min(self.mixers * (together + work));
         let allowed = match work <= share {
-            true if now < self.opened + g.fall_ms => 0.0,
+            true if now < self.opened + g.overload_window_ms => 0.0,
             true => share,
             false if copy && Self::COPIED * held < mean => together + work,
             false if !copy && scan.lot * held < mean => together + work,
             false => 0.0,
         };
-        let spent = seat.spent.iter().filter(|s| s.0 >= now - g.fall_ms && s.2 == scan.kind).map(|s| s.1);
+        let spent =
+            seat.spent.iter().filter(|s| s.0 >= now - g.overload_window_ms && s.2 == scan.kind).map(|s| s.1);
         spent.sum::<f64>() + work <= allowed
     }
 
@@ -606,7 +622,7 @@
         if !self.shared(srv) {
             if idle == Some(true) && self.seats[srv].calls == 0 && now < self.lines.doubt_until {
                 idle = None;
-                post.out.push(Action::Hangup { searcher: self.seats[srv].addr });
+                post.out.push(Action::CloseIdleConnections { searcher: self.seats[srv].addr });
             }
             self.seats[srv].calls += 1;
             self.this_turn.insert(srv, (Rc::new(()), 0));
@@ -617,26 +633,26 @@
         let part = &mut scan.parts[nth];
         let leg = (part.id, part.sent.len() as u8);
         // Our own budget is against work done twice: what never ran cost none.
-        if !part.sent.is_empty() && (self.guards.budget.is_some() || !part.proved_unrun()) {
+        if !part.sent.is_empty() && (self.guards.retry_budget.is_some() || !part.proved_unrun()) {
             self.further.extras.push_back(now);
         }
         part.sent.push((srv, None));
         (part.state, part.caught) = (State::Out, false);
-        let late_counts = self.types[kind].late_share > 0.0;
+        let late_counts = self.types[kind].late_benefit_share > 0.0;
         let end = if late_counts { scan.gone_at } else { scan.gone_at.min(scan.target_at) };
-        let patience_ms = (end - now).max(1.0) + Self::AHEAD_MS / 2.0;
+        let timeout_ms = (end - now).max(1.0) + Self::AHEAD_MS / 2.0;
         self.flights
-            .insert(leg, Flight { srv, kind, call: call.clone(), sent_at: now, allotted: patience_ms, idle });
+            .insert(leg, Flight { srv, kind, call: call.clone(), sent_at: now, allotted: timeout_ms, idle });
         let late = (self.norms.limit * self.norms.normal[kind]).min((scan.target_at - now) * 0.5);
         self.due.add(now + late.max(Self::AHEAD_MS), Due::Late(leg));
         let seat = &mut self.seats[srv];
         seat.sent_at = now;
         self.flow += work / Self::FLOW_MS;
         if seat.began() > 0.0 {
-            trim(&mut seat.spent, |s| s.0 < now - self.guards.warm_ms);
+            trim(&mut seat.spent, |s| s.0 < now - self.guards.warm_up_ms);
             seat.spent.push_back((now, work, kind));
         }
-        post.out.push(Action::Dispatch { part: leg.0, searcher: seat.addr, patience_ms });
+        post.out.push(Action::Dispatch { part: leg.0, searcher: seat.addr, timeout_ms });
         post.put(SRVS + srv, Note::Sent(leg, kind, self.norms.clone()));
     }
 
@@ -697,7 +713,7 @@
         let Some(scan) = self.scans.get_mut(&at) else { return };
         let whole = whole && scan.whole;
         post.out.push(Action::Complete { scan: scan.id, whole });
-        if scan.second || !self.types[scan.kind].second_step {
+        if scan.second || !self.types[scan.kind].has_second_step {
             return self.close(at, post);
         }
         (scan.second, scan.whole) = (true, whole);
@@ -713,12 +729,12 @@
         let Some(scan) = self.scans.get(&at) else { return };
         let (id, have) = (scan.id, scan.have() + Self::HAIR);
         // A first answer at the last moment would open a second step that nothing can end in time.
-        let opens = !scan.second && self.types[scan.kind].second_step && post.now >= scan.gone_at;
+        let opens = !scan.second && self.types[scan.kind].has_second_step && post.now >= scan.gone_at;
         if have > 2.0 * Self::HAIR && have >= scan.floor && !opens {
             return self.complete(at, have >= scan.need, post);
         }
         let throttled = !scan.second && scan.parts.iter().all(|part| self.harmless(scan, part, post.now));
-        let throttle = Action::Throttle { scan: id, back_in_ms: self.permits.back_in_ms };
+        let throttle = Action::Throttle { scan: id, retry_after_ms: self.permits.retry_after_ms };
         post.out.push(if throttled { throttle } else { Action::Abandon { scan: id } });
         self.close(at, post);
     }
@@ -734,14 +750,14 @@
     const ASK_MS: f64 = 1000.0;
     const ASKS: f64 = 4.0;
 
-    pub fn open(
+    pub fn new(
         seed: u64,
         types: Vec<TableType>,
         customers: Vec<Customer>,
         layout: Layout,
-        guards: Guards,
-        permits: Permits,
-        berth: Berth,
+        guards: SafetyLimits,
+        permits: Permissions,
+        berth: Placement,
     ) -> Self {
         let start: Vec<f64> = types.iter().map(|t| t.target_ms * Self::START).collect();
         let normal = start.iter().map(|n| (*n, 1.0, *n)).collect();
@@ -749,8 +765,8 @@
         let gauge = Gauge { normal, means: BTreeMap::new(), median: 1.0, zones: BTreeMap::new(), fade_ms };
         let (limit, zones) = (Gauge::MULTIPLE, BTreeMap::new());
         let norms = Rc::new(Norms { normal: start.clone(), work: start, limit, zones, fade_ms });
-        let subscribe_at = if permits.ask_within_ms.is_some() { 0.0 } else { f64::INFINITY };
-        let (further, late) = (Purse::of(guards.budget.unwrap_or(Purse::OWN)), Purse::of(Purse::OWN));
+        let subscribe_at = if permits.resubscribe_within_ms.is_some() { 0.0 } else { f64::INFINITY };
+        let (further, late) = (Purse::of(guards.retry_budget.unwrap_or(Purse::OWN)), Purse::of(Purse::OWN));
         let stated = f64::from(berth.mixers.max(1));
         let (door, lot) = (Door::of(customers), Rand64::new(u128::from(!seed)).rand_float());
         let desk = Desk::new(types, layout, guards, permits, stated, norms, door, further, late, lot);
@@ -761,11 +777,11 @@
     }
 
     /// The list: a searcher is known by its address; a new start voids its past.
-    fn list(&mut self, kind: ListKind, lines: Vec<Listed>) {
+    fn list(&mut self, kind: ListKind, lines: Vec<ListedSearcher>) {
         if kind == ListKind::Failed {
             // All were refused at once: spread, and waiting longer, they come when there is room for some.
             self.refused = (self.refused + 1).min(8);
-            let most = self.desk.permits.ask_within_ms.unwrap_or(f64::INFINITY) / Self::ASKS;
+            let most = self.desk.permits.resubscribe_within_ms.unwrap_or(f64::INFINITY) / Self::ASKS;
             let wait = (Self::ASK_MS * f64::from(1 << (self.refused - 1))).min(most);
             self.subscribe_at = self.post.now + wait * (0.5 + self.seed.rand_float());
             return;
@@ -773,11 +789,12 @@
         let first = self.desk.opened.is_infinite();
         (self.refused, self.desk.opened) = (0, self.desk.opened.min(self.post.now));
         if kind != ListKind::Changes {
-            self.desk.seats.iter_mut().for_each(|s| s.life = Life::Gone); // but for those that it names
+            self.desk.seats.iter_mut().for_each(|s| s.life = SearcherStatus::Gone); // but for those that it names
         }
-        let known = |l: &Listed| l.life != Life::Gone || self.roster.find(l.searcher).is_some();
-        let lines: Vec<Listed> = lines.into_iter().filter(known).collect();
-        for Listed { searcher: addr, cell, zone, since, life } in lines {
+        let known =
+            |l: &ListedSearcher| l.status != SearcherStatus::Gone || self.roster.find(l.searcher).is_some();
+        let lines: Vec<ListedSearcher> = lines.into_iter().filter(known).collect();
+        for ListedSearcher { searcher: addr, cell, zone, started_at: since, status: life } in lines {
             let Some(srv) = self.roster.find(addr) else {
                 let srv = self.roster.place(addr);
                 let actor = Searcher::new(srv, addr, zone, self.desk.norms.clone());
@@ -790,7 +807,7 @@
                 continue;
             };
             let seat = &mut self.desk.seats[srv];
-            if seat.listed != since && life == Life::Ready {
+            if seat.listed != since && life == SearcherStatus::Ready {
                 (seat.listed, seat.since, seat.limit) = (since, since, f64::INFINITY);
                 (seat.known_at, seat.hushed) = (self.post.now, false);
                 self.post.put(SRVS + srv, Note::Renewed);
@@ -801,12 +818,13 @@
             self.desk.cells.enter(cell, srv);
         }
         // Who is gone leaves its place to another, as releases bring new ones.
-        let idle = |srv: usize| self.desk.seats[srv].life == Life::Gone && self.desk.seats[srv].calls == 0;
+        let idle =
+            |srv: usize| self.desk.seats[srv].life == SearcherStatus::Gone && self.desk.seats[srv].calls == 0;
         for srv in self.roster.retire(idle) {
             self.desk.cells.leave(self.desk.seats[srv].cell, srv);
             self.post.wake(SRVS + srv, false);
         }
-        self.desk.ready = self.desk.seats.iter().filter(|s| s.life == Life::Ready).count() as f64;
+        self.desk.ready = self.desk.seats.iter().filter(|s| s.life == SearcherStatus::Ready).count() as f64;
         if first {
             // Until traffic is seen, it is taken for one core's at each searcher.
             self.desk.flow = self.desk.ready / self.desk.mixers;
@@ -815,30 +833,34 @@
 
     /// What others say makes it look, send less, or leave alone, and never send what it would not: a copy
     /// that is wrong or old can cost service, no rule. It counts of searchers on its own list alone.
-    fn heard(&mut self, searcher: SocketAddrV4, word: Word) {
+    fn heard(&mut self, searcher: SocketAddrV4, word: PeerReport) {
         let Some(srv) = self.roster.find(searcher) else { return };
         match word {
-            Word::Look | Word::Doubt => self.post.put(SRVS + srv, Note::Hint(word == Word::Doubt)),
-            Word::Leaves(leaves) => self.desk.seats[srv].hushed = leaves,
-            Word::Began(since) => self.desk.seats[srv].told = since.min(self.post.now),
+            PeerReport::Marked | PeerReport::MarkedBySeveral => {
+                self.post.put(SRVS + srv, Note::Hint(word == PeerReport::MarkedBySeveral))
+            }
+            PeerReport::Leaving { leaving: leaves } => self.desk.seats[srv].hushed = leaves,
+            PeerReport::Restarted { started_at: since } => {
+                self.desk.seats[srv].told = since.min(self.post.now)
+            }
         }
     }
 }
 
-impl Decide for Mixer {
-    fn turn(&mut self, now: f64, events: Vec<Event>) -> Vec<Action> {
+impl DecisionModule for Mixer {
+    fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action> {
         self.post.now = now;
         for event in events {
             match event {
-                Event::List { kind, lines } => self.list(kind, lines),
-                Event::Probed { searcher, ending, took_ms } => {
+                Event::List { kind, searchers: lines } => self.list(kind, lines),
+                Event::ProbeEnded { searcher, outcome: ending, took_ms } => {
                     let srv = self.roster.find(searcher).into_iter();
                     srv.for_each(|srv| self.post.put(SRVS + srv, Note::Pong(ending, took_ms)));
                 }
-                Event::Heard { searcher, word } => self.heard(searcher, word),
+                Event::PeerReport { searcher, report } => self.heard(searcher, report),
                 // Never fewer than stated: who is not seen may be cut off and send all the same.
-                Event::Mixers(seen) => self.desk.mixers = self.stated.max(f64::from(seen)),
-                Event::IdleLost => self.desk.lines.doubt_until = now + Lines::DOUBT_MS,
+                Event::MixerCount { mixers: seen } => self.desk.mixers = self.stated.max(f64::from(seen)),
+                Event::IdleConnectionsLost => self.desk.lines.doubt_until = now + Lines::DOUBT_MS,
                 told => self.post.put(DESK, Note::Told(told)),
             }
         }
--- a/src/report.rs
+++ b/src/report.rs
@@ -4,37 +4,42 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 
-use crate::interface::Life;
+use crate::interface::SearcherStatus;
 use crate::state::{Desk, Mixer, Seat};
 
 impl Mixer {
     /// For those who report on a mixer: the share of the slices for which a searcher is usable.
-    pub fn usable(&self) -> f64 {
-        self.desk.usable()
+    pub fn usable_share(&self) -> f64 {
+        self.desk.usable_share()
     }
 
     /// For those who report on a mixer: what it believes now, and why it refused.
-    pub fn beliefs(&self) -> Beliefs {
-        self.desk.beliefs(self.post.now)
+    pub fn status(&self) -> MixerStatus {
+        self.desk.status(self.post.now)
     }
 
     /// For those who tell other mixers: what this one knows by itself.
-    pub fn known(&self) -> impl Iterator<Item = Known> {
+    pub fn observed_searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
         self.desk.known(self.post.now)
     }
 
-    /// Scans of each customer in the last seconds, and whether connections were lost while idle.
-    pub fn used(&self) -> (&[usize], bool) {
-        (self.desk.used(), self.post.now < self.desk.lines.doubt_until)
+    /// Scans of each customer in the last seconds.
+    pub fn recent_scans_by_customer(&self) -> &[usize] {
+        self.desk.used()
+    }
+
+    /// Whether connections were lost while idle.
+    pub fn idle_connections_lost(&self) -> bool {
+        self.post.now < self.desk.lines.doubt_until
     }
 }
 
 /// Reasons of the door.
-pub const BARS: usize = 5;
+pub const REJECTION_REASONS: usize = 5;
 
 /// What a mixer believes of its searchers, and why it refused scans: for people, and decides nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Beliefs {
+pub struct MixerStatus {
     /// Listed as ready; of these, marked, without connection, on trial, and cold.
     pub ready: usize,
     pub marked: usize,
@@ -52,17 +57,17 @@
     pub latency: f64,
     /// Scans refused at the door since the start, by table type: as no searcher was up, as those that were are cold and had no
     /// room, its cost, its oldest part, its limit.
-    pub refused: Vec<[u64; BARS]>,
+    pub rejected: Vec<[u64; REJECTION_REASONS]>,
 }
 
-impl Beliefs {
+impl MixerStatus {
     /// Scans refused at the door, of all table types, by reason.
-    pub fn refused_in_all(&self) -> [u64; BARS] {
-        std::array::from_fn(|bar| self.refused.iter().map(|counts| counts[bar]).sum())
+    pub fn rejections_by_reason(&self) -> [u64; REJECTION_REASONS] {
+        std::array::from_fn(|bar| self.rejected.iter().map(|counts| counts[bar]).sum())
     }
 }
 
-impl fmt::Display for Beliefs {
+impl fmt::Display for MixerStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { ready, marked, down, trial, cold, held, calls, lost, unasked_ms, latency, .. } = self;
         writeln!(
@@ -76,7 +81,7 @@
             unasked_ms / 1e3
         )?;
         writeln!(f, "calls out\n  {calls}, of these overtaken {lost}")?;
-        let [nobody, no_room, cost, age, limit] = self.refused_in_all();
+        let [nobody, no_room, cost, age, limit] = self.rejections_by_reason();
         writeln!(
             f,
             "scans refused at the door\n  nobody up {nobody}, cold {no_room}, cost {cost}, old part {age}, limit {limit}"
@@ -86,47 +91,56 @@
 
 /// A searcher as this mixer knows it by itself, for the other mixers: decides nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct ObservedSearcher {
     pub searcher: SocketAddrV4,
-    pub life: Life,
+    pub status: SearcherStatus,
     /// When its process started, as the list says, and whether it is cold since.
-    pub since: f64,
+    pub started_at: f64,
     pub cold: bool,
     pub marked: bool,
     /// Not marked, and a part of ours has been out there for longer than any should: how long, in normals; else zero.
-    pub late: f64,
+    pub overdue: f64,
     /// What it was last marked for: the average, in normals, and of how many parts.
-    pub evidence: (f64, u32),
+    pub evidence: MarkEvidence,
+}
+
+/// What a searcher was last marked for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MarkEvidence {
+    /// The average, in normals.
+    pub relative_latency: f64,
+    /// Of how many parts.
+    pub parts: u32,
 }
 
 impl Desk {
-    pub fn beliefs(&self, now: f64) -> Beliefs {
-        let ready = || self.seats.iter().filter(|s| s.life == Life::Ready);
+    pub fn status(&self, now: f64) -> MixerStatus {
+        let ready = || self.seats.iter().filter(|s| s.life == SearcherStatus::Ready);
         let count = |of: fn(&&Seat) -> bool| ready().filter(of).count();
-        let warm_ms = self.guards.warm_ms;
-        Beliefs {
+        let warm_up_ms = self.guards.warm_up_ms;
+        MixerStatus {
             ready: ready().count(),
             marked: count(|s| s.tile.marked),
             down: count(|s| s.tile.down),
             trial: count(|s| s.tile.trial),
-            cold: ready().filter(|s| s.since > 0.0 && now - s.since < warm_ms).count(),
+            cold: ready().filter(|s| s.since > 0.0 && now - s.since < warm_up_ms).count(),
             held: count(|s| s.limit < 3.0),
             calls: ready().map(|s| s.calls).sum(),
             lost: ready().map(|s| s.tile.lost).sum(),
             unasked_ms: ready().filter(|s| s.sent_at > 0.0).map(|s| now - s.sent_at).fold(0.0, f64::max),
             latency: ready().map(|s| s.tile.lag[0]).fold(0.0, f64::max),
-            refused: self.barred.clone(),
+            rejected: self.barred.clone(),
         }
     }
 
-    pub fn known(&self, now: f64) -> impl Iterator<Item = Known> {
-        self.seats.iter().filter(|s| s.life != Life::Gone).map(move |s| Known {
+    pub fn known(&self, now: f64) -> impl Iterator<Item = ObservedSearcher> {
+        self.seats.iter().filter(|s| s.life != SearcherStatus::Gone).map(move |s| ObservedSearcher {
             searcher: s.addr,
-            life: s.life,
-            since: s.listed,
-            cold: s.listed > 0.0 && now - s.listed < self.guards.warm_ms,
+            status: s.life,
+            started_at: s.listed,
+            cold: s.listed > 0.0 && now - s.listed < self.guards.warm_up_ms,
             marked: s.tile.marked,
-            late: Some(s.tile.late).filter(|l| !s.tile.marked && *l > self.norms.limit).unwrap_or(0.0),
+            overdue: Some(s.tile.late).filter(|l| !s.tile.marked && *l > self.norms.limit).unwrap_or(0.0),
             evidence: s.tile.evidence,
         })
     }
@@ -137,7 +151,7 @@
     }
 
     /// Of the cells' slices, the share that a searcher holds which is ready, has a connection and is not marked.
-    pub fn usable(&self) -> f64 {
+    pub fn usable_share(&self) -> f64 {
         let usable = |srv: usize| self.seats[srv].up() && !self.seats[srv].tile.marked;
         let held = (0..self.layout.cells).filter(|slice| self.cells.holders(*slice).any(usable));
         held.count() as f64 / f64::from(self.layout.cells.max(1))
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,8 +6,11 @@
 
 use oorandom::Rand64;
 
-use crate::interface::{Action, Budget, Customer, Ending, Event, Guards, Layout, Life, Permits, TableType};
-use crate::report::BARS;
+use crate::interface::{
+    Action, Customer, DispatchOutcome, Event, Layout, Permissions, RetryBudget, SafetyLimits, SearcherStatus,
+    TableType,
+};
+use crate::report::{MarkEvidence, REJECTION_REASONS};
 
 /// A part and the number of its dispatch.
 pub(crate) type Leg = (u64, u8);
@@ -53,7 +56,7 @@
     /// No connection, or a lost one, at its last part.
     pub down: bool,
     /// What it was last marked for: the average, in normals, and of how many parts.
-    pub evidence: (f64, u32),
+    pub evidence: MarkEvidence,
 }
 
 impl Tile {
@@ -67,7 +70,7 @@
         marked: false,
         trial: false,
         down: false,
-        evidence: (0.0, 0),
+        evidence: MarkEvidence { relative_latency: 0.0, parts: 0 },
     };
 }
 
@@ -77,8 +80,8 @@
     Renewed,
     Sent(Leg, usize, Rc<Norms>),
     /// A part's share of the normal latency, that latency in milliseconds, how it ended, and when it was sent.
-    Filed(Leg, f64, f64, Ending, f64),
-    Pong(Ending, f64),
+    Filed(Leg, f64, f64, DispatchOutcome, f64),
+    Pong(DispatchOutcome, f64),
     /// Others have marked it; whether several that agree.
     Hint(bool),
     // To the gauge: of a table type, of a searcher.
@@ -210,13 +213,13 @@
 /// A budget: of further dispatches, stated or our own, and of parts caught for their own lateness.
 #[derive(Debug)]
 pub(crate) struct Purse {
-    pub budget: Budget,
+    pub budget: RetryBudget,
     pub taken: VecDeque<f64>,
     pub extras: VecDeque<f64>,
 }
 
 impl Purse {
-    pub fn of(budget: Budget) -> Self {
+    pub fn of(budget: RetryBudget) -> Self {
         Self { budget, taken: VecDeque::new(), extras: VecDeque::new() }
     }
 }
@@ -341,8 +344,8 @@
 pub(crate) struct Desk {
     pub types: Vec<TableType>,
     pub layout: Layout,
-    pub guards: Guards,
-    pub permits: Permits,
+    pub guards: SafetyLimits,
+    pub permits: Permissions,
     pub mixers: f64,
     pub norms: Rc<Norms>,
     pub seats: Vec<Seat>,
@@ -374,7 +377,7 @@
     /// Scans that lack parts and wait for room.
     pub short: BTreeSet<usize>,
     /// Scans refused at the door, by table type and [`Bar`].
-    pub barred: Vec<[u64; BARS]>,
+    pub barred: Vec<[u64; REJECTION_REASONS]>,
 }
 
 /// Why the door refused a scan: what the first of its parts met that no searcher could take in time.
@@ -397,8 +400,8 @@
     pub fn new(
         types: Vec<TableType>,
         layout: Layout,
-        guards: Guards,
-        permits: Permits,
+        guards: SafetyLimits,
+        permits: Permissions,
         mixers: f64,
         norms: Rc<Norms>,
         door: Door,
@@ -406,9 +409,9 @@
         late: Purse,
         lot: f64,
     ) -> Self {
-        let (barred, asked) = (vec![[0; BARS]; types.len()], vec![0.0; types.len()]);
+        let (barred, asked) = (vec![[0; REJECTION_REASONS]; types.len()], vec![0.0; types.len()]);
         Self {
-            cells: Cells::new(layout.cells, layout.reach),
+            cells: Cells::new(layout.cells, layout.cells_per_shard),
             types,
             layout,
             guards,
@@ -458,7 +461,7 @@
 
     /// Whether it may still be warming up.
     pub fn cold(&self, seat: &Seat, now: f64) -> bool {
-        seat.began() > 0.0 && now - seat.began() < self.guards.warm_ms
+        seat.began() > 0.0 && now - seat.began() < self.guards.warm_up_ms
     }
 
     /// Forgets a scan, and calls off what is out of it.
@@ -489,7 +492,7 @@
     pub since: f64,
     /// As other mixers say; zero where none does.
     pub told: f64,
-    pub life: Life,
+    pub life: SearcherStatus,
     /// Other mixers say that it leaves.
     pub hushed: bool,
     pub tile: Tile,
@@ -516,7 +519,7 @@
         cell: u32,
         zone: u16,
         since: f64,
-        life: Life,
+        life: SearcherStatus,
         lot: f64,
         known_at: f64,
     ) -> Self {
@@ -554,7 +557,7 @@
 
     /// Listed as ready, nobody says that it leaves, and not both marked and without connection.
     pub fn up(&self) -> bool {
-        self.life == Life::Ready && !self.hushed && !(self.tile.marked && self.tile.down)
+        self.life == SearcherStatus::Ready && !self.hushed && !(self.tile.marked && self.tile.down)
     }
 }
 
@@ -574,7 +577,7 @@
     pub state: State,
     pub caught: bool,
     /// Searcher and ending of every dispatch.
-    pub sent: Vec<(usize, Option<Ending>)>,
+    pub sent: Vec<(usize, Option<DispatchOutcome>)>,
     pub taken_at: f64,
     /// When a dispatch of it last ended.
     pub ended_at: f64,
@@ -595,7 +598,7 @@
     }
 
     pub fn proved_unrun(&self) -> bool {
-        self.sent.iter().all(|s| s.1.is_some_and(Ending::never_ran))
+        self.sent.iter().all(|s| s.1.is_some_and(DispatchOutcome::never_ran))
     }
 
     /// The dispatches still out.
@@ -659,8 +662,8 @@
             target_at,
             gone_at,
             parts: Vec::new(),
-            need: terms.need,
-            floor: terms.floor.min(terms.need),
+            need: terms.required_weight,
+            floor: terms.minimum_weight.min(terms.required_weight),
             whole: true,
             second: false,
             deaths: 0,
@@ -759,7 +762,7 @@
                 DESK => self.desk.note(note, &mut self.post),
                 GAUGE => self.gauge.note(note, &mut self.post),
                 _ => {
-                    let ready = self.desk.seats[to - SRVS].life == Life::Ready;
+                    let ready = self.desk.seats[to - SRVS].life == SearcherStatus::Ready;
                     self.srvs[to - SRVS].note(note, &mut self.post, ready, self.desk.permits.probe);
                 }
             }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -6,7 +6,7 @@
 
 use oorandom::Rand64;
 use pewterwharf::interface::*;
-use pewterwharf::report::BARS;
+use pewterwharf::report::REJECTION_REASONS;
 
 use super::ramp::{Asked, End, FALL_MS, Kind, Played, Ramp, Silence, WAY_MS, spread};
 
@@ -59,7 +59,7 @@
         let work_ms = self.by_octaves(15.0, 500.0);
         let tight = self.happens(0.2);
         let target_ms = work_ms * if tight { self.between(2.5, 4.0) } else { self.between(3.5, 14.0) };
-        let repeat = if self.happens(0.3) { Repeat::NonReplayable } else { Repeat::Replayable };
+        let repeat = if self.happens(0.3) { Idempotency::NonReplayable } else { Idempotency::Replayable };
         Kind {
             // Neither requests nor work are shared alike.
             share: self.between(0.3, 1.0) / (f64::from(parts) * work_ms).sqrt(),
@@ -73,32 +73,32 @@
         }
     }
 
-    fn guards(&mut self) -> Guards {
+    fn guards(&mut self) -> SafetyLimits {
         let windows =
             [(1.5, 3000.0), (2.0, 2000.0), (2.0, 1000.0), (3.0, 1000.0), (4.0, 1000.0), (1.3, 5000.0)];
-        let (tip_multiple, fall_ms) = self.of(&windows);
-        let budget = Budget {
+        let (overload_multiple, overload_window_ms) = self.of(&windows);
+        let budget = RetryBudget {
             free: self.between(2.0, 20.0),
             share: self.between(0.05, 0.2),
             window_ms: self.between(1000.0, 10_000.0),
         };
-        Guards {
-            cold_from: self.between(0.1, 0.45),
-            warm_ms: self.between(10_000.0, 17_000.0),
-            tip_multiple,
-            fall_ms,
-            budget: self.happens(0.5).then_some(budget),
+        SafetyLimits {
+            cold_capacity_share: self.between(0.1, 0.45),
+            warm_up_ms: self.between(10_000.0, 17_000.0),
+            overload_multiple,
+            overload_window_ms,
+            retry_budget: self.happens(0.5).then_some(budget),
         }
     }
 
-    fn permits(&mut self) -> Permits {
-        Permits {
+    fn permits(&mut self) -> Permissions {
+        Permissions {
             cancel: self.happens(0.6),
             probe: self.happens(0.6),
-            second_copies: self.happens(0.6),
-            dispatches: self.of(&[2, 3, 4]),
-            back_in_ms: self.happens(0.5).then_some(500.0),
-            ask_within_ms: None,
+            hedge: self.happens(0.6),
+            max_dispatches: self.of(&[2, 3, 4]),
+            retry_after_ms: self.happens(0.5).then_some(500.0),
+            resubscribe_within_ms: None,
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     fn cold(&self, ramp: &Ramp, now: f64) -> bool {
-        (self.starts_at..self.starts_at + ramp.guards.warm_ms).contains(&now)
+        (self.starts_at..self.starts_at + ramp.guards.warm_up_ms).contains(&now)
     }
 
     /// What is sent now is never answered.
@@ -199,7 +199,7 @@
         if !self.cold(ramp, now) {
             return true;
         }
-        let from = now - ramp.guards.fall_ms;
+        let from = now - ramp.guards.overload_window_ms;
         let spent: f64 = self.came.iter().filter(|c| c.0 >= from).map(|c| c.1).sum();
         spent + work_ms <= ramp.borne_ms((from - self.starts_at).max(0.0))
     }
@@ -296,7 +296,7 @@
     pub of_all: f64,
     pub served: u32,
     pub ideal: u32,
-    pub barred: [u32; BARS],
+    pub barred: [u32; REJECTION_REASONS],
     pub rejected: u32,
     pub late: u32,
     pub failed: u32,
@@ -315,7 +315,7 @@
             of_all: 0.0,
             served: 0,
             ideal: 0,
-            barred: [0; BARS],
+            barred: [0; REJECTION_REASONS],
             rejected: 0,
             late: 0,
             failed: 0,
@@ -355,7 +355,7 @@
 
     /// What of the router's share is to be served.
     fn floor(&self) -> f64 {
-        if self.kind.repeat == Repeat::NonReplayable { 1.0 / 3.0 } else { 0.5 }
+        if self.kind.repeat == Idempotency::NonReplayable { 1.0 / 3.0 } else { 0.5 }
     }
 
     /// Whether the floor holds for it: the class is no rarity, and the router can serve it.
@@ -374,7 +374,7 @@
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Kind { parts, need, work_ms, target_ms, .. } = self.kind;
-        let effect = if self.kind.repeat == Repeat::NonReplayable { "once" } else { "replay" };
+        let effect = if self.kind.repeat == Idempotency::NonReplayable { "once" } else { "replay" };
         let day = format!("{:?}", self.day);
         write!(f, "{:4} {day:4} {:3} {parts:5} {need:4.2} ", self.number, self.class)?;
         write!(f, "{work_ms:5.0} {target_ms:6.0} {effect:6}   {:6.2} {:5} ", self.of_all, self.asked)?;
@@ -417,12 +417,18 @@
 pub fn described(number: u64, day: Day) -> String {
     let Ramp { mixers, searchers, reach, cores, load, guards, permits, zones, reports, .. } =
         drawn(number, day);
-    let Guards { cold_from, warm_ms, tip_multiple, fall_ms, budget } = guards;
-    let Permits { cancel, probe, second_copies, dispatches, .. } = permits;
+    let SafetyLimits {
+        cold_capacity_share,
+        warm_up_ms,
+        overload_multiple,
+        overload_window_ms,
+        retry_budget: budget,
+    } = guards;
+    let Permissions { cancel, probe, hedge, max_dispatches: dispatches, .. } = permits;
     format!(
         "draw {number} {day:?}: {mixers} mixers, {searchers} searchers of {cores} cores, reach {reach}, zones {zones}, \
-         load {load:.2}, cold {tip_multiple}x in {fall_ms} ms, from {cold_from:.2} over {warm_ms:.0} ms, cancel {cancel}, \
-         probe {probe}, copies {second_copies}, attempts {dispatches}, budget {}, reports {reports}",
+         load {load:.2}, cold {overload_multiple}x in {overload_window_ms} ms, from {cold_capacity_share:.2} over {warm_up_ms:.0} ms, cancel {cancel}, \
+         probe {probe}, copies {hedge}, attempts {dispatches}, budget {}, reports {reports}",
         budget.is_some()
     )
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,18 +6,18 @@
 use pewterwharf::interface::*;
 use pewterwharf::logic::Mixer;
 
-pub fn table_type(repeat: Repeat, need: f64) -> TableType {
+pub fn table_type(repeat: Idempotency, need: f64) -> TableType {
     TableType {
         target_ms: 1000.0,
         query_timeout_ms: 2000.0,
         benefit: 1.0,
-        late_share: 0.5,
-        target_stretch: 0.0,
-        repeat,
-        need,
-        floor: need,
-        partial_share: 0.9,
-        second_step: false,
+        late_benefit_share: 0.5,
+        target_ms_per_work_ms: 0.0,
+        idempotency: repeat,
+        required_weight: need,
+        minimum_weight: need,
+        partial_benefit_share: 0.9,
+        has_second_step: false,
     }
 }
 
@@ -36,12 +36,12 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 5000)
 }
 
-pub fn line(n: u8, since: f64, life: Life) -> Listed {
-    Listed { searcher: searcher(n), cell: 0, zone: 0, since, life }
+pub fn line(n: u8, since: f64, life: SearcherStatus) -> ListedSearcher {
+    ListedSearcher { searcher: searcher(n), cell: 0, zone: 0, started_at: since, status: life }
 }
 
 impl Rig {
-    pub fn new(types: Vec<TableType>, budget: Option<Budget>) -> Self {
+    pub fn new(types: Vec<TableType>, budget: Option<RetryBudget>) -> Self {
         Self::with(types, budget, 1, true, None)
     }
 
@@ -55,41 +55,48 @@
 
     /// Where the list has to be asked for.
     pub fn asking(within_ms: f64) -> Self {
-        Self::with(vec![table_type(Repeat::Replayable, 1.0)], None, 1, false, Some(within_ms))
+        Self::with(vec![table_type(Idempotency::Replayable, 1.0)], None, 1, false, Some(within_ms))
     }
 
     fn with(
         types: Vec<TableType>,
-        budget: Option<Budget>,
+        budget: Option<RetryBudget>,
         mixers: u32,
         probe: bool,
         ask_within_ms: Option<f64>,
     ) -> Self {
-        let layout = Layout { cells: 1, reach: 1, parts_per_call: 1, call_work_ms: 0.0 };
-        let (cold_from, warm_ms, tip_multiple, fall_ms) = (0.2, 10_000.0, 2.0, 1000.0);
-        let guards = Guards { cold_from, warm_ms, tip_multiple, fall_ms, budget };
-        let permits = Permits {
+        let layout = Layout { cells: 1, cells_per_shard: 1, parts_per_call: 1, call_work_ms: 0.0 };
+        let (cold_capacity_share, warm_up_ms, overload_multiple, overload_window_ms) =
+            (0.2, 10_000.0, 2.0, 1000.0);
+        let guards = SafetyLimits {
+            cold_capacity_share,
+            warm_up_ms,
+            overload_multiple,
+            overload_window_ms,
+            retry_budget: budget,
+        };
+        let permits = Permissions {
             cancel: true,
             probe,
-            second_copies: true,
-            dispatches: 4,
-            back_in_ms: Some(500.0),
-            ask_within_ms,
+            hedge: true,
+            max_dispatches: 4,
+            retry_after_ms: Some(500.0),
+            resubscribe_within_ms: ask_within_ms,
         };
-        let berth = Berth { mixers, zone: 0 };
-        let customers = vec![Customer { scans_per_s: 100.0, over_share: 0.2 }];
-        let mixer = Mixer::open(7, types, customers, layout, guards, permits, berth);
+        let berth = Placement { mixers, zone: 0 };
+        let customers = vec![Customer { scans_per_s: 100.0, over_quota_benefit_share: 0.2 }];
+        let mixer = Mixer::new(7, types, customers, layout, guards, permits, berth);
         Self { mixer, now: 100_000.0, wake: 0.0, scans: 0, busy: None, trace: String::new() }
     }
 
     /// Lists `n` warm searchers.
     pub fn warm(&mut self, n: u8) {
-        let lines = (1..=n).map(|n| line(n, 0.0, Life::Ready)).collect();
-        self.tell(vec![Event::List { kind: ListKind::Full, lines }]);
+        let lines = (1..=n).map(|n| line(n, 0.0, SearcherStatus::Ready)).collect();
+        self.tell(vec![Event::List { kind: ListKind::Full, searchers: lines }]);
     }
 
     pub fn tell(&mut self, events: Vec<Event>) {
-        for action in self.mixer.turn(self.now, events) {
+        for action in self.mixer.handle_events(self.now, events) {
             let at = self.now - 100_000.0;
             let line = match action {
                 Action::WakeAt { at } => {
@@ -101,10 +108,14 @@
                 }
                 Action::Cancel { part, dispatch } => format!("cancel {part}/{dispatch}"),
                 Action::Complete { scan, whole } => format!("complete {scan} whole={whole}"),
-                Action::Throttle { scan, back_in_ms } => format!("throttle {scan} back in {back_in_ms:?}"),
+                Action::Throttle { scan, retry_after_ms } => {
+                    format!("throttle {scan} back in {retry_after_ms:?}")
+                }
                 Action::Abandon { scan } => format!("abandon {scan}"),
                 Action::Probe { searcher } => format!("probe s{}", searcher.ip().octets()[3]),
-                Action::Hangup { searcher } => format!("hang up on s{}", searcher.ip().octets()[3]),
+                Action::CloseIdleConnections { searcher } => {
+                    format!("hang up on s{}", searcher.ip().octets()[3])
+                }
                 Action::Subscribe => "subscribe".to_owned(),
                 Action::Log { line } => line,
             };
@@ -132,8 +143,15 @@
         self.scans += 1;
         let (id, number) = (u64::from(self.scans) * 100, self.scans);
         let gone_at = self.now + 2000.0;
-        let mut events =
-            vec![Event::Scan { id, number, table_type, customer: 0, gone_at, work_ms: None, retry: false }];
+        let mut events = vec![Event::Scan {
+            id,
+            number,
+            table_type,
+            customer: 0,
+            deadline_at: gone_at,
+            work_ms: None,
+            retry: false,
+        }];
         let weight = 1.0 / f64::from(parts);
         events.extend((0..parts).map(|shard| Event::Part {
             id: id + 1 + u64::from(shard),
@@ -144,13 +162,13 @@
         self.tell(events);
     }
 
-    pub fn ends(&mut self, part: u64, dispatch: u8, from: u8, ending: Ending, took_ms: f64) {
+    pub fn ends(&mut self, part: u64, dispatch: u8, from: u8, ending: DispatchOutcome, took_ms: f64) {
         let _ = writeln!(self.trace, "{:>6}   {part}/{dispatch} ends {ending:?}", self.now - 100_000.0);
-        self.tell(vec![Event::Ended {
+        self.tell(vec![Event::DispatchEnded {
             part,
             dispatch,
             searcher: searcher(from),
-            ending,
+            outcome: ending,
             took_ms,
             busy: self.busy,
         }]);
--- a/tests/common/ramp.rs
+++ b/tests/common/ramp.rs
@@ -9,7 +9,7 @@
 use oorandom::Rand64;
 use pewterwharf::interface::*;
 use pewterwharf::logic::Mixer;
-use pewterwharf::report::BARS;
+use pewterwharf::report::REJECTION_REASONS;
 
 /// The day begins there by the module's clock: long after any start that the list names.
 const EPOCH: f64 = 1_000_000.0;
@@ -36,7 +36,7 @@
     pub target_ms: f64,
     /// When its client gives up, in target times.
     pub deadline: f64,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Parts weigh unequally.
     pub unequal: bool,
 }
@@ -69,8 +69,8 @@
     pub silence: Option<Silence>,
     /// A mixer hears of it within so long.
     pub notice_ms: f64,
-    pub guards: Guards,
-    pub permits: Permits,
+    pub guards: SafetyLimits,
+    pub permits: Permissions,
     /// Cells lie in so many zones by turns.
     pub zones: u16,
     /// Searchers report how busy they are.
@@ -164,7 +164,7 @@
     /// What cold searchers got in all, over the sum of what the settings allow.
     pub used: f64,
     /// Of each table type, the scans refused at the door, by reason.
-    pub refused: Vec<[u64; BARS]>,
+    pub refused: Vec<[u64; REJECTION_REASONS]>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -207,7 +207,7 @@
     next: BinaryHeap<Reverse<(u64, u64, Next)>>,
     chance: Rand64,
     mixers: Vec<(Mixer, Vec<Event>, u64)>,
-    lists: Vec<Vec<(f64, Life)>>,
+    lists: Vec<Vec<(f64, SearcherStatus)>>,
     weights: Vec<f64>,
     searchers: Vec<Searcher>,
     /// Of a scan: kind, when asked, number among those asked for.
@@ -216,13 +216,13 @@
     parts: BTreeMap<u64, usize>,
     dispatched: BTreeMap<u64, u8>,
     /// How the latest attempt of a part that has ended did, and what led to each that is out.
-    endings: BTreeMap<u64, Ending>,
+    endings: BTreeMap<u64, DispatchOutcome>,
     causes: BTreeMap<(u64, u8), Cause>,
     out: BTreeMap<(usize, u64, u8), (usize, f64)>,
     /// What a core works on, by a number.
     jobs: BTreeMap<u64, (usize, (usize, u64, u8))>,
     /// Of each mixer's process: scans refused at the door that were seen, by table type.
-    barred: Vec<Vec<[u64; BARS]>>,
+    barred: Vec<Vec<[u64; REJECTION_REASONS]>>,
     ids: u64,
     played: Played,
     used: (f64, f64),
@@ -255,7 +255,7 @@
             order: 0,
             next: BinaryHeap::new(),
             mixers: Vec::new(),
-            lists: vec![vec![(0.0, Life::Ready); self.searchers]; self.mixers],
+            lists: vec![vec![(0.0, SearcherStatus::Ready); self.searchers]; self.mixers],
             weights,
             searchers: (0..self.searchers).map(|_| Searcher::default()).collect(),
             scans: BTreeMap::new(),
@@ -265,7 +265,7 @@
             causes: BTreeMap::new(),
             out: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            barred: vec![vec![[0; BARS]; self.kinds.len()]; self.mixers],
+            barred: vec![vec![[0; REJECTION_REASONS]; self.kinds.len()]; self.mixers],
             ids: 0,
             played: Played {
                 kinds: vec![(0, 0); self.kinds.len()],
@@ -295,8 +295,8 @@
 
     /// Share of its speed that a searcher has at this age.
     pub fn able(&self, age: f64) -> f64 {
-        let Guards { cold_from, warm_ms, .. } = self.guards;
-        (cold_from + (1.0 - cold_from) * age / warm_ms).clamp(cold_from, 1.0)
+        let SafetyLimits { cold_capacity_share, warm_up_ms, .. } = self.guards;
+        (cold_capacity_share + (1.0 - cold_capacity_share) * age / warm_up_ms).clamp(cold_capacity_share, 1.0)
     }
 
     /// Work that all mixers together may send a cold searcher in a window that began at this age.
@@ -307,8 +307,8 @@
 
     /// The budget of a window that began at this age, in calls of mean work.
     fn calls(&self, age: f64) -> f64 {
-        let Guards { tip_multiple, fall_ms, .. } = self.guards;
-        tip_multiple * self.able(age) * self.cores as f64 * fall_ms / self.mean_work()
+        let SafetyLimits { overload_multiple, overload_window_ms, .. } = self.guards;
+        overload_multiple * self.able(age) * self.cores as f64 * overload_window_ms / self.mean_work()
     }
 
     /// The searchers that start anew, and when.
@@ -343,38 +343,34 @@
             target_ms: k.target_ms,
             query_timeout_ms: k.deadline * k.target_ms,
             benefit: 1.0,
-            late_share: 0.2,
-            target_stretch: 0.0,
-            repeat: k.repeat,
-            need: k.need,
-            floor: k.need,
-            partial_share: 0.9,
-            second_step: false,
+            late_benefit_share: 0.2,
+            target_ms_per_work_ms: 0.0,
+            idempotency: k.repeat,
+            required_weight: k.need,
+            minimum_weight: k.need,
+            partial_benefit_share: 0.9,
+            has_second_step: false,
         });
-        let layout =
-            Layout { cells: ramp.searchers as u32, reach: ramp.reach, parts_per_call: 1, call_work_ms: 0.0 };
-        let customers = vec![Customer { scans_per_s: 1000.0, over_share: 0.2 }];
-        let berth = Berth { mixers: ((ramp.mixers as f64 * ramp.stated) as u32).max(1), zone: 0 };
-        Mixer::open(
-            seed,
-            types.collect(),
-            customers,
-            layout,
-            ramp.guards.clone(),
-            ramp.permits.clone(),
-            berth,
-        )
+        let layout = Layout {
+            cells: ramp.searchers as u32,
+            cells_per_shard: ramp.reach,
+            parts_per_call: 1,
+            call_work_ms: 0.0,
+        };
+        let customers = vec![Customer { scans_per_s: 1000.0, over_quota_benefit_share: 0.2 }];
+        let berth = Placement { mixers: ((ramp.mixers as f64 * ramp.stated) as u32).max(1), zone: 0 };
+        Mixer::new(seed, types.collect(), customers, layout, ramp.guards.clone(), ramp.permits.clone(), berth)
     }
 
     fn lines(&self, mixer: usize) -> Event {
-        let lines = self.lists[mixer].iter().enumerate().map(|(s, (since, life))| Listed {
+        let lines = self.lists[mixer].iter().enumerate().map(|(s, (since, life))| ListedSearcher {
             searcher: address(s),
             cell: s as u32,
             zone: s as u16 % self.ramp.zones,
-            since: *since,
-            life: *life,
+            started_at: *since,
+            status: *life,
         });
-        Event::List { kind: ListKind::Full, lines: lines.collect() }
+        Event::List { kind: ListKind::Full, searchers: lines.collect() }
     }
 
     fn run(&mut self, seed: u64) {
@@ -461,13 +457,13 @@
             }
             Next::Ends(_, mixer, part, dispatch) => {
                 let (srv, sent_at) = self.out.remove(&(mixer, part, dispatch))?;
-                let ended = self.ended(part, dispatch, srv, Ending::Ok, self.now - sent_at);
+                let ended = self.ended(part, dispatch, srv, DispatchOutcome::Ok, self.now - sent_at);
                 self.mixers[mixer].1.push(ended);
                 Some(mixer)
             }
             Next::TimedOut(mixer, part, dispatch) => {
                 let (srv, sent_at) = self.out.remove(&(mixer, part, dispatch))?;
-                let ended = self.ended(part, dispatch, srv, Ending::TimedOut, self.now - sent_at);
+                let ended = self.ended(part, dispatch, srv, DispatchOutcome::TimedOut, self.now - sent_at);
                 self.mixers[mixer].1.push(ended);
                 Some(mixer)
             }
@@ -492,7 +488,7 @@
             Next::Misses(mixer) => {
                 let silent = self.searchers.iter().map(|s| s.silent);
                 for (line, _) in self.lists[mixer].iter_mut().zip(silent).filter(|(_, silent)| *silent) {
-                    line.1 = Life::Gone;
+                    line.1 = SearcherStatus::Gone;
                 }
                 let list = self.lines(mixer);
                 self.mixers[mixer].1.push(list);
@@ -500,12 +496,13 @@
             }
             Next::Unanswered(mixer, process, srv) => {
                 let searcher = address(srv);
-                let probed = Event::Probed { searcher, ending: Ending::TimedOut, took_ms: PROBE_MS };
+                let probed =
+                    Event::ProbeEnded { searcher, outcome: DispatchOutcome::TimedOut, took_ms: PROBE_MS };
                 (self.mixers[mixer].2 == process).then(|| self.mixers[mixer].1.push(probed))?;
                 Some(mixer)
             }
             Next::Hears(mixer, srv, since) => {
-                self.lists[mixer][srv] = (EPOCH + since as f64 / 1000.0, Life::Ready);
+                self.lists[mixer][srv] = (EPOCH + since as f64 / 1000.0, SearcherStatus::Ready);
                 let list = self.lines(mixer);
                 self.mixers[mixer].1.push(list);
                 Some(mixer)
@@ -513,7 +510,7 @@
             Next::Restart(nth) => {
                 let process = self.mixers[nth].2 + 1;
                 let seed = self.chance.rand_u64();
-                self.barred[nth].fill([0; BARS]);
+                self.barred[nth].fill([0; REJECTION_REASONS]);
                 self.mixers[nth] = (self.open(seed), Vec::new(), process);
                 self.out.retain(|leg, _| leg.0 != nth);
                 let list = self.lines(nth);
@@ -541,16 +538,19 @@
         searcher.metered_at = self.now;
     }
 
-    fn ended(&mut self, part: u64, dispatch: u8, srv: usize, ending: Ending, took_ms: f64) -> Event {
+    fn ended(&mut self, part: u64, dispatch: u8, srv: usize, ending: DispatchOutcome, took_ms: f64) -> Event {
         self.endings.insert(part, ending);
-        let answers = self.ramp.reports && ending == Ending::Ok;
+        let answers = self.ramp.reports && ending == DispatchOutcome::Ok;
         let busy = answers.then_some(self.searchers[srv].busy);
-        Event::Ended { part, dispatch, searcher: address(srv), ending, took_ms, busy }
+        Event::DispatchEnded { part, dispatch, searcher: address(srv), outcome: ending, took_ms, busy }
     }
 
     fn cold_now(&self) -> bool {
         self.now >= FALL_MS
-            && self.searchers.iter().any(|s| s.since > 0.0 && self.now - s.since < self.ramp.guards.warm_ms)
+            && self
+                .searchers
+                .iter()
+                .any(|s| s.since > 0.0 && self.now - s.since < self.ramp.guards.warm_up_ms)
     }
 
     fn ask(&mut self, mixer: usize, kind: usize) {
@@ -569,7 +569,7 @@
             number,
             table_type: kind,
             customer: 0,
-            gone_at,
+            deadline_at: gone_at,
             work_ms: None,
             retry: false,
         });
@@ -600,11 +600,11 @@
         if self.searchers[srv].silent {
             return;
         }
-        let (now, warm_ms) = (self.now, self.ramp.guards.warm_ms);
+        let (now, warm_up_ms) = (self.now, self.ramp.guards.warm_up_ms);
         let searcher = &mut self.searchers[srv];
         // As long as a mixer has not been told, the rule does not count what it sends.
         let told = self.lists[leg.0][srv].0 == EPOCH + searcher.since && searcher.since > 0.0;
-        if told && now - searcher.since < warm_ms {
+        if told && now - searcher.since < warm_up_ms {
             let cause = self.causes.get(&(leg.1, leg.2)).copied().unwrap_or(Cause::First);
             searcher.came.push(Came { at: now, work, cause });
         }
@@ -613,7 +613,7 @@
         } else if searcher.queue.len() < 100 {
             searcher.queue.push_back(leg);
         } else if let Some((srv, sent_at)) = self.out.remove(&leg) {
-            let ended = self.ended(leg.1, leg.2, srv, Ending::Full, self.now - sent_at);
+            let ended = self.ended(leg.1, leg.2, srv, DispatchOutcome::Full, self.now - sent_at);
             self.mixers[leg.0].1.push(ended);
         }
     }
@@ -635,9 +635,9 @@
     fn turn(&mut self, mixer: usize) {
         let events = std::mem::take(&mut self.mixers[mixer].1);
         let process = self.mixers[mixer].2;
-        for action in self.mixers[mixer].0.turn(EPOCH + self.now, events) {
+        for action in self.mixers[mixer].0.handle_events(EPOCH + self.now, events) {
             match action {
-                Action::Dispatch { part, searcher, patience_ms } => {
+                Action::Dispatch { part, searcher, timeout_ms } => {
                     let dispatch = self.dispatched.entry(part).or_default();
                     let leg = (mixer, part, *dispatch);
                     let cause = match self.endings.remove(&part) {
@@ -651,12 +651,13 @@
                     let srv = searcher_at(searcher);
                     self.out.insert(leg, (srv, self.now));
                     self.add(self.now + WAY_MS, Next::Reaches(srv, leg.0, leg.1, leg.2));
-                    self.add(self.now + patience_ms, Next::TimedOut(leg.0, leg.1, leg.2));
+                    self.add(self.now + timeout_ms, Next::TimedOut(leg.0, leg.1, leg.2));
                 }
                 Action::Cancel { part, dispatch } => {
                     if let Some((srv, sent_at)) = self.out.remove(&(mixer, part, dispatch)) {
                         self.searchers[srv].queue.retain(|l| *l != (mixer, part, dispatch));
-                        let ended = self.ended(part, dispatch, srv, Ending::Cancelled, self.now - sent_at);
+                        let ended =
+                            self.ended(part, dispatch, srv, DispatchOutcome::Cancelled, self.now - sent_at);
                         self.mixers[mixer].1.push(ended);
                     }
                 }
@@ -677,7 +678,7 @@
                     self.add(self.now + PROBE_MS, unanswered);
                 }
                 Action::Probe { searcher } => {
-                    let probed = Event::Probed { searcher, ending: Ending::Ok, took_ms: 1.0 };
+                    let probed = Event::ProbeEnded { searcher, outcome: DispatchOutcome::Ok, took_ms: 1.0 };
                     self.mixers[mixer].1.push(probed);
                 }
                 Action::WakeAt { at } => self.add(at - EPOCH, Next::Wake(mixer, process)),
@@ -689,9 +690,9 @@
     /// A scan ended without an answer; if the mixer counts one more refused at the door, by that.
     fn turned_away(&mut self, mixer: usize, scan: u64, end: End) {
         let Some((kind, _, nth)) = self.scans.remove(&scan) else { return };
-        let refused = self.mixers[mixer].0.beliefs().refused[kind];
+        let refused = self.mixers[mixer].0.status().rejected[kind];
         let seen = &mut self.barred[mixer][kind];
-        let bar = (0..BARS).find(|bar| seen[*bar] < refused[*bar]);
+        let bar = (0..REJECTION_REASONS).find(|bar| seen[*bar] < refused[*bar]);
         bar.into_iter().for_each(|bar| seen[bar] += 1);
         self.played.asked[nth].end = bar.map_or(end, End::Barred);
     }
@@ -706,27 +707,27 @@
         let mut window: VecDeque<&Came> = VecDeque::new();
         for came in &searcher.came {
             window.push_back(came);
-            while window.front().is_some_and(|w| w.at < came.at - g.fall_ms) {
+            while window.front().is_some_and(|w| w.at < came.at - g.overload_window_ms) {
                 window.pop_front();
             }
             let got: f64 = window.iter().map(|w| w.work).sum();
-            let borne = ramp.borne_ms((came.at - g.fall_ms - searcher.since).max(0.0));
+            let borne = ramp.borne_ms((came.at - g.overload_window_ms - searcher.since).max(0.0));
             if got / borne > self.played.fullest {
                 self.played.fullest = got / borne;
                 self.played.fullest_calls = Calls::default();
                 window.iter().for_each(|w| self.played.fullest_calls.add(w.cause));
             }
         }
-        let ages = (0..(g.warm_ms / 100.0) as usize).map(|a| a as f64 * 100.0);
+        let ages = (0..(g.warm_up_ms / 100.0) as usize).map(|a| a as f64 * 100.0);
         self.used.0 += searcher.came.iter().map(|c| c.work).sum::<f64>() / ramp.mean_work();
-        self.used.1 += ages.map(|age| ramp.calls(age) * 100.0 / g.fall_ms).sum::<f64>();
+        self.used.1 += ages.map(|age| ramp.calls(age) * 100.0 / g.overload_window_ms).sum::<f64>();
     }
 
     fn count(&mut self) {
         self.ramp.starts().into_iter().for_each(|(srv, _)| self.count_one(srv));
-        self.played.refused = vec![[0; BARS]; self.ramp.kinds.len()];
+        self.played.refused = vec![[0; REJECTION_REASONS]; self.ramp.kinds.len()];
         for (mixer, ..) in &self.mixers {
-            for (sum, counts) in self.played.refused.iter_mut().zip(mixer.beliefs().refused) {
+            for (sum, counts) in self.played.refused.iter_mut().zip(mixer.status().rejected) {
                 sum.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
             }
         }
@@ -744,21 +745,21 @@
             work_ms: 50.0,
             target_ms: 600.0,
             deadline: 2.0,
-            repeat: Repeat::Replayable,
+            repeat: Idempotency::Replayable,
             unequal: false,
         }
     }
 }
 
 /// All that a deployment may allow, but asking for the list.
-pub fn permits() -> Permits {
-    Permits {
+pub fn permits() -> Permissions {
+    Permissions {
         cancel: true,
         probe: true,
-        second_copies: true,
-        dispatches: 3,
-        back_in_ms: Some(500.0),
-        ask_within_ms: None,
+        hedge: true,
+        max_dispatches: 3,
+        retry_after_ms: Some(500.0),
+        resubscribe_within_ms: None,
     }
 }
 
@@ -770,13 +771,13 @@
         let mixers = [2, 20, 30, 100, 300][between(0.0, 5.0) as usize];
         let searchers =
             if mixers >= 100 { between(40.0, 70.0) as usize } else { between(9.0, 20.0) as usize };
-        let (warm_ms, fall_ms) = (between(5000.0, 15_000.0), between(750.0, 3000.0));
-        let guards = Guards {
-            cold_from: between(0.15, 0.5),
-            warm_ms,
-            tip_multiple: between(1.5, 4.0),
-            fall_ms,
-            budget: None,
+        let (warm_up_ms, overload_window_ms) = (between(5000.0, 15_000.0), between(750.0, 3000.0));
+        let guards = SafetyLimits {
+            cold_capacity_share: between(0.15, 0.5),
+            warm_up_ms,
+            overload_multiple: between(1.5, 4.0),
+            overload_window_ms,
+            retry_budget: None,
         };
         let count = between(2.0, 3.99) as usize;
         let kinds = (0..count).map(|nth| {
@@ -807,7 +808,7 @@
             again_ms: (between(0.0, 1.0) < 0.2).then_some(2500.0),
             slower: if between(0.0, 1.0) < 0.2 { 1.4 } else { 1.0 },
             stated: if between(0.0, 1.0) < 0.2 { 0.9 } else { 1.0 },
-            length_ms: 3000.0 + warm_ms + 2000.0,
+            length_ms: 3000.0 + warm_up_ms + 2000.0,
         }
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use pewterwharf::interface::Guards;
+use pewterwharf::interface::SafetyLimits;
 use ramp::{Kind, Played, Ramp, permits};
 
 fn kind(share: f64, parts: u32, need: f64, work_ms: f64, target_ms: f64) -> Kind {
@@ -28,12 +28,12 @@
         stride: 1,
         silence: None,
         notice_ms: 2000.0,
-        guards: Guards {
-            cold_from: 0.2,
-            warm_ms: 10_000.0,
-            tip_multiple: 2.0,
-            fall_ms: 1500.0,
-            budget: None,
+        guards: SafetyLimits {
+            cold_capacity_share: 0.2,
+            warm_up_ms: 10_000.0,
+            overload_multiple: 2.0,
+            overload_window_ms: 1500.0,
+            retry_budget: None,
         },
         permits: permits(),
         zones: 1,
