--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,61 +1,71 @@
-//! What a mixer's decisions are told and what they answer: types and one trait, no wire, no decision.
+//! The interface of the decision module: events in, actions out. It contains types and one trait, no protocol
+//! and no decisions.
 //!
-//! A host (the bench adapter, the mixer on sockets, a client-side plug-in later) turns its own protocol into
-//! [`Event`]s and carries out the [`Action`]s that come back. Clock and seed are handed in.
+//! A host (the benchmark's adapter, the mixer on sockets, later a client library) translates its own protocol
+//! into [`Event`]s, and carries out the [`Action`]s that the module returns. It also provides clock and seed.
+//!
+//! All times are in milliseconds: `_at` names a point of the host's clock, `_ms` a duration. Work is in
+//! milliseconds of one core. Weights, shares and rates without a unit are fractions of one.
 
 use std::net::SocketAddrV4;
 
-/// How often the effect of a part may happen.
+/// Whether a part may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
+    /// Executing it again has no further effect.
     Replayable,
-    /// Repeats are dropped for so long after the first dispatch that may have run.
-    Keyed {
-        window_ms: f64,
-    },
+    /// It carries a key by which searchers drop repetitions for `window_ms` after the first dispatch that may
+    /// have run.
+    Keyed { window_ms: f64 },
+    /// It takes effect with each execution.
     NonReplayable,
 }
 
-/// A table type as agreed with the customers.
+/// A table type, as agreed with the customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableType {
+    /// Latency target of a scan.
     pub target_ms: f64,
     pub query_timeout_ms: f64,
+    /// What a whole answer within the target time is worth.
     pub benefit: f64,
-    /// Share of the benefit that is left after the target time.
+    /// Share of the benefit that an answer after the target time has.
     pub late_benefit_share: f64,
-    /// The target time grows by this many times a scan's own work.
+    /// The target time grows by this factor times the scan's own work.
     pub target_ms_per_work_ms: f64,
     pub idempotency: Idempotency,
     /// Weight of parts that makes a whole answer.
     pub required_weight: f64,
     /// Least weight of parts for any answer.
     pub minimum_weight: f64,
-    /// An answer that is not whole earns this times its share of `need`.
+    /// An answer that is not whole is worth its share of `required_weight`, times this factor.
     pub partial_benefit_share: f64,
-    /// The first answer brings a second step of parts.
+    /// Whether the first answer opens a second step with parts of its own.
     pub has_second_step: bool,
 }
 
-/// A customer and its share of the fleet.
+/// A customer and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
+    /// Quota; compared with the other customers' quotas.
     pub scans_per_s: f64,
-    /// What a scan beyond the share is worth, as a share of its benefit.
+    /// What a scan over the quota is worth, as a share of its benefit.
     pub over_quota_benefit_share: f64,
 }
 
-/// Where shards lie and how parts travel.
+/// Which searchers hold which shards, and how parts are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
     pub cells: u32,
-    /// A shard is held by this many cells in a row.
+    /// A shard is held by this many consecutive cells.
     pub cells_per_shard: u32,
     pub parts_per_call: u32,
+    /// Work of a call itself, whatever its parts.
     pub call_work_ms: f64,
 }
 
-/// At most `free` further dispatches, plus `share` of what was taken, in any `window_ms`.
+/// A budget of extra dispatches, which are retries and hedges: at most `free`, plus `share` of the accepted
+/// scans and parts, in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     pub free: f64,
@@ -63,45 +73,57 @@
     pub window_ms: f64,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that protect searchers from overload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SafetyLimits {
+    /// Capacity of a searcher that has just started, as a share of its capacity when it is warm.
     pub cold_capacity_share: f64,
+    /// Time after its start in which a searcher warms up.
     pub warm_up_ms: f64,
+    /// A cold searcher fails if it gets more than this multiple of its capacity within `overload_window_ms`.
     pub overload_multiple: f64,
     pub overload_window_ms: f64,
+    /// Budget of extra dispatches; none where the deployment states none.
     pub retry_budget: Option<RetryBudget>,
 }
 
 /// What the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permissions {
+    /// Dispatches may be cancelled.
     pub cancel: bool,
+    /// Searchers may be probed.
     pub probe: bool,
+    /// A part may be sent to a second searcher while the first dispatch is in flight.
     pub hedge: bool,
+    /// Dispatches of one part, at most.
     pub max_dispatches: u32,
-    /// The longest time to come back that clients respect; absent where none may be given.
+    /// Longest retry delay that clients respect; none where clients may not be given any.
     pub retry_after_ms: Option<f64>,
-    /// The list has to be asked for, at least this often, in milliseconds, while no subscription holds; absent
-    /// where it comes by itself.
+    /// Without a subscription, the searcher list must be requested at least this often; none where it comes
+    /// by itself.
     pub resubscribe_within_ms: Option<f64>,
 }
 
-/// This mixer among its peers.
+/// This mixer among the others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
+    /// Count of mixers that the settings state.
     pub mixers: u32,
     pub zone: u16,
 }
 
+/// Status of a searcher in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearcherStatus {
+    /// Removed from the list.
     Gone,
     Ready,
+    /// Accepts no new parts.
     Draining,
 }
 
-/// One line of the searcher list.
+/// An entry of the searcher list.
 #[derive(Clone, Debug)]
 pub struct ListedSearcher {
     pub searcher: SocketAddrV4,
@@ -112,26 +134,32 @@
     pub status: SearcherStatus,
 }
 
+/// What a message with the searcher list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// The entries that have changed.
     Changes,
+    /// The whole list.
     Full,
+    /// The whole list, from a cache.
     Cached,
+    /// Nothing: the subscription was rejected.
     Failed,
 }
 
-/// How a dispatch ended.
+/// How a dispatch or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
     Ok,
     Error,
-    /// Rejected unseen.
+    /// The searcher rejected it without executing it.
     Full,
     TimedOut,
     ConnectFailed,
+    /// The connection was lost while it was in flight.
     Reset,
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     Moot,
 }
 
@@ -142,20 +170,21 @@
     }
 }
 
-/// What other mixers say of a searcher, as far as the host heeds it.
+/// What other mixers report of a searcher, as far as the host trusts them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerReport {
-    /// One has marked it: a reason to look.
+    /// One mixer has marked it.
     Marked,
-    /// Several that agree have marked it.
+    /// Several mixers that agree have marked it.
     MarkedBySeveral,
-    /// It drains or goes, or after all does not.
+    /// Whether it is draining or gone.
     Leaving { leaving: bool },
-    /// Its process has a later start than the list says, by the list's figures; zero takes that back.
+    /// Its process was restarted later than the list says, by the list's own clock; zero withdraws the
+    /// report.
     Restarted { started_at: f64 },
 }
 
-/// What happened, in the order it happened.
+/// Something that happened. Events are passed in the order in which they happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     PeerReport {
@@ -164,14 +193,16 @@
     },
     /// Other mixers lose connections while they are idle.
     IdleConnectionsLost,
-    /// So many mixers are there, this one among them.
+    /// Count of the mixers that are seen, this one included.
     MixerCount {
         mixers: u32,
     },
+    /// The searcher list, or changes of it.
     List {
         kind: ListKind,
         searchers: Vec<ListedSearcher>,
     },
+    /// A client's request. Its parts follow.
     Scan {
         id: u64,
         /// The number that its parts carry.
@@ -180,24 +211,28 @@
         customer: usize,
         /// When its client gives up.
         deadline_at: f64,
+        /// Work of all its parts, where the client states it.
         work_ms: Option<f64>,
         retry: bool,
     },
     Part {
         id: u64,
+        /// Number of its scan.
         number: u32,
         shard: u32,
         weight: f64,
     },
     DispatchEnded {
         part: u64,
+        /// Number of the dispatch, counted from zero for each part.
         dispatch: u8,
         searcher: SocketAddrV4,
         outcome: DispatchOutcome,
         took_ms: f64,
-        /// Share of its cores that its searcher reports as busy, 0 to 1 or a little over; where it does.
+        /// Busy share of the searcher's cores, from 0 to 1 or a little over, where searchers report it.
         busy: Option<f64>,
     },
+    /// The client has left.
     ClientGone {
         scan: u64,
     },
@@ -206,10 +241,11 @@
         outcome: DispatchOutcome,
         took_ms: f64,
     },
+    /// The time of the last [`Action::WakeAt`] has come.
     Wake,
 }
 
-/// What the host is to do, in this order.
+/// What the host has to do. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Dispatch {
@@ -221,30 +257,31 @@
         part: u64,
         dispatch: u8,
     },
-    /// Completed: answered from the parts that are in.
+    /// Answers a scan from the parts that are answered.
     Complete {
         scan: u64,
         whole: bool,
     },
-    /// Turned away; asking again is harmless.
+    /// Rejects a scan; a retry does no harm.
     Throttle {
         scan: u64,
         retry_after_ms: Option<f64>,
     },
-    /// Given up; nothing is promised.
+    /// Fails a scan; parts of it may have run.
     Abandon {
         scan: u64,
     },
     Probe {
         searcher: SocketAddrV4,
     },
-    /// Closes idle connections to it.
+    /// Closes the idle connections to a searcher.
     CloseIdleConnections {
         searcher: SocketAddrV4,
     },
     WakeAt {
         at: f64,
     },
+    /// Subscribes to the searcher list.
     Subscribe,
     Log {
         line: String,
@@ -253,6 +290,6 @@
 
 /// The decisions of one mixer.
 pub trait DecisionModule {
-    /// Takes in everything that happened at `now` and says what to do about it.
+    /// Handles all events of the time `now`, and returns the actions to carry out.
     fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action>;
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,9 +1,17 @@
-//! The decisions of one mixer: ShortTail, kept and extended as `docs/design.md` tells. A host opens a
-//! [`Mixer`] with the deployment's terms and calls `turn` with all that happened at one time; types and trait
-//! stand in `src/interface.rs`. Inside, every searcher is an actor, the [`Gauge`] knows what is normal, the
-//! [`Desk`] has the scans; they talk only by notes put into inboxes that [`Mixer::run`] empties.
+//! The decisions of one mixer: the ShortTail algorithm, with the extensions that `docs/design.md` describes.
+//!
+//! A host creates a [`Mixer`] with the deployment's settings and passes it all events of one point in time by
+//! `handle_events`; `src/interface.rs` has the types and the trait. Inside, each searcher has an actor that
+//! detects whether it is slow ([`SearcherMonitor`]), one actor learns what latency is normal
+//! ([`BaselineTracker`]), and one holds the scans and dispatches their parts ([`Scheduler`]). Actors
+//! communicate only by messages; [`Mixer::deliver_messages`] empties their mailboxes.
+//!
+//! Terms: the *latency ratio* of a part is its latency divided by the baseline of its table type. A searcher
+//! is *marked* when it is too slow compared with the others, then probed, readmitted *on trial*, and trusted
+//! again once a part comes back in time. It is *cold* until it has warmed up after its start. A part in
+//! flight is *overtaken* when a part that was sent later has come back. *Up* is a searcher that may get
+//! parts.
 
-use std::cell::Cell;
 use std::cmp::Ordering::Equal;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -16,868 +24,1428 @@
 pub use crate::state::Mixer;
 use crate::state::*;
 
-impl Searcher {
-    /// The design's half second; the paper asks for the smallest that holds enough parts.
+impl SearcherMonitor {
+    /// Length of a time slice: the design's half second. The paper asks for the smallest that holds enough
+    /// parts.
     const SLICE_MS: f64 = 500.0;
-    /// Parts that a slice waits for: the fewest whose average one straggler under 7 normals cannot lift.
-    const FEW: u32 = 3;
-    /// Weight of the newest part in the smoothed latency: about the last five count.
-    const SMOOTH: f64 = 0.2;
-    /// A latency that nothing confirms fades to the average in about this time, some slices long.
-    const FADE_MS: f64 = 5000.0;
-    /// Where nobody may probe, parts alone renew it, some seconds apart: as long as most troubles last.
-    const FADE_UNPROBED_MS: f64 = 15_000.0;
-    /// A marked searcher is probed as often as a slice is long; longer waits after relapses gained nothing.
-    const PROBE_MS: f64 = 500.0;
-
-    pub(crate) fn note(&mut self, note: Note, post: &mut Post, ready: bool, probing: bool) {
-        let now = post.now;
-        match note {
-            Note::Renewed => (self.tile, self.dead, self.slices) = (Tile::NEW, false, Vec::new()),
-            Note::Sent(leg, kind, norms) => {
-                self.norms = norms;
-                let open = |s: &Slice| now - s.from < Self::SLICE_MS || s.sent < Self::FEW;
-                if !self.slices.last().is_some_and(open) {
-                    self.slices.push(Slice::from(now));
-                }
-                if let Some(slice) = self.slices.last_mut() {
-                    slice.sent += 1;
-                    slice.out.push((leg, kind, now));
-                }
-            }
-            Note::Filed(leg, share, normal, ending, sent_at) => {
-                self.ok_from =
-                    if ending == DispatchOutcome::Ok { self.ok_from.max(sent_at) } else { self.ok_from };
-                let lag = Self::faded(&self.tile, &self.norms, self.zone, now);
-                // Of silence one part says no more than that it was beyond the multiple: a lost answer at its
-                // full time would outweigh a score of good ones, and lift what the next is held against.
-                let silent = matches!(ending, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
-                let counts = if silent { share.min(self.norms.limit + lag[0]) } else { share };
-                let counts = [counts, (counts - 1.0) * normal];
-                post.put(GAUGE, Note::Zone(self.zone, counts));
-                // What was confirmed long ago says little: the newest part then weighs more.
-                let old = 1.0 - ((self.tile.lag_at - now) / self.norms.fade_ms).exp();
-                let weight = if probing { Self::SMOOTH } else { Self::SMOOTH.max(old) };
-                self.tile.lag = std::array::from_fn(|i| lag[i] + weight * (counts[i] - lag[i]));
-                self.tile.lag_at = now;
-                self.tile.down = matches!(ending, DispatchOutcome::ConnectFailed | DispatchOutcome::Reset);
-                // A lost connection marks and is probed at once: no slice need fill to tell the dead.
-                self.dead |= ending == DispatchOutcome::ConnectFailed;
-                if self.tile.down && !self.tile.marked {
-                    self.mark(share, 1, post);
-                    self.probe_at = if probing { now } else { self.probe_at };
-                }
-                if let Some(slice) = self.slices.iter_mut().find(|s| s.out.iter().any(|l| l.0 == leg)) {
-                    slice.out.retain(|l| l.0 != leg);
-                    slice.sum += share;
-                    // Failing is not being slow: it must not lift the median that all are held against.
-                    slice.sound &= !matches!(
-                        ending,
-                        DispatchOutcome::Error | DispatchOutcome::ConnectFailed | DispatchOutcome::Reset
-                    );
-                    let good = share <= self.norms.limit && ending == DispatchOutcome::Ok;
-                    if self.tile.trial
-                        && !good
-                        && !matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::Moot)
-                    {
-                        self.mark(share, 1, post);
-                    }
-                    self.tile.trial &= !good && !self.tile.marked;
-                }
-            }
-            Note::Pong(ending, took) if self.tile.marked || self.asked => {
-                self.dead |= ending == DispatchOutcome::ConnectFailed;
-                let quick = self.norms.normal.iter().copied().fold(f64::INFINITY, f64::min);
-                let good = ending == DispatchOutcome::Ok && took < self.norms.limit * quick;
-                self.asked = false;
-                match self.tile.marked {
-                    true if good => self.readmit(post),
-                    false if !good => self.mark(took / quick, 1, post),
-                    _ => {}
-                }
-            }
-            // Others' marks are a reason to look; where several agree, or nobody may probe, to send one part
-            // at a time until one comes back in time. Harms a sound searcher that others lie of by so much.
-            Note::Hint(several) if !self.tile.marked => {
-                self.tile.trial |= several || !probing;
-                if probing && !std::mem::replace(&mut self.asked, true) {
-                    post.out.push(Action::Probe { searcher: self.addr });
-                }
+    /// Parts that a slice waits for: the fewest whose average one straggler under a latency ratio of 7 cannot
+    /// lift over the threshold.
+    const MIN_SLICE_PARTS: u32 = 3;
+    /// Weight of the newest part in the smoothed latency: about the last five parts count.
+    const LATENCY_WEIGHT: f64 = 0.2;
+    /// Time constant by which an unconfirmed latency decays to the average: some slices.
+    const LATENCY_DECAY_MS: f64 = 5000.0;
+    /// The same where probes are not allowed: parts alone renew the latency then, some seconds apart, and so
+    /// it lasts as long as most faults do.
+    const UNPROBED_LATENCY_DECAY_MS: f64 = 15_000.0;
+    /// Interval between probes of a marked searcher: a slice. Longer intervals after relapses gained nothing.
+    const PROBE_INTERVAL_MS: f64 = 500.0;
+
+    pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn, is_ready: bool, may_probe: bool) {
+        match message {
+            Message::SearcherRestarted => self.reset(),
+            Message::DispatchSent { dispatch, table_type, baseline } => {
+                self.baseline = baseline;
+                self.record_sent(dispatch, table_type, turn.now);
             }
-            Note::Norms(norms) => self.norms = norms,
-            Note::Tick => {
-                self.judge(post);
-                let due = self.tile.marked && ready && now >= self.probe_at;
-                if due && probing {
-                    self.probe_at = now + Self::PROBE_MS;
-                    post.out.push(Action::Probe { searcher: self.addr });
-                } else if due {
-                    // Where nobody may probe a part has to tell, and the list alone tells of a cold start.
-                    self.dead = false;
-                    self.readmit(post);
+            Message::DispatchEnded { dispatch, ratio, baseline_ms, outcome, sent_at } => {
+                if outcome == DispatchOutcome::Ok {
+                    self.newest_success_sent_at = self.newest_success_sent_at.max(sent_at);
                 }
+                self.smooth_latency(ratio, baseline_ms, outcome, may_probe, turn);
+                self.check_connection(ratio, outcome, may_probe, turn);
+                self.record_ended(dispatch, ratio, outcome, turn);
             }
+            Message::ProbeEnded { outcome, took_ms } => self.record_probe(outcome, took_ms, turn),
+            Message::MarkedByPeers { several } => self.check_peers_mark(several, may_probe, turn),
+            Message::BaselineChanged(baseline) => self.baseline = baseline,
+            Message::Tick => self.tick(is_ready, may_probe, turn),
             _ => {}
         }
-        if self.tile.marked {
+        if self.health.marked {
             self.slices.clear();
         }
-        // Work follows what happens: only who is marked or has a slice open is told of the periodic timer.
-        post.wake(SRVS + self.me, self.tile.marked || !self.slices.is_empty());
-        post.put(DESK, Note::Tile(self.me, self.tile));
-    }
-
-    /// Admits to a trial only, one part at a time until one comes back in time: guards against searchers that
-    /// answer probes and nothing else, harms a sound one by a few parts.
-    fn readmit(&mut self, post: &mut Post) {
-        self.tile = Tile { trial: true, ..Tile::NEW };
-        post.out.push(Action::Log { line: format!("{} readmitted on trial", self.addr) });
-        // No process stood there, now one does: it is cold, whatever the list says by now.
-        if std::mem::take(&mut self.dead) {
-            post.put(DESK, Note::Back(self.me));
-        }
-    }
-
-    /// The smoothed latency, on its way back to its zone's average: guards against a zone that is dead or
-    /// slow to reach, each searcher of which is seldom heard of; harms its good ones until they are.
-    fn faded(tile: &Tile, norms: &Norms, zone: usize, now: f64) -> [f64; 2] {
-        let average = norms.zones.get(&zone).copied().unwrap_or(Tile::NEW.lag);
-        let left = ((tile.lag_at - now) / norms.fade_ms).exp();
-        std::array::from_fn(|i| average[i] + (tile.lag[i] - average[i]) * left)
-    }
-
-    /// A slice is judged when it is over and its parts have ended, or as soon as the ages of those still
-    /// out lift its average over the multiple: a hang would show only with the last time-out. Harms a
-    /// searcher whose few parts are all heavy, until its next probe.
-    fn judge(&mut self, post: &mut Post) {
-        let (now, limit, mut worst) = (post.now, self.norms.limit, (0.0, 0));
-        let lost = |l: &(Leg, usize, f64)| self.norms.overtaken(l.1, l.2, self.ok_from);
-        let out = self.slices.iter().flat_map(|s| &s.out).filter(|l| !lost(l));
-        let ages = out.map(|l| (now - l.2, self.norms.normal[l.1]));
-        (self.tile.age, self.tile.late) =
-            ages.fold((0.0, 0.0), |(age, late), (a, n)| (f64::max(age, a - n), f64::max(late, a / n)));
-        // Parts of one call leave at one time.
-        let calls = self.slices.iter().flat_map(|s| &s.out).filter(|l| lost(l)).map(|l| l.2.to_bits());
-        self.tile.lost = calls.collect::<BTreeSet<_>>().len() as u32;
+        // Work is proportional to what happens: only marked searchers and those with an open slice get ticks.
+        let needs_ticks = self.health.marked || !self.slices.is_empty();
+        turn.subscribe_to_ticks(Address::monitor(self.searcher), needs_ticks);
+        let message = Message::HealthChanged { searcher: self.searcher, health: self.health };
+        turn.send(Address::SCHEDULER, message);
+    }
+
+    /// Forgets the history of the process that was replaced.
+    fn reset(&mut self) {
+        self.health = SearcherHealth::NEW;
+        self.refused_connection = false;
+        self.slices = Vec::new();
+    }
+
+    fn record_sent(&mut self, dispatch: DispatchId, table_type: TypeIndex, now: f64) {
+        let is_open =
+            |slice: &Slice| now - slice.started_at < Self::SLICE_MS || slice.sent < Self::MIN_SLICE_PARTS;
+        if !self.slices.last().is_some_and(is_open) {
+            self.slices.push(Slice::starting_at(now));
+        }
+        if let Some(slice) = self.slices.last_mut() {
+            slice.sent += 1;
+            slice.in_flight.push(MonitoredPart { dispatch, table_type, sent_at: now });
+        }
+    }
+
+    /// Adds the latency of one part to the smoothed latency.
+    fn smooth_latency(
+        &mut self,
+        ratio: f64,
+        baseline_ms: f64,
+        outcome: DispatchOutcome,
+        may_probe: bool,
+        turn: &mut Turn,
+    ) {
+        let now = turn.now;
+        let decayed = Self::decayed_latency(&self.health, &self.baseline, self.zone, now);
+        // One silent part proves no more than a latency beyond the threshold. Counted with its full time, one
+        // lost answer would outweigh some twenty good ones and raise the average that the next part is
+        // compared with.
+        let is_silent = matches!(outcome, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
+        let counted_ratio =
+            if is_silent { ratio.min(self.baseline.mark_ratio + decayed.ratio) } else { ratio };
+        let counted =
+            RelativeLatency { ratio: counted_ratio, excess_ms: (counted_ratio - 1.0) * baseline_ms };
+        turn.send(Address::BASELINE_TRACKER, Message::ZoneSample { zone: self.zone, latency: counted });
+        // A latency that was confirmed long ago says little, so that the newest part weighs more.
+        let age_weight = 1.0 - ((self.health.latency_at - now) / self.baseline.decay_ms).exp();
+        let weight = if may_probe { Self::LATENCY_WEIGHT } else { Self::LATENCY_WEIGHT.max(age_weight) };
+        self.health.latency = decayed.toward(counted, weight);
+        self.health.latency_at = now;
+    }
+
+    /// Marks the searcher at once when a connection was refused or lost, and probes it at once: a dead
+    /// searcher is detected without waiting for a slice to fill.
+    fn check_connection(&mut self, ratio: f64, outcome: DispatchOutcome, may_probe: bool, turn: &mut Turn) {
+        self.health.disconnected = matches!(outcome, DispatchOutcome::ConnectFailed | DispatchOutcome::Reset);
+        self.refused_connection |= outcome == DispatchOutcome::ConnectFailed;
+        if self.health.disconnected && !self.health.marked {
+            self.mark(MarkEvidence { relative_latency: ratio, parts: 1 }, turn);
+            if may_probe {
+                self.probe_at = turn.now;
+            }
+        }
+    }
+
+    /// Counts an ended part in its slice, and in the trial of a searcher that was readmitted.
+    fn record_ended(&mut self, dispatch: DispatchId, ratio: f64, outcome: DispatchOutcome, turn: &mut Turn) {
+        let holds_part = |slice: &&mut Slice| slice.in_flight.iter().any(|part| part.dispatch == dispatch);
+        let Some(slice) = self.slices.iter_mut().find(holds_part) else { return };
+        slice.in_flight.retain(|part| part.dispatch != dispatch);
+        slice.ratio_sum += ratio;
+        // A failure is not slowness: it must not raise the median that all searchers are compared with.
+        slice.without_failure &= !matches!(
+            outcome,
+            DispatchOutcome::Error | DispatchOutcome::ConnectFailed | DispatchOutcome::Reset
+        );
+        let is_good = ratio <= self.baseline.mark_ratio && outcome == DispatchOutcome::Ok;
+        let is_withdrawn = matches!(outcome, DispatchOutcome::Cancelled | DispatchOutcome::Moot);
+        if self.health.on_trial && !is_good && !is_withdrawn {
+            self.mark(MarkEvidence { relative_latency: ratio, parts: 1 }, turn);
+        }
+        self.health.on_trial &= !is_good && !self.health.marked;
+    }
+
+    /// Judges by a probe: readmits a marked searcher, marks one that other mixers have marked.
+    fn record_probe(&mut self, outcome: DispatchOutcome, took_ms: f64, turn: &mut Turn) {
+        if !self.health.marked && !self.peer_probe_pending {
+            return;
+        }
+        self.refused_connection |= outcome == DispatchOutcome::ConnectFailed;
+        let lowest_baseline_ms = self.baseline.latency_ms.iter().copied().fold(f64::INFINITY, f64::min);
+        let is_good =
+            outcome == DispatchOutcome::Ok && took_ms < self.baseline.mark_ratio * lowest_baseline_ms;
+        self.peer_probe_pending = false;
+        if self.health.marked && is_good {
+            self.readmit(turn);
+        } else if !self.health.marked && !is_good {
+            self.mark(MarkEvidence { relative_latency: took_ms / lowest_baseline_ms, parts: 1 }, turn);
+        }
+    }
+
+    /// The mark of another mixer is a reason to probe. Where several agree, or probes are not allowed, the
+    /// searcher also gets one part at a time until one comes back in time. False reports cost a sound
+    /// searcher that much traffic.
+    fn check_peers_mark(&mut self, several: bool, may_probe: bool, turn: &mut Turn) {
+        if self.health.marked {
+            return;
+        }
+        self.health.on_trial |= several || !may_probe;
+        if may_probe && !self.peer_probe_pending {
+            self.peer_probe_pending = true;
+            turn.actions.push(Action::Probe { searcher: self.address });
+        }
+    }
+
+    fn tick(&mut self, is_ready: bool, may_probe: bool, turn: &mut Turn) {
+        self.update_ages(turn.now);
+        self.judge_slices(turn);
+        let is_due = self.health.marked && is_ready && turn.now >= self.probe_at;
+        if is_due && may_probe {
+            self.probe_at = turn.now + Self::PROBE_INTERVAL_MS;
+            turn.actions.push(Action::Probe { searcher: self.address });
+        } else if is_due {
+            // Without probes only a part can tell whether it is sound, and only the list whether it was
+            // restarted.
+            self.refused_connection = false;
+            self.readmit(turn);
+        }
+    }
+
+    /// Readmits the searcher on trial: it gets one part at a time until one comes back in time. Guards
+    /// against searchers that answer probes and nothing else; costs a sound searcher a few parts.
+    fn readmit(&mut self, turn: &mut Turn) {
+        self.health = SearcherHealth { on_trial: true, ..SearcherHealth::NEW };
+        turn.actions.push(Action::Log { line: format!("{} readmitted on trial", self.address) });
+        // No process was there and now one is: it is cold, even if the list does not say so yet.
+        if std::mem::take(&mut self.refused_connection) {
+            turn.send(Address::SCHEDULER, Message::SearcherRecovered { searcher: self.searcher });
+        }
+    }
+
+    /// The smoothed latency, decayed towards its zone's average since it was last confirmed. Guards against
+    /// sending to a zone that is dead or slow to reach, in which each searcher is seldom used and its own
+    /// latency says little; costs the zone's good searchers traffic until a part confirms them.
+    fn decayed_latency(
+        health: &SearcherHealth,
+        baseline: &Baseline,
+        zone: Zone,
+        now: f64,
+    ) -> RelativeLatency {
+        let zone_average = baseline.zones.get(&zone).copied().unwrap_or(RelativeLatency::NORMAL);
+        let remaining = ((health.latency_at - now) / baseline.decay_ms).exp();
+        zone_average.toward(health.latency, remaining)
+    }
+
+    /// Updates the highest age of the parts in flight, and the count of overtaken calls.
+    fn update_ages(&mut self, now: f64) {
+        let mut oldest_excess_ms = 0.0;
+        let mut oldest_ratio = 0.0;
+        // The parts of one call leave at the same time, so that distinct times count calls.
+        let mut overtaken_calls = BTreeSet::new();
+        for part in self.slices.iter().flat_map(|slice| &slice.in_flight) {
+            if self.baseline.is_overtaken(part.table_type, part.sent_at, self.newest_success_sent_at) {
+                overtaken_calls.insert(part.sent_at.to_bits());
+                continue;
+            }
+            let age_ms = now - part.sent_at;
+            let baseline_ms = self.baseline.latency_ms[part.table_type];
+            oldest_excess_ms = f64::max(oldest_excess_ms, age_ms - baseline_ms);
+            oldest_ratio = f64::max(oldest_ratio, age_ms / baseline_ms);
+        }
+        self.health.oldest_excess_ms = oldest_excess_ms;
+        self.health.oldest_ratio = oldest_ratio;
+        self.health.overtaken_calls = overtaken_calls.len() as u32;
+    }
+
+    /// Judges a slice when it is over and its parts have ended, or as soon as the ages of its parts in flight
+    /// raise its average over the threshold: a searcher that hangs would otherwise be marked only after the
+    /// last timeout. Costs a searcher whose few parts are all heavy its traffic until the next probe.
+    fn judge_slices(&mut self, turn: &mut Turn) {
+        let now = turn.now;
+        let mark_ratio = self.baseline.mark_ratio;
+        let mut worst = MarkEvidence { relative_latency: 0.0, parts: 0 };
         self.slices.retain(|slice| {
-            let most = |l: &(Leg, usize, f64)| if lost(l) { limit } else { f64::INFINITY };
-            let aged = slice.out.iter().map(|l| ((now - l.2) / self.norms.normal[l.1]).min(most(l)));
-            let aged: f64 = aged.sum();
-            let mean = (slice.sum + aged) / f64::from(slice.sent);
-            let over = now - slice.from >= Self::SLICE_MS && slice.out.is_empty();
-            let ripe = slice.sent >= Self::FEW && (over || mean > limit);
-            if ripe {
-                worst = if mean > worst.0 { (mean, slice.sent) } else { worst };
-                if slice.sound {
-                    post.put(GAUGE, Note::Slice(self.me, mean));
-                }
+            let mean_ratio = slice.mean_ratio(&self.baseline, self.newest_success_sent_at, now);
+            let is_over = now - slice.started_at >= Self::SLICE_MS && slice.in_flight.is_empty();
+            let is_decided = slice.sent >= Self::MIN_SLICE_PARTS && (is_over || mean_ratio > mark_ratio);
+            if is_decided && mean_ratio > worst.relative_latency {
+                worst = MarkEvidence { relative_latency: mean_ratio, parts: slice.sent };
             }
-            !ripe
+            if is_decided && slice.without_failure {
+                let message = Message::SliceEnded { searcher: self.searcher, mean_ratio };
+                turn.send(Address::BASELINE_TRACKER, message);
+            }
+            !is_decided
         });
-        if worst.0 > limit {
-            self.mark(worst.0, worst.1, post);
+        if worst.relative_latency > mark_ratio {
+            self.mark(worst, turn);
         }
     }
 
-    fn mark(&mut self, mean: f64, parts: u32, post: &mut Post) {
-        (self.tile.marked, self.tile.evidence) = (true, MarkEvidence { relative_latency: mean, parts });
-        self.probe_at = post.now + Self::PROBE_MS;
-        post.out.push(Action::Log { line: format!("{} marked at {mean:.1} normals", self.addr) });
+    fn mark(&mut self, evidence: MarkEvidence, turn: &mut Turn) {
+        self.health.marked = true;
+        self.health.mark_evidence = evidence;
+        self.probe_at = turn.now + Self::PROBE_INTERVAL_MS;
+        let line = format!("{} marked at {:.1} normals", self.address, evidence.relative_latency);
+        turn.actions.push(Action::Log { line });
     }
 }
 
-impl Gauge {
-    /// Marked is whose slice averages over so many times the median: the paper's "about three".
-    const MULTIPLE: f64 = 3.0;
-    /// Weight of the newest part in a table type's normal latency: a few hundred parts, some seconds.
-    const SMOOTH: f64 = 0.01;
-    /// Least and first step of the work estimate: found within tens of parts, moved by a jam in hundreds.
-    const STEPS: (f64, f64) = (0.002, 0.05);
-    /// Weight of the newest part where about the last ten are to count.
-    const TEN: f64 = 0.1;
-
-    pub(crate) fn note(&mut self, note: Note, post: &mut Post) {
-        match note {
-            Note::Heard(kind, ms) => {
-                let (normal, heard, work) = &mut self.normal[kind];
-                *heard += 1.0;
-                let clipped = if *heard > 10.0 { ms.min(Self::MULTIPLE * *normal) } else { ms };
-                *normal += (1.0 / *heard).max(Self::SMOOTH) * (clipped - *normal);
-                // A part's own work: a step up and three down settle at the quickest quarter of the parts.
-                let step = (1.0 / *heard).clamp(Self::STEPS.0, Self::STEPS.1);
-                *work *= if ms > *work { 1.0 + step } else { 1.0 - 3.0 * step };
-            }
-            Note::Slice(srv, mean) => {
-                self.means.insert(srv, mean);
-                // All slow: the median moves, nobody is marked. Under one it is of normals not yet learnt.
-                self.median = median(self.means.values().copied(), Searcher::FEW as usize).unwrap_or(1.0);
-            }
-            Note::Zone(zone, lag) => {
-                let average = self.zones.entry(zone).or_insert(Tile::NEW.lag);
-                average.iter_mut().zip(lag).for_each(|(a, l)| *a += Self::TEN * (l - *a));
+impl Slice {
+    /// Mean latency ratio of its parts. A part in flight counts with its age; an overtaken one, whose answer
+    /// is probably lost, with the threshold at most.
+    fn mean_ratio(&self, baseline: &Baseline, newest_success_sent_at: f64, now: f64) -> f64 {
+        let age_ratios = self.in_flight.iter().map(|part| {
+            let is_overtaken = baseline.is_overtaken(part.table_type, part.sent_at, newest_success_sent_at);
+            let highest = if is_overtaken { baseline.mark_ratio } else { f64::INFINITY };
+            ((now - part.sent_at) / baseline.latency_ms[part.table_type]).min(highest)
+        });
+        let age_ratio_sum: f64 = age_ratios.sum();
+        (self.ratio_sum + age_ratio_sum) / f64::from(self.sent)
+    }
+}
+
+impl BaselineTracker {
+    /// A searcher is marked when the average of its slice exceeds the median by this factor: the paper's
+    /// "about three".
+    const MARK_MULTIPLE: f64 = 3.0;
+    /// Weight of the newest part in a table type's baseline latency: a few hundred parts, or some seconds,
+    /// count.
+    const LATENCY_WEIGHT: f64 = 0.01;
+    /// Samples from which on a latency is clipped at `MARK_MULTIPLE` times the baseline.
+    const UNCLIPPED_SAMPLES: f64 = 10.0;
+    /// Smallest and first relative step of the work estimate: it converges within tens of parts, and a jam
+    /// moves it only over hundreds of parts.
+    const MIN_WORK_STEP: f64 = 0.002;
+    const FIRST_WORK_STEP: f64 = 0.05;
+    /// The work estimate falls by so many steps and rises by one, and so settles at the fastest quarter of
+    /// the parts.
+    const WORK_STEPS_DOWN: f64 = 3.0;
+    /// Weight of the newest part where about the last ten parts are to count.
+    const LAST_TEN_WEIGHT: f64 = 0.1;
+
+    pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn) {
+        match message {
+            Message::LatencySample { table_type, latency_ms } => self.record_latency(table_type, latency_ms),
+            Message::SliceEnded { searcher, mean_ratio } => self.record_slice(searcher, mean_ratio),
+            Message::ZoneSample { zone, latency } => {
+                let average = self.zones.entry(zone).or_insert(RelativeLatency::NORMAL);
+                *average = average.toward(latency, Self::LAST_TEN_WEIGHT);
             }
-            Note::Tick => {
-                let fade = |(z, new): (&mut f64, f64)| *z += (new - *z) * Mixer::TICK_MS / self.fade_ms;
-                self.zones.values_mut().for_each(|z| z.iter_mut().zip(Tile::NEW.lag).for_each(fade));
-                let (normal, work) = self.normal.iter().map(|n| (n.0.max(1.0), n.2)).unzip();
-                let (limit, zones) = (Self::MULTIPLE * self.median.max(1.0), self.zones.clone());
-                let norms = Rc::new(Norms { normal, work, limit, zones, fade_ms: self.fade_ms });
-                post.awake.clone().into_iter().for_each(|to| post.put(to, Note::Norms(norms.clone())));
+            Message::Tick => {
+                self.decay_zones();
+                self.publish(turn);
             }
             _ => {}
         }
     }
-}
 
-impl Purse {
-    /// Our own: a tenth of the parts, and a few; more was measured to feed overload.
-    const OWN: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
+    fn record_latency(&mut self, table_type: TypeIndex, latency_ms: f64) {
+        let estimate = &mut self.types[table_type];
+        estimate.samples += 1.0;
+        let clipped_ms = if estimate.samples > Self::UNCLIPPED_SAMPLES {
+            latency_ms.min(Self::MARK_MULTIPLE * estimate.latency_ms)
+        } else {
+            latency_ms
+        };
+        let weight = (1.0 / estimate.samples).max(Self::LATENCY_WEIGHT);
+        estimate.latency_ms += weight * (clipped_ms - estimate.latency_ms);
+        let step = (1.0 / estimate.samples).clamp(Self::MIN_WORK_STEP, Self::FIRST_WORK_STEP);
+        estimate.work_ms *=
+            if latency_ms > estimate.work_ms { 1.0 + step } else { 1.0 - Self::WORK_STEPS_DOWN * step };
+    }
+
+    /// Compares searchers with the median: where all are slow, the median moves and none is marked.
+    fn record_slice(&mut self, searcher: SearcherIndex, mean_ratio: f64) {
+        self.slice_means.insert(searcher, mean_ratio);
+        let means = self.slice_means.values().copied();
+        self.median_slice_mean = median(means, SearcherMonitor::MIN_SLICE_PARTS as usize).unwrap_or(1.0);
+    }
 
-    /// Where searchers are this busy nothing fits, half as busy all: so much is left for the swings of load.
-    const FULL: f64 = 0.8;
+    fn decay_zones(&mut self) {
+        for latency in self.zones.values_mut() {
+            *latency = latency.decayed(RelativeLatency::NORMAL, Mixer::TICK_MS, self.decay_ms);
+        }
+    }
 
-    /// What fits shrinks with what searchers report as free, as under load each copy delays others. SafetyLimits
-    /// against jams fed by copies; harms scans with lost answers while all is busy.
-    fn fits(&mut self, now: f64, busy: Option<f64>) -> bool {
-        let part = busy.map_or(1.0, |b| (2.0 - 2.0 * b / Self::FULL).clamp(0.0, 1.0));
-        let from = now - self.budget.window_ms;
-        trim(&mut self.extras, |e| *e < from - 1.0);
-        trim(&mut self.taken, |t| *t < from + 1.0);
-        self.extras.len() as f64 + 1.0
-            <= part * (self.budget.free + self.budget.share * self.taken.len() as f64)
+    fn publish(&self, turn: &mut Turn) {
+        let baseline = Rc::new(Baseline {
+            latency_ms: self.types.iter().map(|estimate| estimate.latency_ms.max(1.0)).collect(),
+            work_ms: self.types.iter().map(|estimate| estimate.work_ms).collect(),
+            // A median under one comes from baselines that are not learned yet.
+            mark_ratio: Self::MARK_MULTIPLE * self.median_slice_mean.max(1.0),
+            zones: self.zones.clone(),
+            decay_ms: self.decay_ms,
+        });
+        turn.send_to_tick_subscribers(|| Message::BaselineChanged(baseline.clone()));
     }
 }
 
-impl Door {
-    /// Of a searcher's limit, what a customer over its share may fill.
-    const OVER: f64 = 0.8;
-    /// Span in which customers' shares of the scans are compared: some tens of scans.
-    const SEEN_MS: f64 = 5000.0;
+impl BudgetWindow {
+    /// The module's own budget: a tenth of the parts and a few more. More than that was measured to feed
+    /// overload.
+    const OWN_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
+    /// Busy share of the searchers' cores at which nothing fits into the budget; up to half of it, all of the
+    /// budget is available. The rest of the cores is left for swings of the load.
+    const FULL_BUSY_SHARE: f64 = 0.8;
+    /// Dispatches count for longer and accepted parts for shorter than the window, by this much: the safe
+    /// side at its edges.
+    const MARGIN_MS: f64 = 1.0;
 
-    /// Time in which a customer's scans are tasted after a deadly one: some of its clients' retries.
-    const DISTRUST_MS: f64 = 10_000.0;
+    /// Whether one more extra dispatch is within the budget. The budget shrinks with the cores that searchers
+    /// report as free, as under load each extra dispatch delays other parts. Guards against retries and
+    /// hedges that keep a jam going; costs scans with lost answers their retries while all searchers are
+    /// busy.
+    fn allows_one_more(&mut self, now: f64, busy_share: Option<f64>) -> bool {
+        let available =
+            busy_share.map_or(1.0, |busy| (2.0 - 2.0 * busy / Self::FULL_BUSY_SHARE).clamp(0.0, 1.0));
+        let window_start = now - self.budget.window_ms;
+        drop_front_while(&mut self.spent_at, |at| *at < window_start - Self::MARGIN_MS);
+        drop_front_while(&mut self.accepted_at, |at| *at < window_start + Self::MARGIN_MS);
+        let budget = self.budget.free + self.budget.share * self.accepted_at.len() as f64;
+        self.spent_at.len() as f64 + 1.0 <= available * budget
+    }
+}
 
-    /// Traffic over a customer's share goes first: its part of the scans seen here against that of shares.
-    fn over(&self, customer: usize) -> bool {
-        let shares: f64 = self.customers.iter().map(|c| c.scans_per_s).sum();
-        let terms = self.customers.get(customer).zip(self.counts.get(customer));
-        terms.is_some_and(|(c, n)| *n as f64 * shares > c.scans_per_s * self.seen.len() as f64 * 1.1)
+impl CustomerTraffic {
+    /// Share of a searcher's concurrency limit that a customer over its quota may use.
+    const OVER_QUOTA_LIMIT_SHARE: f64 = 0.8;
+    /// Span in which the customers' traffic is compared: some tens of scans.
+    const SPAN_MS: f64 = 5000.0;
+    /// Time for which a customer's scans are sent with caution after a deadly one: some retries of its
+    /// clients.
+    const CAUTION_MS: f64 = 10_000.0;
+    /// A customer is over its quota when its share of the scans exceeds its share of the quotas by this
+    /// factor.
+    const QUOTA_TOLERANCE: f64 = 1.1;
+
+    /// Whether a customer is over its quota, whose traffic is rejected first: compares its share of the
+    /// recent scans with its share of all quotas.
+    fn is_over_quota(&self, customer: usize) -> bool {
+        let Some(terms) = self.customers.get(customer) else { return false };
+        let Some(count) = self.counts.get(customer) else { return false };
+        let quotas: f64 = self.customers.iter().map(|c| c.scans_per_s).sum();
+        *count as f64 * quotas > terms.scans_per_s * self.recent.len() as f64 * Self::QUOTA_TOLERANCE
     }
 }
 
-impl Lines {
-    /// Idle for so long, a connection may have been dropped unseen: a few latencies.
+impl ConnectionLosses {
+    /// A connection that was idle for this long may have been dropped unnoticed: a few latencies.
     const IDLE_MS: f64 = 500.0;
-    /// Lost on idle connections from which on they are closed before use: more than searchers that fail.
-    const LOST: f64 = 0.25;
-    /// Then for so long, as new connections say nothing of idle ones.
-    const DOUBT_MS: f64 = 10_000.0;
+    /// Loss rate on idle connections from which on they are closed before use: above what failing searchers
+    /// cause.
+    const MAX_IDLE_LOSS_RATE: f64 = 0.25;
+    /// The loss rate on idle connections must also exceed the rate on fresh ones by this factor.
+    const IDLE_TO_FRESH: f64 = 2.0;
+    /// Time for which idle connections are closed then: new connections say nothing about idle ones.
+    const DISTRUST_MS: f64 = 10_000.0;
 
-    /// Guards against connections dropped while idle, where the searcher is sound: losses keep to them.
-    fn judge(&mut self, idle: Option<bool>, lost: bool, now: f64) {
-        let Some(idle) = idle.map(usize::from) else { return };
-        self.lost[idle] += Gauge::TEN * (f64::from(u8::from(lost)) - self.lost[idle]);
-        if self.lost[1] > Self::LOST && self.lost[1] > 2.0 * self.lost[0] {
-            (self.lost[1], self.doubt_until) = (0.0, now + Self::DOUBT_MS);
+    /// Counts the outcome of a part for its connection. Guards against connections that are dropped while
+    /// they are idle though the searcher is sound: such losses occur on idle connections only.
+    fn record(&mut self, on_idle_connection: Option<bool>, lost: bool, now: f64) {
+        let Some(was_idle) = on_idle_connection else { return };
+        let rate = if was_idle { &mut self.idle_rate } else { &mut self.fresh_rate };
+        *rate += BaselineTracker::LAST_TEN_WEIGHT * (f64::from(u8::from(lost)) - *rate);
+        if self.idle_rate > Self::MAX_IDLE_LOSS_RATE && self.idle_rate > Self::IDLE_TO_FRESH * self.fresh_rate
+        {
+            self.idle_rate = 0.0;
+            self.distrusted_until = now + Self::DISTRUST_MS;
         }
     }
 }
 
-impl Desk {
-    /// Sums of weights may fall this short of what is needed (the weights come rounded).
-    const HAIR: f64 = 1e-5;
-    /// Of a target time, what a marked retry is taken to have left: the middle of none and all.
-    const RETRY_LEFT: f64 = 0.5;
-    /// Multiples of it lie evenly between whole numbers, however many there are.
-    const GOLDEN: f64 = 0.618_033_988_749_895;
-    /// Final answers leave so long before the time is up: a periodic timer and some slack.
-    const AHEAD_MS: f64 = 30.0;
-
-    pub(crate) fn note(&mut self, note: Note, post: &mut Post) {
-        let now = post.now;
-        match note {
-            Note::Tile(srv, tile) => {
-                let caught = tile.marked && !self.seats[srv].tile.marked;
-                self.seats[srv].tile = tile;
-                if caught {
-                    let legs = self.flights.iter().filter(|(_, f)| f.srv == srv).map(|(leg, _)| leg.0);
-                    legs.collect::<Vec<_>>().into_iter().for_each(|id| self.catch(id));
-                }
-            }
-            Note::Norms(norms) => self.norms = norms,
-            Note::Back(srv) => (self.seats[srv].since, self.seats[srv].known_at) = (now, now),
-            Note::Told(Event::Scan {
-                id,
-                number,
-                table_type: kind,
-                customer,
-                deadline_at: gone_at,
-                work_ms,
-                retry,
-            }) => {
-                self.took(now);
-                self.door.see(customer, now, Door::SEEN_MS);
-                let Some(terms) = self.types.get(kind) else { return };
-                let target = terms.target_ms + terms.target_ms_per_work_ms * work_ms.unwrap_or(0.0);
-                let left = if retry { Self::RETRY_LEFT * target } else { target };
-                let target_at = now + left.min(terms.query_timeout_ms) - Self::AHEAD_MS;
-                let gone_at = gone_at - Self::AHEAD_MS;
-                let scan = Scan::new(id, number, kind, customer, target_at, gone_at, terms);
-                let scan = Scan { lot: (self.lot + self.next as f64 * Self::GOLDEN).fract(), ..scan };
-                self.next += 1;
-                let at = self.next;
-                self.scans.insert(at, scan);
-                self.owners.insert(id, (at, usize::MAX));
-                self.due.add(target_at, Due::Target(at));
-                self.due.add(gone_at, Due::Gone(at));
+/// A replica that may get a part, ordered by preference: the lower, the better.
+#[derive(PartialEq, PartialOrd)]
+struct RankedReplica {
+    tier: u8,
+    /// The cost, rounded on a logarithmic scale: replicas whose costs differ by little count as equal.
+    cost_level: f64,
+    /// No call leaves for it in this turn that can carry the part.
+    needs_call: bool,
+    tie_breaker: f64,
+    searcher: SearcherIndex,
+}
+
+/// The replica that the replica rule chose for a part.
+struct Replica {
+    tier: u8,
+    cost: f64,
+    searcher: SearcherIndex,
+}
+
+/// Messages.
+impl Scheduler {
+    /// Sums of weights may fall short of what is required by this much: weights are rounded.
+    const WEIGHT_TOLERANCE: f64 = 1e-5;
+    /// Share of the target time that a client's retry is taken to have left: the middle of none and all.
+    const RETRY_TARGET_SHARE: f64 = 0.5;
+    /// The golden ratio: the fractions of its multiples are spread evenly, however many there are. Scans get
+    /// their lottery numbers so.
+    const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+    /// Final answers are sent this long before the time is up: a tick and some slack.
+    const ANSWER_LEAD_MS: f64 = 30.0;
+    /// Time constant of the rates of own traffic: a mixer of hundreds sees a scan of many parts each few
+    /// seconds at most.
+    const TRAFFIC_MS: f64 = 30_000.0;
+
+    pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn) {
+        match message {
+            Message::HealthChanged { searcher, health } => self.update_health(searcher, health),
+            Message::BaselineChanged(baseline) => self.baseline = baseline,
+            Message::SearcherRecovered { searcher } => {
+                self.searchers[searcher].found_start = turn.now;
+                self.searchers[searcher].start_known_at = turn.now;
             }
-            Note::Told(Event::Part { id, number, shard, weight }) => {
-                self.took(now);
-                let Some((at, scan)) = self.scans.iter_mut().rfind(|s| s.1.number == number) else { return };
-                self.owners.insert(id, (*at, scan.parts.len()));
-                self.touched.insert(*at);
-                self.asked[scan.kind] += scan.need * self.norms.work[scan.kind] / Self::FLOW_MS;
-                scan.parts.push(Part::new(id, shard, weight, now));
+            Message::Host(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry }) => {
+                let request = ScanRequest { id, number, table_type, customer, deadline_at, work_ms, retry };
+                self.accept_scan(request, turn.now);
             }
-            Note::Told(Event::DispatchEnded { part, dispatch, outcome: ending, took_ms, busy, .. }) => {
-                let mean = |b: f64| self.busy.map_or(b, |m| m + Gauge::TEN * (b - m));
-                // Reports may be untrue: one can't say more than that all its cores are busy.
-                self.busy = busy.filter(|b| *b >= 0.0).map(|b| mean(b.min(1.0))).or(self.busy);
-                self.ended((part, dispatch), ending, took_ms, post);
+            Message::Host(Event::Part { id, number, shard, weight }) => {
+                self.accept_part(Part::new(id, shard, weight, turn.now), number, turn.now);
             }
-            Note::Told(Event::ClientGone { scan }) => {
-                let at = self.owners.get(&scan).filter(|o| o.1 == usize::MAX).map(|o| o.0);
-                at.into_iter().for_each(|at| self.close(at, post));
+            Message::Host(Event::DispatchEnded { part, dispatch, outcome, took_ms, busy, .. }) => {
+                self.record_busy_share(busy);
+                self.end_dispatch(DispatchId { part, number: dispatch }, outcome, took_ms, turn);
             }
-            Note::Tick => {
-                self.touched.append(&mut self.short);
-                self.flow *= 1.0 - Mixer::TICK_MS / Self::FLOW_MS;
-                self.asked.iter_mut().for_each(|a| *a *= 1.0 - Mixer::TICK_MS / Self::FLOW_MS);
+            Message::Host(Event::ClientGone { scan }) => {
+                if let Some(&Location::Scan { scan }) = self.locations.get(&scan) {
+                    self.close(scan, turn);
+                }
             }
-            Note::Settle => self.settle(post),
+            Message::Tick => self.decay_traffic(),
+            Message::EndTurn => self.end_turn(turn),
             _ => {}
         }
     }
 
-    fn ended(&mut self, leg: Leg, ending: DispatchOutcome, took: f64, post: &mut Post) {
-        let Some(flight) = self.flights.remove(&leg) else { return };
-        if Rc::strong_count(&flight.call) == 1 {
-            self.seats[flight.srv].calls -= 1;
-        }
-        // Failing must never look fast: it is filed at no less than the time it was allowed. Called off, a
-        // part counts with its age, and as normal at least.
-        let normal = self.norms.normal[flight.kind];
-        let seat = &mut self.seats[flight.srv];
-        let silent = matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::TimedOut);
-        let lost = silent && self.norms.overtaken(flight.kind, flight.sent_at, seat.ok_from);
-        let ms = match ending {
-            DispatchOutcome::Ok => took,
-            // It says that its searcher loses answers, not that it is slow: it cost the wait for another.
-            _ if lost => took.clamp(normal, self.norms.limit * normal),
-            DispatchOutcome::Cancelled | DispatchOutcome::Moot => took.max(normal),
-            _ => took.max(flight.allotted),
+    /// Takes over a searcher's health; once it is marked, its parts in flight may be hedged.
+    fn update_health(&mut self, searcher: SearcherIndex, health: SearcherHealth) {
+        let newly_marked = health.marked && !self.searchers[searcher].health.marked;
+        self.searchers[searcher].health = health;
+        if newly_marked {
+            let in_flight = self.in_flight.iter().filter(|(_, dispatch)| dispatch.searcher == searcher);
+            let parts: Vec<u64> = in_flight.map(|(id, _)| id.part).collect();
+            for part in parts {
+                self.request_hedge(part);
+            }
+        }
+    }
+
+    fn accept_scan(&mut self, request: ScanRequest, now: f64) {
+        self.count_accepted(now);
+        self.customers.record_scan(request.customer, now, CustomerTraffic::SPAN_MS);
+        let Some(terms) = self.table_types.get(request.table_type) else { return };
+        let target_ms = terms.target_ms + terms.target_ms_per_work_ms * request.work_ms.unwrap_or(0.0);
+        let left_ms = if request.retry { Self::RETRY_TARGET_SHARE * target_ms } else { target_ms };
+        let target_at = now + left_ms.min(terms.query_timeout_ms) - Self::ANSWER_LEAD_MS;
+        let deadline_at = request.deadline_at - Self::ANSWER_LEAD_MS;
+        let scan = Scan {
+            id: request.id,
+            number: request.number,
+            table_type: request.table_type,
+            customer: request.customer,
+            target_at,
+            deadline_at,
+            parts: Vec::new(),
+            required_weight: terms.required_weight,
+            minimum_weight: terms.minimum_weight.min(terms.required_weight),
+            first_step_whole: true,
+            in_second_step: false,
+            connections_lost: 0,
+            lottery_number: (self.lottery_offset + self.last_scan as f64 * Self::GOLDEN_RATIO).fract(),
+            parts_per_searcher: 1.0,
         };
-        if !matches!(ending, DispatchOutcome::Cancelled | DispatchOutcome::ConnectFailed) {
-            self.lines.judge(flight.idle, ending != DispatchOutcome::Ok, post.now);
-        }
-        if ending == DispatchOutcome::Ok {
-            (seat.heard_at, seat.ok_from) = (post.now, seat.ok_from.max(flight.sent_at));
-            post.put(GAUGE, Note::Heard(flight.kind, ms));
-        }
-        // One silent part alone tells a lost answer from a jam by nothing: what comes next does.
-        if !(lost || silent && seat.busy() == 0) {
-            self.adapt(&flight, ms, post.now);
-        }
-        post.put(SRVS + flight.srv, Note::Filed(leg, ms / normal, normal, ending, flight.sent_at));
-        let Some(&(at, nth)) = self.owners.get(&leg.0) else { return };
-        let Some(scan) = self.scans.get_mut(&at) else { return };
-        scan.deaths += u32::from(ending == DispatchOutcome::Reset);
-        let part = &mut scan.parts[nth];
-        (part.sent[usize::from(leg.1)].1, part.ended_at) = (Some(ending), post.now);
-        if part.state == State::In {
-            return;
+        self.last_scan += 1;
+        let index = self.last_scan;
+        self.scans.insert(index, scan);
+        self.locations.insert(request.id, Location::Scan { scan: index });
+        self.timers.add(target_at, Timer::Target(index));
+        self.timers.add(deadline_at, Timer::Deadline(index));
+    }
+
+    /// Adds a part to the newest scan of this number.
+    fn accept_part(&mut self, part: Part, scan_number: u32, now: f64) {
+        self.count_accepted(now);
+        let newest = self.scans.iter_mut().rfind(|(_, scan)| scan.number == scan_number);
+        let Some((index, scan)) = newest else { return };
+        self.locations.insert(part.id, Location::Part { scan: *index, part: scan.parts.len() });
+        self.changed_scans.insert(*index);
+        self.demand[scan.table_type] +=
+            scan.required_weight * self.baseline.work_ms[scan.table_type] / Self::TRAFFIC_MS;
+        scan.parts.push(part);
+    }
+
+    /// Averages the searchers' reports of busy cores. A report may be untrue: it counts as all cores at most.
+    fn record_busy_share(&mut self, reported: Option<f64>) {
+        let Some(reported) = reported.filter(|busy| *busy >= 0.0) else { return };
+        let reported = reported.min(1.0);
+        let average = self
+            .busy_share
+            .map_or(reported, |average| average + BaselineTracker::LAST_TEN_WEIGHT * (reported - average));
+        self.busy_share = Some(average);
+    }
+
+    fn decay_traffic(&mut self) {
+        self.changed_scans.append(&mut self.waiting_scans);
+        self.sent_work_rate *= 1.0 - Mixer::TICK_MS / Self::TRAFFIC_MS;
+        for demand in &mut self.demand {
+            *demand *= 1.0 - Mixer::TICK_MS / Self::TRAFFIC_MS;
         }
-        if ending == DispatchOutcome::Ok {
-            (part.state, part.caught) = (State::In, false); // caught no more, or it would be sent again
-            post.call_off(part.legs_out(), self.permits.cancel);
-        } else if part.legs_out().is_empty() {
-            (part.state, part.caught) = (State::Broken, false);
-        }
-        self.advance(at, post);
-    }
-
-    /// A part out at a searcher that was marked just now, or out for too long itself, is caught there.
-    fn catch(&mut self, id: u64) {
-        let Some(&(at, nth)) = self.owners.get(&id) else { return };
-        let Some(part) = self.scans.get_mut(&at).map(|s| &mut s.parts[nth]) else { return };
-        part.caught = part.state == State::Out && part.sent.len() == 1;
-        self.touched.insert(at);
-    }
-
-    /// What the turn leaves to do: due times, then scans that were touched.
-    fn settle(&mut self, post: &mut Post) {
-        while let Some(due) = self.due.take(post.now) {
-            match due {
-                // Late on its own, its searcher unmarked; budgeted, as under overload all is late.
-                Due::Late(leg) => {
-                    let Some(flight) = self.flights.get_mut(&leg) else { continue };
-                    self.lines.judge(flight.idle.take(), true, post.now);
-                    if self.late.fits(post.now, self.busy) {
-                        self.late.extras.push_back(post.now);
-                        self.catch(leg.0);
-                    }
-                }
-                Due::Target(at) => {
-                    let Some(scan) = self.scans.get(&at) else { continue };
-                    let terms = &self.types[scan.kind];
-                    let partial = if scan.have() + Self::HAIR >= scan.floor { scan.have() } else { 0.0 };
-                    if terms.late_benefit_share <= partial / scan.need * terms.partial_benefit_share {
-                        self.end(at, post);
-                    }
-                }
-                Due::Gone(at) => self.end(at, post),
+    }
+
+    /// Handles due timers, then advances the scans that have changed.
+    fn end_turn(&mut self, turn: &mut Turn) {
+        while let Some(timer) = self.timers.pop_due(turn.now) {
+            match timer {
+                Timer::DispatchLate(dispatch) => self.handle_late_dispatch(dispatch, turn.now),
+                Timer::Target(scan) => self.handle_target_time(scan, turn),
+                Timer::Deadline(scan) => self.end(scan, turn),
             }
         }
-        while let Some(at) = self.touched.pop_first() {
-            self.advance(at, post);
-        }
-        self.this_turn.clear();
-    }
-
-    /// Lost connections at a scan's parts, none in, that end it: guards against scans that bring down whom
-    /// they reach. For a while its customer's go out one part first; harms those in a mass crash.
-    const DEADLY: u32 = 2;
-
-    /// Sends what the scan lacks, and ends it as soon as it is whole or can't become so.
-    fn advance(&mut self, at: usize, post: &mut Post) {
-        let now = post.now;
-        let Some(scan) = self.scans.get(&at).filter(|s| !s.parts.is_empty()) else { return };
-        if scan.have() + Self::HAIR >= scan.need {
-            return self.complete(at, true, post);
-        }
-        let proved = scan.second || scan.parts.iter().any(|p| p.state == State::In);
-        if !proved && scan.deaths >= Self::DEADLY {
-            self.door.taste(scan.customer, now + Door::DISTRUST_MS);
-            return self.end(at, post);
-        }
-        let doubted = !proved && (scan.deaths > 0 || self.door.tastes(scan.customer, now));
-        let fresh = !scan.second && scan.parts.iter().all(|p| p.sent.is_empty());
-        if fresh {
-            self.spread(at);
-        }
-        let Some(scan) = self.scans.get(&at) else { return };
-        if let Some(bar) = fresh.then(|| self.bars(scan, now)).flatten() {
-            self.barred[scan.kind][bar as usize] += 1;
-            return self.end(at, post);
-        }
-        let mut lacking = scan.need - Self::HAIR - scan.coming();
-        let parts = 0..scan.parts.len();
-        let affords = self.further.fits(now, self.busy);
-        let Some(scan) = self.scans.get(&at) else { return };
-        let mut choices: BTreeSet<Choice> =
-            parts.filter_map(|nth| self.choice(scan, nth, affords, now)).collect();
-        while let Some(best) = choices.pop_first().filter(|_| lacking > 0.0) {
-            let affords = self.further.fits(now, self.busy);
-            let Some(scan) = self.scans.get(&at) else { return };
-            if doubted && scan.parts.iter().any(|p| p.state == State::Out && !p.caught) {
+        while let Some(scan) = self.changed_scans.pop_first() {
+            self.advance(scan, turn);
+        }
+        self.open_calls.clear();
+    }
+
+    /// Hedges a part that is late while its searcher is not marked, within a budget: under overload all parts
+    /// are late.
+    fn handle_late_dispatch(&mut self, id: DispatchId, now: f64) {
+        let Some(dispatch) = self.in_flight.get_mut(&id) else { return };
+        self.connection_losses.record(dispatch.on_idle_connection.take(), true, now);
+        if self.hedge_budget.allows_one_more(now, self.busy_share) {
+            self.hedge_budget.spent_at.push_back(now);
+            self.request_hedge(id.part);
+        }
+    }
+
+    /// Ends a scan at its target time if what it has is worth no less than a late whole answer.
+    fn handle_target_time(&mut self, index: ScanIndex, turn: &mut Turn) {
+        let Some(scan) = self.scans.get(&index) else { return };
+        let terms = &self.table_types[scan.table_type];
+        let answered = scan.answered_weight();
+        let is_enough = answered + Self::WEIGHT_TOLERANCE >= scan.minimum_weight;
+        let partial = if is_enough { answered } else { 0.0 };
+        if terms.late_benefit_share <= partial / scan.required_weight * terms.partial_benefit_share {
+            self.end(index, turn);
+        }
+    }
+}
+
+/// A scan as the host passes it on; see [`Event::Scan`].
+struct ScanRequest {
+    id: u64,
+    number: u32,
+    table_type: TypeIndex,
+    customer: usize,
+    deadline_at: f64,
+    work_ms: Option<f64>,
+    retry: bool,
+}
+
+/// Dispatches that end.
+impl Scheduler {
+    /// Share of the time between a part's work and its target time within which it raises the concurrency
+    /// limit: a scan waits for the slowest of several parts.
+    const IN_TIME_SHARE: f64 = 0.5;
+    /// Factor by which the concurrency limit is cut.
+    const LIMIT_CUT: f64 = 0.8;
+
+    fn end_dispatch(&mut self, id: DispatchId, outcome: DispatchOutcome, took_ms: f64, turn: &mut Turn) {
+        let Some(dispatch) = self.in_flight.remove(&id) else { return };
+        if Rc::strong_count(&dispatch.call) == 1 {
+            self.searchers[dispatch.searcher].calls -= 1;
+        }
+        let baseline_ms = self.baseline.latency_ms[dispatch.table_type];
+        let searcher = &self.searchers[dispatch.searcher];
+        let is_silent = matches!(outcome, DispatchOutcome::Cancelled | DispatchOutcome::TimedOut);
+        let is_lost = is_silent
+            && self.baseline.is_overtaken(
+                dispatch.table_type,
+                dispatch.sent_at,
+                searcher.newest_success_sent_at,
+            );
+        let latency_ms = self.counted_latency_ms(&dispatch, outcome, took_ms, is_lost);
+        if !matches!(outcome, DispatchOutcome::Cancelled | DispatchOutcome::ConnectFailed) {
+            let was_lost = outcome != DispatchOutcome::Ok;
+            self.connection_losses.record(dispatch.on_idle_connection, was_lost, turn.now);
+        }
+        if outcome == DispatchOutcome::Ok {
+            self.record_success(&dispatch, latency_ms, turn);
+        }
+        // A single silent part does not tell a lost answer from a jam: the parts after it do.
+        let is_single = is_silent && self.searchers[dispatch.searcher].active_calls() == 0;
+        if !(is_lost || is_single) {
+            self.adapt_concurrency_limit(&dispatch, latency_ms, turn.now);
+        }
+        let message = Message::DispatchEnded {
+            dispatch: id,
+            ratio: latency_ms / baseline_ms,
+            baseline_ms,
+            outcome,
+            sent_at: dispatch.sent_at,
+        };
+        turn.send(Address::monitor(dispatch.searcher), message);
+        self.end_part_dispatch(id, outcome, turn);
+    }
+
+    /// The latency that a dispatch counts with. A failure must never look fast: it counts with the whole time
+    /// that the dispatch was allowed. A cancelled dispatch counts with its age, and with the baseline at
+    /// least.
+    fn counted_latency_ms(
+        &self,
+        dispatch: &InFlightDispatch,
+        outcome: DispatchOutcome,
+        took_ms: f64,
+        is_lost: bool,
+    ) -> f64 {
+        let baseline_ms = self.baseline.latency_ms[dispatch.table_type];
+        match outcome {
+            DispatchOutcome::Ok => took_ms,
+            // The searcher loses answers, which does not make it slow: this cost the wait until a hedge.
+            _ if is_lost => took_ms.clamp(baseline_ms, self.baseline.mark_ratio * baseline_ms),
+            DispatchOutcome::Cancelled | DispatchOutcome::Moot => took_ms.max(baseline_ms),
+            _ => took_ms.max(dispatch.timeout_ms),
+        }
+    }
+
+    fn record_success(&mut self, dispatch: &InFlightDispatch, latency_ms: f64, turn: &mut Turn) {
+        let searcher = &mut self.searchers[dispatch.searcher];
+        searcher.last_success_at = turn.now;
+        searcher.newest_success_sent_at = searcher.newest_success_sent_at.max(dispatch.sent_at);
+        let message = Message::LatencySample { table_type: dispatch.table_type, latency_ms };
+        turn.send(Address::BASELINE_TRACKER, message);
+    }
+
+    /// Adapts the limit on own calls in flight at a searcher: it grows by one in a latency of parts in time,
+    /// and is cut by a factor, at most once in a latency, when a part took too long. Guards against hot spots
+    /// and jams of any cause.
+    fn adapt_concurrency_limit(&mut self, dispatch: &InFlightDispatch, latency_ms: f64, now: f64) {
+        let searcher = &mut self.searchers[dispatch.searcher];
+        let work_ms = self.baseline.work_ms[dispatch.table_type];
+        let target_ms = self.table_types[dispatch.table_type].target_ms;
+        if latency_ms <= work_ms + Self::IN_TIME_SHARE * (target_ms - work_ms) {
+            searcher.concurrency_limit += 1.0 / searcher.concurrency_limit;
+        } else if now - searcher.limit_cut_at > self.baseline.latency_ms[dispatch.table_type] {
+            let used = f64::from(searcher.active_calls() + 1);
+            searcher.concurrency_limit = (searcher.concurrency_limit.min(used) * Self::LIMIT_CUT).max(1.0);
+            searcher.limit_cut_at = now;
+        }
+    }
+
+    /// Updates the part of a dispatch that has ended, and advances its scan.
+    fn end_part_dispatch(&mut self, id: DispatchId, outcome: DispatchOutcome, turn: &mut Turn) {
+        let Some(&Location::Part { scan: index, part }) = self.locations.get(&id.part) else { return };
+        let Some(scan) = self.scans.get_mut(&index) else { return };
+        scan.connections_lost += u32::from(outcome == DispatchOutcome::Reset);
+        let part = &mut scan.parts[part];
+        part.dispatches[usize::from(id.number)].outcome = Some(outcome);
+        part.ended_at = turn.now;
+        if part.state == PartState::Answered {
+            return;
+        }
+        if outcome == DispatchOutcome::Ok {
+            part.state = PartState::Answered;
+            part.hedge_due = false; // else it would be sent again
+            turn.cancel(part.dispatches_in_flight(), self.permissions.cancel);
+        } else if part.dispatches_in_flight().is_empty() {
+            part.state = PartState::Failed;
+            part.hedge_due = false;
+        }
+        self.advance(index, turn);
+    }
+
+    /// Allows a hedge for a part that is late, or in flight at a searcher that was just marked.
+    fn request_hedge(&mut self, part: u64) {
+        let Some(&Location::Part { scan: index, part }) = self.locations.get(&part) else { return };
+        let Some(scan) = self.scans.get_mut(&index) else { return };
+        let part = &mut scan.parts[part];
+        part.hedge_due = part.state == PartState::InFlight && part.dispatches.len() == 1;
+        self.changed_scans.insert(index);
+    }
+}
+
+/// Progress of scans.
+impl Scheduler {
+    /// Connections lost at a scan's parts, with no part answered, that end it. Guards against scans that
+    /// crash the searchers they reach: for a while, its customer's scans send one part first. Costs customers
+    /// the same while many searchers crash for another reason.
+    const DEADLY_CONNECTION_LOSSES: u32 = 2;
+
+    /// Sends what the scan lacks, and ends it as soon as it is whole or cannot become whole.
+    fn advance(&mut self, index: ScanIndex, turn: &mut Turn) {
+        let now = turn.now;
+        let Some(scan) = self.scans.get(&index).filter(|scan| !scan.parts.is_empty()) else { return };
+        if scan.answered_weight() + Self::WEIGHT_TOLERANCE >= scan.required_weight {
+            return self.complete(index, true, turn);
+        }
+        let has_answers =
+            scan.in_second_step || scan.parts.iter().any(|part| part.state == PartState::Answered);
+        if !has_answers && scan.connections_lost >= Self::DEADLY_CONNECTION_LOSSES {
+            self.customers.set_cautious(scan.customer, now + CustomerTraffic::CAUTION_MS);
+            return self.end(index, turn);
+        }
+        let is_suspect = scan.connections_lost > 0 || self.customers.is_cautious(scan.customer, now);
+        let one_part_first = !has_answers && is_suspect;
+        let is_new = !scan.in_second_step && scan.parts.iter().all(|part| part.dispatches.is_empty());
+        if is_new && let Some(reason) = self.admission_control(index, now) {
+            let Some(scan) = self.scans.get(&index) else { return };
+            self.rejections[scan.table_type][reason as usize] += 1;
+            return self.end(index, turn);
+        }
+        self.dispatch_lacking_parts(index, one_part_first, turn);
+        self.end_if_hopeless(index, turn);
+    }
+
+    /// Dispatches the best candidates until the scan lacks nothing.
+    fn dispatch_lacking_parts(&mut self, index: ScanIndex, one_part_first: bool, turn: &mut Turn) {
+        let now = turn.now;
+        let within_budget = self.retry_budget.allows_one_more(now, self.busy_share);
+        let Some(scan) = self.scans.get(&index) else { return };
+        let mut lacking_weight = scan.required_weight - Self::WEIGHT_TOLERANCE - scan.expected_weight();
+        let mut candidates: BTreeSet<Candidate> =
+            (0..scan.parts.len()).filter_map(|part| self.candidate(scan, part, within_budget, now)).collect();
+        while let Some(best) = candidates.pop_first().filter(|_| lacking_weight > 0.0) {
+            let within_budget = self.retry_budget.allows_one_more(now, self.busy_share);
+            let Some(scan) = self.scans.get(&index) else { return };
+            let waits_for_part =
+                scan.parts.iter().any(|part| part.state == PartState::InFlight && !part.hedge_due);
+            if one_part_first && waits_for_part {
                 break;
             }
-            // A dispatch makes no other part's choice better, so that only the first need be looked at again.
-            let choice = self.choice(scan, best.nth, affords, now);
-            if choice.as_ref() == Some(&best) {
-                lacking -= scan.parts[best.nth].weight;
-                self.dispatch(at, best.nth, best.srv, post);
+            // A dispatch makes no other candidate better, so that only the first one has to be computed
+            // again.
+            let current = self.candidate(scan, best.part, within_budget, now);
+            if current.as_ref() == Some(&best) {
+                lacking_weight -= scan.parts[best.part].weight;
+                self.dispatch(index, best.part, best.searcher, turn);
             } else {
-                choices.extend(choice);
+                candidates.extend(current);
             }
         }
-        let Some(scan) = self.scans.get(&at).filter(|s| s.coming() + Self::HAIR < s.need) else { return };
-        self.short.insert(at);
-        let ready = |p: &Part| self.cells.holders(p.shard).any(|s| self.seats[s].up());
-        let out = |p: &Part| p.state == State::Out;
-        let can = |p: &Part| p.state == State::In || out(p) || self.may_repeat(scan, p, now) && ready(p);
-        let hope = scan.weight(can) + Self::HAIR;
-        // Late, and only budget or room could help: held on, it would but keep its client from asking again.
-        let held = now >= scan.target_at && !scan.parts.iter().any(out);
-        if held || hope < scan.need && !(hope >= scan.floor && scan.parts.iter().any(out)) {
-            self.end(at, post);
-        }
-    }
-
-    /// A part's next dispatch, if one may be made: to unmarked searchers, then first ones, then cheap ones.
-    fn choice(&self, scan: &Scan, nth: usize, affords: bool, now: f64) -> Option<Choice> {
-        let part = &scan.parts[nth];
-        let (first, copy) = (part.state == State::Unsent, part.state == State::Out);
-        let again = part.state == State::Broken || part.caught && self.permits.hedge && part.sent.len() == 1;
-        let free = self.guards.retry_budget.is_none() && part.proved_unrun();
-        let again = again && self.may_repeat(scan, part, now) && (affords || free);
-        let (tier, cost, srv) = self.replica(scan, part, now).filter(|_| first || again)?;
-        // Who has just refused it unseen has no room yet: its next dispatch would be refused as well.
-        let full = part.sent.contains(&(srv, Some(DispatchOutcome::Full)));
-        let waits = full && now < part.ended_at + self.norms.work[scan.kind];
-        let cost = (cost / part.weight.max(Self::HAIR)).to_bits();
-        (!waits && (!copy || tier == 0)).then_some(Choice { tier, again: !first, cost, nth, srv })
-    }
-
-    /// Whether a further run of a part does no harm. Beyond its window a keyed one that may have run would
-    /// run again, whoever asks for it.
-    fn harmless(&self, scan: &Scan, part: &Part, now: f64) -> bool {
-        match self.types[scan.kind].idempotency {
+    }
+
+    /// Ends a scan that cannot become whole any more, or lets it wait for capacity.
+    fn end_if_hopeless(&mut self, index: ScanIndex, turn: &mut Turn) {
+        let now = turn.now;
+        let Some(scan) = self.scans.get(&index) else { return };
+        if scan.expected_weight() + Self::WEIGHT_TOLERANCE >= scan.required_weight {
+            return;
+        }
+        self.waiting_scans.insert(index);
+        let has_searcher =
+            |part: &Part| self.shard_map.holders(part.shard).any(|searcher| self.searchers[searcher].is_up());
+        let can_be_answered = |part: &Part| match part.state {
+            PartState::Answered | PartState::InFlight => true,
+            PartState::Unsent | PartState::Failed => self.may_repeat(scan, part, now) && has_searcher(part),
+        };
+        let possible_weight = scan.weight_of(can_be_answered) + Self::WEIGHT_TOLERANCE;
+        let has_in_flight = scan.parts.iter().any(|part| part.state == PartState::InFlight);
+        // Past its target time, a scan that waits for budget or capacity alone would only keep its client
+        // from retrying.
+        let waits_in_vain = now >= scan.target_at && !has_in_flight;
+        let can_be_partial = possible_weight >= scan.minimum_weight && has_in_flight;
+        if waits_in_vain || possible_weight < scan.required_weight && !can_be_partial {
+            self.end(index, turn);
+        }
+    }
+
+    fn complete(&mut self, index: ScanIndex, whole: bool, turn: &mut Turn) {
+        let Some(scan) = self.scans.get_mut(&index) else { return };
+        let whole = whole && scan.first_step_whole;
+        turn.actions.push(Action::Complete { scan: scan.id, whole });
+        if scan.in_second_step || !self.table_types[scan.table_type].has_second_step {
+            return self.close(index, turn);
+        }
+        scan.in_second_step = true;
+        scan.first_step_whole = whole;
+        scan.minimum_weight =
+            if scan.minimum_weight < scan.required_weight { scan.minimum_weight } else { 1.0 };
+        scan.required_weight = 1.0;
+        let first_step_parts = std::mem::take(&mut scan.parts);
+        turn.cancel(self.forget_parts(first_step_parts), self.permissions.cancel);
+    }
+
+    /// Ends a scan that will not be whole: with what is answered if that is enough, else with a throttling
+    /// reply if a retry does no harm, else by abandoning it.
+    fn end(&mut self, index: ScanIndex, turn: &mut Turn) {
+        let Some(scan) = self.scans.get(&index) else { return };
+        let id = scan.id;
+        let answered = scan.answered_weight() + Self::WEIGHT_TOLERANCE;
+        // A first answer at the last moment would open a second step that nothing could end in time.
+        let opens_second_step = !scan.in_second_step
+            && self.table_types[scan.table_type].has_second_step
+            && turn.now >= scan.deadline_at;
+        let has_answer = answered > 2.0 * Self::WEIGHT_TOLERANCE;
+        if has_answer && answered >= scan.minimum_weight && !opens_second_step {
+            return self.complete(index, answered >= scan.required_weight, turn);
+        }
+        let may_retry =
+            !scan.in_second_step && scan.parts.iter().all(|part| self.is_repeatable(scan, part, turn.now));
+        let action = if may_retry {
+            Action::Throttle { scan: id, retry_after_ms: self.permissions.retry_after_ms }
+        } else {
+            Action::Abandon { scan: id }
+        };
+        turn.actions.push(action);
+        self.close(index, turn);
+    }
+}
+
+/// Choice of replicas.
+impl Scheduler {
+    /// Costs within this factor count as equal: a latency smoothed over five parts is no more exact.
+    const EQUAL_COST_FACTOR: f64 = 1.5;
+
+    /// The next dispatch of a part, if one may be made: to unmarked searchers first, then first dispatches
+    /// before retries and hedges, then cheap before expensive ones.
+    fn candidate(&self, scan: &Scan, part_index: usize, within_budget: bool, now: f64) -> Option<Candidate> {
+        let part = &scan.parts[part_index];
+        let is_first = part.state == PartState::Unsent;
+        if !is_first && !self.may_retry_or_hedge(scan, part, within_budget, now) {
+            return None;
+        }
+        let Replica { tier, cost, searcher } = self.best_replica(scan, part, now)?;
+        // A searcher that has just rejected the part unseen would reject it again: it has no room yet.
+        let full_there = PartDispatch { searcher, outcome: Some(DispatchOutcome::Full) };
+        let must_wait = part.dispatches.contains(&full_there)
+            && now < part.ended_at + self.baseline.work_ms[scan.table_type];
+        let is_hedge = part.state == PartState::InFlight;
+        let cost_bits = (cost / part.weight.max(Self::WEIGHT_TOLERANCE)).to_bits();
+        let is_allowed = !must_wait && (!is_hedge || tier == 0);
+        is_allowed.then_some(Candidate { tier, is_retry: !is_first, cost_bits, part: part_index, searcher })
+    }
+
+    /// Whether a part that was sent before may be sent again now.
+    fn may_retry_or_hedge(&self, scan: &Scan, part: &Part, within_budget: bool, now: f64) -> bool {
+        let is_hedge = part.hedge_due && self.permissions.hedge && part.dispatches.len() == 1;
+        let is_wanted = part.state == PartState::Failed || is_hedge;
+        let is_free = self.limits.retry_budget.is_none() && part.never_ran();
+        is_wanted && self.may_repeat(scan, part, now) && (within_budget || is_free)
+    }
+
+    /// Whether one more run of a part does no harm. After its window, a keyed part that may have run would
+    /// take effect again, whoever repeats it.
+    fn is_repeatable(&self, scan: &Scan, part: &Part, now: f64) -> bool {
+        match self.table_types[scan.table_type].idempotency {
             Idempotency::Replayable => true,
-            Idempotency::Keyed { window_ms } => part.proved_unrun() || now < part.taken_at + window_ms,
-            Idempotency::NonReplayable => part.proved_unrun(),
+            Idempotency::Keyed { window_ms } => part.never_ran() || now < part.accepted_at + window_ms,
+            Idempotency::NonReplayable => part.never_ran(),
         }
     }
 
-    /// Whether the effect of a part allows one more dispatch (budget and places aside).
+    /// Whether one more dispatch of a part is allowed, apart from budget and capacity.
     fn may_repeat(&self, scan: &Scan, part: &Part, now: f64) -> bool {
-        self.harmless(scan, part, now) && part.sent.len() < self.permits.max_dispatches as usize
-    }
-
-    fn work(&self, kind: usize, srv: usize) -> f64 {
-        self.norms.work[kind] + if self.shared(srv) { 0.0 } else { self.layout.call_work_ms }
-    }
-
-    /// Costs within this factor count as equal: a latency smoothed over five parts says no more.
-    const EQUAL: f64 = 1.5;
-
-    /// The replica rule: least smoothed latency times one plus own calls out; of equals who gets a call
-    /// anyway, then the own zone, then by lot. Marked ones last: when all are, the least bad serves.
-    fn replica(&self, scan: &Scan, part: &Part, now: f64) -> Option<(u8, f64, usize)> {
-        let choices = self.cells.holders(part.shard).filter_map(|srv| {
-            let seat = &self.seats[srv];
-            let tried = part.sent.iter().any(|s| s.0 == srv);
-            let copy = part.state == State::Out;
-            let able = seat.up() && self.room(seat, scan, copy, self.work(scan.kind, srv), now);
-            let shared = self.shared(srv);
-            let calls = seat.busy().saturating_sub(u32::from(shared));
-            let late = seat.tile.late > self.norms.limit;
-            let tier = u8::from(seat.tile.marked || seat.tile.trial && calls > 0 || tried || late);
-            // Cold ones stand amid equals, in the order of cells: neighbouring shards find most room so.
-            let among = seat.lot.floor() + 0.5 + self.cells.nth(part.shard, seat.cell);
-            let lot = if self.cold(seat, now) { among } else { seat.lot };
-            let cost = Searcher::faded(&seat.tile, &self.norms, seat.zone, now)[0] * f64::from(1 + calls);
-            able.then_some((tier, cost.log(Self::EQUAL).round(), !shared, lot, srv))
-        });
-        let best = choices.min_by(|a, b| a.partial_cmp(b).unwrap_or(Equal));
-        best.map(|(tier, cost, .., srv)| (tier, Self::EQUAL.powf(cost), srv))
+        self.is_repeatable(scan, part, now)
+            && part.dispatches.len() < self.permissions.max_dispatches as usize
+    }
+
+    /// Work of one more part at a searcher, with the overhead of a call if it needs one.
+    fn work_ms(&self, table_type: TypeIndex, searcher: SearcherIndex) -> f64 {
+        let call_work_ms = if self.has_open_call(searcher) { 0.0 } else { self.layout.call_work_ms };
+        self.baseline.work_ms[table_type] + call_work_ms
+    }
+
+    /// The replica rule: lowest smoothed latency times one plus own calls in flight. Between equals, a
+    /// searcher that gets a call in this turn anyway, then the own zone, then by lot. Marked searchers come
+    /// last: if all are marked, the least bad one serves.
+    fn best_replica(&self, scan: &Scan, part: &Part, now: f64) -> Option<Replica> {
+        let holders = self.shard_map.holders(part.shard);
+        let replicas = holders.filter_map(|searcher| self.rank_replica(scan, part, searcher, now));
+        let best = replicas.min_by(|a, b| a.partial_cmp(b).unwrap_or(Equal))?;
+        let cost = Self::EQUAL_COST_FACTOR.powf(best.cost_level);
+        Some(Replica { tier: best.tier, cost, searcher: best.searcher })
+    }
+
+    fn rank_replica(
+        &self,
+        scan: &Scan,
+        part: &Part,
+        searcher: SearcherIndex,
+        now: f64,
+    ) -> Option<RankedReplica> {
+        let state = &self.searchers[searcher];
+        let health = &state.health;
+        let is_hedge = part.state == PartState::InFlight;
+        if !state.is_up()
+            || !self.has_cold_capacity(state, scan, is_hedge, self.work_ms(scan.table_type, searcher), now)
+        {
+            return None;
+        }
+        let has_open_call = self.has_open_call(searcher);
+        let other_calls = state.active_calls().saturating_sub(u32::from(has_open_call));
+        let was_tried = part.dispatches.iter().any(|dispatch| dispatch.searcher == searcher);
+        let is_late = health.oldest_ratio > self.baseline.mark_ratio;
+        let is_avoided = health.marked || health.on_trial && other_calls > 0 || was_tried || is_late;
+        // Cold searchers rank in the middle of their equals, by the order of cells: so neighbouring shards
+        // find most capacity.
+        let tie_breaker = if self.is_cold(state, now) {
+            state.tie_breaker.floor() + 0.5 + self.shard_map.distance(part.shard, state.cell)
+        } else {
+            state.tie_breaker
+        };
+        let latency = SearcherMonitor::decayed_latency(health, &self.baseline, state.zone, now);
+        let cost = latency.ratio * f64::from(1 + other_calls);
+        Some(RankedReplica {
+            tier: u8::from(is_avoided),
+            cost_level: cost.log(Self::EQUAL_COST_FACTOR).round(),
+            needs_call: !has_open_call,
+            tie_breaker,
+            searcher,
+        })
     }
+}
 
-    /// What comes by chance stays so many deviations below what is borne, in thousands of windows.
+/// Warm-up capacity of cold searchers.
+impl Scheduler {
+    /// What comes by chance stays below the capacity by this many standard deviations: thousands of windows
+    /// in a row.
     const DEVIATIONS: f64 = 4.0;
-    /// Traffic may be so many times what is known of it: bursts, clients that come again.
-    const SURGE: f64 = 1.15;
-    /// What is asked for, and as much again: each part that is out may be copied once.
-    const COPIED: f64 = 2.0;
-    /// Less busy than this, what is borne says little of what could be: at most doubled.
-    const IDLE: f64 = 0.5;
-    /// Span of own traffic: a mixer of hundreds sees a scan of many parts each few seconds at most.
-    const FLOW_MS: f64 = 30_000.0;
-
-    /// What a mixer may send a cold searcher. All together may send it the multiple of what warm ones bear at
-    /// that age, if it warms as slowly as it may, in N parts, and what the platform adds for chance, 2 roots
-    /// of N and 2. A mixer has an equal share of the former in a window, each table type its own of that, by
-    /// benefit times what it asks for. Where that is less than a part, a scan is let in by its lot, as often
-    /// as leaves what comes by chance below what is borne: one lot for all parts, so that one of many finds
-    /// room everywhere or nowhere. A copy of a part that is out was not asked for and has no lot of its own:
-    /// it finds room where a copy of each would, or copies of what is late everywhere fill a window. Asked
-    /// for, and borne, goes by own traffic, as if all saw as much, over how busy searchers say they are; one
-    /// core at least. An earlier process of this mixer may have sent its share: it waits a window. Harms when
-    /// most are cold.
-    fn room(&self, seat: &Seat, scan: &Scan, copy: bool, work: f64, now: f64) -> bool {
-        if !self.cold(seat, now) {
+    /// Traffic may exceed the known traffic by this factor: bursts, and clients that retry.
+    const TRAFFIC_SURGE: f64 = 1.15;
+    /// Traffic with hedges over traffic without: each part in flight may be hedged once.
+    const HEDGED_TRAFFIC: f64 = 2.0;
+    /// Below this busy share, the traffic of warm searchers says little about what they could carry: the
+    /// capacity that is derived from it is doubled at most.
+    const MIN_BUSY_SHARE: f64 = 0.5;
+
+    /// Whether a searcher that may be cold has capacity for one more part. A warm searcher always has.
+    ///
+    /// All mixers together may send a cold searcher a multiple of what warm searchers carry, reduced to its
+    /// age, if it warms up as slowly as it may; see [`Self::cold_capacity_ms`]. Each mixer has an equal share
+    /// of that in a window, and each table type its share of the mixer's, by benefit times demand. Where that
+    /// is less than a part, [`Self::wins_lottery`] admits some scans. An earlier process of this mixer may
+    /// have sent its share already, so that a new process waits for one window. Costs scans when most
+    /// searchers are cold.
+    fn has_cold_capacity(
+        &self,
+        searcher: &SearcherState,
+        scan: &Scan,
+        is_hedge: bool,
+        work_ms: f64,
+        now: f64,
+    ) -> bool {
+        if !self.is_cold(searcher, now) {
             return true;
         }
-        let (g, age) = (&self.guards, now - seat.began());
-        let able = g.cold_capacity_share + (1.0 - g.cold_capacity_share) * (age / g.warm_up_ms).max(0.0);
-        let busy = self.busy.map_or(1.0, |b| b.clamp(Self::IDLE, 1.0));
-        let of_each = self.mixers / self.ready.max(1.0);
-        let borne = g.overload_multiple * able * (self.flow * of_each / busy).max(1.0) * g.overload_window_ms;
-        let worth = |kind: usize| self.types[kind].benefit * self.asked[kind];
-        let part = worth(scan.kind) / (0..self.types.len()).map(worth).sum::<f64>().max(f64::MIN_POSITIVE);
-        let (share, together) = (part * borne / self.mixers, scan.in_one * work);
-        let least = self.norms.work.iter().copied().fold(f64::INFINITY, f64::min);
-        let most = borne + 2.0 * (borne * least).sqrt() + 2.0 * least;
-        let chance = Self::DEVIATIONS * together.sqrt();
-        let mean = ((chance * chance + 4.0 * most).sqrt() - chance).powi(2) / 4.0;
-        let asked = self.asked.iter().sum::<f64>().max(self.flow);
-        let asked = Self::SURGE * asked * of_each * g.overload_window_ms;
-        let held = asked.min(self.mixers * (together + work));
-        let allowed = match work <= share {
-            true if now < self.opened + g.overload_window_ms => 0.0,
-            true => share,
-            false if copy && Self::COPIED * held < mean => together + work,
-            false if !copy && scan.lot * held < mean => together + work,
-            false => 0.0,
+        let window_ms = self.limits.overload_window_ms;
+        let capacity_ms = self.cold_capacity_ms(searcher, now);
+        let own_share_ms = self.capacity_share(scan.table_type) * capacity_ms / self.mixers;
+        let scan_work_ms = scan.parts_per_searcher * work_ms;
+        let allowed_ms = if work_ms <= own_share_ms {
+            let is_first_window = now < self.first_list_at + window_ms;
+            if is_first_window { 0.0 } else { own_share_ms }
+        } else if self.wins_lottery(scan, is_hedge, work_ms, capacity_ms) {
+            scan_work_ms + work_ms
+        } else {
+            0.0
         };
-        let spent =
-            seat.spent.iter().filter(|s| s.0 >= now - g.overload_window_ms && s.2 == scan.kind).map(|s| s.1);
-        spent.sum::<f64>() + work <= allowed
-    }
-
-    fn dispatch(&mut self, at: usize, nth: usize, srv: usize, post: &mut Post) {
-        let Some(kind) = self.scans.get(&at).map(|s| s.kind) else { return };
-        let (now, work) = (post.now, self.work(kind, srv));
-        let mut idle = Some(now - self.seats[srv].heard_at > Lines::IDLE_MS);
-        if !self.shared(srv) {
-            if idle == Some(true) && self.seats[srv].calls == 0 && now < self.lines.doubt_until {
-                idle = None;
-                post.out.push(Action::CloseIdleConnections { searcher: self.seats[srv].addr });
-            }
-            self.seats[srv].calls += 1;
-            self.this_turn.insert(srv, (Rc::new(()), 0));
-        }
-        let Some(scan) = self.scans.get_mut(&at) else { return };
-        let Some((call, parts)) = self.this_turn.get_mut(&srv) else { return };
-        *parts += 1;
-        let part = &mut scan.parts[nth];
-        let leg = (part.id, part.sent.len() as u8);
-        // Our own budget is against work done twice: what never ran cost none.
-        if !part.sent.is_empty() && (self.guards.retry_budget.is_some() || !part.proved_unrun()) {
-            self.further.extras.push_back(now);
-        }
-        part.sent.push((srv, None));
-        (part.state, part.caught) = (State::Out, false);
-        let late_counts = self.types[kind].late_benefit_share > 0.0;
-        let end = if late_counts { scan.gone_at } else { scan.gone_at.min(scan.target_at) };
-        let timeout_ms = (end - now).max(1.0) + Self::AHEAD_MS / 2.0;
-        self.flights
-            .insert(leg, Flight { srv, kind, call: call.clone(), sent_at: now, allotted: timeout_ms, idle });
-        let late = (self.norms.limit * self.norms.normal[kind]).min((scan.target_at - now) * 0.5);
-        self.due.add(now + late.max(Self::AHEAD_MS), Due::Late(leg));
-        let seat = &mut self.seats[srv];
-        seat.sent_at = now;
-        self.flow += work / Self::FLOW_MS;
-        if seat.began() > 0.0 {
-            trim(&mut seat.spent, |s| s.0 < now - self.guards.warm_up_ms);
-            seat.spent.push_back((now, work, kind));
-        }
-        post.out.push(Action::Dispatch { part: leg.0, searcher: seat.addr, timeout_ms });
-        post.put(SRVS + srv, Note::Sent(leg, kind, self.norms.clone()));
-    }
-
-    /// Share of a target time that a part may take: a scan waits for the slowest of several.
-    const PRESSED: f64 = 0.5;
-    /// What a cut leaves of a limit.
-    const CUT: f64 = 0.8;
-
-    /// The limit on own calls out at a searcher grows by one in a latency of parts in time, and is cut by a
-    /// share, once a latency, when one took too long: guards against hot spots and jams of any cause.
-    fn adapt(&mut self, flight: &Flight, ms: f64, now: f64) {
-        let seat = &mut self.seats[flight.srv];
-        let (work, target) = (self.norms.work[flight.kind], self.types[flight.kind].target_ms);
-        if ms <= work + Self::PRESSED * (target - work) {
-            seat.limit += 1.0 / seat.limit;
-        } else if now - seat.cut_at > self.norms.normal[flight.kind] {
-            seat.limit = (seat.limit.min(f64::from(seat.busy() + 1)) * Self::CUT).max(1.0);
-            seat.cut_at = now;
-        }
-    }
-
-    /// Share of what a part's own work leaves to the target that it may wait at its searcher.
-    const SLOW: f64 = 0.6;
-
-    /// What cannot come in time is refused at the door: too few of the replicas that it needs have room
-    /// under their limits and no old part of ours or, with no call of ours out, a cost in time by the replica
-    /// rule. Refusing would keep that from being renewed, so who was sent nothing for a while is tried in any
-    /// case: by all mixers together a few times in a slice. Harms those scans while the cause lasts.
-    fn bars(&self, scan: &Scan, now: f64) -> Option<Bar> {
-        let left = scan.target_at - now;
-        let over = self.door.over(scan.customer);
-        let tried = Searcher::SLICE_MS * self.mixers / f64::from(Searcher::FEW);
-        let (normal, work) = (self.norms.normal[scan.kind], self.norms.work[scan.kind].min(left));
-        let most = (work + Self::SLOW * (left - work)).max(Self::EQUAL * work);
-        let bar = |(_, _, srv): (u8, f64, usize)| {
-            let seat @ Seat { tile, limit, sent_at, .. } = &self.seats[srv];
-            let [share, delay] = Searcher::faded(tile, &self.norms, seat.zone, now);
-            let (calls, limit) = (seat.busy(), if over { Door::OVER * limit } else { *limit });
-            match calls {
-                _ if now - sent_at >= tried => None,
-                0 => ((share * normal).min(normal + delay) > most).then_some(Bar::Cost),
-                _ if normal + tile.age > most => Some(Bar::Age),
-                _ => (f64::from(calls + 1) > limit).then_some(Bar::Limit),
+        let in_window = |sent: &&SentWork| sent.at >= now - window_ms && sent.table_type == scan.table_type;
+        let sent_ms: f64 = searcher.recent_work.iter().filter(in_window).map(|sent| sent.work_ms).sum();
+        sent_ms + work_ms <= allowed_ms
+    }
+
+    /// Work that all mixers together may send a cold searcher in a window: the stated multiple of what warm
+    /// searchers carry, reduced to its age. What they carry is estimated from own traffic, as if all mixers
+    /// sent as much, over the busy share that searchers report; it is one core at least.
+    fn cold_capacity_ms(&self, searcher: &SearcherState, now: f64) -> f64 {
+        let limits = &self.limits;
+        let age_ms = now - searcher.latest_start();
+        let speed = limits.cold_capacity_share
+            + (1.0 - limits.cold_capacity_share) * (age_ms / limits.warm_up_ms).max(0.0);
+        let busy_share = self.busy_share.map_or(1.0, |busy| busy.clamp(Self::MIN_BUSY_SHARE, 1.0));
+        let warm_rate = (self.sent_work_rate * self.mixers_per_searcher() / busy_share).max(1.0);
+        limits.overload_multiple * speed * warm_rate * limits.overload_window_ms
+    }
+
+    fn mixers_per_searcher(&self) -> f64 {
+        self.mixers / self.ready_searchers.max(1.0)
+    }
+
+    /// Share of a mixer's capacity at cold searchers that a table type gets: by benefit times demand.
+    fn capacity_share(&self, table_type: TypeIndex) -> f64 {
+        let worth = |table_type: TypeIndex| self.table_types[table_type].benefit * self.demand[table_type];
+        let total: f64 = (0..self.table_types.len()).map(worth).sum();
+        worth(table_type) / total.max(f64::MIN_POSITIVE)
+    }
+
+    /// Whether a scan may send parts to a cold searcher though this mixer's share of its capacity is less
+    /// than a part.
+    ///
+    /// A scan wins by its lottery number, as often as leaves what comes by chance below the capacity. The
+    /// number is one for all parts, so that a scan of many parts finds capacity everywhere or nowhere. The
+    /// capacity here includes what the platform adds for chance to N parts: twice the root of N, and two
+    /// parts. A hedge has no lottery number, as no scan asked for it: it wins where a hedge of each part
+    /// would fit, else hedges of parts that are late everywhere would fill a window.
+    fn wins_lottery(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
+        let scan_work_ms = scan.parts_per_searcher * work_ms;
+        let least_work_ms = self.baseline.work_ms.iter().copied().fold(f64::INFINITY, f64::min);
+        let highest_ms = capacity_ms + 2.0 * (capacity_ms * least_work_ms).sqrt() + 2.0 * least_work_ms;
+        // Solves mean + chance * sqrt(mean) = highest for the mean work in a window.
+        let chance = Self::DEVIATIONS * scan_work_ms.sqrt();
+        let mean_ms = ((chance * chance + 4.0 * highest_ms).sqrt() - chance).powi(2) / 4.0;
+        let demand = self.demand.iter().sum::<f64>().max(self.sent_work_rate);
+        let demand_ms =
+            Self::TRAFFIC_SURGE * demand * self.mixers_per_searcher() * self.limits.overload_window_ms;
+        // No mixer sends more than one scan and one part beyond that.
+        let expected_ms = demand_ms.min(self.mixers * (scan_work_ms + work_ms));
+        let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.lottery_number };
+        admitted_share * expected_ms < mean_ms
+    }
+}
+
+/// Dispatching.
+impl Scheduler {
+    /// A part is late, and may be hedged, after this share of the time that its scan has left, or earlier.
+    const LATE_TARGET_SHARE: f64 = 0.5;
+
+    fn dispatch(&mut self, index: ScanIndex, part_index: usize, searcher: SearcherIndex, turn: &mut Turn) {
+        let Some(table_type) = self.scans.get(&index).map(|scan| scan.table_type) else { return };
+        let now = turn.now;
+        let work_ms = self.work_ms(table_type, searcher);
+        let on_idle_connection = self.open_call_if_needed(searcher, turn);
+        let Some(scan) = self.scans.get_mut(&index) else { return };
+        let Some(open_call) = self.open_calls.get_mut(&searcher) else { return };
+        open_call.parts += 1;
+        let part = &mut scan.parts[part_index];
+        let id = DispatchId { part: part.id, number: part.dispatches.len() as u8 };
+        // The module's own budget limits work that is done twice: what never ran costs nothing.
+        let is_retry = !part.dispatches.is_empty();
+        if is_retry && (self.limits.retry_budget.is_some() || !part.never_ran()) {
+            self.retry_budget.spent_at.push_back(now);
+        }
+        part.dispatches.push(PartDispatch { searcher, outcome: None });
+        part.state = PartState::InFlight;
+        part.hedge_due = false;
+        let is_late_useful = self.table_types[table_type].late_benefit_share > 0.0;
+        let end = if is_late_useful { scan.deadline_at } else { scan.deadline_at.min(scan.target_at) };
+        let timeout_ms = (end - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0;
+        let call = open_call.call.clone();
+        let in_flight =
+            InFlightDispatch { searcher, table_type, call, sent_at: now, timeout_ms, on_idle_connection };
+        self.in_flight.insert(id, in_flight);
+        let late_after_ms = (self.baseline.mark_ratio * self.baseline.latency_ms[table_type])
+            .min((scan.target_at - now) * Self::LATE_TARGET_SHARE);
+        self.timers.add(now + late_after_ms.max(Self::ANSWER_LEAD_MS), Timer::DispatchLate(id));
+        self.record_sent_work(searcher, table_type, work_ms, now);
+        let address = self.searchers[searcher].address;
+        turn.actions.push(Action::Dispatch { part: id.part, searcher: address, timeout_ms });
+        let message = Message::DispatchSent { dispatch: id, table_type, baseline: self.baseline.clone() };
+        turn.send(Address::monitor(searcher), message);
+    }
+
+    /// Opens a call to a searcher unless one leaves in this turn that can carry one more part. Returns
+    /// whether the connection had long been idle, or none if it is closed for that and a new one is used.
+    fn open_call_if_needed(&mut self, searcher: SearcherIndex, turn: &mut Turn) -> Option<bool> {
+        let now = turn.now;
+        let is_idle = now - self.searchers[searcher].last_success_at > ConnectionLosses::IDLE_MS;
+        if self.has_open_call(searcher) {
+            return Some(is_idle);
+        }
+        let state = &mut self.searchers[searcher];
+        let is_distrusted = is_idle && state.calls == 0 && now < self.connection_losses.distrusted_until;
+        if is_distrusted {
+            turn.actions.push(Action::CloseIdleConnections { searcher: state.address });
+        }
+        state.calls += 1;
+        self.open_calls.insert(searcher, OpenCall { call: Rc::new(()), parts: 0 });
+        (!is_distrusted).then_some(is_idle)
+    }
+
+    /// Counts sent work in own traffic and, where a start is known, for the searcher's capacity.
+    fn record_sent_work(&mut self, searcher: SearcherIndex, table_type: TypeIndex, work_ms: f64, now: f64) {
+        let state = &mut self.searchers[searcher];
+        state.last_sent_at = now;
+        self.sent_work_rate += work_ms / Self::TRAFFIC_MS;
+        if state.latest_start() > 0.0 {
+            let warm_up_ms = self.limits.warm_up_ms;
+            drop_front_while(&mut state.recent_work, |sent| sent.at < now - warm_up_ms);
+            state.recent_work.push_back(SentWork { at: now, work_ms, table_type });
+        }
+    }
+}
+
+/// Admission control.
+impl Scheduler {
+    /// Share of the time between a part's work and its target time that it may wait at its searcher.
+    const MAX_WAIT_SHARE: f64 = 0.6;
+
+    /// Rejects a new scan that cannot be answered in time: too few of its parts have a replica that can take
+    /// one more. Costs such scans while the cause lasts.
+    fn admission_control(&mut self, index: ScanIndex, now: f64) -> Option<RejectionReason> {
+        self.set_parts_per_searcher(index);
+        let scan = self.scans.get(&index)?;
+        let mut admitted_weight = 0.0;
+        let mut first_reason = None;
+        for part in &scan.parts {
+            match self.part_rejection(scan, part, now) {
+                None => admitted_weight += part.weight,
+                reason => first_reason = first_reason.or(reason),
             }
+        }
+        if admitted_weight + Self::WEIGHT_TOLERANCE < scan.required_weight { first_reason } else { None }
+    }
+
+    fn part_rejection(&self, scan: &Scan, part: &Part, now: f64) -> Option<RejectionReason> {
+        if let Some(replica) = self.best_replica(scan, part, now) {
+            return self.searcher_rejection(scan, replica.searcher, now);
+        }
+        let is_up = |searcher: SearcherIndex| self.searchers[searcher].is_up();
+        if self.shard_map.holders(part.shard).any(is_up) {
+            Some(RejectionReason::NoColdCapacity)
+        } else {
+            Some(RejectionReason::NoSearcherUp)
+        }
+    }
+
+    /// Why a searcher cannot answer one more part of a scan in time: its concurrency limit is reached, a part
+    /// in flight there is too old or, without any call in flight, its smoothed latency is too high. A
+    /// searcher that was sent nothing for a while is tried in any case, as rejections would keep its latency
+    /// from being renewed: by all mixers together a few times in a slice.
+    fn searcher_rejection(&self, scan: &Scan, searcher: SearcherIndex, now: f64) -> Option<RejectionReason> {
+        let state = &self.searchers[searcher];
+        let retry_interval_ms =
+            SearcherMonitor::SLICE_MS * self.mixers / f64::from(SearcherMonitor::MIN_SLICE_PARTS);
+        if now - state.last_sent_at >= retry_interval_ms {
+            return None;
+        }
+        let left_ms = scan.target_at - now;
+        let baseline_ms = self.baseline.latency_ms[scan.table_type];
+        let work_ms = self.baseline.work_ms[scan.table_type].min(left_ms);
+        let max_latency_ms =
+            (work_ms + Self::MAX_WAIT_SHARE * (left_ms - work_ms)).max(Self::EQUAL_COST_FACTOR * work_ms);
+        let calls = state.active_calls();
+        if calls == 0 {
+            let latency = SearcherMonitor::decayed_latency(&state.health, &self.baseline, state.zone, now);
+            let expected_ms = (latency.ratio * baseline_ms).min(baseline_ms + latency.excess_ms);
+            return (expected_ms > max_latency_ms).then_some(RejectionReason::Latency);
+        }
+        if baseline_ms + state.health.oldest_excess_ms > max_latency_ms {
+            return Some(RejectionReason::OldestPart);
+        }
+        let limit = if self.customers.is_over_quota(scan.customer) {
+            CustomerTraffic::OVER_QUOTA_LIMIT_SHARE * state.concurrency_limit
+        } else {
+            state.concurrency_limit
         };
-        let first = Cell::new(None);
-        let passes = |p: &Part| {
-            let up = self.cells.holders(p.shard).any(|s| self.seats[s].up());
-            let nobody = if up { Bar::Cold } else { Bar::Nobody };
-            let met = self.replica(scan, p, now).map_or(Some(nobody), bar);
-            first.set(first.get().or(met));
-            met.is_none()
-        };
-        (scan.weight(passes) + Self::HAIR < scan.need).then_some(first.get()).flatten()
-    }
-
-    fn complete(&mut self, at: usize, whole: bool, post: &mut Post) {
-        let Some(scan) = self.scans.get_mut(&at) else { return };
-        let whole = whole && scan.whole;
-        post.out.push(Action::Complete { scan: scan.id, whole });
-        if scan.second || !self.types[scan.kind].has_second_step {
-            return self.close(at, post);
-        }
-        (scan.second, scan.whole) = (true, whole);
-        scan.floor = if scan.floor < scan.need { scan.floor } else { 1.0 };
-        scan.need = 1.0;
-        let old = std::mem::take(&mut scan.parts);
-        post.call_off(self.drop_parts(old), self.permits.cancel);
-    }
-
-    /// A scan that will not be whole: what is in if that is enough, else a throttling reply where trying
-    /// again is harmless, else an abandonment.
-    fn end(&mut self, at: usize, post: &mut Post) {
-        let Some(scan) = self.scans.get(&at) else { return };
-        let (id, have) = (scan.id, scan.have() + Self::HAIR);
-        // A first answer at the last moment would open a second step that nothing can end in time.
-        let opens = !scan.second && self.types[scan.kind].has_second_step && post.now >= scan.gone_at;
-        if have > 2.0 * Self::HAIR && have >= scan.floor && !opens {
-            return self.complete(at, have >= scan.need, post);
-        }
-        let throttled = !scan.second && scan.parts.iter().all(|part| self.harmless(scan, part, post.now));
-        let throttle = Action::Throttle { scan: id, retry_after_ms: self.permits.retry_after_ms };
-        post.out.push(if throttled { throttle } else { Action::Abandon { scan: id } });
-        self.close(at, post);
+        (f64::from(calls + 1) > limit).then_some(RejectionReason::ConcurrencyLimit)
     }
 }
 
 impl Mixer {
-    /// The periodic timer: fine against the shortest times that matter here, tens of milliseconds.
+    /// Period of the tick: short against the shortest times that matter here, which are tens of milliseconds.
     const TICK_MS: f64 = 20.0;
-    /// Until parts have come, a table type's normal latency is taken for this share of its target time.
-    const START: f64 = 0.25;
-    /// A failed subscription is asked for again after so long, then twice so long: often enough for a list
-    /// seconds late, and so many times at least while what is not asked for does not count as told.
-    const ASK_MS: f64 = 1000.0;
-    const ASKS: f64 = 4.0;
+    /// Share of its target time that is taken for a table type's baseline latency until parts have come back.
+    const INITIAL_LATENCY_SHARE: f64 = 0.25;
+    /// First wait before a failed subscription is tried again; it doubles with each failure. Often enough for
+    /// a list that comes seconds late.
+    const RESUBSCRIBE_MS: f64 = 1000.0;
+    /// Failures in a row up to which the wait doubles.
+    const MAX_DOUBLED_FAILURES: u32 = 8;
+    /// Subscriptions that are tried, at least, in the time after which the deployment counts changes of the
+    /// list as missed.
+    const MIN_SUBSCRIPTIONS: f64 = 4.0;
 
     pub fn new(
         seed: u64,
-        types: Vec<TableType>,
+        table_types: Vec<TableType>,
         customers: Vec<Customer>,
         layout: Layout,
-        guards: SafetyLimits,
-        permits: Permissions,
-        berth: Placement,
+        limits: SafetyLimits,
+        permissions: Permissions,
+        placement: Placement,
     ) -> Self {
-        let start: Vec<f64> = types.iter().map(|t| t.target_ms * Self::START).collect();
-        let normal = start.iter().map(|n| (*n, 1.0, *n)).collect();
-        let fade_ms = if permits.probe { Searcher::FADE_MS } else { Searcher::FADE_UNPROBED_MS };
-        let gauge = Gauge { normal, means: BTreeMap::new(), median: 1.0, zones: BTreeMap::new(), fade_ms };
-        let (limit, zones) = (Gauge::MULTIPLE, BTreeMap::new());
-        let norms = Rc::new(Norms { normal: start.clone(), work: start, limit, zones, fade_ms });
-        let subscribe_at = if permits.resubscribe_within_ms.is_some() { 0.0 } else { f64::INFINITY };
-        let (further, late) = (Purse::of(guards.retry_budget.unwrap_or(Purse::OWN)), Purse::of(Purse::OWN));
-        let stated = f64::from(berth.mixers.max(1));
-        let (door, lot) = (Door::of(customers), Rand64::new(u128::from(!seed)).rand_float());
-        let desk = Desk::new(types, layout, guards, permits, stated, norms, door, further, late, lot);
-        let post = Post::new();
-        let (seed, roster, srvs) = (Rand64::new(u128::from(seed)), Roster::default(), Vec::new());
-        let (zone, refused, next_tick) = (berth.zone, 0, f64::NEG_INFINITY);
-        Self { seed, zone, stated, roster, subscribe_at, refused, next_tick, srvs, gauge, desk, post }
-    }
-
-    /// The list: a searcher is known by its address; a new start voids its past.
-    fn list(&mut self, kind: ListKind, lines: Vec<ListedSearcher>) {
-        if kind == ListKind::Failed {
-            // All were refused at once: spread, and waiting longer, they come when there is room for some.
-            self.refused = (self.refused + 1).min(8);
-            let most = self.desk.permits.resubscribe_within_ms.unwrap_or(f64::INFINITY) / Self::ASKS;
-            let wait = (Self::ASK_MS * f64::from(1 << (self.refused - 1))).min(most);
-            self.subscribe_at = self.post.now + wait * (0.5 + self.seed.rand_float());
-            return;
+        let initial_ms: Vec<f64> =
+            table_types.iter().map(|terms| terms.target_ms * Self::INITIAL_LATENCY_SHARE).collect();
+        let estimate = |ms: &f64| TypeEstimate { latency_ms: *ms, samples: 1.0, work_ms: *ms };
+        let decay_ms = if permissions.probe {
+            SearcherMonitor::LATENCY_DECAY_MS
+        } else {
+            SearcherMonitor::UNPROBED_LATENCY_DECAY_MS
+        };
+        let baseline_tracker = BaselineTracker {
+            types: initial_ms.iter().map(estimate).collect(),
+            slice_means: BTreeMap::new(),
+            median_slice_mean: 1.0,
+            zones: BTreeMap::new(),
+            decay_ms,
+        };
+        let baseline = Baseline {
+            latency_ms: initial_ms.clone(),
+            work_ms: initial_ms,
+            mark_ratio: BaselineTracker::MARK_MULTIPLE,
+            zones: BTreeMap::new(),
+            decay_ms,
+        };
+        let must_subscribe = permissions.resubscribe_within_ms.is_some();
+        let stated_mixers = f64::from(placement.mixers.max(1));
+        let retry_budget = BudgetWindow::new(limits.retry_budget.unwrap_or(BudgetWindow::OWN_BUDGET));
+        let hedge_budget = BudgetWindow::new(BudgetWindow::OWN_BUDGET);
+        let lottery_offset = Rand64::new(u128::from(!seed)).rand_float();
+        let scheduler = Scheduler::new(
+            table_types,
+            layout,
+            limits,
+            permissions,
+            stated_mixers,
+            Rc::new(baseline),
+            CustomerTraffic::new(customers),
+            retry_budget,
+            hedge_budget,
+            lottery_offset,
+        );
+        Self {
+            random: Rand64::new(u128::from(seed)),
+            zone: placement.zone,
+            stated_mixers,
+            directory: SearcherDirectory::default(),
+            subscribe_at: if must_subscribe { 0.0 } else { f64::INFINITY },
+            failed_subscriptions: 0,
+            next_tick_at: f64::NEG_INFINITY,
+            monitors: Vec::new(),
+            baseline_tracker,
+            scheduler,
+            turn: Turn::new(),
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::List { kind: ListKind::Failed, .. } => self.schedule_subscription(),
+            Event::List { kind, searchers } => self.update_list(kind, searchers),
+            Event::ProbeEnded { searcher, outcome, took_ms } => {
+                if let Some(searcher) = self.directory.find(searcher) {
+                    let message = Message::ProbeEnded { outcome, took_ms };
+                    self.turn.send(Address::monitor(searcher), message);
+                }
+            }
+            Event::PeerReport { searcher, report } => self.handle_peer_report(searcher, report),
+            // Never fewer than stated: a mixer that is not seen may be cut off and send all the same.
+            Event::MixerCount { mixers } => {
+                self.scheduler.mixers = self.stated_mixers.max(f64::from(mixers));
+            }
+            Event::IdleConnectionsLost => {
+                self.scheduler.connection_losses.distrusted_until =
+                    self.turn.now + ConnectionLosses::DISTRUST_MS;
+            }
+            event => self.turn.send(Address::SCHEDULER, Message::Host(event)),
         }
-        let first = self.desk.opened.is_infinite();
-        (self.refused, self.desk.opened) = (0, self.desk.opened.min(self.post.now));
+    }
+
+    /// Schedules the next subscription after one that failed, with jitter and exponential backoff: all mixers
+    /// may have been rejected at once, and spread out they are accepted as soon as there is room for some.
+    fn schedule_subscription(&mut self) {
+        self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_DOUBLED_FAILURES);
+        let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
+        let longest_wait_ms = within_ms / Self::MIN_SUBSCRIPTIONS;
+        let backoff = f64::from(1 << (self.failed_subscriptions - 1));
+        let wait_ms = (Self::RESUBSCRIBE_MS * backoff).min(longest_wait_ms);
+        self.subscribe_at = self.turn.now + wait_ms * (0.5 + self.random.rand_float());
+    }
+
+    fn update_list(&mut self, kind: ListKind, listed: Vec<ListedSearcher>) {
+        let is_first = self.scheduler.first_list_at.is_infinite();
+        self.failed_subscriptions = 0;
+        self.scheduler.first_list_at = self.scheduler.first_list_at.min(self.turn.now);
         if kind != ListKind::Changes {
-            self.desk.seats.iter_mut().for_each(|s| s.life = SearcherStatus::Gone); // but for those that it names
-        }
-        let known =
-            |l: &ListedSearcher| l.status != SearcherStatus::Gone || self.roster.find(l.searcher).is_some();
-        let lines: Vec<ListedSearcher> = lines.into_iter().filter(known).collect();
-        for ListedSearcher { searcher: addr, cell, zone, started_at: since, status: life } in lines {
-            let Some(srv) = self.roster.find(addr) else {
-                let srv = self.roster.place(addr);
-                let actor = Searcher::new(srv, addr, zone, self.desk.norms.clone());
-                // Of equal searchers the nearest serve; beyond that each mixer draws lots of its own, as all
-                // must not prefer the same.
-                let lot = f64::from(u8::from(zone != self.zone)) + self.seed.rand_float();
-                put(&mut self.srvs, srv, actor);
-                put(&mut self.desk.seats, srv, Seat::new(addr, cell, zone, since, life, lot, self.post.now));
-                self.desk.cells.enter(cell, srv);
-                continue;
-            };
-            let seat = &mut self.desk.seats[srv];
-            if seat.listed != since && life == SearcherStatus::Ready {
-                (seat.listed, seat.since, seat.limit) = (since, since, f64::INFINITY);
-                (seat.known_at, seat.hushed) = (self.post.now, false);
-                self.post.put(SRVS + srv, Note::Renewed);
+            // A whole list: searchers that it does not name are gone.
+            for searcher in &mut self.scheduler.searchers {
+                searcher.status = SearcherStatus::Gone;
+            }
+        }
+        let is_known = |listed: &ListedSearcher| {
+            listed.status != SearcherStatus::Gone || self.directory.find(listed.searcher).is_some()
+        };
+        let listed: Vec<ListedSearcher> = listed.into_iter().filter(is_known).collect();
+        for entry in listed {
+            match self.directory.find(entry.searcher) {
+                Some(searcher) => self.update_searcher(searcher, entry),
+                None => self.add_searcher(entry),
             }
-            seat.life = life;
-            let old = std::mem::replace(&mut seat.cell, cell);
-            self.desk.cells.leave(old, srv);
-            self.desk.cells.enter(cell, srv);
-        }
-        // Who is gone leaves its place to another, as releases bring new ones.
-        let idle =
-            |srv: usize| self.desk.seats[srv].life == SearcherStatus::Gone && self.desk.seats[srv].calls == 0;
-        for srv in self.roster.retire(idle) {
-            self.desk.cells.leave(self.desk.seats[srv].cell, srv);
-            self.post.wake(SRVS + srv, false);
-        }
-        self.desk.ready = self.desk.seats.iter().filter(|s| s.life == SearcherStatus::Ready).count() as f64;
-        if first {
-            // Until traffic is seen, it is taken for one core's at each searcher.
-            self.desk.flow = self.desk.ready / self.desk.mixers;
-        }
-    }
-
-    /// What others say makes it look, send less, or leave alone, and never send what it would not: a copy
-    /// that is wrong or old can cost service, no rule. It counts of searchers on its own list alone.
-    fn heard(&mut self, searcher: SocketAddrV4, word: PeerReport) {
-        let Some(srv) = self.roster.find(searcher) else { return };
-        match word {
-            PeerReport::Marked | PeerReport::MarkedBySeveral => {
-                self.post.put(SRVS + srv, Note::Hint(word == PeerReport::MarkedBySeveral))
+        }
+        self.remove_gone_searchers();
+        let is_ready = |searcher: &&SearcherState| searcher.status == SearcherStatus::Ready;
+        self.scheduler.ready_searchers = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
+        if is_first {
+            // Until there is traffic, it is taken for the work of one core at each searcher.
+            self.scheduler.sent_work_rate = self.scheduler.ready_searchers / self.scheduler.mixers;
+        }
+    }
+
+    fn add_searcher(&mut self, entry: ListedSearcher) {
+        let ListedSearcher { searcher: address, cell, zone, started_at, status } = entry;
+        let searcher = self.directory.add(address);
+        let monitor = SearcherMonitor::new(searcher, address, zone, self.scheduler.baseline.clone());
+        // Between equal searchers the own zone is preferred, and then a random order of each mixer's own: all
+        // mixers must not prefer the same searchers.
+        let tie_breaker = f64::from(u8::from(zone != self.zone)) + self.random.rand_float();
+        let now = self.turn.now;
+        let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker, now);
+        set_or_push(&mut self.monitors, searcher, monitor);
+        set_or_push(&mut self.scheduler.searchers, searcher, state);
+        self.scheduler.shard_map.add(cell, searcher);
+    }
+
+    /// Updates a searcher that is known by its address; a new start voids its history.
+    fn update_searcher(&mut self, searcher: SearcherIndex, entry: ListedSearcher) {
+        let ListedSearcher { cell, started_at, status, .. } = entry;
+        let state = &mut self.scheduler.searchers[searcher];
+        if state.listed_start != started_at && status == SearcherStatus::Ready {
+            state.listed_start = started_at;
+            state.found_start = started_at;
+            state.concurrency_limit = f64::INFINITY;
+            state.start_known_at = self.turn.now;
+            state.leaving = false;
+            self.turn.send(Address::monitor(searcher), Message::SearcherRestarted);
+        }
+        state.status = status;
+        let old_cell = std::mem::replace(&mut state.cell, cell);
+        self.scheduler.shard_map.remove(old_cell, searcher);
+        self.scheduler.shard_map.add(cell, searcher);
+    }
+
+    /// Frees the indices of searchers that are gone, as each release brings new ones.
+    fn remove_gone_searchers(&mut self) {
+        let is_unused = |searcher: SearcherIndex| {
+            let state = &self.scheduler.searchers[searcher];
+            state.status == SearcherStatus::Gone && state.calls == 0
+        };
+        for searcher in self.directory.remove_if(is_unused) {
+            self.scheduler.shard_map.remove(self.scheduler.searchers[searcher].cell, searcher);
+            self.turn.subscribe_to_ticks(Address::monitor(searcher), false);
+        }
+    }
+
+    /// Reports of other mixers make this one probe a searcher, send it less or send it nothing. They never
+    /// make it send what it would not send without them: a report that is wrong or old can cost service, but
+    /// breaks no rule. Reports count only for searchers on the own list.
+    fn handle_peer_report(&mut self, searcher: SocketAddrV4, report: PeerReport) {
+        let Some(searcher) = self.directory.find(searcher) else { return };
+        let state = &mut self.scheduler.searchers[searcher];
+        match report {
+            PeerReport::Marked => {
+                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: false });
             }
-            PeerReport::Leaving { leaving: leaves } => self.desk.seats[srv].hushed = leaves,
-            PeerReport::Restarted { started_at: since } => {
-                self.desk.seats[srv].told = since.min(self.post.now)
+            PeerReport::MarkedBySeveral => {
+                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: true });
             }
+            PeerReport::Leaving { leaving } => state.leaving = leaving,
+            PeerReport::Restarted { started_at } => state.reported_start = started_at.min(self.turn.now),
+        }
+    }
+
+    fn tick_if_due(&mut self, now: f64) {
+        if now < self.next_tick_at {
+            return;
+        }
+        self.next_tick_at = now + Self::TICK_MS;
+        self.turn.actions.push(Action::WakeAt { at: self.next_tick_at });
+        self.turn.send_to_tick_subscribers(|| Message::Tick);
+        if now >= self.subscribe_at {
+            self.subscribe_at = f64::INFINITY;
+            self.turn.actions.push(Action::Subscribe);
         }
     }
 }
 
 impl DecisionModule for Mixer {
     fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action> {
-        self.post.now = now;
+        self.turn.now = now;
         for event in events {
-            match event {
-                Event::List { kind, searchers: lines } => self.list(kind, lines),
-                Event::ProbeEnded { searcher, outcome: ending, took_ms } => {
-                    let srv = self.roster.find(searcher).into_iter();
-                    srv.for_each(|srv| self.post.put(SRVS + srv, Note::Pong(ending, took_ms)));
-                }
-                Event::PeerReport { searcher, report } => self.heard(searcher, report),
-                // Never fewer than stated: who is not seen may be cut off and send all the same.
-                Event::MixerCount { mixers: seen } => self.desk.mixers = self.stated.max(f64::from(seen)),
-                Event::IdleConnectionsLost => self.desk.lines.doubt_until = now + Lines::DOUBT_MS,
-                told => self.post.put(DESK, Note::Told(told)),
-            }
-        }
-        // All that happened is known before ages are judged: a mixer's own pause is no searcher's.
-        self.run();
-        if now >= self.next_tick {
-            self.next_tick = now + Self::TICK_MS;
-            self.post.out.push(Action::WakeAt { at: self.next_tick });
-            self.post.awake.clone().into_iter().for_each(|to| self.post.put(to, Note::Tick));
-            if now >= self.subscribe_at {
-                self.subscribe_at = f64::INFINITY;
-                self.post.out.push(Action::Subscribe);
-            }
+            self.handle_event(event);
         }
-        self.run();
-        self.post.put(DESK, Note::Settle);
-        self.run();
-        std::mem::take(&mut self.post.out)
+        // All events are handled before ages are judged: a pause of the mixer itself must not look like a
+        // slow searcher.
+        self.deliver_messages();
+        self.tick_if_due(now);
+        self.deliver_messages();
+        self.turn.send(Address::SCHEDULER, Message::EndTurn);
+        self.deliver_messages();
+        std::mem::take(&mut self.turn.actions)
     }
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,159 +1,170 @@
-//! What people and other mixers are shown of a mixer: figures of its state, of its past refusals, and its own knowledge of each
-//! searcher. It only reads; nothing is decided here.
+//! Status of a mixer for operators and for other mixers: figures of its state, its rejections, and what it
+//! has observed of each searcher. This module only reads; it decides nothing.
 
 use std::fmt;
 use std::net::SocketAddrV4;
 
 use crate::interface::SearcherStatus;
-use crate::state::{Desk, Mixer, Seat};
+use crate::state::{Mixer, Scheduler, SearcherIndex, SearcherState};
+
+/// Count of the reasons for which admission control rejects scans.
+pub const REJECTION_REASONS: usize = 5;
 
 impl Mixer {
-    /// For those who report on a mixer: the share of the slices for which a searcher is usable.
+    /// Share of the slices for which a searcher is usable.
     pub fn usable_share(&self) -> f64 {
-        self.desk.usable_share()
+        self.scheduler.usable_share()
     }
 
-    /// For those who report on a mixer: what it believes now, and why it refused.
+    /// The present status, and the rejections since the start.
     pub fn status(&self) -> MixerStatus {
-        self.desk.status(self.post.now)
+        self.scheduler.status(self.turn.now)
     }
 
-    /// For those who tell other mixers: what this one knows by itself.
+    /// What this mixer has observed of each searcher itself.
     pub fn observed_searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
-        self.desk.known(self.post.now)
+        self.scheduler.observed_searchers(self.turn.now)
     }
 
     /// Scans of each customer in the last seconds.
     pub fn recent_scans_by_customer(&self) -> &[usize] {
-        self.desk.used()
+        &self.scheduler.customers.counts
     }
 
-    /// Whether connections were lost while idle.
+    /// Whether connections were lost while they were idle.
     pub fn idle_connections_lost(&self) -> bool {
-        self.post.now < self.desk.lines.doubt_until
+        self.turn.now < self.scheduler.connection_losses.distrusted_until
     }
 }
 
-/// Reasons of the door.
-pub const REJECTION_REASONS: usize = 5;
-
-/// What a mixer believes of its searchers, and why it refused scans: for people, and decides nothing.
+/// Status of a mixer for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MixerStatus {
-    /// Listed as ready; of these, marked, without connection, on trial, and cold.
+    /// Searchers that are listed as ready. The next five counts are of these.
     pub ready: usize,
     pub marked: usize,
-    pub down: usize,
-    pub trial: usize,
+    pub disconnected: usize,
+    pub on_trial: usize,
     pub cold: usize,
-    /// Whose limit on calls out is under three.
-    pub held: usize,
-    /// Calls out, and those among them that were overtaken.
+    /// Searchers whose concurrency limit is under three calls.
+    pub limited: usize,
+    /// Calls in flight, and those of them that were overtaken.
     pub calls: u32,
-    pub lost: u32,
-    /// Milliseconds since a searcher that is ready was last sent a part: the longest, of those that ever were.
-    pub unasked_ms: f64,
-    /// Highest smoothed latency of a searcher that is ready, in normals, as last confirmed.
-    pub latency: f64,
-    /// Scans refused at the door since the start, by table type: as no searcher was up, as those that were are cold and had no
-    /// room, its cost, its oldest part, its limit.
+    pub overtaken_calls: u32,
+    /// Longest time since a ready searcher was last sent a part; searchers that never were do not count.
+    pub longest_unused_ms: f64,
+    /// Highest smoothed latency of a ready searcher as it was last confirmed, divided by the baseline.
+    pub highest_latency: f64,
+    /// Scans that admission control has rejected since the start, by table type. The reasons: no searcher was
+    /// up, those that were up are cold and have no capacity, the searcher's latency, its oldest part, its
+    /// concurrency limit.
     pub rejected: Vec<[u64; REJECTION_REASONS]>,
 }
 
 impl MixerStatus {
-    /// Scans refused at the door, of all table types, by reason.
+    /// Scans that admission control has rejected, over all table types, by reason.
     pub fn rejections_by_reason(&self) -> [u64; REJECTION_REASONS] {
-        std::array::from_fn(|bar| self.rejected.iter().map(|counts| counts[bar]).sum())
+        std::array::from_fn(|reason| self.rejected.iter().map(|counts| counts[reason]).sum())
     }
 }
 
 impl fmt::Display for MixerStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { ready, marked, down, trial, cold, held, calls, lost, unasked_ms, latency, .. } = self;
+        let Self { ready, marked, disconnected, on_trial, cold, limited, calls, overtaken_calls, .. } = self;
+        let Self { highest_latency, longest_unused_ms, .. } = self;
         writeln!(
             f,
-            "searchers\n  ready {ready}, marked {marked}, without connection {down}, on trial {trial}"
+            "searchers\n  ready {ready}, marked {marked}, without connection {disconnected}, on trial {on_trial}"
         )?;
-        writeln!(f, "  cold {cold}, held to fewer than three calls {held}")?;
+        writeln!(f, "  cold {cold}, held to fewer than three calls {limited}")?;
         writeln!(
             f,
-            "  highest latency {latency:.1} normals, longest without a part {:.1} s",
-            unasked_ms / 1e3
+            "  highest latency {highest_latency:.1} normals, longest without a part {:.1} s",
+            longest_unused_ms / 1e3
         )?;
-        writeln!(f, "calls out\n  {calls}, of these overtaken {lost}")?;
-        let [nobody, no_room, cost, age, limit] = self.rejections_by_reason();
+        writeln!(f, "calls out\n  {calls}, of these overtaken {overtaken_calls}")?;
+        let [not_up, cold_capacity, latency, age, limit] = self.rejections_by_reason();
         writeln!(
             f,
-            "scans refused at the door\n  nobody up {nobody}, cold {no_room}, cost {cost}, old part {age}, limit {limit}"
+            "scans refused at the door\n  nobody up {not_up}, cold {cold_capacity}, cost {latency}, old part {age}, \
+             limit {limit}"
         )
     }
 }
 
-/// A searcher as this mixer knows it by itself, for the other mixers: decides nothing.
+/// A searcher as this mixer has observed it itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObservedSearcher {
     pub searcher: SocketAddrV4,
     pub status: SearcherStatus,
-    /// When its process started, as the list says, and whether it is cold since.
+    /// When its process started, as the list says.
     pub started_at: f64,
+    /// Whether it is still warming up since that start.
     pub cold: bool,
     pub marked: bool,
-    /// Not marked, and a part of ours has been out there for longer than any should: how long, in normals; else zero.
+    /// Age of the oldest part of this mixer in flight there, divided by the baseline latency, if that is over
+    /// the threshold and the searcher is not marked; else zero.
     pub overdue: f64,
-    /// What it was last marked for: the average, in normals, and of how many parts.
     pub evidence: MarkEvidence,
 }
 
 /// What a searcher was last marked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarkEvidence {
-    /// The average, in normals.
+    /// Average latency of the parts, divided by the baseline.
     pub relative_latency: f64,
-    /// Of how many parts.
     pub parts: u32,
 }
 
-impl Desk {
-    pub fn status(&self, now: f64) -> MixerStatus {
-        let ready = || self.seats.iter().filter(|s| s.life == SearcherStatus::Ready);
-        let count = |of: fn(&&Seat) -> bool| ready().filter(of).count();
-        let warm_up_ms = self.guards.warm_up_ms;
+impl Scheduler {
+    fn status(&self, now: f64) -> MixerStatus {
+        let ready = || self.searchers.iter().filter(|searcher| searcher.status == SearcherStatus::Ready);
+        let count = |condition: fn(&&SearcherState) -> bool| ready().filter(condition).count();
+        let is_warming_up = |searcher: &&SearcherState| {
+            searcher.found_start > 0.0 && now - searcher.found_start < self.limits.warm_up_ms
+        };
+        let unused_ms = ready().filter(|searcher| searcher.last_sent_at > 0.0).map(|s| now - s.last_sent_at);
         MixerStatus {
             ready: ready().count(),
-            marked: count(|s| s.tile.marked),
-            down: count(|s| s.tile.down),
-            trial: count(|s| s.tile.trial),
-            cold: ready().filter(|s| s.since > 0.0 && now - s.since < warm_up_ms).count(),
-            held: count(|s| s.limit < 3.0),
-            calls: ready().map(|s| s.calls).sum(),
-            lost: ready().map(|s| s.tile.lost).sum(),
-            unasked_ms: ready().filter(|s| s.sent_at > 0.0).map(|s| now - s.sent_at).fold(0.0, f64::max),
-            latency: ready().map(|s| s.tile.lag[0]).fold(0.0, f64::max),
-            rejected: self.barred.clone(),
+            marked: count(|searcher| searcher.health.marked),
+            disconnected: count(|searcher| searcher.health.disconnected),
+            on_trial: count(|searcher| searcher.health.on_trial),
+            cold: ready().filter(is_warming_up).count(),
+            limited: count(|searcher| searcher.concurrency_limit < 3.0),
+            calls: ready().map(|searcher| searcher.calls).sum(),
+            overtaken_calls: ready().map(|searcher| searcher.health.overtaken_calls).sum(),
+            longest_unused_ms: unused_ms.fold(0.0, f64::max),
+            highest_latency: ready().map(|searcher| searcher.health.latency.ratio).fold(0.0, f64::max),
+            rejected: self.rejections.clone(),
         }
     }
 
-    pub fn known(&self, now: f64) -> impl Iterator<Item = ObservedSearcher> {
-        self.seats.iter().filter(|s| s.life != SearcherStatus::Gone).map(move |s| ObservedSearcher {
-            searcher: s.addr,
-            status: s.life,
-            started_at: s.listed,
-            cold: s.listed > 0.0 && now - s.listed < self.guards.warm_up_ms,
-            marked: s.tile.marked,
-            overdue: Some(s.tile.late).filter(|l| !s.tile.marked && *l > self.norms.limit).unwrap_or(0.0),
-            evidence: s.tile.evidence,
-        })
+    fn observed_searchers(&self, now: f64) -> impl Iterator<Item = ObservedSearcher> {
+        let known = self.searchers.iter().filter(|searcher| searcher.status != SearcherStatus::Gone);
+        known.map(move |searcher| self.observed(searcher, now))
     }
 
-    /// Scans of each customer in the last seconds.
-    pub fn used(&self) -> &[usize] {
-        &self.door.counts
+    fn observed(&self, searcher: &SearcherState, now: f64) -> ObservedSearcher {
+        let SearcherState { address, status, listed_start, health, .. } = searcher;
+        let is_overdue = !health.marked && health.oldest_ratio > self.baseline.mark_ratio;
+        ObservedSearcher {
+            searcher: *address,
+            status: *status,
+            started_at: *listed_start,
+            cold: *listed_start > 0.0 && now - listed_start < self.limits.warm_up_ms,
+            marked: health.marked,
+            overdue: if is_overdue { health.oldest_ratio } else { 0.0 },
+            evidence: health.mark_evidence,
+        }
     }
 
-    /// Of the cells' slices, the share that a searcher holds which is ready, has a connection and is not marked.
-    pub fn usable_share(&self) -> f64 {
-        let usable = |srv: usize| self.seats[srv].up() && !self.seats[srv].tile.marked;
-        let held = (0..self.layout.cells).filter(|slice| self.cells.holders(*slice).any(usable));
-        held.count() as f64 / f64::from(self.layout.cells.max(1))
+    /// Share of the cells' slices that a searcher holds which is up and not marked.
+    fn usable_share(&self) -> f64 {
+        let is_usable = |searcher: SearcherIndex| {
+            let state = &self.searchers[searcher];
+            state.is_up() && !state.health.marked
+        };
+        let usable = (0..self.layout.cells).filter(|slice| self.shard_map.holders(*slice).any(is_usable));
+        usable.count() as f64 / f64::from(self.layout.cells.max(1))
     }
 }
