--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,5 @@
-//! What the actors of the decision module hold and hand to each other. Nothing is decided here.
+//! State of the decision module's actors, and the messages that they send each other. Nothing is decided
+//! here.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -12,561 +13,751 @@
 };
 use crate::report::{MarkEvidence, REJECTION_REASONS};
 
-/// A part and the number of its dispatch.
-pub(crate) type Leg = (u64, u8);
+/// Index of a searcher: the same in [`Scheduler::searchers`] and in [`Mixer::monitors`].
+pub(crate) type SearcherIndex = usize;
+/// Key of a scan in [`Scheduler::scans`]; grows with every scan.
+pub(crate) type ScanIndex = usize;
+/// Index of a table type in the settings.
+pub(crate) type TypeIndex = usize;
+/// Number of a zone.
+pub(crate) type Zone = usize;
 
-/// What is normal now: milliseconds and own work of each table type, and the share that marks a searcher.
-#[derive(Debug)]
-pub(crate) struct Norms {
-    pub normal: Vec<f64>,
-    pub work: Vec<f64>,
-    pub limit: f64,
-    /// The average of each zone's parts.
-    pub zones: BTreeMap<usize, Lag>,
-    /// In what time a latency that nothing confirms fades.
-    pub fade_ms: f64,
+/// One dispatch of a part, counted from zero for each part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct DispatchId {
+    pub part: u64,
+    pub number: u8,
 }
 
-impl Norms {
-    /// Whether a part was overtaken: one sent later, by what is normal, has come back. It waits for nothing that its searcher
-    /// works on; its answer is lost, or it is itself heavy.
-    pub fn overtaken(&self, kind: usize, sent_at: f64, ok_from: f64) -> bool {
-        ok_from > sent_at + self.normal[kind]
+/// A latency compared with the baseline of its table type. A slow searcher delays parts of all table types by
+/// the same ratio, a queue delays them by the same time.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RelativeLatency {
+    /// Latency divided by the baseline latency.
+    pub ratio: f64,
+    /// Latency beyond the baseline latency.
+    pub excess_ms: f64,
+}
+
+impl RelativeLatency {
+    /// The latency that is normal for its table type.
+    pub const NORMAL: Self = Self { ratio: 1.0, excess_ms: 0.0 };
+
+    /// Moves by the share `weight` of the distance towards `target`.
+    pub fn toward(self, target: Self, weight: f64) -> Self {
+        Self {
+            ratio: self.ratio + weight * (target.ratio - self.ratio),
+            excess_ms: self.excess_ms + weight * (target.excess_ms - self.excess_ms),
+        }
+    }
+
+    /// Moves towards `target` as far as an exponential decay with the time constant `decay_ms` does in a
+    /// short time.
+    pub fn decayed(self, target: Self, elapsed_ms: f64, decay_ms: f64) -> Self {
+        Self {
+            ratio: self.ratio + (target.ratio - self.ratio) * elapsed_ms / decay_ms,
+            excess_ms: self.excess_ms + (target.excess_ms - self.excess_ms) * elapsed_ms / decay_ms,
+        }
     }
 }
 
-/// A latency against its table type's normal one: as a share of it, and in milliseconds beyond it. What delays parts of one
-/// type by a share delays those of another by a share where the searcher is slow, and by a time where it has a queue.
-pub(crate) type Lag = [f64; 2];
+/// What is normal at present. The [`BaselineTracker`] computes it; the other actors hold shared copies.
+#[derive(Debug)]
+pub(crate) struct Baseline {
+    /// Normal latency of a part, by table type.
+    pub latency_ms: Vec<f64>,
+    /// Work of a part itself, without queueing, by table type.
+    pub work_ms: Vec<f64>,
+    /// A searcher is marked when the latency ratio of its parts exceeds this.
+    pub mark_ratio: f64,
+    /// Average of each zone's parts.
+    pub zones: BTreeMap<Zone, RelativeLatency>,
+    /// Time constant by which a latency that no new part confirms decays to its zone's average.
+    pub decay_ms: f64,
+}
 
-/// What a searcher lets the desk know of itself.
+impl Baseline {
+    /// Whether a part in flight was overtaken: a part that was sent later, by more than the normal latency,
+    /// has come back. An overtaken part does not wait for anything that its searcher works on; its answer is
+    /// lost, or it is a heavy part.
+    pub fn is_overtaken(&self, table_type: TypeIndex, sent_at: f64, newest_success_sent_at: f64) -> bool {
+        newest_success_sent_at > sent_at + self.latency_ms[table_type]
+    }
+}
+
+/// What a [`SearcherMonitor`] reports to the scheduler.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Tile {
-    /// Smoothed latency, and when it was last confirmed.
-    pub lag: Lag,
-    pub lag_at: f64,
-    /// Of its parts of ours that are out, what the oldest has waited beyond its table type's normal latency, in milliseconds,
-    /// and the highest age as a share of that latency.
-    pub age: f64,
-    pub late: f64,
-    /// Calls out that were overtaken.
-    pub lost: u32,
+pub(crate) struct SearcherHealth {
+    /// Smoothed latency (EWMA), and when a part last confirmed it.
+    pub latency: RelativeLatency,
+    pub latency_at: f64,
+    /// Highest age of a part of this mixer in flight there, beyond the baseline latency of its table type.
+    pub oldest_excess_ms: f64,
+    /// Highest age of a part of this mixer in flight there, divided by the baseline latency of its table
+    /// type.
+    pub oldest_ratio: f64,
+    /// Calls in flight that were overtaken.
+    pub overtaken_calls: u32,
     pub marked: bool,
-    pub trial: bool,
-    /// No connection, or a lost one, at its last part.
-    pub down: bool,
-    /// What it was last marked for: the average, in normals, and of how many parts.
-    pub evidence: MarkEvidence,
+    /// Readmitted, but no part has come back in time yet.
+    pub on_trial: bool,
+    /// Its last part found no connection, or lost it.
+    pub disconnected: bool,
+    pub mark_evidence: MarkEvidence,
 }
 
-impl Tile {
-    /// A searcher that is not yet heard from counts as average.
+impl SearcherHealth {
+    /// A searcher without any answer yet counts as average.
     pub const NEW: Self = Self {
-        lag: [1.0, 0.0],
-        lag_at: 0.0,
-        age: 0.0,
-        late: 0.0,
-        lost: 0,
+        latency: RelativeLatency::NORMAL,
+        latency_at: 0.0,
+        oldest_excess_ms: 0.0,
+        oldest_ratio: 0.0,
+        overtaken_calls: 0,
         marked: false,
-        trial: false,
-        down: false,
-        evidence: MarkEvidence { relative_latency: 0.0, parts: 0 },
+        on_trial: false,
+        disconnected: false,
+        mark_evidence: MarkEvidence { relative_latency: 0.0, parts: 0 },
     };
 }
 
+/// A message from one actor to another.
 #[derive(Debug)]
-pub(crate) enum Note {
-    // To a searcher.
-    Renewed,
-    Sent(Leg, usize, Rc<Norms>),
-    /// A part's share of the normal latency, that latency in milliseconds, how it ended, and when it was sent.
-    Filed(Leg, f64, f64, DispatchOutcome, f64),
-    Pong(DispatchOutcome, f64),
-    /// Others have marked it; whether several that agree.
-    Hint(bool),
-    // To the gauge: of a table type, of a searcher.
-    Heard(usize, f64),
-    Slice(usize, f64),
-    Zone(usize, Lag),
-    // To the desk.
-    Tile(usize, Tile),
-    /// A searcher that was dead answers again.
-    Back(usize),
-    Told(Event),
-    Settle,
-    // To several.
-    Norms(Rc<Norms>),
+pub(crate) enum Message {
+    // To a searcher monitor.
+    /// The searcher's process was restarted.
+    SearcherRestarted,
+    DispatchSent {
+        dispatch: DispatchId,
+        table_type: TypeIndex,
+        baseline: Rc<Baseline>,
+    },
+    DispatchEnded {
+        dispatch: DispatchId,
+        /// Latency divided by `baseline_ms`, the baseline latency of the part's table type.
+        ratio: f64,
+        baseline_ms: f64,
+        outcome: DispatchOutcome,
+        sent_at: f64,
+    },
+    ProbeEnded {
+        outcome: DispatchOutcome,
+        took_ms: f64,
+    },
+    /// Other mixers have marked the searcher: one, or several that agree.
+    MarkedByPeers {
+        several: bool,
+    },
+    // To the baseline tracker.
+    LatencySample {
+        table_type: TypeIndex,
+        latency_ms: f64,
+    },
+    SliceEnded {
+        searcher: SearcherIndex,
+        mean_ratio: f64,
+    },
+    ZoneSample {
+        zone: Zone,
+        latency: RelativeLatency,
+    },
+    // To the scheduler.
+    HealthChanged {
+        searcher: SearcherIndex,
+        health: SearcherHealth,
+    },
+    /// A searcher that refused connections answers again.
+    SearcherRecovered {
+        searcher: SearcherIndex,
+    },
+    Host(Event),
+    /// All events of the turn were handled.
+    EndTurn,
+    // To several actors.
+    BaselineChanged(Rc<Baseline>),
     Tick,
 }
 
-/// The time of the turn, all inboxes, and the actions that leave at its end.
+/// Address of an actor's mailbox.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Address(usize);
+
+impl Address {
+    pub const SCHEDULER: Self = Self(0);
+    pub const BASELINE_TRACKER: Self = Self(1);
+    const FIRST_MONITOR: usize = 2;
+
+    pub fn monitor(searcher: SearcherIndex) -> Self {
+        Self(Self::FIRST_MONITOR + searcher)
+    }
+
+    /// The searcher whose monitor has this address, which must be a monitor's.
+    pub fn searcher(self) -> SearcherIndex {
+        self.0 - Self::FIRST_MONITOR
+    }
+}
+
+/// What the actors share in one turn: its time, the mailboxes, and the actions for the host.
 #[derive(Debug, Default)]
-pub(crate) struct Post {
+pub(crate) struct Turn {
     pub now: f64,
-    boxes: Vec<VecDeque<Note>>,
-    full: BTreeSet<usize>,
-    /// Inboxes that want the periodic note.
-    pub awake: BTreeSet<usize>,
-    pub out: Vec<Action>,
+    mailboxes: Vec<VecDeque<Message>>,
+    nonempty: BTreeSet<Address>,
+    /// Recipients of the periodic [`Message::Tick`].
+    tick_subscribers: BTreeSet<Address>,
+    pub actions: Vec<Action>,
 }
 
-pub(crate) const DESK: usize = 0;
-pub(crate) const GAUGE: usize = 1;
-/// The first searcher's inbox.
-pub(crate) const SRVS: usize = 2;
-
-impl Post {
+impl Turn {
     pub fn new() -> Self {
-        Self { awake: BTreeSet::from([DESK, GAUGE]), ..Self::default() }
+        let tick_subscribers = BTreeSet::from([Address::SCHEDULER, Address::BASELINE_TRACKER]);
+        Self { tick_subscribers, ..Self::default() }
+    }
+
+    pub fn send(&mut self, recipient: Address, message: Message) {
+        if self.mailboxes.len() <= recipient.0 {
+            self.mailboxes.resize_with(recipient.0 + 1, VecDeque::new);
+        }
+        self.mailboxes[recipient.0].push_back(message);
+        self.nonempty.insert(recipient);
     }
 
-    pub fn put(&mut self, to: usize, note: Note) {
-        if self.boxes.len() <= to {
-            self.boxes.resize_with(to + 1, VecDeque::new);
+    /// Sends a message to all subscribers of the periodic tick.
+    pub fn send_to_tick_subscribers(&mut self, message: impl Fn() -> Message) {
+        for recipient in self.tick_subscribers.clone() {
+            self.send(recipient, message());
         }
-        self.boxes[to].push_back(note);
-        self.full.insert(to);
     }
 
-    /// Whether this inbox wants the periodic note.
-    pub fn wake(&mut self, to: usize, awake: bool) {
-        if awake {
-            self.awake.insert(to);
+    pub fn subscribe_to_ticks(&mut self, recipient: Address, subscribed: bool) {
+        if subscribed {
+            self.tick_subscribers.insert(recipient);
         } else {
-            self.awake.remove(&to);
+            self.tick_subscribers.remove(&recipient);
         }
     }
 
-    /// Calls dispatches off, where that may be done.
-    pub fn call_off(&mut self, legs: Vec<Leg>, may: bool) {
-        let cancels = legs.into_iter().filter(|_| may);
-        self.out.extend(cancels.map(|(part, dispatch)| Action::Cancel { part, dispatch }));
+    /// Cancels dispatches, where the deployment allows that.
+    pub fn cancel(&mut self, dispatches: Vec<DispatchId>, allowed: bool) {
+        let dispatches = dispatches.into_iter().filter(|_| allowed);
+        self.actions.extend(dispatches.map(|id| Action::Cancel { part: id.part, dispatch: id.number }));
     }
 
-    /// The next note of the last inbox that holds one.
-    pub fn take(&mut self) -> Option<(usize, Note)> {
-        let to = *self.full.last()?;
-        let note = self.boxes[to].pop_front()?;
-        if self.boxes[to].is_empty() {
-            self.full.remove(&to);
+    /// Takes the next message of the highest address that has one.
+    pub fn receive(&mut self) -> Option<(Address, Message)> {
+        let recipient = *self.nonempty.last()?;
+        let message = self.mailboxes[recipient.0].pop_front()?;
+        if self.mailboxes[recipient.0].is_empty() {
+            self.nonempty.remove(&recipient);
         }
-        Some((to, note))
+        Some((recipient, message))
     }
 }
 
-/// One timeslice of a searcher.
+/// A part in flight, as a searcher's monitor sees it.
+#[derive(Debug)]
+pub(crate) struct MonitoredPart {
+    pub dispatch: DispatchId,
+    pub table_type: TypeIndex,
+    pub sent_at: f64,
+}
+
+/// One time slice of a searcher: the parts that were sent in it.
 #[derive(Debug)]
 pub(crate) struct Slice {
-    pub from: f64,
+    pub started_at: f64,
     pub sent: u32,
-    /// Shares of the parts that ended.
-    pub sum: f64,
+    /// Sum of the latency ratios of the parts that ended.
+    pub ratio_sum: f64,
     /// None of its parts failed.
-    pub sound: bool,
-    /// Parts still out: table type and start.
-    pub out: Vec<(Leg, usize, f64)>,
+    pub without_failure: bool,
+    pub in_flight: Vec<MonitoredPart>,
 }
 
 impl Slice {
-    pub fn from(now: f64) -> Self {
-        Self { from: now, sent: 0, sum: 0.0, sound: true, out: Vec::new() }
+    pub fn starting_at(now: f64) -> Self {
+        Self { started_at: now, sent: 0, ratio_sum: 0.0, without_failure: true, in_flight: Vec::new() }
     }
 }
 
-/// One searcher, watched by slices.
+/// Detects whether one searcher is slow, by time slices.
 #[derive(Debug)]
-pub(crate) struct Searcher {
-    pub me: usize,
-    pub zone: usize,
-    pub addr: SocketAddrV4,
-    pub norms: Rc<Norms>,
-    pub tile: Tile,
+pub(crate) struct SearcherMonitor {
+    pub searcher: SearcherIndex,
+    pub zone: Zone,
+    pub address: SocketAddrV4,
+    pub baseline: Rc<Baseline>,
+    pub health: SearcherHealth,
     pub slices: Vec<Slice>,
     pub probe_at: f64,
-    /// When the newest of the parts that came back well was sent.
-    pub ok_from: f64,
+    /// When the newest part that came back well was sent.
+    pub newest_success_sent_at: f64,
     /// It refused a connection since it last answered.
-    pub dead: bool,
-    /// It is probed as others have marked it.
-    pub asked: bool,
+    pub refused_connection: bool,
+    /// A probe is out because other mixers have marked it.
+    pub peer_probe_pending: bool,
 }
 
-impl Searcher {
-    pub fn new(me: usize, addr: SocketAddrV4, zone: u16, norms: Rc<Norms>) -> Self {
-        let (tile, slices, zone) = (Tile::NEW, Vec::new(), usize::from(zone));
-        Self { me, zone, addr, norms, tile, slices, probe_at: 0.0, ok_from: 0.0, dead: false, asked: false }
+impl SearcherMonitor {
+    pub fn new(searcher: SearcherIndex, address: SocketAddrV4, zone: u16, baseline: Rc<Baseline>) -> Self {
+        Self {
+            searcher,
+            zone: usize::from(zone),
+            address,
+            baseline,
+            health: SearcherHealth::NEW,
+            slices: Vec::new(),
+            probe_at: 0.0,
+            newest_success_sent_at: 0.0,
+            refused_connection: false,
+            peer_probe_pending: false,
+        }
     }
 }
 
-/// What is normal.
+/// Estimates for the parts of one table type.
 #[derive(Debug)]
-pub(crate) struct Gauge {
-    /// For each table type: milliseconds, parts heard, own work.
-    pub normal: Vec<(f64, f64, f64)>,
-    /// Of each searcher's last slice.
-    pub means: BTreeMap<usize, f64>,
-    pub median: f64,
-    pub zones: BTreeMap<usize, Lag>,
-    pub fade_ms: f64,
+pub(crate) struct TypeEstimate {
+    pub latency_ms: f64,
+    pub samples: f64,
+    pub work_ms: f64,
 }
 
-/// A budget: of further dispatches, stated or our own, and of parts caught for their own lateness.
+/// Computes the [`Baseline`].
 #[derive(Debug)]
-pub(crate) struct Purse {
+pub(crate) struct BaselineTracker {
+    pub types: Vec<TypeEstimate>,
+    /// Mean latency ratio of each searcher's last slice.
+    pub slice_means: BTreeMap<SearcherIndex, f64>,
+    pub median_slice_mean: f64,
+    pub zones: BTreeMap<Zone, RelativeLatency>,
+    pub decay_ms: f64,
+}
+
+/// Counts extra dispatches against a budget in a sliding window.
+#[derive(Debug)]
+pub(crate) struct BudgetWindow {
     pub budget: RetryBudget,
-    pub taken: VecDeque<f64>,
-    pub extras: VecDeque<f64>,
+    /// When scans and parts were accepted.
+    pub accepted_at: VecDeque<f64>,
+    /// When extra dispatches were made.
+    pub spent_at: VecDeque<f64>,
 }
 
-impl Purse {
-    pub fn of(budget: RetryBudget) -> Self {
-        Self { budget, taken: VecDeque::new(), extras: VecDeque::new() }
+impl BudgetWindow {
+    pub fn new(budget: RetryBudget) -> Self {
+        Self { budget, accepted_at: VecDeque::new(), spent_at: VecDeque::new() }
     }
 }
 
-/// The customers at the door, and whose scans were seen lately.
+/// A scan in the span in which customers' traffic is compared.
+#[derive(Debug)]
+pub(crate) struct RecentScan {
+    pub at: f64,
+    pub customer: usize,
+}
+
+/// Recent traffic of each customer, and whose scans are sent with caution.
 #[derive(Debug)]
-pub(crate) struct Door {
+pub(crate) struct CustomerTraffic {
     pub customers: Vec<Customer>,
+    /// Recent scans by customer.
     pub counts: Vec<usize>,
-    pub seen: VecDeque<(f64, usize)>,
-    /// Until when a customer's scans go out one part first.
-    pub tasted_until: BTreeMap<usize, f64>,
+    pub recent: VecDeque<RecentScan>,
+    /// Until when a customer's scans send one part first, before all others.
+    pub cautious_until: BTreeMap<usize, f64>,
 }
 
-impl Door {
-    pub fn of(customers: Vec<Customer>) -> Self {
+impl CustomerTraffic {
+    pub fn new(customers: Vec<Customer>) -> Self {
         let counts = vec![0; customers.len()];
-        Self { customers, counts, seen: VecDeque::new(), tasted_until: BTreeMap::new() }
+        Self { customers, counts, recent: VecDeque::new(), cautious_until: BTreeMap::new() }
     }
 
-    pub fn taste(&mut self, customer: usize, until: f64) {
+    pub fn set_cautious(&mut self, customer: usize, until: f64) {
         if customer < self.customers.len() {
-            self.tasted_until.insert(customer, until);
+            self.cautious_until.insert(customer, until);
         }
     }
 
-    pub fn tastes(&self, customer: usize, now: f64) -> bool {
-        self.tasted_until.get(&customer).is_some_and(|t| now < *t)
+    pub fn is_cautious(&self, customer: usize, now: f64) -> bool {
+        self.cautious_until.get(&customer).is_some_and(|until| now < *until)
     }
 
-    pub fn see(&mut self, customer: usize, now: f64, span_ms: f64) {
+    /// Counts a scan, and forgets those older than `span_ms`.
+    pub fn record_scan(&mut self, customer: usize, now: f64, span_ms: f64) {
         if let Some(count) = self.counts.get_mut(customer) {
             *count += 1;
-            self.seen.push_back((now, customer));
+            self.recent.push_back(RecentScan { at: now, customer });
         }
-        while let Some((_, old)) = self.seen.pop_front_if(|s| s.0 < now - span_ms) {
-            self.counts[old] -= 1;
+        while let Some(old) = self.recent.pop_front_if(|scan| scan.at < now - span_ms) {
+            self.counts[old.customer] -= 1;
         }
     }
 }
 
-/// What becomes of parts sent on connections long idle (the second) and of all others.
+/// Loss rates of parts by the connection that they were sent on.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
-    pub lost: [f64; 2],
-    pub doubt_until: f64,
+pub(crate) struct ConnectionLosses {
+    /// Of parts sent on connections in use.
+    pub fresh_rate: f64,
+    /// Of parts sent on connections that had long been idle.
+    pub idle_rate: f64,
+    /// Until then, idle connections are closed instead of used.
+    pub distrusted_until: f64,
 }
 
-/// Who stands in which cell, and so holds which shards.
+/// Which searchers belong to which cell, and so hold which shards.
 #[derive(Debug)]
-pub(crate) struct Cells(Vec<Vec<usize>>, usize);
+pub(crate) struct ShardMap {
+    searchers_by_cell: Vec<Vec<SearcherIndex>>,
+    cells_per_shard: usize,
+}
 
-impl Cells {
-    pub fn new(cells: u32, reach: u32) -> Self {
-        Self(vec![Vec::new(); cells.max(1) as usize], reach.min(cells) as usize)
+impl ShardMap {
+    pub fn new(cells: u32, cells_per_shard: u32) -> Self {
+        Self {
+            searchers_by_cell: vec![Vec::new(); cells.max(1) as usize],
+            cells_per_shard: cells_per_shard.min(cells) as usize,
+        }
     }
 
-    pub fn enter(&mut self, cell: u32, srv: usize) {
-        if let Some(cell) = self.0.get_mut(cell as usize) {
-            cell.push(srv);
+    pub fn add(&mut self, cell: u32, searcher: SearcherIndex) {
+        if let Some(searchers) = self.searchers_by_cell.get_mut(cell as usize) {
+            searchers.push(searcher);
         }
     }
 
-    pub fn leave(&mut self, cell: u32, srv: usize) {
-        if let Some(cell) = self.0.get_mut(cell as usize) {
-            cell.retain(|s| *s != srv);
+    pub fn remove(&mut self, cell: u32, searcher: SearcherIndex) {
+        if let Some(searchers) = self.searchers_by_cell.get_mut(cell as usize) {
+            searchers.retain(|s| *s != searcher);
         }
     }
 
-    /// How far from a shard's first cell that one is, as a share of all cells.
-    pub fn nth(&self, shard: u32, cell: u32) -> f64 {
-        let cells = self.0.len();
+    /// Distance of a cell from the first cell of a shard, as a share of all cells.
+    pub fn distance(&self, shard: u32, cell: u32) -> f64 {
+        let cells = self.searchers_by_cell.len();
         ((cell as usize + cells - shard as usize % cells) % cells) as f64 / cells as f64
     }
 
-    pub fn holders(&self, shard: u32) -> impl Iterator<Item = usize> {
-        let (cells, first) = (&self.0, shard as usize % self.0.len());
-        (0..self.1).flat_map(move |j| &cells[(first + j) % cells.len()]).copied()
+    /// The searchers that hold a shard.
+    pub fn holders(&self, shard: u32) -> impl Iterator<Item = SearcherIndex> {
+        let cells = &self.searchers_by_cell;
+        let first = shard as usize % cells.len();
+        (0..self.cells_per_shard).flat_map(move |nth| &cells[(first + nth) % cells.len()]).copied()
     }
 }
 
-/// Known searchers by address, and the places that the gone have left.
+/// Indices of the known searchers by address. The index of a removed searcher is used again.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
-    places: BTreeMap<SocketAddrV4, usize>,
-    spare: Vec<usize>,
-    used: usize,
+pub(crate) struct SearcherDirectory {
+    by_address: BTreeMap<SocketAddrV4, SearcherIndex>,
+    free: Vec<SearcherIndex>,
+    /// Indices below this have been in use.
+    end: SearcherIndex,
 }
 
-impl Roster {
-    pub fn find(&self, addr: SocketAddrV4) -> Option<usize> {
-        self.places.get(&addr).copied()
+impl SearcherDirectory {
+    pub fn find(&self, address: SocketAddrV4) -> Option<SearcherIndex> {
+        self.by_address.get(&address).copied()
     }
 
-    /// A place for a new one: the first that is left, or one at the end.
-    pub fn place(&mut self, addr: SocketAddrV4) -> usize {
-        let place = self.spare.pop().unwrap_or(self.used);
-        self.used = self.used.max(place + 1);
-        self.places.insert(addr, place);
-        place
+    /// Assigns an index to a new searcher.
+    pub fn add(&mut self, address: SocketAddrV4) -> SearcherIndex {
+        let searcher = self.free.pop().unwrap_or(self.end);
+        self.end = self.end.max(searcher + 1);
+        self.by_address.insert(address, searcher);
+        searcher
     }
 
-    /// Forgets those for whom that holds; their places.
-    pub fn retire(&mut self, left: impl Fn(usize) -> bool) -> Vec<usize> {
-        let gone: Vec<usize> = self.places.values().copied().filter(|p| left(*p)).collect();
-        self.places.retain(|_, place| !left(*place));
-        self.spare.extend(&gone);
-        gone
+    /// Removes the searchers for which the condition holds, and returns their indices.
+    pub fn remove_if(&mut self, condition: impl Fn(SearcherIndex) -> bool) -> Vec<SearcherIndex> {
+        let removed: Vec<SearcherIndex> =
+            self.by_address.values().copied().filter(|s| condition(*s)).collect();
+        self.by_address.retain(|_, searcher| !condition(*searcher));
+        self.free.extend(&removed);
+        removed
     }
 }
 
-/// Sets a place that exists or comes next.
-pub(crate) fn put<T>(row: &mut Vec<T>, at: usize, value: T) {
-    match row.get_mut(at) {
-        Some(place) => *place = value,
-        None => row.push(value),
+/// Sets the element at an index that exists or comes next.
+pub(crate) fn set_or_push<T>(elements: &mut Vec<T>, index: usize, value: T) {
+    match elements.get_mut(index) {
+        Some(element) => *element = value,
+        None => elements.push(value),
     }
 }
 
-/// The scans, and what goes where.
+/// Where a scan or a part that the host names by its number is found.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Location {
+    Scan { scan: ScanIndex },
+    Part { scan: ScanIndex, part: usize },
+}
+
+/// A call that leaves in this turn and carries one or more parts to one searcher.
 #[derive(Debug)]
-pub(crate) struct Desk {
-    pub types: Vec<TableType>,
+pub(crate) struct OpenCall {
+    /// Shared by the call's dispatches: the last one that ends finds no other owner.
+    pub call: Rc<()>,
+    pub parts: u32,
+}
+
+/// Holds the scans, and decides which parts go to which searchers.
+#[derive(Debug)]
+pub(crate) struct Scheduler {
+    pub table_types: Vec<TableType>,
     pub layout: Layout,
-    pub guards: SafetyLimits,
-    pub permits: Permissions,
+    pub limits: SafetyLimits,
+    pub permissions: Permissions,
     pub mixers: f64,
-    pub norms: Rc<Norms>,
-    pub seats: Vec<Seat>,
-    pub cells: Cells,
-    pub door: Door,
-    pub further: Purse,
-    pub late: Purse,
-    pub lines: Lines,
-    /// How busy searchers are, by the reports of the newest answers; none until one came.
-    pub busy: Option<f64>,
+    pub baseline: Rc<Baseline>,
+    pub searchers: Vec<SearcherState>,
+    pub shard_map: ShardMap,
+    pub customers: CustomerTraffic,
+    /// Budget of retries and hedges: the stated one, or the module's own.
+    pub retry_budget: BudgetWindow,
+    /// Budget of hedges for parts that are late while their searcher is not marked.
+    pub hedge_budget: BudgetWindow,
+    pub connection_losses: ConnectionLosses,
+    /// Average busy share of the searchers' cores, by the reports in the newest answers; none until one came.
+    pub busy_share: Option<f64>,
     /// Work in a millisecond that scans of each table type ask for.
-    pub asked: Vec<f64>,
-    /// When the first list came, and the lot that those of scans follow.
-    pub opened: f64,
-    pub lot: f64,
-    /// Own work sent in a millisecond, and the searchers that are ready.
-    pub flow: f64,
-    pub ready: f64,
-    pub next: usize,
-    pub scans: BTreeMap<usize, Scan>,
-    pub flights: BTreeMap<Leg, Flight>,
-    pub due: Agenda,
-    /// Of a scan or part: the scan's index, and the part's in it.
-    pub owners: BTreeMap<u64, (usize, usize)>,
-    /// The call to each searcher, and its parts.
-    pub this_turn: BTreeMap<usize, (Rc<()>, u32)>,
-    /// Scans to look at in this turn.
-    pub touched: BTreeSet<usize>,
-    /// Scans that lack parts and wait for room.
-    pub short: BTreeSet<usize>,
-    /// Scans refused at the door, by table type and [`Bar`].
-    pub barred: Vec<[u64; REJECTION_REASONS]>,
-}
-
-/// Why the door refused a scan: what the first of its parts met that no searcher could take in time.
+    pub demand: Vec<f64>,
+    /// When the first list came.
+    pub first_list_at: f64,
+    /// The scans' lottery numbers start from this one.
+    pub lottery_offset: f64,
+    /// Work in a millisecond that this mixer sends.
+    pub sent_work_rate: f64,
+    /// Count of the searchers that are ready.
+    pub ready_searchers: f64,
+    pub last_scan: ScanIndex,
+    pub scans: BTreeMap<ScanIndex, Scan>,
+    pub in_flight: BTreeMap<DispatchId, InFlightDispatch>,
+    pub timers: Timers,
+    pub locations: BTreeMap<u64, Location>,
+    /// The calls that leave in this turn.
+    pub open_calls: BTreeMap<SearcherIndex, OpenCall>,
+    /// Scans to advance at the end of this turn.
+    pub changed_scans: BTreeSet<ScanIndex>,
+    /// Scans that lack parts and wait for capacity.
+    pub waiting_scans: BTreeSet<ScanIndex>,
+    /// Scans that admission control rejected, by table type and [`RejectionReason`].
+    pub rejections: Vec<[u64; REJECTION_REASONS]>,
+}
+
+/// Why admission control rejected a scan: the reason of the first of its parts that no searcher could answer
+/// in time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Bar {
-    /// No searcher is up.
-    Nobody,
-    /// Some are, all cold and without room.
-    Cold,
-    /// What its searcher is believed to take.
-    Cost,
-    /// The age of the oldest part there.
-    Age,
-    /// The limit on calls out there.
-    Limit,
-}
-
-impl Desk {
-    #[allow(clippy::too_many_arguments)] // each part takes its own few settings
+pub(crate) enum RejectionReason {
+    NoSearcherUp,
+    /// Some are up, but all of them are cold and have no capacity left.
+    NoColdCapacity,
+    /// The searcher's smoothed latency is too high.
+    Latency,
+    /// The oldest part in flight at the searcher is too old.
+    OldestPart,
+    /// The searcher's concurrency limit is reached.
+    ConcurrencyLimit,
+}
+
+impl Scheduler {
+    #[allow(clippy::too_many_arguments)] // each field takes its own few settings
     pub fn new(
-        types: Vec<TableType>,
+        table_types: Vec<TableType>,
         layout: Layout,
-        guards: SafetyLimits,
-        permits: Permissions,
+        limits: SafetyLimits,
+        permissions: Permissions,
         mixers: f64,
-        norms: Rc<Norms>,
-        door: Door,
-        further: Purse,
-        late: Purse,
-        lot: f64,
+        baseline: Rc<Baseline>,
+        customers: CustomerTraffic,
+        retry_budget: BudgetWindow,
+        hedge_budget: BudgetWindow,
+        lottery_offset: f64,
     ) -> Self {
-        let (barred, asked) = (vec![[0; REJECTION_REASONS]; types.len()], vec![0.0; types.len()]);
         Self {
-            cells: Cells::new(layout.cells, layout.cells_per_shard),
-            types,
+            shard_map: ShardMap::new(layout.cells, layout.cells_per_shard),
+            demand: vec![0.0; table_types.len()],
+            rejections: vec![[0; REJECTION_REASONS]; table_types.len()],
+            table_types,
             layout,
-            guards,
-            permits,
+            limits,
+            permissions,
             mixers,
-            norms,
-            door,
-            further,
-            late,
-            seats: Vec::new(),
-            lines: Lines::default(),
-            busy: None,
-            asked,
-            opened: f64::INFINITY,
-            lot,
-            flow: 0.0,
-            ready: 0.0,
-            next: 0,
+            baseline,
+            customers,
+            retry_budget,
+            hedge_budget,
+            searchers: Vec::new(),
+            connection_losses: ConnectionLosses::default(),
+            busy_share: None,
+            first_list_at: f64::INFINITY,
+            lottery_offset,
+            sent_work_rate: 0.0,
+            ready_searchers: 0.0,
+            last_scan: 0,
             scans: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            due: Agenda::default(),
-            owners: BTreeMap::new(),
-            this_turn: BTreeMap::new(),
-            touched: BTreeSet::new(),
-            short: BTreeSet::new(),
-            barred,
+            in_flight: BTreeMap::new(),
+            timers: Timers::default(),
+            locations: BTreeMap::new(),
+            open_calls: BTreeMap::new(),
+            changed_scans: BTreeSet::new(),
+            waiting_scans: BTreeSet::new(),
         }
     }
 
-    /// One more scan or part was taken.
-    pub fn took(&mut self, now: f64) {
-        self.further.taken.push_back(now);
-        self.late.taken.push_back(now);
+    /// Counts one more scan or part for the budgets.
+    pub fn count_accepted(&mut self, now: f64) {
+        self.retry_budget.accepted_at.push_back(now);
+        self.hedge_budget.accepted_at.push_back(now);
     }
 
-    /// A call that leaves for this searcher in this turn and has room for one more part.
-    pub fn shared(&self, srv: usize) -> bool {
-        self.this_turn.get(&srv).is_some_and(|c| c.1 < self.layout.parts_per_call)
+    /// Whether a call leaves for this searcher in this turn that can carry one more part.
+    pub fn has_open_call(&self, searcher: SearcherIndex) -> bool {
+        self.open_calls.get(&searcher).is_some_and(|open| open.parts < self.layout.parts_per_call)
     }
 
-    /// Counts how many parts of a scan come to one searcher if all that hold its shards get as many.
-    pub fn spread(&mut self, at: usize) {
-        let Some(scan) = self.scans.get_mut(&at) else { return };
-        let holders: BTreeSet<usize> = scan.parts.iter().flat_map(|p| self.cells.holders(p.shard)).collect();
-        scan.in_one = (scan.parts.len() as f64 / holders.len().max(1) as f64).ceil();
+    /// Computes how many parts of a scan come to one searcher if all searchers that hold its shards get as
+    /// many.
+    pub fn set_parts_per_searcher(&mut self, scan: ScanIndex) {
+        let Some(scan) = self.scans.get_mut(&scan) else { return };
+        let holders: BTreeSet<SearcherIndex> =
+            scan.parts.iter().flat_map(|part| self.shard_map.holders(part.shard)).collect();
+        scan.parts_per_searcher = (scan.parts.len() as f64 / holders.len().max(1) as f64).ceil();
     }
 
-    /// Whether it may still be warming up.
-    pub fn cold(&self, seat: &Seat, now: f64) -> bool {
-        seat.began() > 0.0 && now - seat.began() < self.guards.warm_up_ms
+    /// Whether a searcher may still be warming up.
+    pub fn is_cold(&self, searcher: &SearcherState, now: f64) -> bool {
+        let started_at = searcher.latest_start();
+        started_at > 0.0 && now - started_at < self.limits.warm_up_ms
     }
 
-    /// Forgets a scan, and calls off what is out of it.
-    pub fn close(&mut self, at: usize, post: &mut Post) {
-        let Some(scan) = self.scans.remove(&at) else { return };
-        self.short.remove(&at);
-        self.owners.remove(&scan.id);
-        post.call_off(self.drop_parts(scan.parts), self.permits.cancel);
+    /// Forgets a scan, and cancels its dispatches in flight.
+    pub fn close(&mut self, scan: ScanIndex, turn: &mut Turn) {
+        let Some(closed) = self.scans.remove(&scan) else { return };
+        self.waiting_scans.remove(&scan);
+        self.locations.remove(&closed.id);
+        turn.cancel(self.forget_parts(closed.parts), self.permissions.cancel);
     }
 
-    /// Forgets parts; their dispatches that are out.
-    pub fn drop_parts(&mut self, parts: Vec<Part>) -> Vec<Leg> {
+    /// Forgets parts, and returns their dispatches in flight.
+    pub fn forget_parts(&mut self, parts: Vec<Part>) -> Vec<DispatchId> {
         for part in &parts {
-            self.owners.remove(&part.id);
+            self.locations.remove(&part.id);
         }
-        parts.iter().flat_map(Part::legs_out).collect()
+        parts.iter().flat_map(Part::dispatches_in_flight).collect()
     }
 }
 
-/// A searcher as the desk sees it.
+/// Work sent to a cold searcher.
 #[derive(Debug)]
-pub(crate) struct Seat {
-    pub addr: SocketAddrV4,
-    pub cell: u32,
-    pub zone: usize,
-    /// When its process started, as the list says and as it was found.
-    pub listed: f64,
-    pub since: f64,
-    /// As other mixers say; zero where none does.
-    pub told: f64,
-    pub life: SearcherStatus,
-    /// Other mixers say that it leaves.
-    pub hushed: bool,
-    pub tile: Tile,
-    /// Decides between equals.
-    pub lot: f64,
-    pub calls: u32,
-    /// When a part of ours last came back, and when the newest of those that did was sent.
-    pub heard_at: f64,
-    pub ok_from: f64,
-    /// When a part of ours was last sent there.
-    pub sent_at: f64,
-    /// Of own calls out.
-    pub limit: f64,
-    pub cut_at: f64,
-    /// When this mixer learned of that start.
-    pub known_at: f64,
-    /// Work sent to it lately while it was cold: when, how much, and for which table type.
-    pub spent: VecDeque<(f64, f64, usize)>,
+pub(crate) struct SentWork {
+    pub at: f64,
+    pub work_ms: f64,
+    pub table_type: TypeIndex,
 }
 
-impl Seat {
+/// A searcher as the scheduler sees it.
+#[derive(Debug)]
+pub(crate) struct SearcherState {
+    pub address: SocketAddrV4,
+    pub cell: u32,
+    pub zone: Zone,
+    /// When its process started, as the list says.
+    pub listed_start: f64,
+    /// The same, or when this mixer found that it had been restarted.
+    pub found_start: f64,
+    /// The same, as other mixers report it; zero where none does.
+    pub reported_start: f64,
+    pub status: SearcherStatus,
+    /// Other mixers report that it drains or goes.
+    pub leaving: bool,
+    pub health: SearcherHealth,
+    /// Decides between searchers of equal cost: the lower one is preferred.
+    pub tie_breaker: f64,
+    /// Calls of this mixer in flight there.
+    pub calls: u32,
+    /// When a part last came back well.
+    pub last_success_at: f64,
+    /// When the newest part that came back well was sent.
+    pub newest_success_sent_at: f64,
+    /// When a part was last sent there.
+    pub last_sent_at: f64,
+    /// Limit on the calls of this mixer in flight there.
+    pub concurrency_limit: f64,
+    pub limit_cut_at: f64,
+    /// When this mixer learned of its latest start.
+    pub start_known_at: f64,
+    /// Work sent to it lately since a start was known.
+    pub recent_work: VecDeque<SentWork>,
+}
+
+impl SearcherState {
     pub fn new(
-        addr: SocketAddrV4,
+        address: SocketAddrV4,
         cell: u32,
         zone: u16,
-        since: f64,
-        life: SearcherStatus,
-        lot: f64,
-        known_at: f64,
+        started_at: f64,
+        status: SearcherStatus,
+        tie_breaker: f64,
+        start_known_at: f64,
     ) -> Self {
         Self {
-            addr,
+            address,
             cell,
             zone: usize::from(zone),
-            listed: since,
-            since,
-            told: 0.0,
-            life,
-            hushed: false,
-            tile: Tile::NEW,
-            lot,
+            listed_start: started_at,
+            found_start: started_at,
+            reported_start: 0.0,
+            status,
+            leaving: false,
+            health: SearcherHealth::NEW,
+            tie_breaker,
             calls: 0,
-            heard_at: f64::INFINITY,
-            ok_from: 0.0,
-            sent_at: 0.0,
-            limit: f64::INFINITY,
-            cut_at: 0.0,
-            known_at,
-            spent: VecDeque::new(),
+            last_success_at: f64::INFINITY,
+            newest_success_sent_at: 0.0,
+            last_sent_at: 0.0,
+            concurrency_limit: f64::INFINITY,
+            limit_cut_at: 0.0,
+            start_known_at,
+            recent_work: VecDeque::new(),
         }
     }
 
-    /// Own calls that it may be at work on.
-    pub fn busy(&self) -> u32 {
-        self.calls.saturating_sub(self.tile.lost)
+    /// Calls of this mixer that it may be at work on.
+    pub fn active_calls(&self) -> u32 {
+        self.calls.saturating_sub(self.health.overtaken_calls)
     }
 
-    /// Since when it may be cold, by whoever says the latest.
-    pub fn began(&self) -> f64 {
-        self.since.max(self.told)
+    /// The latest start that is known, from any source.
+    pub fn latest_start(&self) -> f64 {
+        self.found_start.max(self.reported_start)
     }
 
-    /// Listed as ready, nobody says that it leaves, and not both marked and without connection.
-    pub fn up(&self) -> bool {
-        self.life == SearcherStatus::Ready && !self.hushed && !(self.tile.marked && self.tile.down)
+    /// Listed as ready, not reported as leaving, and not both marked and disconnected.
+    pub fn is_up(&self) -> bool {
+        self.status == SearcherStatus::Ready
+            && !self.leaving
+            && !(self.health.marked && self.health.disconnected)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum State {
+pub(crate) enum PartState {
     Unsent,
-    Out,
-    In,
-    Broken,
+    InFlight,
+    Answered,
+    /// All of its dispatches have ended without an answer.
+    Failed,
+}
+
+/// One dispatch in the history of a part.
+#[derive(Debug, PartialEq)]
+pub(crate) struct PartDispatch {
+    pub searcher: SearcherIndex,
+    /// None while it is in flight.
+    pub outcome: Option<DispatchOutcome>,
 }
 
 #[derive(Debug)]
@@ -574,198 +765,199 @@
     pub id: u64,
     pub shard: u32,
     pub weight: f64,
-    pub state: State,
-    pub caught: bool,
-    /// Searcher and ending of every dispatch.
-    pub sent: Vec<(usize, Option<DispatchOutcome>)>,
-    pub taken_at: f64,
-    /// When a dispatch of it last ended.
+    pub state: PartState,
+    /// It is late, or in flight at a searcher that was marked, and may be hedged.
+    pub hedge_due: bool,
+    pub dispatches: Vec<PartDispatch>,
+    pub accepted_at: f64,
+    /// When one of its dispatches last ended.
     pub ended_at: f64,
 }
 
 impl Part {
-    pub fn new(id: u64, shard: u32, weight: f64, taken_at: f64) -> Self {
+    pub fn new(id: u64, shard: u32, weight: f64, accepted_at: f64) -> Self {
         Self {
             id,
             shard,
             weight,
-            state: State::Unsent,
-            caught: false,
-            sent: Vec::new(),
-            taken_at,
+            state: PartState::Unsent,
+            hedge_due: false,
+            dispatches: Vec::new(),
+            accepted_at,
             ended_at: 0.0,
         }
     }
 
-    pub fn proved_unrun(&self) -> bool {
-        self.sent.iter().all(|s| s.1.is_some_and(DispatchOutcome::never_ran))
+    /// Whether it is proved that none of its dispatches ran.
+    pub fn never_ran(&self) -> bool {
+        self.dispatches.iter().all(|d| d.outcome.is_some_and(DispatchOutcome::never_ran))
     }
 
-    /// The dispatches still out.
-    pub fn legs_out(&self) -> Vec<Leg> {
-        let out = self.sent.iter().enumerate().filter(|s| s.1.1.is_none());
-        out.map(|s| (self.id, s.0 as u8)).collect()
+    pub fn dispatches_in_flight(&self) -> Vec<DispatchId> {
+        let in_flight = self.dispatches.iter().enumerate().filter(|(_, d)| d.outcome.is_none());
+        in_flight.map(|(number, _)| DispatchId { part: self.id, number: number as u8 }).collect()
     }
 }
 
-/// A dispatch that may be made next, in the order in which they are made.
+/// A dispatch that may be made next. Candidates are made in the order of these fields.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Choice {
+pub(crate) struct Candidate {
+    /// 0 for a searcher without known trouble, else 1.
     pub tier: u8,
     /// The part was sent before.
-    pub again: bool,
-    /// What it costs for the weight that it brings: the bits of a number that is not negative, which are ordered as it is.
-    pub cost: u64,
-    /// The part's place in its scan.
-    pub nth: usize,
-    pub srv: usize,
+    pub is_retry: bool,
+    /// Cost for the weight that the part adds, as the bits of a number that is not negative: they are ordered
+    /// as it is.
+    pub cost_bits: u64,
+    /// The part's index in its scan.
+    pub part: usize,
+    pub searcher: SearcherIndex,
 }
 
 #[derive(Debug)]
 pub(crate) struct Scan {
     pub id: u64,
+    /// The number that its parts carry.
     pub number: u32,
-    pub kind: usize,
+    pub table_type: TypeIndex,
     pub customer: usize,
     pub target_at: f64,
-    pub gone_at: f64,
+    pub deadline_at: f64,
     pub parts: Vec<Part>,
-    pub need: f64,
-    pub floor: f64,
+    /// Weight of parts that makes a whole answer, and the least weight for any answer.
+    pub required_weight: f64,
+    pub minimum_weight: f64,
     /// Whether the first step's answer was whole.
-    pub whole: bool,
-    pub second: bool,
-    /// Parts whose connection was lost while they were out.
-    pub deaths: u32,
-    /// From 0 to 1: a low one lets it in where cold searchers take few.
-    pub lot: f64,
-    /// Parts that come to one searcher if all of those that hold its shards get as many.
-    pub in_one: f64,
+    pub first_step_whole: bool,
+    pub in_second_step: bool,
+    /// Parts in flight that lost their connection.
+    pub connections_lost: u32,
+    /// From 0 to 1: with a low number it is admitted where cold searchers have capacity for few scans.
+    pub lottery_number: f64,
+    /// Parts that come to one searcher if all searchers that hold its shards get as many.
+    pub parts_per_searcher: f64,
 }
 
 impl Scan {
-    /// One whose parts are yet to come.
-    pub fn new(
-        id: u64,
-        number: u32,
-        kind: usize,
-        customer: usize,
-        target_at: f64,
-        gone_at: f64,
-        terms: &TableType,
-    ) -> Self {
-        Self {
-            id,
-            number,
-            kind,
-            customer,
-            target_at,
-            gone_at,
-            parts: Vec::new(),
-            need: terms.required_weight,
-            floor: terms.minimum_weight.min(terms.required_weight),
-            whole: true,
-            second: false,
-            deaths: 0,
-            lot: 0.0,
-            in_one: 1.0,
-        }
+    /// Sum of the weights of the parts for which the condition holds.
+    pub fn weight_of(&self, condition: impl Fn(&Part) -> bool) -> f64 {
+        self.parts.iter().filter(|part| condition(part)).map(|part| part.weight).sum()
     }
 
-    pub fn weight(&self, of: impl Fn(&Part) -> bool) -> f64 {
-        self.parts.iter().filter(|p| of(p)).map(|p| p.weight).sum()
+    pub fn answered_weight(&self) -> f64 {
+        self.weight_of(|part| part.state == PartState::Answered)
     }
 
-    pub fn have(&self) -> f64 {
-        self.weight(|p| p.state == State::In)
+    /// Weight of the parts that are answered, or in flight and not to be hedged.
+    pub fn expected_weight(&self) -> f64 {
+        self.weight_of(|part| match part.state {
+            PartState::Answered => true,
+            PartState::InFlight => !part.hedge_due,
+            PartState::Unsent | PartState::Failed => false,
+        })
     }
+}
 
-    /// What is in or on its way and not caught.
-    pub fn coming(&self) -> f64 {
-        self.weight(|p| p.state == State::In || p.state == State::Out && !p.caught)
-    }
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Timer {
+    /// A dispatch is late.
+    DispatchLate(DispatchId),
+    /// The target time of a scan.
+    Target(ScanIndex),
+    /// The deadline of a scan.
+    Deadline(ScanIndex),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    Late(Leg),
-    Target(usize),
-    Gone(usize),
+struct TimerEntry {
+    /// The bits of a time that is not negative: they are ordered as it is.
+    at_bits: u64,
+    timer: Timer,
 }
 
-/// All due times but the periodic timer's, in order.
+/// All timers but the periodic tick, in order.
 #[derive(Debug, Default)]
-pub(crate) struct Agenda(BTreeSet<(u64, Due)>);
+pub(crate) struct Timers {
+    entries: BTreeSet<TimerEntry>,
+}
 
-impl Agenda {
-    pub fn add(&mut self, at: f64, due: Due) {
-        self.0.insert((at.max(0.0).to_bits(), due));
+impl Timers {
+    pub fn add(&mut self, at: f64, timer: Timer) {
+        self.entries.insert(TimerEntry { at_bits: at.max(0.0).to_bits(), timer });
     }
 
-    /// The next that is due.
-    pub fn take(&mut self, now: f64) -> Option<Due> {
-        let due = self.0.first().is_some_and(|d| f64::from_bits(d.0) <= now);
-        due.then(|| self.0.pop_first()).flatten().map(|d| d.1)
+    /// Takes the next timer that is due.
+    pub fn pop_due(&mut self, now: f64) -> Option<Timer> {
+        let first = self.entries.first()?;
+        if f64::from_bits(first.at_bits) > now {
+            return None;
+        }
+        self.entries.pop_first().map(|entry| entry.timer)
     }
 }
 
-/// A dispatch that is out.
+/// A dispatch in flight, as the scheduler sees it.
 #[derive(Debug)]
-pub(crate) struct Flight {
-    pub srv: usize,
-    pub kind: usize,
-    /// Shared by the parts of one call.
+pub(crate) struct InFlightDispatch {
+    pub searcher: SearcherIndex,
+    pub table_type: TypeIndex,
+    /// Shared by the dispatches of one call.
     pub call: Rc<()>,
     pub sent_at: f64,
-    pub allotted: f64,
-    /// Sent on a connection that had long been idle; none once that was judged.
-    pub idle: Option<bool>,
+    pub timeout_ms: f64,
+    /// Whether its connection had long been idle; none once it was counted in [`ConnectionLosses`].
+    pub on_idle_connection: Option<bool>,
 }
 
-/// Drops what stands too old at the front of a queue.
-pub(crate) fn trim<T>(queue: &mut VecDeque<T>, old: impl Fn(&T) -> bool) {
-    while queue.front().is_some_and(&old) {
+/// Removes the elements at the front for which the condition holds.
+pub(crate) fn drop_front_while<T>(queue: &mut VecDeque<T>, condition: impl Fn(&T) -> bool) {
+    while queue.front().is_some_and(&condition) {
         queue.pop_front();
     }
 }
 
-/// The middle value, of enough of them.
-pub(crate) fn median(values: impl Iterator<Item = f64>, enough: usize) -> Option<f64> {
+/// The middle value, if there are at least `min_count`.
+pub(crate) fn median(values: impl Iterator<Item = f64>, min_count: usize) -> Option<f64> {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
-    sorted.get(sorted.len() / 2).copied().filter(|_| sorted.len() >= enough)
+    sorted.get(sorted.len() / 2).copied().filter(|_| sorted.len() >= min_count)
 }
 
-/// One mixer: the actors, their mailboxes, and the index of searchers by address. It prints all of its state.
+/// The decision module of one mixer: its actors, their mailboxes, and the directory of searchers. Its
+/// [`Debug`] output shows the whole state.
 #[derive(Debug)]
 pub struct Mixer {
-    pub(crate) seed: Rand64,
+    pub(crate) random: Rand64,
     pub(crate) zone: u16,
     /// The count of mixers that the settings state.
-    pub(crate) stated: f64,
-    pub(crate) roster: Roster,
-    /// When the list is asked for next, and how often in a row that failed.
+    pub(crate) stated_mixers: f64,
+    pub(crate) directory: SearcherDirectory,
+    /// When to subscribe to the list again, and how many subscriptions in a row have failed.
     pub(crate) subscribe_at: f64,
-    pub(crate) refused: u32,
-    pub(crate) next_tick: f64,
-    pub(crate) srvs: Vec<Searcher>,
-    pub(crate) gauge: Gauge,
-    pub(crate) desk: Desk,
-    pub(crate) post: Post,
+    pub(crate) failed_subscriptions: u32,
+    pub(crate) next_tick_at: f64,
+    pub(crate) monitors: Vec<SearcherMonitor>,
+    pub(crate) baseline_tracker: BaselineTracker,
+    pub(crate) scheduler: Scheduler,
+    pub(crate) turn: Turn,
 }
 
 impl Mixer {
-    /// Empties all inboxes, the searchers' before the gauge's and the desk's.
-    pub(crate) fn run(&mut self) {
-        while let Some((to, note)) = self.post.take() {
-            match to {
-                DESK => self.desk.note(note, &mut self.post),
-                GAUGE => self.gauge.note(note, &mut self.post),
-                _ => {
-                    let ready = self.desk.seats[to - SRVS].life == SearcherStatus::Ready;
-                    self.srvs[to - SRVS].note(note, &mut self.post, ready, self.desk.permits.probe);
-                }
+    /// Delivers messages until all mailboxes are empty: to the monitors first, then to the baseline tracker,
+    /// then to the scheduler.
+    pub(crate) fn deliver_messages(&mut self) {
+        while let Some((recipient, message)) = self.turn.receive() {
+            match recipient {
+                Address::SCHEDULER => self.scheduler.receive(message, &mut self.turn),
+                Address::BASELINE_TRACKER => self.baseline_tracker.receive(message, &mut self.turn),
+                monitor => self.deliver_to_monitor(monitor.searcher(), message),
             }
         }
     }
+
+    fn deliver_to_monitor(&mut self, searcher: SearcherIndex, message: Message) {
+        let is_ready = self.scheduler.searchers[searcher].status == SearcherStatus::Ready;
+        let may_probe = self.scheduler.permissions.probe;
+        self.monitors[searcher].receive(message, &mut self.turn, is_ready, may_probe);
+    }
 }
