--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A mixer on a small made-up deployment, and a printed trace of what it is told and decides.
+//! A test rig: a mixer in a small deployment, with a trace of its events and decisions.
 
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -6,16 +6,16 @@
 use pewterwharf::interface::*;
 use pewterwharf::logic::Mixer;
 
-pub fn table_type(repeat: Idempotency, need: f64) -> TableType {
+pub fn table_type(idempotency: Idempotency, required_weight: f64) -> TableType {
     TableType {
         target_ms: 1000.0,
         query_timeout_ms: 2000.0,
         benefit: 1.0,
         late_benefit_share: 0.5,
         target_ms_per_work_ms: 0.0,
-        idempotency: repeat,
-        required_weight: need,
-        minimum_weight: need,
+        idempotency,
+        required_weight,
+        minimum_weight: required_weight,
         partial_benefit_share: 0.9,
         has_second_step: false,
     }
@@ -24,20 +24,20 @@
 pub struct Rig {
     mixer: Mixer,
     now: f64,
-    wake: f64,
+    wake_at: f64,
     scans: u32,
-    /// How busy searchers report to be, where they do.
+    /// Busy share of their cores that searchers report, if they do.
     pub busy: Option<f64>,
     trace: String,
 }
 
-/// Searchers are numbered by the last byte of their address; every one holds every shard.
+/// Searchers are numbered by the last byte of their address; each holds every shard.
 pub fn searcher(n: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 5000)
 }
 
-pub fn line(n: u8, since: f64, life: SearcherStatus) -> ListedSearcher {
-    ListedSearcher { searcher: searcher(n), cell: 0, zone: 0, started_at: since, status: life }
+pub fn listed(n: u8, started_at: f64, status: SearcherStatus) -> ListedSearcher {
+    ListedSearcher { searcher: searcher(n), cell: 0, zone: 0, started_at, status }
 }
 
 impl Rig {
@@ -45,16 +45,16 @@
         Self::with(types, budget, 1, true, None)
     }
 
-    pub fn among(mixers: u32, types: Vec<TableType>) -> Self {
+    pub fn with_mixers(mixers: u32, types: Vec<TableType>) -> Self {
         Self::with(types, None, mixers, true, None)
     }
 
-    pub fn unprobed(types: Vec<TableType>) -> Self {
+    pub fn without_probes(types: Vec<TableType>) -> Self {
         Self::with(types, None, 1, false, None)
     }
 
-    /// Where the list has to be asked for.
-    pub fn asking(within_ms: f64) -> Self {
+    /// A deployment in which the list must be requested.
+    pub fn with_resubscription(within_ms: f64) -> Self {
         Self::with(vec![table_type(Idempotency::Replayable, 1.0)], None, 1, false, Some(within_ms))
     }
 
@@ -63,7 +63,7 @@
         budget: Option<RetryBudget>,
         mixers: u32,
         probe: bool,
-        ask_within_ms: Option<f64>,
+        resubscribe_within_ms: Option<f64>,
     ) -> Self {
         let layout = Layout { cells: 1, cells_per_shard: 1, parts_per_call: 1, call_work_ms: 0.0 };
         let (cold_capacity_share, warm_up_ms, overload_multiple, overload_window_ms) =
@@ -81,26 +81,26 @@
             hedge: true,
             max_dispatches: 4,
             retry_after_ms: Some(500.0),
-            resubscribe_within_ms: ask_within_ms,
+            resubscribe_within_ms,
         };
         let berth = Placement { mixers, zone: 0 };
         let customers = vec![Customer { scans_per_s: 100.0, over_quota_benefit_share: 0.2 }];
         let mixer = Mixer::new(7, types, customers, layout, guards, permits, berth);
-        Self { mixer, now: 100_000.0, wake: 0.0, scans: 0, busy: None, trace: String::new() }
+        Self { mixer, now: 100_000.0, wake_at: 0.0, scans: 0, busy: None, trace: String::new() }
     }
 
     /// Lists `n` warm searchers.
-    pub fn warm(&mut self, n: u8) {
-        let lines = (1..=n).map(|n| line(n, 0.0, SearcherStatus::Ready)).collect();
-        self.tell(vec![Event::List { kind: ListKind::Full, searchers: lines }]);
+    pub fn list_warm(&mut self, n: u8) {
+        let lines = (1..=n).map(|n| listed(n, 0.0, SearcherStatus::Ready)).collect();
+        self.handle(vec![Event::List { kind: ListKind::Full, searchers: lines }]);
     }
 
-    pub fn tell(&mut self, events: Vec<Event>) {
+    pub fn handle(&mut self, events: Vec<Event>) {
         for action in self.mixer.handle_events(self.now, events) {
             let at = self.now - 100_000.0;
             let line = match action {
                 Action::WakeAt { at } => {
-                    self.wake = at;
+                    self.wake_at = at;
                     continue;
                 }
                 Action::Dispatch { part, searcher, .. } => {
@@ -119,26 +119,27 @@
                 Action::Subscribe => "subscribe".to_owned(),
                 Action::Log { line } => line,
             };
-            writeln!(self.trace, "{at:>6} {line}").expect("a string takes all");
+            writeln!(self.trace, "{at:>6} {line}").expect("writing to a string cannot fail");
         }
     }
 
     /// Lets time pass, tick by tick.
-    pub fn pass(&mut self, ms: f64) {
+    pub fn advance_ms(&mut self, ms: f64) {
         let end = self.now + ms;
-        while self.wake <= end {
-            self.now = self.wake;
-            self.tell(vec![Event::Wake]);
+        while self.wake_at <= end {
+            self.now = self.wake_at;
+            self.handle(vec![Event::Wake]);
         }
         self.now = end;
     }
 
-    /// The mixer stands still: no tick comes.
-    pub fn stall(&mut self, ms: f64) {
+    /// Lets time pass while the mixer is paused, without ticks.
+    pub fn pause_ms(&mut self, ms: f64) {
         self.now += ms;
     }
 
-    /// A scan of so many parts of equal weight: scan 100, parts 101 and on; the next is 200.
+    /// Sends a scan of `parts` parts of equal weight. The first scan is 100 with parts from 101 on, the next
+    /// is 200.
     pub fn scan(&mut self, table_type: usize, parts: u32) {
         self.scans += 1;
         let (id, number) = (u64::from(self.scans) * 100, self.scans);
@@ -159,22 +160,29 @@
             shard,
             weight,
         }));
-        self.tell(events);
+        self.handle(events);
     }
 
-    pub fn ends(&mut self, part: u64, dispatch: u8, from: u8, ending: DispatchOutcome, took_ms: f64) {
-        let _ = writeln!(self.trace, "{:>6}   {part}/{dispatch} ends {ending:?}", self.now - 100_000.0);
-        self.tell(vec![Event::DispatchEnded {
+    pub fn end_dispatch(
+        &mut self,
+        part: u64,
+        dispatch: u8,
+        from: u8,
+        outcome: DispatchOutcome,
+        took_ms: f64,
+    ) {
+        let _ = writeln!(self.trace, "{:>6}   {part}/{dispatch} ends {outcome:?}", self.now - 100_000.0);
+        self.handle(vec![Event::DispatchEnded {
             part,
             dispatch,
             searcher: searcher(from),
-            outcome: ending,
+            outcome,
             took_ms,
             busy: self.busy,
         }]);
     }
 
-    /// What was decided since the last call.
+    /// Takes the trace since the last call.
     pub fn trace(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,6 +1,7 @@
-//! A cold searcher's ramp holds for the sum of all mixers, and no table type is left without room on it.
+//! Warm-up capacity: all mixers together stay within what a cold searcher can carry, and every table type
+//! gets a share of it.
 
-#[allow(dead_code)] // the other file of tests uses the rest of it
+#[allow(dead_code)] // the other test file uses the rest
 #[path = "common/ramp.rs"]
 mod ramp;
 
@@ -8,191 +9,235 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use pewterwharf::interface::SafetyLimits;
-use ramp::{Kind, Played, Ramp, permits};
+use ramp::{ScanClass, Scenario, Simulated, permissions};
 
-fn kind(share: f64, parts: u32, need: f64, work_ms: f64, target_ms: f64) -> Kind {
-    Kind { share, parts, need, work_ms, target_ms, ..Kind::plain() }
+fn class(share: f64, parts: u32, required_weight: f64, work_ms: f64, target_ms: f64) -> ScanClass {
+    ScanClass { share, parts, required_weight, work_ms, target_ms, ..ScanClass::plain() }
 }
 
-fn ramp(mixers: usize) -> Ramp {
-    Ramp {
+/// Some searchers restart one after the other; two table types.
+fn several_types(mixers: usize) -> Scenario {
+    Scenario {
         mixers,
         uneven: 4.0,
         searchers: if mixers > 100 { 60 } else { 12 },
-        reach: 3,
+        cells_per_shard: 3,
         cores: 2,
         load: 0.5,
-        kinds: vec![kind(0.4, 6, 0.67, 60.0, 600.0), kind(0.6, 4, 1.0, 50.0, 600.0)],
-        cold: if mixers > 100 { 30 } else { 6 },
-        apart_ms: 300.0,
-        stride: 1,
+        classes: vec![class(0.4, 6, 0.67, 60.0, 600.0), class(0.6, 4, 1.0, 50.0, 600.0)],
+        restarting: if mixers > 100 { 30 } else { 6 },
+        restart_interval_ms: 300.0,
+        restart_stride: 1,
         silence: None,
-        notice_ms: 2000.0,
-        guards: SafetyLimits {
+        restart_notice_ms: 2000.0,
+        limits: SafetyLimits {
             cold_capacity_share: 0.2,
             warm_up_ms: 10_000.0,
             overload_multiple: 2.0,
             overload_window_ms: 1500.0,
             retry_budget: None,
         },
-        permits: permits(),
+        permissions: permissions(),
         zones: 1,
-        reports: false,
-        restarts: 0.0,
-        again_ms: None,
-        slower: 1.0,
-        stated: 1.0,
+        reports_busy: false,
+        mixer_restarts: 0.0,
+        second_restart_ms: None,
+        slowdown: 1.0,
+        stated_mixers: 1.0,
         length_ms: 16_000.0,
     }
 }
 
-fn apart(mixers: usize) -> Ramp {
-    Ramp { kinds: vec![kind(0.1, 5, 1.0, 180.0, 800.0), kind(0.9, 9, 0.6, 10.0, 100.0)], ..ramp(mixers) }
+/// Table types whose parts differ much in work.
+fn unequal_work(mixers: usize) -> Scenario {
+    let classes = vec![class(0.1, 5, 1.0, 180.0, 800.0), class(0.9, 9, 0.6, 10.0, 100.0)];
+    Scenario { classes, ..several_types(mixers) }
 }
 
-fn wide(mixers: usize) -> Ramp {
-    Ramp { kinds: vec![kind(0.1, 10, 1.0, 50.0, 600.0), kind(0.9, 3, 1.0, 50.0, 600.0)], ..ramp(mixers) }
+/// Scans of many parts beside scans of few.
+fn unequal_width(mixers: usize) -> Scenario {
+    let classes = vec![class(0.1, 10, 1.0, 50.0, 600.0), class(0.9, 3, 1.0, 50.0, 600.0)];
+    Scenario { classes, ..several_types(mixers) }
 }
 
-fn all_cold(mixers: usize) -> Ramp {
-    Ramp { cold: ramp(mixers).searchers, apart_ms: 100.0, load: 0.3, ..ramp(mixers) }
+/// All searchers restart.
+fn all_cold(mixers: usize) -> Scenario {
+    let scenario = several_types(mixers);
+    Scenario { restarting: scenario.searchers, restart_interval_ms: 100.0, load: 0.3, ..scenario }
 }
 
-/// Plays all, as many at a time as there are cores for it.
-fn play(days: Vec<(String, Ramp, u64)>) -> Vec<(String, Played)> {
-    let (next, played) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+/// A scenario to simulate.
+struct Run {
+    name: String,
+    scenario: Scenario,
+    seed: u64,
+}
+
+struct Finished {
+    name: String,
+    simulated: Simulated,
+}
+
+/// Simulates all, as many at a time as there are cores, four at most.
+fn simulate(runs: Vec<Run>) -> Vec<Finished> {
+    let next = AtomicUsize::new(0);
+    let finished = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get().min(4));
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| {
-                while let Some((name, ramp, seed)) = days.get(next.fetch_add(1, Ordering::SeqCst)) {
-                    let day = (format!("{name}, {} mixers, seed {seed}", ramp.mixers), ramp.play(*seed));
-                    played.lock().expect("no panic holds it").push(day);
+                while let Some(Run { name, scenario, seed }) = runs.get(next.fetch_add(1, Ordering::SeqCst)) {
+                    let name = format!("{name}, {} mixers, seed {seed}", scenario.mixers);
+                    let simulated = scenario.simulate(*seed);
+                    finished.lock().expect("no thread has panicked").push(Finished { name, simulated });
                 }
             });
         }
     });
-    played.into_inner().expect("no panic holds it")
+    finished.into_inner().expect("no thread has panicked")
 }
 
-/// No window of a cold searcher held more than the budget and what is put down to chance.
-fn holds(days: Vec<(String, Ramp, u64)>) {
-    for (name, played) in play(days) {
-        assert!(played.fullest > 0.0, "{name}: no cold searcher got anything");
-        let Played { fullest, fullest_calls, .. } = played;
-        assert!(fullest <= 1.0, "{name}: a window held {fullest:.2} of what is borne: {fullest_calls:?}");
+/// Asserts that no window of a cold searcher held more than its capacity and the allowance for chance.
+fn assert_within_capacity(runs: Vec<Run>) {
+    for Finished { name, simulated } in simulate(runs) {
+        let Simulated { fullest, fullest_calls, .. } = simulated;
+        assert!(fullest > 0.0, "{name}: no cold searcher got anything");
+        assert!(fullest <= 1.0, "{name}: a window held {fullest:.2} of its capacity: {fullest_calls:?}");
     }
 }
 
-/// `RAMP_FROM=1 RAMP_TO=4 cargo test --test ramp -- --ignored --nocapture table_of_overload` prints the fullest window of each case
-/// of these seeds, and what led to the calls in it.
+/// `RAMP_FROM=1 RAMP_TO=4 cargo test --test ramp -- --ignored --nocapture table_of_overload` prints the
+/// fullest window of each case of these seeds, and the causes of the calls in it.
 #[test]
-#[ignore = "prints, for people"]
+#[ignore = "prints a table"]
 fn table_of_overload() {
     let seed =
         |name: &str, otherwise: u64| std::env::var(name).map_or(otherwise, |s| s.parse().expect("a seed"));
-    let mut days = Vec::new();
+    let mut runs = Vec::new();
     for seed in seed("RAMP_FROM", 1)..seed("RAMP_TO", 4) {
         for cores in [1, 2] {
             let cases = [
-                ("several types", ramp(300)),
-                ("a tenth restarted each half second", Ramp { restarts: 0.1, ..ramp(300) }),
+                ("several types", several_types(300)),
+                (
+                    "a tenth restarted each half second",
+                    Scenario { mixer_restarts: 0.1, ..several_types(300) },
+                ),
                 ("no searcher warm", all_cold(300)),
             ];
-            let overloaded = |ramp: Ramp| Ramp { load: 1.0, cores, ..ramp };
-            days.extend(cases.map(|(name, ramp)| (format!("{name}, {cores} cores"), overloaded(ramp), seed)));
+            runs.extend(cases.map(|(name, scenario)| Run {
+                name: format!("{name}, {cores} cores"),
+                scenario: Scenario { load: 1.0, cores, ..scenario },
+                seed,
+            }));
         }
     }
-    let mut played = play(days);
-    played.sort_by(|one, other| one.0.cmp(&other.0));
-    for (name, day) in played {
-        let Played { fullest, fullest_calls, used, while_cold, .. } = day;
+    let mut finished = simulate(runs);
+    finished.sort_by(|a, b| a.name.cmp(&b.name));
+    for Finished { name, simulated } in finished {
+        let Simulated { fullest, fullest_calls, used, counts_while_cold, .. } = simulated;
         println!(
-            "{name}: fullest {fullest:.3}, used {used:.2}, {fullest_calls:?}, while cold {while_cold:?}"
+            "{name}: fullest {fullest:.3}, used {used:.2}, {fullest_calls:?}, while cold {counts_while_cold:?}"
         );
     }
 }
 
 #[test]
-fn the_sum_of_all_mixers_stays_within_a_cold_searchers_budget() {
-    let mut days = Vec::new();
+fn all_mixers_stay_within_a_cold_searchers_capacity() {
+    let mut runs = Vec::new();
     for mixers in [2, 20, 30, 300] {
         let cases = [
-            ("several types", ramp(mixers)),
-            ("a tenth restarted each half second", Ramp { restarts: 0.1, ..ramp(mixers) }),
-            ("searchers that start twice", Ramp { again_ms: Some(2500.0), ..ramp(mixers) }),
-            ("all warm ones slower", Ramp { slower: 1.7, load: 0.3, ..ramp(mixers) }),
-            ("more mixers than stated", Ramp { stated: 0.9, ..ramp(mixers) }),
-            ("one core, and busy", Ramp { cores: 1, load: 0.6, ..ramp(mixers) }),
-            ("work far apart", apart(mixers)),
+            ("several types", several_types(mixers)),
+            ("a tenth restarted each half second", Scenario { mixer_restarts: 0.1, ..several_types(mixers) }),
+            (
+                "searchers that start twice",
+                Scenario { second_restart_ms: Some(2500.0), ..several_types(mixers) },
+            ),
+            ("all work slower", Scenario { slowdown: 1.7, load: 0.3, ..several_types(mixers) }),
+            ("more mixers than stated", Scenario { stated_mixers: 0.9, ..several_types(mixers) }),
+            ("one core, and busy", Scenario { cores: 1, load: 0.6, ..several_types(mixers) }),
+            ("unequal work", unequal_work(mixers)),
             ("no searcher warm", all_cold(mixers)),
         ];
         let seeds = if mixers == 300 { 1..2 } else { 1..5 };
-        for (name, ramp) in cases {
-            days.extend(seeds.clone().map(|seed| (name.to_owned(), ramp.clone(), seed)));
+        for (name, scenario) in cases {
+            let run = |seed| Run { name: name.to_owned(), scenario: scenario.clone(), seed };
+            runs.extend(seeds.clone().map(run));
         }
     }
-    holds(days);
+    assert_within_capacity(runs);
 }
 
 #[test]
-fn the_sum_stays_within_the_budget_under_overload() {
-    let overloaded = |cores, ramp: Ramp| Ramp { load: 1.0, cores, ..ramp };
+fn all_mixers_stay_within_capacity_under_overload() {
     let cases = [1, 2].into_iter().flat_map(|cores| {
+        let overloaded = |scenario: Scenario| Scenario { load: 1.0, cores, ..scenario };
+        let restarts = Scenario { mixer_restarts: 0.1, ..several_types(300) };
         [
-            ("several types", overloaded(cores, ramp(300))),
-            ("a tenth restarted each half second", overloaded(cores, Ramp { restarts: 0.1, ..ramp(300) })),
-            ("no searcher warm", overloaded(cores, all_cold(300))),
+            ("several types", overloaded(several_types(300))),
+            ("a tenth restarted each half second", overloaded(restarts)),
+            ("no searcher warm", overloaded(all_cold(300))),
         ]
     });
-    holds(cases.map(|(name, ramp)| (name.to_owned(), ramp, 1)).collect());
+    let run = |(name, scenario): (&str, Scenario)| Run { name: name.to_owned(), scenario, seed: 1 };
+    assert_within_capacity(cases.map(run).collect());
 }
 
 #[test]
-fn it_does_so_under_drawn_settings() {
-    // A table type whose parts are several times the mean, on one core, comes nearest.
-    let one_core =
-        |ramp: Ramp| Ramp { cores: 1, searchers: ramp.searchers.min(30), cold: ramp.cold.min(12), ..ramp };
-    let drawn = (0..60).map(|seed| ("drawn".to_owned(), Ramp::drawn(seed), seed));
-    let near = (0..60).map(|seed| ("drawn, on one core".to_owned(), one_core(Ramp::drawn(seed)), seed));
-    // The largest are played above.
-    holds(drawn.chain(near).filter(|(_, ramp, _)| ramp.mixers < 300 && ramp.cold > 0).collect());
-}
-
-/// Each table type's share in time of what was asked for while searchers were cold, over the seeds.
-fn served(name: &str, ramp: &Ramp, seeds: u64) -> Vec<f64> {
-    let days = play((0..seeds).map(|seed| (name.to_owned(), ramp.clone(), seed)).collect());
-    (0..ramp.kinds.len())
-        .map(|kind| {
-            let counts = days.iter().map(|(_, played)| played.while_cold[kind]);
-            let (asked, served) = counts.fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.1));
-            f64::from(served) / f64::from(asked)
-        })
-        .collect()
-}
-
-/// Of each table type at least so much is served. The bounds lie between what it was when room was given by the work of a
-/// part against one share for all types, and what it is.
-fn serves(name: &str, ramp: &Ramp, seeds: u64, least: &[f64]) {
-    let served = served(name, ramp, seeds);
-    let kept = served.iter().zip(least).all(|(served, least)| served >= least);
-    assert!(kept, "{name}, {} mixers: served {served:.3?}, at least {least:?} wanted", ramp.mixers);
+fn all_mixers_stay_within_capacity_under_drawn_settings() {
+    // A table type whose parts have several times the mean work, on one core, comes nearest to the capacity.
+    let one_core = |scenario: Scenario| Scenario {
+        cores: 1,
+        searchers: scenario.searchers.min(30),
+        restarting: scenario.restarting.min(12),
+        ..scenario
+    };
+    let drawn = (0..60).map(|seed| Run { name: "drawn".to_owned(), scenario: Scenario::drawn(seed), seed });
+    let drawn_one_core = (0..60).map(|seed| Run {
+        name: "drawn, on one core".to_owned(),
+        scenario: one_core(Scenario::drawn(seed)),
+        seed,
+    });
+    // Scenarios of 300 mixers are simulated in the tests above.
+    let is_small = |run: &Run| run.scenario.mixers < 300 && run.scenario.restarting > 0;
+    assert_within_capacity(drawn.chain(drawn_one_core).filter(is_small).collect());
+}
+
+/// Share of the scans requested while searchers were cold that were served in time, over all seeds, by table
+/// type.
+fn served_shares(name: &str, scenario: &Scenario, seeds: u64) -> Vec<f64> {
+    let run = |seed| Run { name: name.to_owned(), scenario: scenario.clone(), seed };
+    let finished = simulate((0..seeds).map(run).collect());
+    let served_share = |class: usize| {
+        let counts = || finished.iter().map(|run| &run.simulated.counts_while_cold[class]);
+        let requested: u32 = counts().map(|counts| counts.requested).sum();
+        let in_time: u32 = counts().map(|counts| counts.in_time).sum();
+        f64::from(in_time) / f64::from(requested)
+    };
+    (0..scenario.classes.len()).map(served_share).collect()
+}
+
+/// Asserts the least served share of each table type. The bounds lie between the share at present and the
+/// share when capacity was given by the work of a part, out of one share for all table types.
+fn assert_served(name: &str, scenario: &Scenario, seeds: u64, least: &[f64]) {
+    let served = served_shares(name, scenario, seeds);
+    let is_kept = served.iter().zip(least).all(|(served, least)| served >= least);
+    assert!(is_kept, "{name}, {} mixers: served {served:.3?}, at least {least:?} wanted", scenario.mixers);
 }
 
 #[test]
-fn long_parts_get_room_on_cold_searchers_beside_many_short_ones() {
-    serves("work far apart", &apart(20), 8, &[0.55, 0.70]);
-    serves("work far apart", &apart(30), 8, &[0.50, 0.70]);
+fn long_parts_get_cold_capacity_beside_short_ones() {
+    assert_served("unequal work", &unequal_work(20), 8, &[0.55, 0.70]);
+    assert_served("unequal work", &unequal_work(30), 8, &[0.50, 0.70]);
 }
 
 #[test]
-fn scans_of_many_parts_that_need_all_get_room_beside_narrow_ones() {
-    serves("many parts beside few", &wide(20), 8, &[0.52, 0.75]);
-    serves("many parts beside few", &wide(30), 8, &[0.48, 0.75]);
+fn wide_scans_get_cold_capacity_beside_narrow_ones() {
+    assert_served("unequal width", &unequal_width(20), 8, &[0.52, 0.75]);
+    assert_served("unequal width", &unequal_width(30), 8, &[0.48, 0.75]);
 }
 
 #[test]
-fn hundreds_of_mixers_use_what_cold_searchers_may_bear() {
-    serves("several types", &ramp(300), 3, &[0.76, 0.765]);
-    serves("no searcher warm", &all_cold(300), 3, &[0.47, 0.50]);
+fn hundreds_of_mixers_use_the_cold_capacity() {
+    assert_served("several types", &several_types(300), 3, &[0.76, 0.765]);
+    assert_served("no searcher warm", &all_cold(300), 3, &[0.47, 0.50]);
 }
