--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use clap::Args;
 use pewterwharf_mixer::service::Service;
-use pewterwharf_mixer::signals::{self, Again};
+use pewterwharf_mixer::signals::{self, Reloaders};
 use pewterwharf_settings::Settings;
 use pewterwharf_standins::bgp::{Manner as PeerManner, Peer};
 use pewterwharf_standins::{self as standins, Lists, Manner};
@@ -188,13 +188,13 @@
     lists.tell(standins::list(1, true, &searchers));
     println!("{} searchers, {} of them hang; discovery at {discovery_at}", asked.searchers, asked.hung);
 
-    let signals = signals::signals()?;
+    let signals = signals::register_handlers()?;
     // A port that is free now; the mixer takes it a moment later.
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let start = Start::read(&start(discovery_at, listen), |_| None)?;
     // The decision module stays in the thread that opens it.
-    let again = Again {
-        start: |_| bail!("a trial has no file to read again"),
+    let again = Reloaders {
+        config: |_| bail!("a trial has no file to read again"),
         settings: || bail!("a trial has no file to read again"),
     };
     let peer = asked.bgp.then(|| Peer::start(&[PeerManner::Speaks]));
--- a/crates/mixer/src/announcing.rs
+++ b/crates/mixer/src/announcing.rs
@@ -160,7 +160,7 @@
     fn report(&mut self, now: f64, watches: &Watches, reducer: &Reducer) {
         self.report_at = now + REPORT_MS;
         let phase = match reducer.phase() {
-            Phase::Opening => Announced::Opening,
+            Phase::Starting => Announced::Opening,
             Phase::Ready => Announced::Ready,
             Phase::Draining { .. } => Announced::Draining,
             Phase::Closed => Announced::Closed,
--- a/crates/mixer/src/buffer.rs
+++ b/crates/mixer/src/buffer.rs
@@ -6,24 +6,24 @@
 
 /// What many buffers may grow by in sum, beyond the first room that each has for itself.
 #[derive(Clone)]
-pub struct Room(Arc<AtomicUsize>);
+pub struct MemoryBudget(Arc<AtomicUsize>);
 
-impl Room {
-    pub fn of(bytes: usize) -> Self {
+impl MemoryBudget {
+    pub fn new(bytes: usize) -> Self {
         Self(Arc::new(AtomicUsize::new(bytes)))
     }
 
     /// What is left.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn take(&self, bytes: usize) -> bool {
+    pub(crate) fn try_reserve(&self, bytes: usize) -> bool {
         let less = |left: usize| left.checked_sub(bytes);
         self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok()
     }
 
-    pub(crate) fn give(&self, bytes: usize) {
+    pub(crate) fn release(&self, bytes: usize) {
         self.0.fetch_add(bytes, Ordering::Relaxed);
     }
 }
@@ -34,14 +34,14 @@
     from: usize,
     /// Bytes from this one on are not yet filled.
     to: usize,
-    room: Room,
+    room: MemoryBudget,
 }
 
 impl Buffer {
     /// Room that a read finds at least: most messages come whole in it. Every buffer has this much.
     const ROOM: usize = 2048;
 
-    pub fn new(room: &Room) -> Self {
+    pub fn new(room: &MemoryBudget) -> Self {
         Self { data: Vec::new(), from: 0, to: 0, room: room.clone() }
     }
 
@@ -64,7 +64,7 @@
         }
         if self.data.len() - self.to < Self::ROOM / 2 {
             let size = (2 * self.data.len()).max(Self::ROOM);
-            if size > Self::ROOM && !self.room.take(size - self.data.len()) {
+            if size > Self::ROOM && !self.room.try_reserve(size - self.data.len()) {
                 return Err(io::ErrorKind::OutOfMemory.into());
             }
             self.data.resize(size, 0);
@@ -80,12 +80,12 @@
     }
 
     /// Uses bytes up.
-    pub fn used(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.from = self.from.saturating_add(count).min(self.to);
     }
 
     fn shrink(&mut self) {
-        self.room.give(self.data.len().saturating_sub(Self::ROOM));
+        self.room.release(self.data.len().saturating_sub(Self::ROOM));
         self.data = Vec::new();
     }
 }
--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -18,11 +18,11 @@
 use rustix::io::Errno;
 use tracing::debug;
 
-use crate::buffer::Room;
+use crate::buffer::MemoryBudget;
 use crate::inputs::Input;
 use crate::line::{Line, Order, Orders, Shared};
 use crate::messages::MessageSender;
-use crate::pauses::Arrivals;
+use crate::pauses::ArrivalTracker;
 use crate::stream::write_some;
 use connection::Conn;
 
@@ -41,7 +41,7 @@
 const ORDERS: Token = Token(usize::MAX);
 
 /// Whether it fails since the process has no descriptor left: only then does another client's leaving help.
-fn is_full(error: &io::Error) -> bool {
+fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
 
@@ -63,18 +63,18 @@
     waiting_since: Option<f64>,
     /// Connections that could not be registered with the poll: they are looked at after each pause.
     not_polled: Vec<u64>,
-    room: Room,
+    room: MemoryBudget,
     orders: Orders,
     given: Receiver<Order>,
     messages: MessageSender,
-    arrivals: Arrivals,
+    arrivals: ArrivalTracker,
 }
 
 impl Clients {
     pub fn open(
         listener: std::net::TcpListener,
         places: usize,
-        room: Room,
+        room: MemoryBudget,
         messages: MessageSender,
     ) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
@@ -84,7 +84,7 @@
         let waker = Arc::new(Waker::new(poll.registry(), ORDERS)?);
         let (to, given) = unbounded(); // no more than an answer and three words for each connection
         let (listener, conns, orders) = (Some(listener), HashMap::new(), Orders { to, waker });
-        let arrivals = Arrivals::new(messages.now());
+        let arrivals = ArrivalTracker::new(messages.now());
         Ok(Self {
             poll,
             listener,
@@ -122,8 +122,8 @@
                 other => other?,
             }
             let were_all_taken = events.iter().count() < EVENTS;
-            if self.arrivals.turn(self.messages.now(), wait.as_secs_f64() * 1000.0, were_all_taken) {
-                self.messages.send(Input::StoodStill);
+            if self.arrivals.record_poll(self.messages.now(), wait.as_secs_f64() * 1000.0, were_all_taken) {
+                self.messages.send(Input::ProcessPaused);
             }
             let mut ordered = false;
             for event in &events {
@@ -165,7 +165,7 @@
 
     /// Accepts who waits. Who is left waiting, or comes until all are accepted, may have come at any time from this turn on.
     fn accept(&mut self) {
-        let since = *self.waiting_since.get_or_insert(self.arrivals.since());
+        let since = *self.waiting_since.get_or_insert(self.arrivals.earliest_arrival());
         if self.accept_all(since) {
             self.waiting_since = None;
         }
@@ -190,7 +190,8 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
                     debug!("accept: {error}");
-                    self.messages.send(Input::AcceptFailed { is_full: is_full(&error) });
+                    self.messages
+                        .send(Input::AcceptFailed { out_of_descriptors: is_out_of_descriptors(&error) });
                     self.pause = Some(Instant::now() + PAUSE);
                 }
             }
@@ -298,7 +299,7 @@
         if held.out.is_empty() {
             held.out = Vec::new();
             held.shared.said(held.last);
-            self.messages.send(Input::Said { conn });
+            self.messages.send(Input::AnswerWritten { conn });
             match held.dropped {
                 true => self.end(conn),
                 false => self.read(conn),
@@ -314,7 +315,7 @@
 
     fn read(&mut self, conn: u64) {
         let Some(held) = self.conns.get_mut(&conn) else { return };
-        if !held.read(conn, self.arrivals.since(), &self.messages) || held.leaves() {
+        if !held.read(conn, self.arrivals.earliest_arrival(), &self.messages) || held.leaves() {
             self.end(conn);
         } else if std::mem::take(&mut held.more) {
             self.orders.resume(conn);
@@ -324,7 +325,7 @@
     /// Ends a connection and makes its place free.
     fn end(&mut self, conn: u64) {
         if self.conns.remove(&conn).is_some() {
-            self.messages.send(Input::ClientEnd { conn });
+            self.messages.send(Input::ClientDisconnected { conn });
             self.freed = true;
         }
     }
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use super::arrived::Arrived;
-use crate::buffer::{Buffer, Room};
-use crate::http::{Ask, Progress, Request};
+use crate::buffer::{Buffer, MemoryBudget};
+use crate::http::{Ask, Request, RequestParser};
 use crate::inputs::Input;
 use crate::line::Shared;
 use crate::messages::MessageSender;
@@ -37,7 +37,7 @@
     pub(super) is_polled: bool,
     /// Bytes may wait to be read, which came no earlier.
     pub(super) unread_since: Option<f64>,
-    pub(super) progress: Progress,
+    pub(super) progress: RequestParser,
     pub(super) begun: bool,
     /// Bytes still passed over after the last request; without a limit where the mixer itself ends the connection, which gives its
     /// client a time instead.
@@ -70,14 +70,14 @@
 
 impl Conn {
     /// One that has just been accepted, and came no earlier than `since`; whether the poll tells of it.
-    pub(super) fn new(shared: Arc<Shared>, room: &Room, since: f64, is_polled: bool) -> Self {
+    pub(super) fn new(shared: Arc<Shared>, room: &MemoryBudget, since: f64, is_polled: bool) -> Self {
         Self {
             shared,
             buffer: Buffer::new(room),
             arrived: Arrived::default(),
             is_polled,
             unread_since: Some(since),
-            progress: Progress::default(),
+            progress: RequestParser::default(),
             begun: false,
             over: None,
             sends: false,
@@ -159,7 +159,7 @@
                     }
                     if !waits && self.has_begun() && !self.begun {
                         self.begun = true;
-                        messages.send(Input::Begun { conn });
+                        messages.send(Input::RequestStarted { conn });
                     }
                     return true;
                 }
@@ -199,7 +199,7 @@
     /// Discards what comes from now on, up to so many bytes.
     fn pass_over(&mut self, bytes: usize) {
         self.over = Some(bytes);
-        self.buffer.used(usize::MAX);
+        self.buffer.consume(usize::MAX);
     }
 
     /// Reads and discards a turn's worth of what has come after the last request; false at the connection's end.
@@ -230,7 +230,7 @@
     fn still_sends(&mut self, conn: u64, messages: &MessageSender) {
         if !self.sends && self.shared.over.load(Ordering::SeqCst) {
             self.sends = true;
-            messages.send(Input::Sends { conn });
+            messages.send(Input::DataAfterLastAnswer { conn });
         }
     }
 
@@ -247,8 +247,8 @@
         if self.shared.over.load(Ordering::SeqCst) {
             return self.pass_over(usize::MAX); // that answer was the last
         }
-        let Some(Request { ask, close, used }) = self.progress.request(self.buffer.bytes()) else { return };
-        self.buffer.used(used);
+        let Some(Request { ask, close, used }) = self.progress.parse(self.buffer.bytes()) else { return };
+        self.buffer.consume(used);
         let since = self.arrived.use_up(used).unwrap_or(f64::NEG_INFINITY);
         self.begun = false;
         if close {
@@ -267,7 +267,7 @@
         self.told_behind = false;
         // First, as it may be answered at once.
         self.tell_behind(conn, messages);
-        messages.send(Input::Asked { conn, ask, close });
+        messages.send(Input::Request { conn, ask, close });
         true
     }
 
@@ -276,7 +276,7 @@
         let open = self.asked.is_none() && self.shared.owing.load(Ordering::SeqCst);
         if open && self.over.is_none() && self.has_begun() && !self.told_behind {
             self.told_behind = true;
-            messages.send(Input::SentBehind { conn });
+            messages.send(Input::MoreDataBuffered { conn });
         }
     }
 }
--- a/crates/mixer/src/copies.rs
+++ b/crates/mixer/src/copies.rs
@@ -77,7 +77,7 @@
         start.sockets = left;
         let messages = messages.clone();
         let hear = move |advice: Vec<Advice>| {
-            messages.send(Input::Heard(advice.into_iter().map(Advice::event).collect()));
+            messages.send(Input::FleetEvents(advice.into_iter().map(Advice::event).collect()));
         };
         let mesh = Mesh::start(terms, hear).with_context(|| format!("fleet listen {}", fleet.listen))?;
         info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.at());
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -14,8 +14,8 @@
 
 pub use pewterwharf_terms::list::{Entry, List, list};
 
-use crate::buffer::{Buffer, Room};
-use crate::http::{self, Body};
+use crate::buffer::{Buffer, MemoryBudget};
+use crate::http::{self, BodyFraming, Chunk};
 use crate::inputs::Input;
 use crate::messages::MessageSender;
 
@@ -74,7 +74,7 @@
             std::thread::sleep(LOOK);
         };
         let Self { number, at, index } = self;
-        let (room, wires, next_id, told) = (Room::of(2 * LONGEST), BTreeMap::new(), 0, 0);
+        let (room, wires, next_id, told) = (MemoryBudget::new(2 * LONGEST), BTreeMap::new(), 0, 0);
         let mut telling = Telling { poll, number, at, index, room, wires, next_id, told, watches, messages };
         if let Err(error) = telling.run() {
             debug!("watch {number} has ended: {error:#}");
@@ -88,7 +88,7 @@
     number: u64,
     at: SocketAddrV4,
     index: Option<u64>,
-    room: Room,
+    room: MemoryBudget,
     /// Its connections, the eldest first: at most one that has spoken, and attempts at a better one.
     wires: BTreeMap<usize, Wire>,
     next_id: usize,
@@ -186,7 +186,7 @@
     Opening,
     /// The whole list is asked for first.
     ListHead,
-    ListBody(Body),
+    ListBody(BodyFraming),
     WatchHead,
     Lines,
 }
@@ -275,31 +275,32 @@
             match self.stage {
                 Stage::Opening => return Ok(()),
                 Stage::ListHead | Stage::WatchHead => {
-                    let head = http::response(self.buffer.bytes()).map_err(Error::msg)?;
-                    let Some((status, body, used)) = head else { return Ok(()) };
-                    self.buffer.used(used);
+                    let head = http::parse_response_head(self.buffer.bytes()).map_err(Error::msg)?;
+                    let Some(head) = head else { return Ok(()) };
+                    let (status, body) = (head.status, head.framing);
+                    self.buffer.consume(head.used);
                     ensure!(status == 200, "status {status}");
                     self.stage = match self.stage {
                         Stage::ListHead => Stage::ListBody(body),
                         _ => Stage::Lines,
                     };
                     let watched = matches!(self.stage, Stage::Lines);
-                    ensure!(!watched || body == Body::Chunked, "the watch is not chunked");
+                    ensure!(!watched || body == BodyFraming::Chunked, "the watch is not chunked");
                 }
-                Stage::ListBody(Body::Length(length)) => {
+                Stage::ListBody(BodyFraming::Length(length)) => {
                     ensure!(length <= LONGEST, "a list over {LONGEST} bytes");
                     let Some(body) = self.buffer.bytes().get(..length) else { return Ok(()) };
                     telling.heard(body)?;
-                    self.buffer.used(length);
+                    self.buffer.consume(length);
                     self.spoken = true;
                     self.watch(telling)?;
                 }
-                Stage::ListBody(Body::Chunked) | Stage::Lines => {
-                    let chunk = http::chunk(self.buffer.bytes()).map_err(Error::msg)?;
-                    let Some((data, used)) = chunk else { return Ok(()) };
+                Stage::ListBody(BodyFraming::Chunked) | Stage::Lines => {
+                    let chunk = http::parse_chunk(self.buffer.bytes()).map_err(Error::msg)?;
+                    let Some(Chunk { data, used }) = chunk else { return Ok(()) };
                     let (last, lines) = (data.is_empty(), matches!(self.stage, Stage::Lines));
                     let data = data.to_vec();
-                    self.buffer.used(used);
+                    self.buffer.consume(used);
                     ensure!(!(last && lines), "it has ended the watch");
                     if lines {
                         // An empty line is a word too: the list is as it was.
--- a/crates/mixer/src/frame.rs
+++ b/crates/mixer/src/frame.rs
@@ -30,7 +30,7 @@
 }
 
 /// Reads the first frame of these bytes and how long it is; none while it is not whole.
-pub fn read(bytes: &[u8]) -> Result<Option<(Frame, usize)>, String> {
+pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, String> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if !(1..=LONGEST).contains(&length) {
@@ -96,7 +96,7 @@
 }
 
 /// One part of a call.
-pub struct Piece<'a> {
+pub struct CallPart<'a> {
     pub id: &'a str,
     pub shard: u32,
     /// Whole milliseconds that the mixer will wait.
@@ -104,19 +104,19 @@
     pub text: &'a str,
 }
 
-pub fn call(pieces: &[Piece]) -> Vec<u8> {
+pub fn encode_call(pieces: &[CallPart]) -> Vec<u8> {
     let mut body = Vec::new();
-    for Piece { id, shard, wait_ms, text } in pieces {
+    for CallPart { id, shard, wait_ms, text } in pieces {
         body.extend_from_slice(format!("{id} {shard} d={wait_ms} {}\n{text}", text.len()).as_bytes());
     }
     framed(b'D', &body)
 }
 
-pub fn give_up(id: &str) -> Vec<u8> {
+pub fn encode_cancel(id: &str) -> Vec<u8> {
     framed(b'K', id.as_bytes())
 }
 
-pub fn probe() -> Vec<u8> {
+pub fn encode_probe() -> Vec<u8> {
     framed(b'I', &[])
 }
 
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What the threads tell the reducer, what it answers, and the phases between start and exit: words only, below all that
+//! The reducer's inputs and effects, and the phases between start and exit. Plain types without behaviour, below all modules that
 //! use them.
 
 use std::net::SocketAddrV4;
@@ -10,88 +10,91 @@
 use crate::frame::Frame;
 use crate::http::Ask;
 
-/// What happened outside.
+/// What happened outside the reducer.
 #[derive(Clone, Debug)]
 pub enum Input {
-    ClientOpen {
+    ClientConnected {
         conn: u64,
     },
-    Asked {
+    /// A client's request has been read whole. With `close`, the connection ends with its answer.
+    Request {
         conn: u64,
         ask: Ask,
         close: bool,
     },
-    /// More was read behind the request that is open, or told of next.
-    SentBehind {
+    /// More bytes are buffered behind the request that is open, or behind the one that is reported next.
+    MoreDataBuffered {
         conn: u64,
     },
-    /// A request has begun to come and is not whole.
-    Begun {
+    /// The first bytes of a request have arrived, but not all of it.
+    RequestStarted {
         conn: u64,
     },
-    ClientEnd {
+    ClientDisconnected {
         conn: u64,
     },
-    /// An answer to it could not be written at once.
-    Slow {
+    /// An answer could not be written at once.
+    AnswerDelayed {
         conn: u64,
     },
-    /// It was written whole since.
-    Said {
+    /// The delayed answer has been written completely.
+    AnswerWritten {
         conn: u64,
     },
-    /// It still sends after its last answer.
-    Sends {
+    /// The client still sends after its last answer.
+    DataAfterLastAnswer {
         conn: u64,
     },
-    /// All that waited to be accepted are, and no more will be.
+    /// All connections that waited to be accepted are accepted, and no more will be.
     ListenerClosed,
-    /// A client could not be accepted; whether that is since the process has no descriptor left.
+    /// A client could not be accepted.
     AcceptFailed {
-        is_full: bool,
+        /// The reason is that the process has no file descriptor left.
+        out_of_descriptors: bool,
     },
     LinkUp {
         link: u64,
     },
-    /// A searcher takes no more for now: what waits for the link waits on. Whether it took any since that was told last.
+    /// A searcher accepts no more bytes for now: whatever waits for the link keeps waiting.
     LinkBlocked {
         link: u64,
-        took_some: bool,
+        /// The searcher accepted some bytes since the last report.
+        made_progress: bool,
     },
-    /// It takes more again.
-    LinkHasRoom {
+    /// The searcher accepts bytes again.
+    LinkWritable {
         link: u64,
     },
-    /// It is over; so many frames were written whole.
-    LinkEnd {
+    LinkClosed {
         link: u64,
-        written: u64,
+        /// Number of frames that were written completely.
+        frames_written: u64,
     },
-    /// What came on it together, and why nothing that follows can be read.
+    /// Frames that arrived together on a link.
     Frames {
         link: u64,
         frames: Vec<Frame>,
-        bad: Option<String>,
+        /// Why nothing after these frames can be read.
+        error: Option<String>,
     },
-    /// What a watch told, by its number.
+    /// A searcher list that arrived on the watch with this number.
     List {
         watch: u64,
         list: List,
     },
-    /// The configuration was read anew; why it can't be used.
-    Reloaded(Result<Change, String>),
+    /// The configuration was read again, or the reason why it is unusable.
+    ConfigReloaded(Result<Change, String>),
     WatchLost,
-    /// The process stood still for a while.
-    StoodStill,
-    /// What is heeded of the words of other mixers.
-    Heard(Vec<Event>),
-    /// Asked to end.
+    /// The whole process did not run for a while.
+    ProcessPaused,
+    /// Events that result from what other mixers of the fleet report.
+    FleetEvents(Vec<Event>),
+    /// The process was asked to end.
     Stop,
-    /// Asked for the counters.
-    Report,
+    PrintCounters,
 }
 
-/// What is to be done outside, in this order.
+/// What the service has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Answer {
@@ -99,53 +102,52 @@
         bytes: Vec<u8>,
         last: bool,
     },
-    /// Reads no further from a client than to what it has sent.
-    HangUp {
+    /// Closes a client's connection once everything that it has sent so far is read and answered.
+    CloseClient {
         conn: u64,
     },
-    /// Lets go of a connection once all answers are written.
-    DropClient {
+    /// Releases a connection once all its answers are written.
+    ReleaseClient {
         conn: u64,
     },
     Connect {
         link: u64,
         addr: SocketAddrV4,
     },
-    /// Something waits to be written on a link: [`crate::reducer::Reducer::next_frame`].
+    /// Something waits to be written on a link; see [`crate::reducer::Reducer::next_frame`].
     Send {
         link: u64,
     },
-    /// Tries once more to write on a link whose searcher takes no more.
-    Retry {
+    /// Tries again to write on a blocked link.
+    RetryWrite {
         link: u64,
     },
     CloseLink {
         link: u64,
     },
     StopListening,
-    /// Begins a further watch of that number.
-    Watch {
+    StartWatch {
         number: u64,
-        at: SocketAddrV4,
+        addr: SocketAddrV4,
     },
-    /// Lists of this watch are gone by from now on.
-    Heard {
+    /// From now on this watch's lists are used.
+    WatchActivated {
         watch: u64,
     },
-    Print(String),
+    PrintCounters(String),
 }
 
-/// The phases of the program, from start to exit.
+/// The phases of the process, from start to exit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// No list of searchers is held yet.
-    Opening,
+    Starting,
     Ready,
-    /// Asked to end: new connections are served until then, and what was taken is answered.
+    /// The process was asked to end: new connections are served until `listen_until`, and every request taken is answered.
     Draining {
         listen_until: f64,
         listening: bool,
-        /// At the latest: the platform waits no longer.
+        /// The latest time to exit, as the platform waits no longer.
         until: f64,
     },
     Closed,
--- a/crates/mixer/src/link.rs
+++ b/crates/mixer/src/link.rs
@@ -9,7 +9,7 @@
 use mio::net::TcpStream;
 use tracing::debug;
 
-use crate::buffer::Room;
+use crate::buffer::MemoryBudget;
 use crate::stream::write_some;
 
 /// What the service and the thread that reads share of a link.
@@ -69,7 +69,7 @@
     /// The rest of the frame that has begun.
     rest: Vec<u8>,
     /// What the rests of all links may take, and how much of it this one holds.
-    room: Option<(Room, usize)>,
+    room: Option<(MemoryBudget, usize)>,
     /// Frames that were written whole.
     pub written: u64,
 }
@@ -101,7 +101,7 @@
 
     /// Writes a frame, behind which nothing else may wait. `room` is what the rests of all links may take: where it does not do, the
     /// link ends.
-    pub fn write(&mut self, frame: Vec<u8>, room: &Room) -> Written {
+    pub fn write(&mut self, frame: Vec<u8>, room: &MemoryBudget) -> Written {
         match self.put(&frame) {
             Ok(count) if count == frame.len() => {
                 self.written += 1;
@@ -109,7 +109,7 @@
             }
             Ok(0) => Written::NotBegun,
             Ok(count) => {
-                if !room.take(frame.len()) {
+                if !room.try_reserve(frame.len()) {
                     return self.fail(&ErrorKind::OutOfMemory.into());
                 }
                 self.room = Some((room.clone(), frame.len()));
@@ -151,7 +151,7 @@
 
     fn give_room_back(&mut self) {
         if let Some((room, bytes)) = self.room.take() {
-            room.give(bytes);
+            room.release(bytes);
         }
     }
 
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result, anyhow};
 use pewterwharf_mixer::log;
 use pewterwharf_mixer::service::Service;
-use pewterwharf_mixer::signals::{self, Again};
+use pewterwharf_mixer::signals::{self, Reloaders};
 use pewterwharf_settings::Settings;
 use pewterwharf_terms::{Change, Start};
 use tracing::level_filters::LevelFilter;
@@ -35,11 +35,11 @@
 }
 
 fn run() -> Result<()> {
-    let signals = signals::signals()?;
+    let signals = signals::register_handlers()?;
     let (path, text) = file()?;
     let mut start = Start::read(&text, said).with_context(|| format!("in {path}"))?;
     start.hold_to(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
-    Service::open(start, &settings()?, signals, Again { start: again, settings })?.run()
+    Service::open(start, &settings()?, signals, Reloaders { config: again, settings })?.run()
 }
 
 /// Lines go to standard error; `RUST_LOG` names the level, or targets with theirs, and `RUST_LOG_FORM=json` makes each
--- a/crates/mixer/src/pauses.rs
+++ b/crates/mixer/src/pauses.rs
@@ -9,17 +9,17 @@
 const UNSURE_MS: f64 = 20.0;
 
 /// The looks of one thread. Times are milliseconds of one clock.
-pub struct PauseWatch {
+pub struct PauseDetector {
     looked_at: f64,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     pub fn new(now: f64) -> Self {
         Self { looked_at: now }
     }
 
     /// Takes a look that was due `wait_ms` after the one before, at the latest; whether the process stood still since.
-    pub fn look(&mut self, now: f64, wait_ms: f64) -> bool {
+    pub fn check(&mut self, now: f64, wait_ms: f64) -> bool {
         self.take(now, wait_ms).1 > STOOD_STILL_MS
     }
 
@@ -34,21 +34,21 @@
 ///
 /// What a poll finds came after the poll before had returned. That was right before the look of that turn, or, where a pause shows in
 /// that look, at any time since the look before it.
-pub struct Arrivals {
-    pauses: PauseWatch,
+pub struct ArrivalTracker {
+    pauses: PauseDetector,
     since: f64,
     /// What the next turn finds came no earlier, where that is not known from its own look.
     next_since: Option<f64>,
 }
 
-impl Arrivals {
+impl ArrivalTracker {
     pub fn new(now: f64) -> Self {
-        Self { pauses: PauseWatch::new(now), since: now, next_since: Some(now) }
+        Self { pauses: PauseDetector::new(now), since: now, next_since: Some(now) }
     }
 
     /// Begins the turn after a poll that has returned just now and was to wait `wait_ms` at most; whether the process stood still.
     /// `all_found`: the poll found all that there was.
-    pub fn turn(&mut self, now: f64, wait_ms: f64, all_found: bool) -> bool {
+    pub fn record_poll(&mut self, now: f64, wait_ms: f64, all_found: bool) -> bool {
         let (before, late_ms) = self.pauses.take(now, wait_ms);
         let unsure_since = (late_ms > UNSURE_MS).then_some(before);
         self.since = self.next_since.or(unsure_since).unwrap_or(now);
@@ -57,7 +57,7 @@
     }
 
     /// What is found in this turn came no earlier.
-    pub fn since(&self) -> f64 {
+    pub fn earliest_arrival(&self) -> f64 {
         self.since
     }
 }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -85,7 +85,7 @@
         Self {
             module: terms.open(seed),
             terms,
-            phase: Phase::Opening,
+            phase: Phase::Starting,
             clients_cap: half,
             links_cap: half,
             clients: BTreeMap::new(),
@@ -158,7 +158,7 @@
     }
 
     /// When it wants to be called at the latest.
-    pub fn next_due(&self) -> Option<f64> {
+    pub fn next_timer_at(&self) -> Option<f64> {
         self.due.first().map(|d| f64::from_bits(d.0))
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Where the first watch leads; it has the number 0.
-    pub fn watches(&mut self, at: SocketAddrV4) {
+    pub fn set_discovery(&mut self, at: SocketAddrV4) {
         self.discovery = Some(at);
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// The list as it was held before the start: it counts once the watch has said what changed since, or is silent.
-    pub fn cached(&mut self, now: f64, list: List) {
+    pub fn set_cached_list(&mut self, now: f64, list: List) {
         self.cached = Some(list);
         self.add_due(now + HOLD_MS, Due::Cached);
     }
@@ -254,9 +254,9 @@
         match input {
             Input::List { .. } => 0,
             // What came on a link before its end goes before it.
-            Input::Frames { .. } | Input::LinkEnd { .. } => 1,
+            Input::Frames { .. } | Input::LinkClosed { .. } => 1,
             // One that came in this very step has to be known before its end.
-            Input::ClientEnd { conn } if self.clients.contains_key(conn) => 1,
+            Input::ClientDisconnected { conn } if self.clients.contains_key(conn) => 1,
             _ => 2,
         }
     }
@@ -275,7 +275,7 @@
         self.phase = phase;
         let (queries, clients) = (self.scans.len(), self.clients.len());
         match phase {
-            Phase::Opening => {}
+            Phase::Starting => {}
             Phase::Ready => info!("ready"),
             Phase::Draining { listening: true, .. } => {
                 info!("draining: {queries} queries, {clients} clients")
@@ -317,36 +317,36 @@
 
     fn take(&mut self, now: f64, input: Input) {
         match input {
-            Input::ClientOpen { conn } => self.client_open(now, conn),
-            Input::Asked { conn, ask, close } => self.asked(now, conn, ask, close),
-            Input::Begun { conn } => self.begun(now, conn),
-            Input::SentBehind { conn } => self.sent_behind(conn),
-            Input::ClientEnd { conn } => self.client_end(now, conn),
-            Input::Slow { conn } => self.slow(conn),
-            Input::Said { conn } => self.said(now, conn),
-            Input::Sends { conn } => self.sends(conn),
+            Input::ClientConnected { conn } => self.client_open(now, conn),
+            Input::Request { conn, ask, close } => self.asked(now, conn, ask, close),
+            Input::RequestStarted { conn } => self.begun(now, conn),
+            Input::MoreDataBuffered { conn } => self.sent_behind(conn),
+            Input::ClientDisconnected { conn } => self.client_end(now, conn),
+            Input::AnswerDelayed { conn } => self.slow(conn),
+            Input::AnswerWritten { conn } => self.said(now, conn),
+            Input::DataAfterLastAnswer { conn } => self.sends(conn),
             Input::ListenerClosed => self.deaf = true,
-            Input::AcceptFailed { is_full } => {
+            Input::AcceptFailed { out_of_descriptors } => {
                 self.counters.accepts_failed += 1;
-                if is_full {
+                if out_of_descriptors {
                     self.make_room(now);
                 }
             }
             Input::LinkUp { link } => self.link_up(now, link),
-            Input::LinkBlocked { link, took_some } => self.link_blocked(now, link, took_some),
-            Input::LinkHasRoom { link } => self.link_has_room(link),
-            Input::LinkEnd { link, written } => self.link_end(now, link, written),
-            Input::Frames { link, frames, bad } => {
+            Input::LinkBlocked { link, made_progress } => self.link_blocked(now, link, made_progress),
+            Input::LinkWritable { link } => self.link_has_room(link),
+            Input::LinkClosed { link, frames_written: written } => self.link_end(now, link, written),
+            Input::Frames { link, frames, error: bad } => {
                 frames.into_iter().for_each(|frame| self.frame(now, link, frame));
                 bad.into_iter().for_each(|why| self.bad_frame(now, link, &why));
             }
             Input::List { watch, list } => self.watched(now, watch, list),
-            Input::Reloaded(change) => self.reloaded(now, change),
+            Input::ConfigReloaded(change) => self.reloaded(now, change),
             Input::WatchLost => self.counters.watches_lost += 1,
-            Input::StoodStill => self.counters.pauses += 1,
-            Input::Heard(events) => self.events.extend(events),
+            Input::ProcessPaused => self.counters.pauses += 1,
+            Input::FleetEvents(events) => self.events.extend(events),
             Input::Stop => self.stop(now),
-            Input::Report => self.effects.push(Effect::Print(self.counters().to_string())),
+            Input::PrintCounters => self.effects.push(Effect::PrintCounters(self.counters().to_string())),
         }
     }
 
@@ -360,7 +360,7 @@
             Due::Retry(link) => self.retry_blocked(link),
             Due::Linger(conn) => self.linger(now, conn),
             Due::Quiet(conn) => self.quiet(now, conn),
-            Due::Cached => self.uncache(now),
+            Due::Cached => self.use_cached_list(now),
             Due::Overdue(_) | Due::Drained | Due::Unsent => {}
         }
     }
@@ -398,7 +398,7 @@
                 }
                 let parts = held.parts.iter().filter_map(|id| self.parts.get(id));
                 let values = parts.filter_map(|p| p.value.as_deref().map(|v| (p.shard, v)));
-                let body = http::rows(whole, values);
+                let body = http::encode_rows(whole, values);
                 self.answer_scan(now, scan, 200, None, &body);
             }
             Action::Throttle { scan, back_in_ms } => {
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -127,7 +127,7 @@
             ClientCloseReason::LastAnswerGiven => &mut self.counters.clients_closed_after_last_answer,
         };
         *count += 1;
-        self.effects.push(Effect::HangUp { conn });
+        self.effects.push(Effect::CloseClient { conn });
     }
 
     pub(super) fn client_end(&mut self, now: f64, conn: u64) {
@@ -147,7 +147,7 @@
 
     fn drop_client(&mut self, conn: u64) {
         self.clients.remove(&conn);
-        self.effects.push(Effect::DropClient { conn });
+        self.effects.push(Effect::ReleaseClient { conn });
     }
 
     pub(super) fn asked(&mut self, now: f64, conn: u64, ask: Ask, close: bool) {
@@ -333,7 +333,7 @@
         client.refused_behind += u32::from(rules::is_refused_before_others(client, drain_serves_until, now));
         client.sent_behind = false;
         (client.scan, client.since, client.standing) = (None, now, ClientStanding::Resting);
-        let bytes = http::answer(status, back_in_ms, body, last);
+        let bytes = http::encode_answer(status, back_in_ms, body, last);
         self.effects.push(Effect::Answer { conn, bytes, last });
         if last {
             client.standing = ClientStanding::Over;
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -12,7 +12,7 @@
     /// Until when what was sent behind requests is served, once the mixer drains.
     pub(super) fn drain_serves_until(&self, now: f64) -> Option<f64> {
         match self.phase {
-            Phase::Opening | Phase::Ready => None,
+            Phase::Starting | Phase::Ready => None,
             Phase::Draining { listen_until, until, .. } => {
                 Some(rules::drain_serves_behind_until(listen_until, until))
             }
@@ -46,7 +46,7 @@
                 self.phase =
                     Phase::Draining { listen_until: now, listening: true, until: now + rules::LINGER_MS };
             }
-            Phase::Opening | Phase::Ready => {
+            Phase::Starting | Phase::Ready => {
                 let longest = self.terms.types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
                 let (listen_until, until) = rules::drain_times(now, longest);
                 self.enter(Phase::Draining { listen_until, listening: true, until });
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -9,7 +9,7 @@
 use super::Reducer;
 use super::held::{AttemptId, Due, LinkStanding, Queued};
 use super::rules::{self, LinkCloseReason, SendRefusal, Violation};
-use crate::frame::{self, Piece};
+use crate::frame::{self, CallPart};
 use crate::inputs::Effect;
 
 /// A link that takes nothing is tried again after so long, then after twice as long each time: its reader tells of room, but not of
@@ -48,7 +48,7 @@
     /// it tells only what is given up. `left`: clients whose connections are known to have ended, whatever was told of them so far.
     ///
     /// Its first byte has to go out at once, as it tells the time that is left at `now`, and only while none of its clients has left;
-    /// else it is to be [taken back](Self::not_begun).
+    /// else it is to be [taken back](Self::return_frame).
     pub fn next_frame(&mut self, now: f64, id: u64, left: &[u64]) -> Option<Outgoing> {
         loop {
             let link = self.links.get_mut(&id)?;
@@ -60,7 +60,7 @@
             let (outgoing, latest) = match queued? {
                 Queued::Probe => (self.probe_frame(id).map(Outgoing::of_no_client), Queued::Probe),
                 Queued::GiveUp(name) => {
-                    (Some(Outgoing::of_no_client(frame::give_up(&name))), Queued::GiveUp(name))
+                    (Some(Outgoing::of_no_client(frame::encode_cancel(&name))), Queued::GiveUp(name))
                 }
                 Queued::Call(call, attempt_ids) => {
                     let sent = self.hand_over_call(now, id, call, attempt_ids, left);
@@ -79,7 +79,7 @@
     }
 
     /// Takes back the frame given last for a link: not a byte of it was taken, and it waits on.
-    pub fn not_begun(&mut self, id: u64) {
+    pub fn return_frame(&mut self, id: u64) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let Some(queued) = link.latest.take() else { return };
         link.frames -= 1;
@@ -107,9 +107,9 @@
     }
 
     /// A searcher takes no more: one that goes on so for as long as a connection may take to come up has its link closed.
-    pub(super) fn link_blocked(&mut self, now: f64, id: u64, took_some: bool) {
+    pub(super) fn link_blocked(&mut self, now: f64, id: u64, made_progress: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let still_blocked = link.blocked_since.is_some() && !took_some;
+        let still_blocked = link.blocked_since.is_some() && !made_progress;
         link.retry_ms = if still_blocked { 2.0 * link.retry_ms } else { FIRST_RETRY_MS };
         let retry_at = now + link.retry_ms;
         if !still_blocked {
@@ -123,7 +123,7 @@
 
     pub(super) fn retry_blocked(&mut self, id: u64) {
         if self.links.get(&id).is_some_and(|link| link.blocked_since.is_some()) {
-            self.effects.push(Effect::Retry { link: id });
+            self.effects.push(Effect::RetryWrite { link: id });
         }
     }
 
@@ -170,15 +170,15 @@
             let (attempt, part) = (self.attempts.get(id)?, self.parts.get(&id.0)?);
             let text = &self.scans.get(&part.scan)?.text;
             let wait_ms = (attempt.until - now).max(1.0) as u64;
-            Some(Piece { id: &part.name, shard: part.shard, wait_ms, text })
+            Some(CallPart { id: &part.name, shard: part.shard, wait_ms, text })
         };
-        let pieces: Vec<Piece> = attempt_ids.iter().filter_map(piece).collect();
+        let pieces: Vec<CallPart> = attempt_ids.iter().filter_map(piece).collect();
         if pieces.is_empty() {
             return None;
         }
         let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.0)?.scan)?.conn);
         let clients: BTreeSet<u64> = attempt_ids.iter().filter_map(client).collect();
-        Some(Outgoing { bytes: frame::call(&pieces), clients: clients.into_iter().collect() })
+        Some(Outgoing { bytes: frame::encode_call(&pieces), clients: clients.into_iter().collect() })
     }
 
     fn may_send(&self, now: f64, link: u64, attempt_id: AttemptId, left: &[u64]) -> Result<(), SendRefusal> {
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -173,7 +173,7 @@
         link.probes.retain(|p| p.frame.is_some() || !p.over);
         let probe = link.probes.iter_mut().find(|p| p.frame.is_none())?;
         probe.frame = Some(link.frames);
-        Some(frame::probe())
+        Some(frame::encode_probe())
     }
 
     /// What was out on a link ends with it: it may have run only if its frame was written whole.
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -34,7 +34,7 @@
         if watch > self.watch {
             self.watch = watch;
             info!("watch {watch} has spoken");
-            self.effects.push(Effect::Heard { watch });
+            self.effects.push(Effect::WatchActivated { watch });
             news = News::OtherPlace;
         } else if list.index < self.list_index {
             self.counters.lists_older += 1;
@@ -42,7 +42,7 @@
         }
         match list.whole {
             true => self.cached = None,
-            false => self.uncache(now),
+            false => self.use_cached_list(now),
         }
         // Who came after an older list was made is not gone for not being in it.
         let whole = list.whole && news != News::Older;
@@ -50,7 +50,7 @@
     }
 
     /// Goes by the list held before the start, unless a newer has come.
-    pub(super) fn uncache(&mut self, now: f64) {
+    pub(super) fn use_cached_list(&mut self, now: f64) {
         if let Some(list) = self.cached.take() {
             self.listed(now, list, ListKind::Cached, News::Newer);
         }
@@ -73,7 +73,7 @@
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
             self.watch_wanted += 1;
-            self.effects.push(Effect::Watch { number: self.watch_wanted, at: change.discovery });
+            self.effects.push(Effect::StartWatch { number: self.watch_wanted, addr: change.discovery });
         }
     }
 
@@ -116,7 +116,7 @@
         // Who is gone and has nothing open is forgotten, as releases bring new ones.
         self.srvs.retain(|_, s| s.life != Life::Gone || !s.links.is_empty());
         self.names.retain(|_, key| self.srvs.contains_key(key));
-        if self.phase == Phase::Opening && self.srvs.values().any(|s| s.life == Life::Ready) {
+        if self.phase == Phase::Starting && self.srvs.values().any(|s| s.life == Life::Ready) {
             self.enter(Phase::Ready);
         }
     }
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -13,7 +13,7 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use tracing::debug;
 
-use crate::buffer::{Buffer, Room};
+use crate::buffer::{Buffer, MemoryBudget};
 use crate::frame;
 use crate::inputs::Input;
 use crate::link::Shared;
@@ -57,13 +57,17 @@
     more: Vec<u64>,
     /// In so long a connection is up; a frame that has begun comes whole in less.
     connect: Duration,
-    room: Room,
+    room: MemoryBudget,
     given: Receiver<(u64, SocketAddrV4)>,
     messages: MessageSender,
 }
 
 impl Searchers {
-    pub fn open(connect: Duration, room: Room, messages: MessageSender) -> io::Result<(Self, Orders)> {
+    pub fn open(
+        connect: Duration,
+        room: MemoryBudget,
+        messages: MessageSender,
+    ) -> io::Result<(Self, Orders)> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), ORDERS)?);
         let (to, given) = unbounded(); // one word for each link, of which descriptors allow so many
@@ -107,7 +111,7 @@
             for link in late.map(|(link, _)| *link).collect::<Vec<_>>() {
                 if self.links.get(&link).is_some_and(|conn| conn.up) {
                     let bad = Some("a frame that does not end".to_owned());
-                    self.messages.send(Input::Frames { link, frames: Vec::new(), bad });
+                    self.messages.send(Input::Frames { link, frames: Vec::new(), error: bad });
                 }
                 self.end(link, &ErrorKind::TimedOut.into());
             }
@@ -116,7 +120,7 @@
 
     fn has_room(&self, link: u64) {
         if self.links.get(&link).is_some_and(|conn| conn.shared.take_awaits_room()) {
-            self.messages.send(Input::LinkHasRoom { link });
+            self.messages.send(Input::LinkWritable { link });
         }
     }
 
@@ -149,7 +153,7 @@
     }
 
     fn over(&self, link: u64) {
-        self.messages.send(Input::LinkEnd { link, written: 0 }); // the service knows how many were
+        self.messages.send(Input::LinkClosed { link, frames_written: 0 }); // the service knows how many were
     }
 }
 
@@ -194,21 +198,21 @@
     fn frames(&mut self, link: u64, whole_in: Duration, messages: &MessageSender) -> io::Result<()> {
         let mut frames = Vec::new();
         loop {
-            match frame::read(self.buffer.bytes()) {
+            match frame::decode(self.buffer.bytes()) {
                 Ok(Some((frame, used))) => {
-                    self.buffer.used(used);
+                    self.buffer.consume(used);
                     frames.push(frame);
                 }
                 Ok(None) => break,
                 // What came before is told with it, so that nothing new goes out on the link in between.
                 Err(why) => {
-                    messages.send(Input::Frames { link, frames, bad: Some(why.clone()) });
+                    messages.send(Input::Frames { link, frames, error: Some(why.clone()) });
                     return Err(io::Error::other(why));
                 }
             }
         }
         if !frames.is_empty() {
-            messages.send(Input::Frames { link, frames, bad: None });
+            messages.send(Input::Frames { link, frames, error: None });
         }
         self.until = (!self.buffer.bytes().is_empty()).then(|| Instant::now() + whole_in);
         Ok(())
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -15,7 +15,7 @@
 use tracing::{debug, info, warn};
 
 use crate::announcing::Announcing;
-use crate::buffer::Room;
+use crate::buffer::MemoryBudget;
 use crate::client::Clients;
 use crate::clock::Clock;
 use crate::copies::Copies;
@@ -27,10 +27,10 @@
 use crate::log;
 use crate::messages::{Message, MessageSender, STACK, spawn};
 use crate::outbox::Outbox;
-use crate::pauses::PauseWatch;
+use crate::pauses::PauseDetector;
 use crate::reducer::Reducer;
 use crate::searcher::{self, Searchers};
-use crate::signals::{Again, Hearing};
+use crate::signals::{Hearing, Reloaders};
 
 /// Inputs that may wait to be heard: whoever sends more, faster than they are taken, waits. The one thread that
 /// takes them sends none.
@@ -44,7 +44,7 @@
 /// so long.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
-/// A mixer. Its phase is the reducer's: [`Phase::Opening`] until a list is held, `Ready`, `Draining`, `Closed`.
+/// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, `Ready`, `Draining`, `Closed`.
 pub struct Service {
     clock: Clock,
     reducer: Reducer,
@@ -59,8 +59,8 @@
     met: Vec<(f64, Input)>,
     outbox: Outbox,
     /// What frames that searchers have taken in part may hold in sum.
-    rests: Room,
-    pauses: PauseWatch,
+    rests: MemoryBudget,
+    pauses: PauseDetector,
     /// The process stood still since inputs were last heard.
     stood_still: bool,
     announcing: Announcing,
@@ -74,7 +74,12 @@
 
 impl Service {
     /// Opens what it needs; the signals it goes by must be caught before, so that none ends it meanwhile.
-    pub fn open(mut start: Start, settings: &Settings, mut signals: Signals, again: Again) -> Result<Self> {
+    pub fn open(
+        mut start: Start,
+        settings: &Settings,
+        mut signals: Signals,
+        again: Reloaders,
+    ) -> Result<Self> {
         let clock = Clock::start();
         let (to, received) = bounded(WAITING);
         let messages = MessageSender { to, clock };
@@ -90,12 +95,12 @@
             Ok(list) if list.entries.is_empty() => index = Some(list.index),
             Ok(list) => {
                 index = None;
-                reducer.cached(clock.now(), list);
+                reducer.set_cached_list(clock.now(), list);
             }
             Err(error) if !start.known.is_null() => warn!("known can't be read: {error:#}"),
             Err(_) => {}
         }
-        reducer.watches(start.discovery);
+        reducer.set_discovery(start.discovery);
         // Before the signals are heard: a fault in it is told at the start, like any other.
         let announcing =
             Announcing::open(settings, reducer.type_names(), start.seed, &messages, copies.way())?;
@@ -105,7 +110,8 @@
         spawn("discovery", STACK, move || first.run(&counted, &told))?;
         let (listener, missed) = listen(start.listen.into(), &mut signals)?;
         let (at, places) = (local(&listener)?, reducer.client_places());
-        let (ours, room) = (Room::of(start.memory / BUFFERS), Room::of(start.memory / BUFFERS));
+        let (ours, room) =
+            (MemoryBudget::new(start.memory / BUFFERS), MemoryBudget::new(start.memory / BUFFERS));
         let clients =
             Clients::open(listener, places, ours, messages.clone()).context("connections of clients")?;
         let orders = clients.orders();
@@ -122,7 +128,7 @@
             }
         })?;
         info!("{} listens on {at}", start.name);
-        let rests = Room::of(start.memory / BUFFERS);
+        let rests = MemoryBudget::new(start.memory / BUFFERS);
         let hearing = Hearing::new(signals, missed, start, again, messages.clone());
         spawn("signals", STACK, move || hearing.run())?;
         let (clients, links, met) = (HashMap::new(), HashMap::new(), Vec::new());
@@ -139,7 +145,7 @@
             met,
             outbox: Outbox::default(),
             rests,
-            pauses: PauseWatch::new(clock.now()),
+            pauses: PauseDetector::new(clock.now()),
             stood_still: false,
             announcing,
             copies,
@@ -153,7 +159,7 @@
             let heard_at = self.clock.now();
             let effects = self.reducer.step(heard_at, inputs);
             effects.into_iter().for_each(|effect| self.carry_out(effect));
-            let paused = self.pauses.look(self.clock.now(), 0.0);
+            let paused = self.pauses.check(self.clock.now(), 0.0);
             // Not twice in a row: a machine that takes so long over each step sends all the same.
             if paused && !caught_up {
                 self.stood_still = true;
@@ -178,7 +184,7 @@
         }
         let report = Some(self.announcing.due()).filter(|at| at.is_finite());
         let look = Some(self.copies.due()).filter(|at| at.is_finite());
-        let due = self.reducer.next_due().into_iter().chain(report).chain(look).reduce(f64::min);
+        let due = self.reducer.next_timer_at().into_iter().chain(report).chain(look).reduce(f64::min);
         due.map_or(Duration::MAX, |at| self.clock.until(at))
     }
 
@@ -189,7 +195,7 @@
         if let Ok(message) = self.received.recv_timeout(wait) {
             self.receive(message, &mut inputs);
         }
-        let paused = self.pauses.look(self.clock.now(), wait.as_secs_f64() * 1000.0);
+        let paused = self.pauses.check(self.clock.now(), wait.as_secs_f64() * 1000.0);
         while inputs.len() < TOGETHER
             && let Ok(message) = self.received.try_recv()
         {
@@ -206,7 +212,7 @@
     /// Hears what was told while the process stood still.
     fn catch_up(&mut self, inputs: &mut Vec<(f64, Input)>) {
         debug!("the process stood still: what came meanwhile is heard first");
-        inputs.push((self.clock.now(), Input::StoodStill));
+        inputs.push((self.clock.now(), Input::ProcessPaused));
         let until = Instant::now() + CATCH_UP;
         while let Ok(message) = self.received.recv_deadline(until) {
             self.receive(message, inputs);
@@ -218,7 +224,7 @@
         match message {
             Message::Client(at, conn, line) => {
                 self.clients.insert(conn, line);
-                inputs.push((at, Input::ClientOpen { conn }));
+                inputs.push((at, Input::ClientConnected { conn }));
             }
             Message::Link(at, link, stream) => {
                 if let Some(held) = self.links.get_mut(&link) {
@@ -226,14 +232,14 @@
                     inputs.push((at, Input::LinkUp { link }));
                 }
             }
-            Message::Input(_, Input::StoodStill) => self.stood_still = true,
-            Message::Input(at, Input::LinkHasRoom { link }) => {
+            Message::Input(_, Input::ProcessPaused) => self.stood_still = true,
+            Message::Input(at, Input::LinkWritable { link }) => {
                 self.outbox.add(link);
-                inputs.push((at, Input::LinkHasRoom { link }));
+                inputs.push((at, Input::LinkWritable { link }));
             }
-            Message::Input(at, Input::LinkEnd { link, .. }) => {
+            Message::Input(at, Input::LinkClosed { link, .. }) => {
                 let written = self.links.remove(&link).map_or(0, |held| held.written);
-                inputs.push((at, Input::LinkEnd { link, written }));
+                inputs.push((at, Input::LinkClosed { link, frames_written: written }));
             }
             // What leads clients here goes first.
             Message::Input(at, Input::Stop) => {
@@ -269,24 +275,24 @@
                 if let Some(line) = self.clients.get_mut(&conn)
                     && !line.say(bytes, last)
                 {
-                    self.met.push((self.clock.now(), Input::Slow { conn }));
+                    self.met.push((self.clock.now(), Input::AnswerDelayed { conn }));
                 }
             }
-            Effect::HangUp { conn } => {
+            Effect::CloseClient { conn } => {
                 if let Some(line) = self.clients.get(&conn) {
                     line.hang_up();
                 }
             }
-            Effect::DropClient { conn } => drop(self.clients.remove(&conn)),
+            Effect::ReleaseClient { conn } => drop(self.clients.remove(&conn)),
             Effect::Connect { link, addr } => {
                 if self.searchers.open(link, addr) {
                     self.links.insert(link, Link::default());
                 } else {
-                    self.met.push((self.clock.now(), Input::LinkEnd { link, written: 0 }));
+                    self.met.push((self.clock.now(), Input::LinkClosed { link, frames_written: 0 }));
                 }
             }
             Effect::Send { link } => self.outbox.add(link),
-            Effect::Retry { link } => {
+            Effect::RetryWrite { link } => {
                 if let Some(held) = self.links.get(&link) {
                     held.retry();
                     self.outbox.add(link);
@@ -299,7 +305,7 @@
                 }
             }
             Effect::StopListening => self.orders.stop_listening(),
-            Effect::Watch { number, at } => {
+            Effect::StartWatch { number, addr: at } => {
                 self.watches.wanted.store(number, Ordering::Release);
                 let watch = Watch { number, at, index: None };
                 let (told, watches) = (self.messages.clone(), self.watches.clone());
@@ -307,8 +313,10 @@
                     warn!("no thread for a watch: {error}");
                 }
             }
-            Effect::Heard { watch } => self.watches.heard.store(watch, Ordering::Release),
-            Effect::Print(text) => print_counters(&text, &(self.announcing.counts() + &self.copies.counts())),
+            Effect::WatchActivated { watch } => self.watches.heard.store(watch, Ordering::Release),
+            Effect::PrintCounters(text) => {
+                print_counters(&text, &(self.announcing.counts() + &self.copies.counts()))
+            }
         }
     }
 }
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -20,7 +20,7 @@
         let slice = Slice::new(self.clock.now());
         while let Some(link) = self.outbox.first() {
             let now = self.clock.now();
-            if self.pauses.look(now, 0.0) {
+            if self.pauses.check(now, 0.0) {
                 self.stood_still = true;
                 return;
             }
@@ -49,11 +49,11 @@
             }
         };
         if written == Written::NotBegun {
-            self.reducer.not_begun(id);
+            self.reducer.return_frame(id);
         }
         if matches!(written, Written::Partly | Written::Stalled | Written::NotBegun) {
-            let took_some = written == Written::Partly;
-            self.met.push((self.clock.now(), Input::LinkBlocked { link: id, took_some }));
+            let made_progress = written == Written::Partly;
+            self.met.push((self.clock.now(), Input::LinkBlocked { link: id, made_progress }));
         }
         written == Written::Whole
     }
@@ -66,7 +66,7 @@
             let now = self.clock.now();
             let Some(frame) = self.reducer.next_frame(now, id, &left) else { return Next::Nothing };
             if !outbox::may_begin(now, self.clock.now()) {
-                self.reducer.not_begun(id);
+                self.reducer.return_frame(id);
                 return Next::Stale;
             }
             let clients = &self.clients;
@@ -75,7 +75,7 @@
             if gone.is_empty() {
                 return Next::Frame(frame.bytes);
             }
-            self.reducer.not_begun(id);
+            self.reducer.return_frame(id);
             left.extend(gone);
         }
     }
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -21,9 +21,9 @@
 
 /// Reads files anew, for a mixer that runs.
 #[derive(Clone, Copy)]
-pub struct Again {
+pub struct Reloaders {
     /// The platform's, of a mixer that was started on this one.
-    pub start: fn(&Start) -> Result<Change>,
+    pub config: fn(&Start) -> Result<Change>,
     /// The operator's own.
     pub settings: fn() -> Result<Settings>,
 }
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// If the system refuses a handler.
-pub fn signals() -> Result<Signals> {
+pub fn register_handlers() -> Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).context("signals")
 }
 
@@ -47,7 +47,7 @@
     /// Those that have come and were not heard yet.
     waiting: VecDeque<i32>,
     start: Start,
-    again: Again,
+    again: Reloaders,
     messages: MessageSender,
 }
 
@@ -57,7 +57,7 @@
         signals: Signals,
         missed: Vec<i32>,
         start: Start,
-        again: Again,
+        again: Reloaders,
         messages: MessageSender,
     ) -> Self {
         Self { signals, waiting: missed.into(), start, again, messages }
@@ -71,7 +71,7 @@
             }
             let Some(signal) = self.waiting.pop_front() else { continue };
             let input = match signal {
-                SIGUSR1 => Input::Report,
+                SIGUSR1 => Input::PrintCounters,
                 SIGHUP => self.reload(),
                 _ => Input::Stop,
             };
@@ -88,13 +88,13 @@
         let _ = self.messages.to.send(settings); // or the program has ended
         let since = Instant::now();
         loop {
-            match (self.again.start)(&self.start) {
+            match (self.again.config)(&self.start) {
                 Err(error)
                     if is_unreadable(&error) && since.elapsed() < BEING_WRITTEN && !self.is_to_end() =>
                 {
                     std::thread::sleep(AGAIN);
                 }
-                read => return Input::Reloaded(read.map_err(|error| format!("{error:#}"))),
+                read => return Input::ConfigReloaded(read.map_err(|error| format!("{error:#}"))),
             }
         }
     }
--- a/crates/mixer/tests/codecs.rs
+++ b/crates/mixer/tests/codecs.rs
@@ -3,9 +3,9 @@
 use std::fmt::Debug;
 
 use insta::assert_snapshot;
-use pewterwharf_mixer::buffer::{Buffer, Room};
-use pewterwharf_mixer::frame::{self, Frame, Piece};
-use pewterwharf_mixer::http::Progress;
+use pewterwharf_mixer::buffer::{Buffer, MemoryBudget};
+use pewterwharf_mixer::frame::{self, CallPart, Frame};
+use pewterwharf_mixer::http::RequestParser;
 use pewterwharf_mixer::{discovery, http};
 use pewterwharf_terms::Start;
 use serde_json::json;
@@ -36,16 +36,16 @@
 
 #[test]
 fn requests_are_read_whatever_pieces_they_come_in() {
-    let plain = cut(by_length(BODY).as_bytes(), http::request);
-    let parts = cut(chunked(BODY).as_bytes(), http::request);
+    let plain = cut(by_length(BODY).as_bytes(), http::parse_request);
+    let parts = cut(chunked(BODY).as_bytes(), http::parse_request);
     assert_eq!(plain.as_ref().map(|r| &r.ask), parts.as_ref().map(|r| &r.ask));
-    let ready = cut(b"GET /-/ready?x HTTP/1.1\r\nConnection: Close\r\n\r\n", http::request);
+    let ready = cut(b"GET /-/ready?x HTTP/1.1\r\nConnection: Close\r\n\r\n", http::parse_request);
     assert_snapshot!(format!("{plain:#?}\n{ready:?}"));
 }
 
 #[test]
 fn requests_that_can_t_be_used_say_why() {
-    let of = |request: String| match http::request(request.as_bytes()) {
+    let of = |request: String| match http::parse_request(request.as_bytes()) {
         Some(r) => format!("{:?} close={} rest={}", r.ask, r.close, request.len() - r.used),
         None => "not whole".to_owned(),
     };
@@ -84,12 +84,12 @@
 
 #[test]
 fn answers_are_written_as_the_protocol_has_them() {
-    let rows = http::rows(false, [(3, "5be2a07c19f04d63"), (9, "\"\n")].into_iter());
+    let rows = http::encode_rows(false, [(3, "5be2a07c19f04d63"), (9, "\"\n")].into_iter());
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).replace("\r\n", "|");
     let cases = [
-        text(http::answer(200, None, &rows, false)),
-        text(http::answer(503, Some(1250.4), b"throttled\n", true)),
-        text(http::answer(405, None, b"", true)),
+        text(http::encode_answer(200, None, &rows, false)),
+        text(http::encode_answer(503, Some(1250.4), b"throttled\n", true)),
+        text(http::encode_answer(405, None, b"", true)),
     ];
     assert_snapshot!(cases.join("\n"));
 }
@@ -97,7 +97,7 @@
 #[test]
 fn frames_are_read_and_written() {
     let framed = |body: &[u8]| [&(body.len() as u32).to_be_bytes(), body].concat();
-    let read = |bytes: &[u8]| frame::read(bytes).transpose();
+    let read = |bytes: &[u8]| frame::decode(bytes).transpose();
     let part = cut(&framed(b"O9b1f03aa5c7e2d41.3 200 1840277719 inflight=7\nvalue\n2"), read);
     let good = [part, cut(&framed(b"I500"), read), cut(&framed(b"Zwhat"), read)];
     let good = [&good[..], &[cut(&framed(b"Oid 200 1 \xff\n"), read), cut(&framed(b"Iwhat"), read)]].concat();
@@ -114,30 +114,35 @@
         b"Oid 200 1 -\n\xff",
         b"Oid 200 1 -\nvalue\0\0\0\x38O",
     ];
-    let bad = bad.map(|body| format!("{:?}", frame::read(&framed(body))));
+    let bad = bad.map(|body| format!("{:?}", frame::decode(&framed(body))));
     let endless = [&[0, 0, 0xff, 0, b'O'], [b'y'; 5000].as_slice()].concat();
     let long =
-        [[0x7f, 0, 0, 0].as_slice(), &[0, 0, 0, 9, 1], &endless].map(|b| format!("{:?}", frame::read(b)));
+        [[0x7f, 0, 0, 0].as_slice(), &[0, 0, 0, 9, 1], &endless].map(|b| format!("{:?}", frame::decode(b)));
     let long = long.join("\n");
-    let piece = |id, shard| Piece { id, shard, wait_ms: 240, text: "c41e\n7d0" };
-    let call = frame::call(&[piece("9b1f03aa5c7e2d41.3", 3), piece("9b1f03aa5c7e2d41.9", 9)]);
-    let sent = [call, frame::give_up("a.3"), frame::probe()].map(|f| f.escape_ascii().to_string());
+    let piece = |id, shard| CallPart { id, shard, wait_ms: 240, text: "c41e\n7d0" };
+    let call = frame::encode_call(&[piece("9b1f03aa5c7e2d41.3", 3), piece("9b1f03aa5c7e2d41.9", 9)]);
+    let sent =
+        [call, frame::encode_cancel("a.3"), frame::encode_probe()].map(|f| f.escape_ascii().to_string());
     assert_snapshot!(format!("{good:#?}\n{}\n{long}\n{}", bad.join("\n"), sent.join("\n")));
 }
 
 #[test]
 fn whatever_a_byte_turns_into_no_more_is_used_than_came() {
-    let frame = frame::call(&[Piece { id: "9b1f.3", shard: 3, wait_ms: 240, text: "c41e77d0" }]);
+    let frame = frame::encode_call(&[CallPart { id: "9b1f.3", shard: 3, wait_ms: 240, text: "c41e77d0" }]);
     let answer = [&[0, 0, 0, 16], b"Oa.3 200 1 -\nval".as_slice()].concat();
     for whole in [by_length(BODY).into_bytes(), chunked(BODY).into_bytes(), frame, answer] {
         for at in 0..whole.len() {
             for byte in [0, b'\n', b' ', b'0', b'9', b'f', b'{', 0x7f, 0xff] {
                 let mut bytes = whole.clone();
                 bytes[at] = byte;
-                assert!(http::request(&bytes).is_none_or(|r| r.used <= bytes.len()));
-                assert!(!matches!(frame::read(&bytes), Ok(Some((_, used))) if used > bytes.len()));
-                assert!(!matches!(http::chunk(&bytes), Ok(Some((_, used))) if used > bytes.len()));
-                assert!(!matches!(http::response(&bytes), Ok(Some((.., used))) if used > bytes.len()));
+                assert!(http::parse_request(&bytes).is_none_or(|r| r.used <= bytes.len()));
+                assert!(!matches!(frame::decode(&bytes), Ok(Some((_, used))) if used > bytes.len()));
+                assert!(
+                    !matches!(http::parse_chunk(&bytes), Ok(Some(http::Chunk { used, .. })) if used > bytes.len())
+                );
+                assert!(
+                    !matches!(http::parse_response_head(&bytes), Ok(Some(http::ResponseHead { used, .. })) if used > bytes.len())
+                );
             }
         }
     }
@@ -201,12 +206,13 @@
 #[test]
 fn a_buffer_grows_as_needed_and_compacts_in_place() {
     let text: Vec<u8> = (0..60_000u32).map(|i| i as u8).collect();
-    let (mut input, mut buffer, mut seen) = (text.as_slice(), Buffer::new(&Room::of(1 << 20)), Vec::new());
+    let (mut input, mut buffer, mut seen) =
+        (text.as_slice(), Buffer::new(&MemoryBudget::new(1 << 20)), Vec::new());
     while buffer.fill(&mut input).expect("a slice can be read") > 0 {
         // A message of 1,000 bytes at a time, so that beginnings of the next are left over.
         while buffer.bytes().len() >= 1000 {
             seen.extend_from_slice(&buffer.bytes()[..1000]);
-            buffer.used(1000);
+            buffer.consume(1000);
         }
     }
     assert!(buffer.bytes().is_empty());
@@ -219,28 +225,28 @@
     let chunks: String =
         BODY.chars().chain(" ".repeat(8000).chars()).map(|c| format!("1\r\n{c}\r\n")).collect();
     let whole = format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n").into_bytes();
-    let mut progress = Progress::default();
+    let mut progress = RequestParser::default();
     let start = std::time::Instant::now();
-    let last = (1..=whole.len()).find_map(|end| progress.request(&whole[..end]).map(|r| (end, r)));
+    let last = (1..=whole.len()).find_map(|end| progress.parse(&whole[..end]).map(|r| (end, r)));
     assert_eq!(last.as_ref().map(|l| l.0), Some(whole.len()));
-    assert_eq!(last.map(|l| l.1.ask), http::request(by_length(BODY).as_bytes()).map(|r| r.ask));
+    assert_eq!(last.map(|l| l.1.ask), http::parse_request(by_length(BODY).as_bytes()).map(|r| r.ask));
     assert!(start.elapsed().as_secs() < 5, "it took {:?}", start.elapsed());
 }
 
 #[test]
 fn buffers_grow_only_as_far_as_all_of_them_may() {
-    let room = Room::of(10_000);
+    let room = MemoryBudget::new(10_000);
     let fill = |buffer: &mut Buffer| {
         let mut input = std::io::repeat(7);
         while buffer.fill(&mut input).is_ok() {}
         buffer.bytes().len()
     };
     let (mut first, mut second) = (Buffer::new(&room), Buffer::new(&room));
-    let sizes = [fill(&mut first), fill(&mut second), room.left()];
+    let sizes = [fill(&mut first), fill(&mut second), room.remaining()];
     drop(first);
-    let then = [fill(&mut second), room.left()];
+    let then = [fill(&mut second), room.remaining()];
     drop(second);
-    assert_snapshot!(format!("{sizes:?} {then:?} {}", room.left()));
+    assert_snapshot!(format!("{sizes:?} {then:?} {}", room.remaining()));
 }
 
 #[test]
@@ -249,7 +255,7 @@
         let body = format!("Oq1.0 200 1 {report}\nvalue");
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend_from_slice(body.as_bytes());
-        match frame::read(&bytes) {
+        match frame::decode(&bytes) {
             Ok(Some((Frame::Part { busy, .. }, _))) => busy,
             other => panic!("{other:?}"),
         }
--- a/crates/mixer/tests/pauses.rs
+++ b/crates/mixer/tests/pauses.rs
@@ -1,14 +1,16 @@
 //! Since when what a polling thread finds may have been there, looks at the clock given by hand.
 
-use pewterwharf_mixer::pauses::{Arrivals, PauseWatch};
+use pewterwharf_mixer::pauses::{ArrivalTracker, PauseDetector};
 
 /// The longest wait of a poll.
 const WAIT_MS: f64 = 40.0;
 
 /// The turns at these times: whether each finds a pause, and since when what it finds may have been there.
 fn turns(times: &[(f64, bool)]) -> Vec<(bool, f64)> {
-    let mut arrivals = Arrivals::new(0.0);
-    let turn = |&(now, all_found): &(f64, bool)| (arrivals.turn(now, WAIT_MS, all_found), arrivals.since());
+    let mut arrivals = ArrivalTracker::new(0.0);
+    let turn = |&(now, all_found): &(f64, bool)| {
+        (arrivals.record_poll(now, WAIT_MS, all_found), arrivals.earliest_arrival())
+    };
     times.iter().map(turn).collect()
 }
 
@@ -45,7 +47,7 @@
 
 #[test]
 fn long_wait_is_no_pause() {
-    let mut watch = PauseWatch::new(0.0);
-    assert!(!watch.look(500.0, 500.0));
-    assert!(watch.look(700.0, 0.0));
+    let mut watch = PauseDetector::new(0.0);
+    assert!(!watch.check(500.0, 500.0));
+    assert!(watch.check(700.0, 0.0));
 }
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -65,7 +65,7 @@
         let terms = Terms::of_json(settings).expect("good settings");
         let mut rig = Self { reducer: Reducer::new(terms, 7, sockets), now: START, trace: String::new() };
         rig.list(true, (1..=searchers).map(|n| entry(n, Life::Ready, 0.0)).collect());
-        rig.tell(Input::ClientOpen { conn: 1 });
+        rig.tell(Input::ClientConnected { conn: 1 });
         rig
     }
 
@@ -89,24 +89,24 @@
                     let bytes = text(&bytes).replace("HTTP/1.1 ", "").replace("Content-", "");
                     format!("client {conn}: {}{}", bytes.trim_end(), if last { " (last)" } else { "" })
                 }
-                Effect::HangUp { conn } => format!("client {conn}: hang up"),
-                Effect::DropClient { conn } => format!("client {conn}: let go"),
+                Effect::CloseClient { conn } => format!("client {conn}: hang up"),
+                Effect::ReleaseClient { conn } => format!("client {conn}: let go"),
                 Effect::Connect { link, addr } => format!("link {link}: connect to {addr}"),
                 Effect::Send { link } => match self.reducer.next_frame(self.now, link, &[]) {
                     Some(frame) => format!("link {link}: {}", text(&frame.bytes[4..])),
                     None => continue,
                 },
-                Effect::Retry { link } => format!("link {link}: try again"),
+                Effect::RetryWrite { link } => format!("link {link}: try again"),
                 Effect::CloseLink { link } => format!("link {link}: close"),
                 Effect::StopListening => "stop listening".to_owned(),
-                Effect::Watch { number, at } => format!("watch {number} at {at}"),
-                Effect::Heard { watch } => format!("watch {watch} is gone by"),
-                Effect::Print(text) => text,
+                Effect::StartWatch { number, addr } => format!("watch {number} at {addr}"),
+                Effect::WatchActivated { watch } => format!("watch {watch} is gone by"),
+                Effect::PrintCounters(text) => text,
             };
             writeln!(self.trace, "{:>5} {line}", self.now - START).expect("a string takes all");
         }
         // What was not sent after all is gone by at once.
-        if self.reducer.next_due().is_some_and(|due| due <= self.now) {
+        if self.reducer.next_timer_at().is_some_and(|due| due <= self.now) {
             self.step(Vec::new());
         }
     }
@@ -114,7 +114,7 @@
     /// Lets time pass, one due time after the other.
     fn pass(&mut self, ms: f64) {
         let end = self.now + ms;
-        while let Some(due) = self.reducer.next_due().filter(|due| *due <= end) {
+        while let Some(due) = self.reducer.next_timer_at().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             self.step(Vec::new());
         }
@@ -125,7 +125,7 @@
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| PartAsk { shard, weight, work_ms: None }).collect();
         let ask = ScanAsk { id: id.to_owned(), table_type: table_type.to_owned(), parts, ..one_part() };
-        self.tell(Input::Asked { conn, ask: Ask::Scan(ask), close: false });
+        self.tell(Input::Request { conn, ask: Ask::Scan(ask), close: false });
     }
 
     /// The link opened last.
@@ -136,7 +136,7 @@
 
     fn answers(&mut self, link: u64, id: &str, verdict: Verdict, value: &str) {
         let frame = Frame::Part { id: id.to_owned(), verdict, value: value.to_owned(), busy: None };
-        self.tell(Input::Frames { link, frames: vec![frame], bad: None });
+        self.tell(Input::Frames { link, frames: vec![frame], error: None });
     }
 
     /// The trace since the last call, with the counters that are not zero; those of single table types have a test of their own.
@@ -159,7 +159,7 @@
     assert_eq!(of("all").taken, 1);
     assert!(counters.by_type.iter().filter(|c| c.name != "all").all(|c| c.taken == 0));
     assert!(counters.to_string().contains("scans_taken{table_type=\"all\"} 1"), "{counters}");
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     let counters = rig.reducer.counters();
     let all = counters.by_type.iter().find(|c| c.name == "all").expect("a table type of the rig");
     assert_eq!((all.taken, all.gone), (1, 1));
@@ -185,7 +185,7 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "all", "q1", 3);
     rig.tell(Input::LinkUp { link: 5 });
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.answers(5, "q1.0", Verdict::Ok, "a");
     rig.asks(2, "all", "q2", 1);
     assert_snapshot!(rig.counted());
@@ -205,7 +205,7 @@
 fn an_id_that_is_open_is_refused_and_counts_again_once_it_is_not() {
     // Nothing but its name tells an answer's part: two clients that ask by one id must not get each other's.
     let mut rig = Rig::new(1);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     rig.asks(2, "all", "q1", 1);
@@ -251,14 +251,14 @@
     let mut rig = Rig::new(2);
     rig.asks(1, "once", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
-    rig.tell(Input::LinkEnd { link: 3, written: 1 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 1 });
     let mut trace = rig.counted();
     // It was not: another searcher gets it, and a connection that never came up is no other case.
     let mut rig = Rig::new(3);
     rig.asks(1, "once", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
-    rig.tell(Input::LinkEnd { link: 3, written: 0 });
-    rig.tell(Input::LinkEnd { link: 4, written: 0 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 0 });
+    rig.tell(Input::LinkClosed { link: 4, frames_written: 0 });
     write!(trace, "\n\n{}", rig.counted()).expect("a string takes all");
     assert_snapshot!(trace);
 }
@@ -278,7 +278,7 @@
     // What an earlier process of this mixer may have sent is over: a new one waits a window.
     rig.pass(1500.0);
     rig.list(true, vec![entry(1, Life::Ready, START + 1400.0)]);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(1, "all", "q1", 3);
     rig.asks(2, "all", "q2", 3);
     assert_snapshot!(rig.counted());
@@ -316,7 +316,7 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "all", "q1", 2);
     rig.tell(Input::LinkUp { link: 4 });
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     assert_snapshot!(rig.counted());
 }
 
@@ -325,12 +325,12 @@
     // Whichever clock rings first: the module takes who refuses connections for cold once it is back.
     let mut rig = Rig::new(1);
     rig.asks(1, "all", "q1", 1);
-    rig.tell(Input::LinkEnd { link: 3, written: 0 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 0 });
     rig.pass(260.0);
-    rig.tell(Input::LinkEnd { link: 5, written: 0 });
+    rig.tell(Input::LinkClosed { link: 5, frames_written: 0 });
     rig.pass(300.0);
     rig.tell(Input::LinkUp { link: 8 });
-    rig.tell(Input::Frames { link: 8, frames: vec![Frame::Probe(Some(Verdict::Ok))], bad: None });
+    rig.tell(Input::Frames { link: 8, frames: vec![Frame::Probe(Some(Verdict::Ok))], error: None });
     assert_snapshot!(rig.counted());
 }
 
@@ -344,7 +344,7 @@
     rig.tell(Input::LinkUp { link: 5 });
     rig.pass(1700.0);
     rig.tell(Input::LinkUp { link: 10 });
-    rig.tell(Input::Frames { link: 10, frames: vec![Frame::Probe(Some(Verdict::Ok))], bad: None });
+    rig.tell(Input::Frames { link: 10, frames: vec![Frame::Probe(Some(Verdict::Ok))], error: None });
     rig.pass(300.0);
     assert_snapshot!(rig.counted());
 }
@@ -354,8 +354,12 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
-    rig.tell(Input::Frames { link: 3, frames: vec![Frame::Unusable("no such shard".to_owned())], bad: None });
-    rig.tell(Input::LinkEnd { link: 3, written: 1 });
+    rig.tell(Input::Frames {
+        link: 3,
+        frames: vec![Frame::Unusable("no such shard".to_owned())],
+        error: None,
+    });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 1 });
     assert_snapshot!(rig.counted());
 }
 
@@ -366,7 +370,7 @@
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a");
     rig.pass(15_000.0);
-    rig.tell(Input::LinkEnd { link: 3, written: 1 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 1 });
     rig.asks(1, "all", "q2", 1);
     assert_snapshot!(rig.counted());
 }
@@ -380,7 +384,7 @@
     let mut moved = entry(1, Life::Ready, 0.0);
     moved.addr.set_port(81);
     rig.list(false, vec![moved]);
-    rig.tell(Input::LinkEnd { link: 3, written: 1 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 1 });
     rig.asks(1, "all", "q2", 1);
     rig.list(true, Vec::new());
     rig.asks(1, "all", "q3", 1);
@@ -392,12 +396,12 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "none", "q1", 1);
     rig.asks(1, "all", "q2", 9);
-    rig.tell(Input::Asked { conn: 1, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::Request { conn: 1, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(2, "all", "q3", 8);
-    rig.tell(Input::ClientOpen { conn: 3 });
+    rig.tell(Input::ClientConnected { conn: 3 });
     rig.asks(3, "all", "q4", 8);
-    rig.tell(Input::ClientOpen { conn: 4 });
+    rig.tell(Input::ClientConnected { conn: 4 });
     rig.asks(4, "all", "q5", 8);
     assert_snapshot!(rig.counted());
 }
@@ -406,12 +410,12 @@
 fn idle_clients_make_room_and_one_that_has_just_asked_is_answered_all_the_same() {
     let mut rig = Rig::on(&settings(), 1, 32);
     rig.pass(1.0);
-    rig.tell(Input::ClientOpen { conn: 2 });
-    rig.tell(Input::ClientOpen { conn: 3 });
+    rig.tell(Input::ClientConnected { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 3 });
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a");
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     assert_snapshot!(rig.counted());
 }
 
@@ -419,11 +423,11 @@
 fn a_client_that_was_hung_up_on_and_then_leaves_gets_nothing_sent() {
     let mut rig = Rig::on(&settings(), 1, 32);
     rig.pass(1.0);
-    rig.tell(Input::ClientOpen { conn: 2 });
-    rig.tell(Input::ClientOpen { conn: 3 });
+    rig.tell(Input::ClientConnected { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 3 });
     // Its request crossed the hang-up; it leaves while its link comes up.
     rig.asks(1, "all", "q1", 1);
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     rig.tell(Input::LinkUp { link: 3 });
     assert_snapshot!(rig.counted());
 }
@@ -433,11 +437,11 @@
     let mut rig = Rig::new(1);
     rig.asks(1, "all", "q1", 1);
     // The link came up and the client left meanwhile; then a link ended on which nothing new may go.
-    rig.step(vec![(rig.now, Input::LinkUp { link: 3 }), (rig.now, Input::ClientEnd { conn: 1 })]);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.step(vec![(rig.now, Input::LinkUp { link: 3 }), (rig.now, Input::ClientDisconnected { conn: 1 })]);
+    rig.tell(Input::ClientConnected { conn: 2 });
     let ask = Ask::Scan(ScanAsk { id: "q2".to_owned(), ..one_part() });
-    let asked = Input::Asked { conn: 2, ask, close: false };
-    rig.step(vec![(rig.now, asked), (rig.now, Input::LinkEnd { link: 3, written: 0 })]);
+    let asked = Input::Request { conn: 2, ask, close: false };
+    rig.step(vec![(rig.now, asked), (rig.now, Input::LinkClosed { link: 3, frames_written: 0 })]);
     assert_snapshot!(rig.counted());
 }
 
@@ -448,8 +452,8 @@
         if drains {
             rig.tell(Input::Stop);
         }
-        rig.tell(Input::Asked { conn: 1, ask: Ask::Counters, close: true });
-        rig.tell(Input::Sends { conn: 1 });
+        rig.tell(Input::Request { conn: 1, ask: Ask::Counters, close: true });
+        rig.tell(Input::DataAfterLastAnswer { conn: 1 });
         rig.pass(300.0);
         assert_eq!(rig.trace.contains("client 1: hang up"), !drains);
         if !drains {
@@ -460,7 +464,7 @@
         rig.pass(1900.0);
         assert!(matches!(rig.reducer.phase(), Phase::Draining { .. }));
         if closes {
-            rig.tell(Input::ClientEnd { conn: 1 });
+            rig.tell(Input::ClientDisconnected { conn: 1 });
         } else {
             rig.pass(100.0);
         }
@@ -472,15 +476,15 @@
 fn an_answer_that_is_not_yet_written_holds_the_exit_up_as_long_as_the_platform_waits() {
     for written in [true, false] {
         let mut rig = Rig::new(1);
-        rig.tell(Input::Asked { conn: 1, ask: Ask::Counters, close: false });
-        rig.tell(Input::Slow { conn: 1 });
+        rig.tell(Input::Request { conn: 1, ask: Ask::Counters, close: false });
+        rig.tell(Input::AnswerDelayed { conn: 1 });
         rig.tell(Input::Stop);
         rig.pass(600.0);
         rig.tell(Input::ListenerClosed);
         rig.pass(1900.0);
         assert!(matches!(rig.reducer.phase(), Phase::Draining { .. }));
         if written {
-            rig.tell(Input::Said { conn: 1 });
+            rig.tell(Input::AnswerWritten { conn: 1 });
             rig.pass(300.0);
             assert_eq!(rig.reducer.phase(), Phase::Closed);
         } else {
@@ -495,19 +499,19 @@
 #[test]
 fn draining_answers_all_that_was_taken_and_then_closes() {
     let mut rig = Rig::new(1);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     rig.tell(Input::Stop);
-    rig.tell(Input::ClientEnd { conn: 2 });
-    rig.tell(Input::ClientOpen { conn: 3 });
+    rig.tell(Input::ClientDisconnected { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 3 });
     rig.asks(3, "all", "q2", 1);
     rig.answers(3, "q2.0", Verdict::Ok, "b");
-    rig.tell(Input::ClientEnd { conn: 3 });
+    rig.tell(Input::ClientDisconnected { conn: 3 });
     rig.pass(700.0);
     assert!(matches!(rig.reducer.phase(), Phase::Draining { .. }));
     rig.answers(3, "q1.0", Verdict::Ok, "a");
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     // Who waited to be accepted may have asked already.
     assert!(matches!(rig.reducer.phase(), Phase::Draining { .. }));
     rig.tell(Input::ListenerClosed);
@@ -533,13 +537,13 @@
     let terms = Terms::of_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
     let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
-    rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
+    rig.reducer.set_cached_list(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
     // What the agent has counts as told from the first moment: nothing is sent before it had its time to say so.
     rig.pass(1499.0);
-    assert_eq!(rig.reducer.phase(), Phase::Opening);
+    assert_eq!(rig.reducer.phase(), Phase::Starting);
     rig.pass(1.0);
     assert_eq!(rig.reducer.phase(), Phase::Ready);
-    rig.tell(Input::ClientOpen { conn: 1 });
+    rig.tell(Input::ClientConnected { conn: 1 });
     rig.asks(1, "all", "q1", 1);
     // The one it went to is gone by the list; what still waits for a connection goes to its replica.
     rig.list(true, vec![entry(1, Life::Ready, 0.0)]);
@@ -552,8 +556,8 @@
     let terms = Terms::of_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
     let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
-    rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
-    rig.tell(Input::ClientOpen { conn: 1 });
+    rig.reducer.set_cached_list(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
+    rig.tell(Input::ClientConnected { conn: 1 });
     rig.asks(1, "all", "q1", 1);
     // Changes since the list that was held: both are gone by together, before anything is sent.
     rig.list(false, vec![entry(1, Life::Draining, 0.0)]);
@@ -575,7 +579,7 @@
     rig.asks(1, "all", "q1", 1);
     // A new process at the first's place is another matter, whatever the number of its list.
     rig.tell(list(6, false, vec![entry(1, Life::Ready, START + 1400.0), entry(3, Life::Draining, 0.0)]));
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(2, "all", "q2", 1);
     assert_snapshot!(rig.counted());
 }
@@ -584,7 +588,7 @@
 fn a_place_that_has_not_heard_of_a_drain_takes_it_not_back_until_it_speaks_of_it_again() {
     let mut rig = Rig::new(1);
     let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), 80);
-    rig.tell(Input::Reloaded(Ok(Change { discovery, at_restart: Vec::new() })));
+    rig.tell(Input::ConfigReloaded(Ok(Change { discovery, at_restart: Vec::new() })));
     // The old place tells it while the watch is moving; the new one's list was made before.
     rig.watch(0, false, vec![entry(1, Life::Draining, 0.0)]);
     rig.watch(1, true, vec![entry(1, Life::Ready, 0.0)]);
@@ -597,9 +601,9 @@
 #[test]
 fn it_is_ready_once_a_searcher_is() {
     let mut rig = Rig::new(0);
-    rig.tell(Input::Asked { conn: 1, ask: Ask::Ready, close: false });
+    rig.tell(Input::Request { conn: 1, ask: Ask::Ready, close: false });
     rig.list(false, vec![entry(1, Life::Ready, 0.0)]);
-    rig.tell(Input::Asked { conn: 1, ask: Ask::Ready, close: false });
+    rig.tell(Input::Request { conn: 1, ask: Ask::Ready, close: false });
     assert_snapshot!(rig.counted());
 }
 
@@ -608,18 +612,18 @@
     let mut rig = Rig::new(1);
     let moved = |port| {
         let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), port);
-        Input::Reloaded(Ok(Change { discovery, at_restart: vec!["settings"] }))
+        Input::ConfigReloaded(Ok(Change { discovery, at_restart: vec!["settings"] }))
     };
     rig.tell(moved(1));
     rig.tell(moved(1)); // nothing new
-    rig.tell(Input::Reloaded(Err("discovery=nowhere can't be read".to_owned())));
+    rig.tell(Input::ConfigReloaded(Err("discovery=nowhere can't be read".to_owned())));
     rig.asks(1, "all", "q1", 1); // by the old list
     rig.tell(moved(2));
     rig.watch(1, true, Vec::new()); // it never spoke while it counted
     rig.watch(0, true, vec![entry(2, Life::Ready, 0.0)]);
     rig.watch(2, true, vec![entry(3, Life::Ready, 0.0)]);
     rig.watch(0, true, vec![entry(4, Life::Ready, 0.0)]); // late
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(2, "all", "q2", 1);
     assert_snapshot!(rig.counted());
 }
@@ -630,12 +634,12 @@
     rig.asks(1, "all", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a");
-    rig.tell(Input::ClientOpen { conn: 2 }); // it says nothing
+    rig.tell(Input::ClientConnected { conn: 2 }); // it says nothing
     rig.pass(100.0);
-    rig.tell(Input::Begun { conn: 1 }); // half a request
+    rig.tell(Input::RequestStarted { conn: 1 }); // half a request
     rig.pass(2000.0);
     for conn in 3..=6 {
-        rig.tell(Input::ClientOpen { conn });
+        rig.tell(Input::ClientConnected { conn });
         rig.asks(conn, "all", &format!("q{conn}"), 1);
         rig.answers(3, &format!("q{conn}.0"), Verdict::Ok, "b");
     }
@@ -650,14 +654,14 @@
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a"); // at rest for longest
     rig.pass(1.0);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(2, "all", "q2", 1); // it waits
-    rig.tell(Input::ClientOpen { conn: 3 }); // it does not ask
+    rig.tell(Input::ClientConnected { conn: 3 }); // it does not ask
     rig.pass(100.0);
-    rig.tell(Input::ClientOpen { conn: 4 });
-    rig.tell(Input::Asked { conn: 4, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
+    rig.tell(Input::ClientConnected { conn: 4 });
+    rig.tell(Input::Request { conn: 4, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
     for conn in 5..=8 {
-        rig.tell(Input::ClientOpen { conn });
+        rig.tell(Input::ClientConnected { conn });
         rig.asks(conn, "all", &format!("q{conn}"), 1);
     }
     assert_snapshot!(rig.counted());
@@ -670,18 +674,18 @@
     rig.tell(Input::LinkUp { link: 3 });
     rig.answers(3, "q1.0", Verdict::Ok, "a");
     rig.answers(3, "q1.0", Verdict::Ok, "a second copy");
-    rig.tell(Input::Frames { link: 3, frames: vec![Frame::Probe(Some(Verdict::Ok))], bad: None });
+    rig.tell(Input::Frames { link: 3, frames: vec![Frame::Probe(Some(Verdict::Ok))], error: None });
     rig.asks(1, "once", "q2", 1); // on the same link
     rig.answers(3, "q9.0", Verdict::Ok, "of nobody");
     rig.asks(1, "all", "q3", 1);
-    rig.tell(Input::LinkEnd { link: 3, written: 2 });
+    rig.tell(Input::LinkClosed { link: 3, frames_written: 2 });
     assert_snapshot!(rig.counted());
 }
 
 #[test]
 fn noise_behind_a_good_answer_costs_the_link_and_not_the_answer() {
     let mut rig = Rig::new(2);
-    rig.tell(Input::ClientOpen { conn: 2 });
+    rig.tell(Input::ClientConnected { conn: 2 });
     rig.asks(1, "once", "q1", 1);
     rig.tell(Input::LinkUp { link: 3 });
     let answer =
@@ -690,8 +694,8 @@
     // In the same turn somebody asks: it must not go out on what is being closed.
     let ask = ScanAsk { id: "q2".to_owned(), ..one_part() };
     rig.step(vec![
-        (rig.now, Input::Asked { conn: 2, ask: Ask::Scan(ask), close: false }),
-        (rig.now, Input::Frames { link: 3, frames: vec![answer], bad: noise }),
+        (rig.now, Input::Request { conn: 2, ask: Ask::Scan(ask), close: false }),
+        (rig.now, Input::Frames { link: 3, frames: vec![answer], error: noise }),
     ]);
     assert_snapshot!(rig.counted());
 }
@@ -708,19 +712,19 @@
     for n in 1..=4000 {
         rig.list(false, vec![name(n), Entry { life: Life::Gone, ..name(n - 1) }]);
         let conn = u64::from(n) + 1;
-        rig.tell(Input::ClientOpen { conn });
+        rig.tell(Input::ClientConnected { conn });
         rig.asks(conn, "all", &format!("q{n}"), 1);
         let link = rig.last_link();
         rig.tell(Input::LinkUp { link });
         if n % 3 > 0 {
             rig.answers(link, &format!("q{n}.0"), Verdict::Ok, "a");
         }
-        rig.tell(Input::ClientEnd { conn });
+        rig.tell(Input::ClientDisconnected { conn });
         rig.pass(10.0);
         if n % 2 == 0 {
-            rig.tell(Input::LinkEnd { link: link - 1, written: 1 });
+            rig.tell(Input::LinkClosed { link: link - 1, frames_written: 1 });
         }
-        rig.tell(Input::LinkEnd { link, written: 1 });
+        rig.tell(Input::LinkClosed { link, frames_written: 1 });
         if n % 1000 == 0 {
             rig.pass(20_000.0);
             sizes.push(rig.reducer.sizes());
@@ -734,9 +738,9 @@
 #[test]
 fn accept_that_failed_for_a_moment_closes_no_new_connection() {
     let mut rig = Rig::new(1);
-    rig.tell(Input::AcceptFailed { is_full: false });
+    rig.tell(Input::AcceptFailed { out_of_descriptors: false });
     assert!(!rig.trace.contains("hang up"), "{}", rig.trace);
-    rig.tell(Input::AcceptFailed { is_full: true });
+    rig.tell(Input::AcceptFailed { out_of_descriptors: true });
     assert!(rig.trace.contains("client 1: hang up"), "{}", rig.trace);
     assert_eq!(rig.reducer.counters().accepts_failed, 2);
 }
@@ -757,7 +761,7 @@
     let link = rig.last_link();
     rig.reducer.step(rig.now, vec![(rig.now, Input::LinkUp { link })]);
     assert_eq!(frames(&mut rig, link, &[1]), Vec::<String>::new());
-    rig.tell(Input::ClientEnd { conn: 1 });
+    rig.tell(Input::ClientDisconnected { conn: 1 });
     assert_snapshot!(rig.counted());
 }
 
@@ -769,13 +773,13 @@
         let link = rig.last_link();
         rig.reducer.step(rig.now, vec![(rig.now, Input::LinkUp { link })]);
         let first = rig.reducer.next_frame(rig.now, link, &[]).expect("a call");
-        rig.reducer.not_begun(link);
-        rig.tell(Input::LinkBlocked { link, took_some: false });
+        rig.reducer.return_frame(link);
+        rig.tell(Input::LinkBlocked { link, made_progress: false });
         rig.now += 200.0;
         if leaves {
-            rig.tell(Input::ClientEnd { conn: 1 });
+            rig.tell(Input::ClientDisconnected { conn: 1 });
         }
-        rig.reducer.step(rig.now, vec![(rig.now, Input::LinkHasRoom { link })]);
+        rig.reducer.step(rig.now, vec![(rig.now, Input::LinkWritable { link })]);
         let told = |frame: &str| frame.split("d=").nth(1)?.split(' ').next()?.parse::<u64>().ok();
         let before = told(&String::from_utf8_lossy(&first.bytes)).expect("a deadline");
         let later: Vec<Option<u64>> = frames(&mut rig, link, &[]).iter().map(|frame| told(frame)).collect();
@@ -791,12 +795,12 @@
     let link = rig.last_link();
     rig.reducer.step(rig.now, vec![(rig.now, Input::LinkUp { link })]);
     assert!(rig.reducer.next_frame(rig.now, link, &[]).is_some());
-    rig.reducer.not_begun(link);
-    rig.tell(Input::LinkBlocked { link, took_some: false });
+    rig.reducer.return_frame(link);
+    rig.tell(Input::LinkBlocked { link, made_progress: false });
     rig.pass(240.0);
     assert!(!rig.trace.contains("close"), "{}", rig.trace);
     rig.pass(20.0);
-    rig.tell(Input::LinkEnd { link, written: 0 });
+    rig.tell(Input::LinkClosed { link, frames_written: 0 });
     let further = rig.last_link();
     assert_ne!(further, link);
     rig.tell(Input::LinkUp { link: further });
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -142,7 +142,7 @@
     fn step(&mut self, inputs: Vec<Input>) {
         for input in &inputs {
             match input {
-                Input::ClientEnd { conn } => {
+                Input::ClientDisconnected { conn } => {
                     if let Some(asked) = self.by_conn.remove(conn).and_then(|id| self.asked.get_mut(&id)) {
                         asked.over = true;
                     }
@@ -157,7 +157,7 @@
                 _ => {}
             }
         }
-        let room = |input: &Input| if let Input::LinkHasRoom { link } = input { Some(*link) } else { None };
+        let room = |input: &Input| if let Input::LinkWritable { link } = input { Some(*link) } else { None };
         let has_room: Vec<u64> = inputs.iter().filter_map(room).collect();
         let effects = self.reducer.step(self.now, inputs.into_iter().map(|i| (self.now, i)).collect());
         for effect in effects {
@@ -175,12 +175,13 @@
                 self.links.insert(link, (addr.ip().octets()[3], Vec::new(), false));
                 let late = within(&mut self.seed, 0.0, 400.0);
                 let up = chance(&mut self.seed, 0.85);
-                let input = if up { Input::LinkUp { link } } else { Input::LinkEnd { link, written: 0 } };
+                let input =
+                    if up { Input::LinkUp { link } } else { Input::LinkClosed { link, frames_written: 0 } };
                 self.at(self.now + late, input);
             }
             Effect::CloseLink { link } => {
                 let written = self.links.get(&link).map_or(0, |l| l.1.len() as u64);
-                self.at(self.now, Input::LinkEnd { link, written });
+                self.at(self.now, Input::LinkClosed { link, frames_written: written });
             }
             Effect::Send { link } => self.write(link),
             Effect::Answer { conn, bytes, .. } => self.answered(conn, &bytes),
@@ -197,11 +198,11 @@
                 self.written(link, &frame.bytes);
                 continue;
             }
-            self.reducer.not_begun(link);
+            self.reducer.return_frame(link);
             self.blocked.insert(link);
-            self.at(self.now, Input::LinkBlocked { link, took_some: false });
+            self.at(self.now, Input::LinkBlocked { link, made_progress: false });
             let later = within(&mut self.seed, 0.0, 600.0);
-            self.at(self.now + later, Input::LinkHasRoom { link });
+            self.at(self.now + later, Input::LinkWritable { link });
         }
     }
 
@@ -261,7 +262,7 @@
                 let frame = Frame::Part { id: name, verdict, value: "v".into(), busy: None };
                 let twice = chance(&mut self.seed, 0.05);
                 for _ in 0..=u8::from(twice) {
-                    let input = Input::Frames { link, frames: vec![frame.clone()], bad: None };
+                    let input = Input::Frames { link, frames: vec![frame.clone()], error: None };
                     self.at(self.now + take, input);
                 }
             }
@@ -270,7 +271,7 @@
             // It breaks; the last frame may not have gone out whole.
             let whole = self.links[&link].1.len() as u64;
             let written = whole - u64::from(chance(&mut self.seed, 0.5));
-            self.at(self.now, Input::LinkEnd { link, written });
+            self.at(self.now, Input::LinkClosed { link, frames_written: written });
         }
     }
 
@@ -300,7 +301,7 @@
     /// What ends of links and answers prove, just before the mixer hears of it.
     fn proves(&mut self, input: &Input) {
         match input {
-            Input::LinkEnd { link, written } => {
+            Input::LinkClosed { link, frames_written: written } => {
                 let Some(held) = self.links.get(link) else { return };
                 for name in held.1.iter().skip(*written as usize).flatten() {
                     let sent = self.sent.get_mut(name).into_iter().flat_map(|s| s.0.iter_mut());
@@ -358,7 +359,7 @@
                     let conns: BTreeSet<u64> = day.by_conn.keys().copied().collect();
                     let conns: Vec<u64> = conns.into_iter().collect();
                     let conn = *one_of(&mut day.seed, &conns);
-                    day.step(vec![Input::ClientEnd { conn }]);
+                    day.step(vec![Input::ClientDisconnected { conn }]);
                 }
                 _ => {
                     conn += 1;
@@ -395,7 +396,10 @@
             text: "find".to_owned(),
             parts: (0..parts).map(|shard| PartAsk { shard, weight, work_ms: None }).collect(),
         };
-        self.step(vec![Input::ClientOpen { conn }, Input::Asked { conn, ask: Ask::Scan(ask), close: false }]);
+        self.step(vec![
+            Input::ClientConnected { conn },
+            Input::Request { conn, ask: Ask::Scan(ask), close: false },
+        ]);
     }
 
     /// All that is due by now, in its order; now and then several in one step.
@@ -404,7 +408,7 @@
         loop {
             let next = self.to_come.first_key_value().map(|e| f64::from_bits(e.0.0));
             let due =
-                next.into_iter().chain(self.reducer.next_due()).reduce(f64::min).filter(|at| *at <= end);
+                next.into_iter().chain(self.reducer.next_timer_at()).reduce(f64::min).filter(|at| *at <= end);
             let Some(at) = due else { break };
             self.now = at.max(START);
             let mut inputs = Vec::new();
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -7,7 +7,7 @@
 use pewterwharf::interface::Life;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
-use pewterwharf_mixer::http::{Ask, ScanAsk, request};
+use pewterwharf_mixer::http::{Ask, ScanAsk, parse_request};
 use pewterwharf_mixer::inputs::{Effect, Input};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::Terms;
@@ -49,7 +49,7 @@
         age_ms: 0.0,
     };
     let list = List { index: 1, whole: true, entries: vec![searcher], bad: Vec::new() };
-    let inputs = vec![Input::List { watch: 0, list }, Input::ClientOpen { conn: CLIENT }];
+    let inputs = vec![Input::List { watch: 0, list }, Input::ClientConnected { conn: CLIENT }];
     mixer.step(START, inputs.into_iter().map(|input| (START, input)).collect());
     mixer
 }
@@ -77,7 +77,7 @@
         "POST /{class} HTTP/1.1\r\nReq-Id: q1\r\nReq-Deadline-Ms: 2000\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    match request(bytes.as_bytes()).expect("a whole request").ask {
+    match parse_request(bytes.as_bytes()).expect("a whole request").ask {
         Ask::Scan(ask) => ask,
         other => panic!("{} parts: {other:?}", weights.len()),
     }
@@ -95,7 +95,7 @@
 fn play(class: &str, weights: &[f64], unanswered: usize) -> Played {
     let mut mixer = mixer();
     let ask = Ask::Scan(read(class, weights));
-    let effects = mixer.step(START, vec![(START, Input::Asked { conn: CLIENT, ask, close: false })]);
+    let effects = mixer.step(START, vec![(START, Input::Request { conn: CLIENT, ask, close: false })]);
     let connected = effects.iter().find_map(|effect| match effect {
         Effect::Connect { link, .. } => Some(*link),
         _ => None,
@@ -114,7 +114,7 @@
         busy: None,
     };
     let frames = sent[..sent.len() - unanswered].iter().map(frame).collect();
-    let effects = mixer.step(START + 5.0, vec![(START + 5.0, Input::Frames { link, frames, bad: None })]);
+    let effects = mixer.step(START + 5.0, vec![(START + 5.0, Input::Frames { link, frames, error: None })]);
     let exact = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { bytes, .. } => {
             let text = String::from_utf8(bytes).expect("an answer is text");
@@ -180,7 +180,7 @@
         let body = json!({"expr": "find", "parts": body}).to_string();
         let head = "POST /all HTTP/1.1\r\nReq-Id: q1\r\nReq-Deadline-Ms: 2000\r\nContent-Length:";
         let bytes = format!("{head} {}\r\n\r\n{body}", body.len());
-        let read = request(bytes.as_bytes()).expect("a whole request").ask;
+        let read = parse_request(bytes.as_bytes()).expect("a whole request").ask;
         assert!(matches!(read, Ask::Unusable(400, _)), "{parts} parts: {read:?}");
     }
 }
