--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -11,8 +11,8 @@
 use pewterwharf_mixer::service::Service;
 use pewterwharf_mixer::signals::{self, Again};
 use pewterwharf_settings::Settings;
-use pewterwharf_standins::bgp::{Manner as PeerManner, Peer};
-use pewterwharf_standins::{self as standins, Lists, Manner};
+use pewterwharf_standins::bgp::{Peer, PeerBehavior};
+use pewterwharf_standins::{self as standins, DiscoveryServer, SearcherBehavior};
 use pewterwharf_terms::Start;
 use serde_json::json;
 use signal_hook::consts::SIGTERM;
@@ -128,7 +128,7 @@
 fn drain(peer: &Peer, mixer: SocketAddr, mixer_runs: thread::JoinHandle<Result<()>>) -> Result<bool> {
     let mut events: Vec<(Instant, String)> = Vec::new();
     for at in ["announce 198.51.100.1", "announce 198.51.100.2"] {
-        events.push((peer.until(at).0.at, format!("the peer heard {at}")));
+        events.push((peer.wait_for(at).0.at, format!("the peer heard {at}")));
     }
     let clients: Vec<_> = (0..4).map(|client| thread::spawn(move || load(client, mixer))).collect();
     let asked = Instant::now();
@@ -136,12 +136,12 @@
     events.push((asked, "SIGTERM; scans keep coming".to_owned()));
     let mut withdrawn = Vec::new();
     loop {
-        let heard = peer.next();
-        if heard.what.starts_with("withdraw") {
+        let heard = peer.next_event();
+        if heard.text.starts_with("withdraw") {
             withdrawn.push(heard.at);
         }
-        let ends = heard.what == "closed";
-        events.push((heard.at, format!("the peer heard {}", heard.what)));
+        let ends = heard.text == "closed";
+        events.push((heard.at, format!("the peer heard {}", heard.text)));
         if ends {
             break;
         }
@@ -173,7 +173,7 @@
 
 /// Whether every scan was answered once and the mixer ended by itself.
 pub fn run(asked: &Trial) -> Result<bool> {
-    let lists = Lists::default();
+    let lists = DiscoveryServer::default();
     let discovery = TcpListener::bind("127.0.0.1:0")?;
     let discovery_at = discovery.local_addr()?;
     lists.serve(discovery);
@@ -182,10 +182,10 @@
     for nth in 0..asked.searchers {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         searchers.push((listener.local_addr()?, "up"));
-        let manner = if nth < asked.hung { Manner::Hangs } else { Manner::Answers };
-        standins::searcher(listener, manner, heard.clone());
+        let manner = if nth < asked.hung { SearcherBehavior::Hangs } else { SearcherBehavior::Answers };
+        standins::serve_searcher(listener, manner, heard.clone());
     }
-    lists.tell(standins::list(1, true, &searchers));
+    lists.publish(standins::discovery_list(1, true, &searchers));
     println!("{} searchers, {} of them hang; discovery at {discovery_at}", asked.searchers, asked.hung);
 
     let signals = signals::signals()?;
@@ -197,7 +197,7 @@
         start: |_| bail!("a trial has no file to read again"),
         settings: || bail!("a trial has no file to read again"),
     };
-    let peer = asked.bgp.then(|| Peer::start(&[PeerManner::Speaks]));
+    let peer = asked.bgp.then(|| Peer::start(&[PeerBehavior::Conforms]));
     let settings = peer.as_ref().map(announcements).transpose()?.unwrap_or_default();
     let mixer = thread::spawn(move || Service::open(start, &settings, signals, again)?.run());
     let begun = Instant::now();
--- a/crates/drill/src/stand.rs
+++ b/crates/drill/src/stand.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, Builder, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pewterwharf_standins::{Lists, Manner, searcher_that};
+use pewterwharf_standins::{DiscoveryServer, SearcherBehavior, serve_searcher_with};
 use serde_json::json;
 
 use crate::checks::{Outcome, is_entry};
@@ -42,7 +42,7 @@
     arrived: Arc<Mutex<Vec<Reached>>>,
     /// How each is listed, and since when, in milliseconds of the wall clock.
     listed: Mutex<Vec<(&'static str, f64)>>,
-    pub lists: Lists,
+    pub lists: DiscoveryServer,
     index: AtomicU64,
 }
 
@@ -56,12 +56,12 @@
             let state = Arc::new(AtomicUsize::new(0));
             states.push(state.clone());
             let manner = move || match state.load(Ordering::SeqCst) {
-                0 => Manner::Works(WORK_MS),
-                1 => Manner::Hangs,
-                _ => Manner::Gone,
+                0 => SearcherBehavior::AnswersAfterMs(WORK_MS),
+                1 => SearcherBehavior::Hangs,
+                _ => SearcherBehavior::DisconnectsAlways,
             };
             let (says, heard) = mpsc::channel::<String>();
-            searcher_that(listener, manner, says);
+            serve_searcher_with(listener, manner, says);
             let arrived = arrived.clone();
             Builder::new().name("arrived".to_owned()).spawn(move || {
                 for frame in heard {
@@ -80,7 +80,7 @@
         }
         let listed = Mutex::new(vec![("up", 0.0); count]);
         let searchers =
-            Self { at, states, arrived, listed, lists: Lists::default(), index: AtomicU64::new(0) };
+            Self { at, states, arrived, listed, lists: DiscoveryServer::default(), index: AtomicU64::new(0) };
         searchers.tell(&(0..count).collect::<Vec<_>>(), true);
         Ok(searchers)
     }
@@ -95,7 +95,7 @@
         };
         let index = self.index.fetch_add(1, Ordering::SeqCst) + 1;
         let entries: Vec<_> = some.iter().map(entry).collect();
-        self.lists.tell(json!({"index": index, "snapshot": whole, "endpoints": entries}));
+        self.lists.publish(json!({"index": index, "snapshot": whole, "endpoints": entries}));
     }
 
     pub fn list(&self, searcher: usize, status: &'static str, since: Option<f64>) {
@@ -267,7 +267,7 @@
 }
 
 /// A place of discovery for one mixer.
-pub fn discovery(lists: &Lists) -> io::Result<SocketAddr> {
+pub fn discovery(lists: &DiscoveryServer) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
     lists.serve(listener);
--- a/crates/mixer/tests/crossings.rs
+++ b/crates/mixer/tests/crossings.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::Manner;
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -43,7 +43,7 @@
         .chain([(closing("q1"), ""), (closing("q1"), "\r\n")])
     {
         for (drains, reset) in [(false, false), (true, false), (false, true)] {
-            let mut mixer = start(&[Manner::Hangs]);
+            let mut mixer = start(&[SearcherBehavior::Hangs]);
             let client = mixer.connect();
             if reset {
                 // An answer that it never reads turns its close into a reset.
@@ -71,7 +71,7 @@
 #[test]
 fn a_client_that_left_before_it_was_accepted_gets_nothing_sent() {
     let config = config("places", |config| config["limits"]["sockets"] = 48.into());
-    let mut mixer = start_on(&config, &[Manner::Hangs]);
+    let mut mixer = start_on(&config, &[SearcherBehavior::Hangs]);
     // All places are taken by clients that wait.
     let places = (48 - 28) / 2 + 8;
     let ask = |id: &str| named(id).replace("Deadline-Ms: 1000", "Deadline-Ms: 60000");
@@ -100,7 +100,7 @@
 
 #[test]
 fn who_has_just_come_or_asks_in_pieces_is_answered_though_the_end_begins() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     let (fresh, halves, rested) = (mixer.connect(), mixer.connect(), mixer.connect());
     for client in [&halves, &rested] {
         send(client, &named("before"));
@@ -126,7 +126,7 @@
 
 #[test]
 fn who_waits_to_be_accepted_when_listening_ends_is_answered() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.signal("TERM");
     wait(&mut mixer.log, "draining");
     // It stands still: they are in the backlog, and the second signal, which ends listening at once, is there too.
@@ -145,7 +145,7 @@
 
 #[test]
 fn an_answer_that_a_slow_client_has_taken_in_part_is_whole_though_the_program_ends() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     let slow = mixer.connect();
     let mut asks = slow.try_clone().expect("a second handle");
     let asking = std::thread::spawn(move || {
@@ -175,7 +175,7 @@
 /// what it was answered is not yet delivered, when the last answer is written.
 #[test]
 fn a_client_that_still_sends_reads_its_last_answer_after_the_exit() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     let mut slow = mixer.connect();
     let mut asks = slow.try_clone().expect("a second handle");
     let asking = std::thread::spawn(move || {
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_client_that_sends_on_after_its_last_answer_leaves_its_place() {
-    let mixer = start(&[Manner::Answers]);
+    let mixer = start(&[SearcherBehavior::Answers]);
     let faulty = mixer.connect();
     // The third that can't be used ends the connection; the others are more than is read ahead.
     send(&faulty, &"GET /nowhere HTTP/1.1\r\n\r\n".repeat(1000));
@@ -233,7 +233,7 @@
 #[test]
 fn a_burst_of_clients_that_leave_at_once_gets_nothing_more_sent() {
     // Each is sent, and none answered: copies fall due after they have left.
-    let mixer = start(&[Manner::Hangs, Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     for half_closed in [false, true] {
         let clients: Vec<TcpStream> = (0..300)
             .map(|nth| {
@@ -263,7 +263,7 @@
 
 #[test]
 fn a_client_that_leaves_with_a_second_copy_due_gets_none() {
-    let mixer = start(&[Manner::Hangs, Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
     send(&client, &scan("lookup", 1));
     assert!(mixer.next_frame().starts_with("D q1.0"));
--- a/crates/mixer/tests/crowd.rs
+++ b/crates/mixer/tests/crowd.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use pewterwharf_soak::fleet::{Library, build_library};
-use pewterwharf_standins::Manner;
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -61,7 +61,7 @@
     let _ = std::fs::remove_file(&closes); // of an earlier run
     let before = format!("export SHIM_CLOSES={} LD_PRELOAD={}", closes.display(), library.display());
     let config = config("crowd", |config| config["limits"]["sockets"] = 64.into());
-    let mut mixer = start_after(&before, &config, None, &[Manner::Answers]);
+    let mut mixer = start_after(&before, &config, None, &[SearcherBehavior::Answers]);
     let (addr, until) = (mixer.addr, Instant::now() + Duration::from_secs(6));
     let ends: Vec<Ends> = thread::scope(|scope| {
         let asking: Vec<_> =
--- a/crates/mixer/tests/drain.rs
+++ b/crates/mixer/tests/drain.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::Manner;
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -41,7 +41,7 @@
             class["hard_limit_ms"] = longest_ms.into();
         }
     });
-    start_on(&config, &[Manner::Answers])
+    start_on(&config, &[SearcherBehavior::Answers])
 }
 
 /// Waits until so many milliseconds after a time, or before.
@@ -139,7 +139,7 @@
             class["hard_limit_ms"] = LONGEST_MS.into();
         }
     });
-    let mut mixer = start_on(&config, &[Manner::Answers]);
+    let mut mixer = start_on(&config, &[SearcherBehavior::Answers]);
     // All halves are there, of 30 clients for 18 places, before the mixer accepts the first.
     mixer.signal("STOP");
     let clients: Vec<(TcpStream, String)> = (0..30).map(|nth| half_asked(mixer.connect(), nth)).collect();
--- a/crates/mixer/tests/faults.rs
+++ b/crates/mixer/tests/faults.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, ChildStderr};
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::Manner;
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -15,7 +15,7 @@
 
 #[test]
 fn line_end_behind_a_request_leaves_its_client_at_rest() {
-    let mixer = start(&[Manner::Answers]);
+    let mixer = start(&[SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     write!(client, "{}\r\n", scan("entry", 1)).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
@@ -43,12 +43,12 @@
     let (says, _heard) = std::sync::mpsc::channel();
     let searcher = port();
     let searchers = [(searcher.local_addr().expect("an address"), "up")];
-    pewterwharf_standins::searcher(searcher, Manner::Answers, says);
+    pewterwharf_standins::serve_searcher(searcher, SearcherBehavior::Answers, says);
     let discovery = port();
     let at = discovery.local_addr().expect("an address").to_string();
-    let lists = pewterwharf_standins::Lists::default();
+    let lists = pewterwharf_standins::DiscoveryServer::default();
     lists.serve(discovery);
-    lists.tell(pewterwharf_standins::list(1, true, &searchers));
+    lists.publish(pewterwharf_standins::discovery_list(1, true, &searchers));
     // On an address of this process alone: its port is free until the mixer takes it.
     let [low, middle, ..] = std::process::id().to_le_bytes();
     let free = std::net::TcpListener::bind(SocketAddr::from(([127, 1 + (middle >> 1), low, 1], 0)))
@@ -110,7 +110,7 @@
 
 #[test]
 fn requests_read_behind_another_are_answered_though_the_mixer_drains() {
-    let mixer = start(&[Manner::Works(200)]);
+    let mixer = start(&[SearcherBehavior::AnswersAfterMs(200)]);
     let client = mixer.connect();
     let named = |id: &str| scan("entry", 1).replace("q1", id);
     write!(&client, "{}{}{}", named("q1"), named("q2"), named("q3")).expect("it takes bytes");
@@ -130,7 +130,7 @@
 fn request_that_ends_late_in_a_drain_is_answered_before_the_mixer_is_killed() {
     // The example's longest query timeout, and what the platform waits beyond it.
     let killed_after = Duration::from_millis(2000 + 700);
-    let mixer = start(&[Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
     let (first, rest) = request.split_at(60);
@@ -149,7 +149,7 @@
 fn request_is_answered_before_the_kill_though_the_signal_to_end_came_in_a_stop() {
     // The example's longest query timeout, and what the platform waits beyond it.
     let killed_after = Duration::from_millis(2000 + 700);
-    let mixer = start(&[Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
     let (first, rest) = request.split_at(60);
@@ -170,7 +170,7 @@
 
 #[test]
 fn client_that_sends_kilobytes_behind_its_request_and_leaves_gets_no_retry() {
-    let mixer = start(&[Manner::Hangs, Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan("lookup", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
     // Stopped, the mixer finds the request, what stands behind it and the end all at once.
@@ -209,7 +209,7 @@
 fn clients_that_came_and_left_while_the_mixer_stood_still_get_nothing_sent() {
     let behind = "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(400);
     for known in [true, false] {
-        let mixer = start(&[Manner::Answers]);
+        let mixer = start(&[SearcherBehavior::Answers]);
         let ask_ready = |client: &TcpStream| {
             let mut output = client;
             write!(output, "GET /-/ready HTTP/1.1\r\n\r\n").expect("it takes bytes");
@@ -243,7 +243,7 @@
 
 #[test]
 fn request_behind_one_that_is_answered_at_once_is_answered_though_the_mixer_drains() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     let client = mixer.connect();
     mixer.signal("TERM");
     wait(&mut mixer.log, "draining");
@@ -277,7 +277,7 @@
 #[test]
 fn timers_that_fall_due_in_a_pause_wait_for_what_came_meanwhile() {
     for round in 0..8 {
-        let mixer = start(&[Manner::Hangs, Manner::Hangs, Manner::Answers]);
+        let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs, SearcherBehavior::Answers]);
         let clients: Vec<TcpStream> = (0..60).map(|_| mixer.connect()).collect();
         for (n, client) in clients.iter().enumerate() {
             let id = format!("q{round}-{n}");
@@ -303,7 +303,7 @@
 
 #[test]
 fn requests_behind_one_that_hangs_through_half_of_a_drain_are_answered() {
-    let mixer = start(&[Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let named =
         |id: &str| scan("entry", 1).replace("q1", id).replace("Deadline-Ms: 1000", "Deadline-Ms: 1500");
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use pewterwharf_console::ask;
-use pewterwharf_standins::bgp::{Manner as PeerManner, Peer};
-use pewterwharf_standins::{self as standins, Manner};
+use pewterwharf_standins::bgp::{Peer, PeerBehavior};
+use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::Value;
 
 mod rig;
@@ -17,7 +17,7 @@
 
 #[test]
 fn scans_are_served_on_one_connection_until_the_mixer_is_asked_to_end() {
-    let mixer = start(&[Manner::Answers, Manner::Answers]);
+    let mixer = start(&[SearcherBehavior::Answers, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     let mut said = Vec::new();
     for byte in scan("entry", 2).as_bytes() {
@@ -39,7 +39,8 @@
 
 #[test]
 fn a_hung_and_a_dying_searcher_are_read_around() {
-    let mixer = start(&[Manner::Hangs, Manner::Dies, Manner::Answers]);
+    let mixer =
+        start(&[SearcherBehavior::Hangs, SearcherBehavior::DisconnectsOnCall, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     let mut said = Vec::new();
     for _ in 0..3 {
@@ -53,7 +54,7 @@
 
 #[test]
 fn what_is_out_at_a_hung_searcher_is_answered_in_time_though_the_mixer_is_asked_to_end() {
-    let mixer = start(&[Manner::Hangs]);
+    let mixer = start(&[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
     assert!(mixer.heard.recv().expect("a frame").starts_with("D q1.0 0 d="));
@@ -66,7 +67,7 @@
 #[test]
 fn a_client_that_takes_no_answers_holds_up_nobody_and_gets_them_once_it_does() {
     const ASKS: usize = 5000;
-    let mixer = start(&[Manner::Answers]);
+    let mixer = start(&[SearcherBehavior::Answers]);
     let greedy = mixer.connect();
     let mut asks = greedy.try_clone().expect("a second handle");
     let all = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(ASKS);
@@ -84,9 +85,9 @@
 
 #[test]
 fn a_searcher_that_drains_gets_nothing_more() {
-    let mut mixer = start(&[Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.searchers[0].1 = "draining";
-    mixer.lists.tell(standins::list(2, false, &mixer.searchers));
+    mixer.lists.publish(standins::discovery_list(2, false, &mixer.searchers));
     wait(&mut mixer.log, "drains");
     let mut client = mixer.connect();
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
@@ -102,7 +103,8 @@
     let listener = port();
     let (mut child, mut log, _) = launch(listener.local_addr().expect("an address").to_string(), EXAMPLE);
     let mut asked = String::new();
-    let searcher = standins::list(7, true, &[("127.0.0.1:9".parse().expect("an address"), "up")]).to_string();
+    let searcher =
+        standins::discovery_list(7, true, &[("127.0.0.1:9".parse().expect("an address"), "up")]).to_string();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     for said in [
         format!("{head}1\r\n\n\r\n{:x}\r\n{searcher}\n\r\n", searcher.len() + 1),
@@ -144,11 +146,11 @@
     let place = |shown: &str| {
         let (searchers, discovery) = (port(), port());
         let addr = searchers.local_addr().expect("an address");
-        standins::searcher(searchers, Manner::Answers, says.clone());
+        standins::serve_searcher(searchers, SearcherBehavior::Answers, says.clone());
         let at = discovery.local_addr().expect("an address").to_string();
-        let lists = standins::Lists::default();
+        let lists = standins::DiscoveryServer::default();
         lists.serve(discovery);
-        lists.tell(standins::list(9, true, &[(addr, shown)]));
+        lists.publish(standins::discovery_list(9, true, &[(addr, shown)]));
         (at, lists)
     };
     let ((old, old_lists), (new, _)) = (place("up"), place("up"));
@@ -171,7 +173,7 @@
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
     said.push(answer(&client));
     // What the old one still says is no more heard, and its watch has ended.
-    mixer.lists.tell(standins::list(99, true, &[]));
+    mixer.lists.publish(standins::discovery_list(99, true, &[]));
     mixer.signal("HUP");
     wait(&mut mixer.log, "read anew");
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
@@ -183,7 +185,7 @@
 
 #[test]
 fn a_spoilt_answer_is_none_and_what_may_have_run_is_not_repeated() {
-    let mut mixer = start(&[Manner::Spoils, Manner::Answers]);
+    let mut mixer = start(&[SearcherBehavior::AnswersWrongPart, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     let mut said = Vec::new();
     let mut ask = |table_type, parts| {
@@ -204,7 +206,7 @@
     let config = concat!(env!("CARGO_TARGET_TMPDIR"), "/few.json");
     let text = std::fs::read_to_string(EXAMPLE).expect("the example");
     std::fs::write(config, text.replace("1024", "64")).expect("it can be written");
-    let mixer = start_on(config, &[Manner::Answers]);
+    let mixer = start_on(config, &[SearcherBehavior::Answers]);
     let silent: Vec<TcpStream> = (0..100).map(|_| mixer.connect()).collect();
     let mut half = mixer.connect();
     half.write_all(&scan("entry", 1).as_bytes()[..50]).expect("it takes bytes");
@@ -261,7 +263,7 @@
 }
 
 /// A mixer that announces one address to a peer; the file is gone once it has been read.
-fn announcing(peer: &Peer, searchers: &[Manner]) -> Mixer {
+fn announcing(peer: &Peer, searchers: &[SearcherBehavior]) -> Mixer {
     let text = bgp(peer, "(announce \"198.51.100.1/32\")");
     let file = File::new(&format!("bgp-{}", peer.address.port()), &text);
     start_with(EXAMPLE, Some(&file.0), searchers)
@@ -269,9 +271,9 @@
 
 /// One drain under load: when the peer heard the withdrawal, when a connection was first refused, and the counts.
 fn drain_under_load() -> (Instant, Instant, Option<i32>, String) {
-    let peer = Peer::start(&[PeerManner::Speaks]);
-    let mixer = announcing(&peer, &[Manner::Answers, Manner::Answers]);
-    peer.until("announce 198.51.100.1/32, path of 1");
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
+    let mixer = announcing(&peer, &[SearcherBehavior::Answers, SearcherBehavior::Answers]);
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
     let addr = mixer.addr;
     let (says, first) = mpsc::channel();
     let load = std::thread::spawn(move || {
@@ -287,11 +289,11 @@
     });
     assert!((0..20).all(|_| first.recv().expect("an answer")), "scans are served");
     mixer.signal("TERM");
-    let (_, before) = peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
+    let (_, before) = peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     assert!(before.is_empty(), "{before:?}");
-    let (withdrawn, _) = peer.until("withdraw 198.51.100.1/32");
+    let (withdrawn, _) = peer.wait_for("withdraw 198.51.100.1/32");
     let refused = load.join().expect("the load ends");
-    peer.until("notification");
+    peer.wait_for("notification");
     let (status, counts) = mixer.end();
     (withdrawn.at, refused, status, counts)
 }
@@ -330,25 +332,25 @@
 
 #[test]
 fn a_mixer_that_lives_and_has_no_usable_searcher_is_withdrawn_and_announced_again() {
-    let peer = Peer::start(&[PeerManner::Speaks]);
-    let mut mixer = announcing(&peer, &[Manner::Answers]);
-    peer.until("announce 198.51.100.1/32, path of 1");
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
+    let mut mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
     mixer.searchers[0].1 = "draining";
-    mixer.lists.tell(standins::list(2, false, &mixer.searchers));
-    peer.until("withdraw 198.51.100.1/32");
+    mixer.lists.publish(standins::discovery_list(2, false, &mixer.searchers));
+    peer.wait_for("withdraw 198.51.100.1/32");
     let mut client = mixer.connect();
     client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 503") || answer(&client).starts_with("HTTP/1.1 429"));
     mixer.searchers[0].1 = "up";
-    mixer.lists.tell(standins::list(3, false, &mixer.searchers));
-    peer.until("announce 198.51.100.1/32, path of 1");
+    mixer.lists.publish(standins::discovery_list(3, false, &mixer.searchers));
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
 }
 
 #[test]
 fn scans_go_on_while_a_session_flaps_and_a_second_signal_cuts_the_waits_short() {
-    let peer = Peer::start(&[PeerManner::Flaps, PeerManner::Speaks]);
-    let mixer = announcing(&peer, &[Manner::Answers]);
-    peer.until("closed");
+    let peer = Peer::start(&[PeerBehavior::Flaps, PeerBehavior::Conforms]);
+    let mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+    peer.wait_for("closed");
     let mut client = mixer.connect();
     client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200"));
@@ -367,17 +369,21 @@
     let mut took = [Vec::new(), Vec::new()];
     // A mixer changes its mind six times a minute at most.
     for _ in 0..10 {
-        let peer = Peer::start(&[PeerManner::Speaks]);
-        let mut mixer = announcing(&peer, &[Manner::Answers]);
-        peer.until("announce 198.51.100.1/32");
+        let peer = Peer::start(&[PeerBehavior::Conforms]);
+        let mut mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+        peer.wait_for("announce 198.51.100.1/32");
         for round in 0..2 {
             for (side, (status, word)) in
                 [("draining", "withdraw"), ("up", "announce")].into_iter().enumerate()
             {
                 mixer.searchers[0].1 = status;
                 let told = Instant::now();
-                mixer.lists.tell(standins::list(2 + 2 * round + side as u64, false, &mixer.searchers));
-                took[side].push((peer.until(word).0.at - told).as_millis());
+                mixer.lists.publish(standins::discovery_list(
+                    2 + 2 * round + side as u64,
+                    false,
+                    &mixer.searchers,
+                ));
+                took[side].push((peer.wait_for(word).0.at - told).as_millis());
             }
         }
     }
@@ -388,13 +394,13 @@
 /// What is asked at a console is told; SIGHUP changes addresses, attributes and peers and leaves sessions up.
 #[test]
 fn the_console_tells_of_routes_and_a_hang_up_changes_them_without_a_reset() {
-    let (peer, second) = (Peer::start(&[PeerManner::Speaks]), Peer::start(&[PeerManner::Speaks]));
+    let (peer, second) = (Peer::start(&[PeerBehavior::Conforms]), Peer::start(&[PeerBehavior::Conforms]));
     let console = File::new("console-hup", "");
     std::fs::remove_file(&console.0).expect("the name is free");
     let also = format!("\n(console \"{}\")", console.path());
     let file = File::new("bgp-hup", &(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
-    let mixer = start_with(EXAMPLE, Some(&file.0), &[Manner::Answers]);
-    peer.until("announce 198.51.100.1/32, path of 1");
+    let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers]);
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
     let shown = ask(&console.0, "bgp show").expect("it answers").expect("it is set");
     for line in
         ["Established, up 1 times", "198.51.100.1/32 Announced: Serves", "can serve by table type: 1.00 1.00"]
@@ -433,13 +439,13 @@
     );
     file.write(&(both + &also));
     mixer.signal("HUP");
-    peer.until("announce 198.51.100.2/32, path of 1");
-    second.until("announce 198.51.100.2/32, path of 1");
+    peer.wait_for("announce 198.51.100.2/32, path of 1");
+    second.wait_for("announce 198.51.100.2/32, path of 1");
     // Taken out whole: routes go, and scans go on.
     file.write("");
     mixer.signal("HUP");
-    let (told, before) = peer.until("notification");
-    assert!(told.what.contains("AdministrativeShutdown"), "{}", told.what);
+    let (told, before) = peer.wait_for("notification");
+    assert!(told.text.contains("AdministrativeShutdown"), "{}", told.text);
     // One session all along: it opened once, and was told the changed attributes on the way.
     assert!(before.iter().all(|b| !b.starts_with("open") && b != "closed"), "{before:?}");
     let mut client = TcpStream::connect(mixer.addr).expect("the mixer accepts");
@@ -449,7 +455,7 @@
     // And put in again.
     file.write(&(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
     mixer.signal("HUP");
-    peer.until("announce 198.51.100.1/32, path of 1");
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
 }
 
 /// Three slices, a searcher each: `lookup` is whole with six tenths, `entry` needs all.
@@ -458,43 +464,43 @@
     let config = std::fs::read_to_string(EXAMPLE).expect("the example");
     let config = config.replace("\"positions\": 1", "\"positions\": 3");
     let config = File::new("mixer-types", &config);
-    let peer = Peer::start(&[PeerManner::Speaks]);
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
     let more = "(announce \"198.51.100.1/32\" (table-types \"lookup\"))
                 (announce \"198.51.100.2/32\" (table-types \"entry\"))";
     let file = File::new("bgp-types", &bgp(&peer, more));
-    let mut mixer = start_with(&config.path(), Some(&file.0), &[Manner::Answers; 3]);
+    let mut mixer = start_with(&config.path(), Some(&file.0), &[SearcherBehavior::Answers; 3]);
     let tell = |mixer: &Mixer, index: u64, whole: bool| {
-        let mut list = standins::list(index, whole, &mixer.searchers);
+        let mut list = standins::discovery_list(index, whole, &mixer.searchers);
         for (slice, entry) in list["endpoints"].as_array_mut().into_iter().flatten().enumerate() {
             entry["group"] = Value::from(slice);
         }
-        mixer.lists.tell(list);
+        mixer.lists.publish(list);
     };
     tell(&mixer, 2, true);
-    peer.until("announce 198.51.100.2/32, path of 1");
+    peer.wait_for("announce 198.51.100.2/32, path of 1");
     mixer.searchers[2].1 = "draining";
     tell(&mixer, 3, false);
-    let (_, before) = peer.until("withdraw 198.51.100.2/32");
+    let (_, before) = peer.wait_for("withdraw 198.51.100.2/32");
     assert!(before.iter().all(|b| b.starts_with("announce")), "{before:?}");
     mixer.searchers[2].1 = "up";
     tell(&mixer, 4, false);
-    let (_, before) = peer.until("announce 198.51.100.2/32, path of 1");
+    let (_, before) = peer.wait_for("announce 198.51.100.2/32, path of 1");
     assert!(before.is_empty(), "the other stayed as it was: {before:?}");
 }
 
 /// Discovery falls silent while searchers answer: depreferenced, not withdrawn, and preferred again once it speaks.
 #[test]
 fn a_list_that_goes_stale_depreferences_while_searchers_answer() {
-    let peer = Peer::start(&[PeerManner::Speaks]);
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
     // An empty line comes every two seconds; the list is stale just before the next.
     let file = File::new("bgp-stale", &bgp(&peer, "(stale 900ms) (announce \"198.51.100.1/32\")"));
-    let mixer = start_with(EXAMPLE, Some(&file.0), &[Manner::Answers]);
-    peer.until("announce 198.51.100.1/32, path of 1");
-    peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
+    let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers]);
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
+    peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     let mut client = mixer.connect();
     client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200"));
-    let (_, before) = peer.until("announce 198.51.100.1/32, path of 1");
+    let (_, before) = peer.wait_for("announce 198.51.100.1/32, path of 1");
     assert!(before.is_empty(), "{before:?}");
 }
 
@@ -526,7 +532,8 @@
 #[ignore = "a measurement"]
 fn what_peers_cost() {
     for count in [None, Some(0), Some(1), Some(8)] {
-        let peers: Vec<Peer> = (0..count.unwrap_or(0)).map(|_| Peer::start(&[PeerManner::Speaks])).collect();
+        let peers: Vec<Peer> =
+            (0..count.unwrap_or(0)).map(|_| Peer::start(&[PeerBehavior::Conforms])).collect();
         let mut text = String::new();
         if count.is_some() {
             text += "(bgp (as 64512) (id \"10.0.0.1\") (up 0.9 20ms) (announce \"198.51.100.1/32\")";
@@ -539,8 +546,8 @@
             text += ")";
         }
         let file = File::new("bgp-cost", &text);
-        let mixer = start_with(EXAMPLE, Some(&file.0), &[Manner::Answers; 200]);
-        peers.iter().for_each(|peer| drop(peer.until("announce 198.51.100.1/32")));
+        let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers; 200]);
+        peers.iter().for_each(|peer| drop(peer.wait_for("announce 198.51.100.1/32")));
         let stat = || {
             let read = |of: &str| {
                 std::fs::read_to_string(format!("/proc/{}/{of}", mixer.child.id())).expect("it runs")
@@ -578,7 +585,7 @@
 #[test]
 fn without_probes_a_marked_searcher_is_readmitted_and_no_probe_goes_out() {
     let config = moved("unprobed");
-    let mut mixer = start_on(&config.path(), &[Manner::Dies]);
+    let mut mixer = start_on(&config.path(), &[SearcherBehavior::DisconnectsOnCall]);
     let mut client = mixer.connect();
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
     answer(&client);
@@ -594,7 +601,7 @@
 #[test]
 fn an_answer_at_the_floor_is_given_at_the_target_time_and_not_called_whole() {
     let config = moved("floor");
-    let mixer = start_on(&config.path(), &[Manner::Below(4)]);
+    let mixer = start_on(&config.path(), &[SearcherBehavior::AnswersShardsBelow(4)]);
     let mut client = mixer.connect();
     client.write_all(scan("lookup", 5).as_bytes()).expect("it takes bytes");
     let said = answer(&client);
@@ -608,7 +615,7 @@
     let (config, discovery, held) = (moved("asking"), port(), port());
     let at = held.local_addr().expect("an address");
     let (says, heard) = mpsc::channel();
-    standins::searcher(held, Manner::Answers, says);
+    standins::serve_searcher(held, SearcherBehavior::Answers, says);
     let (mut child, mut log, addr) =
         launch(discovery.local_addr().expect("an address").to_string(), &config.path());
     let tell = |list: Value| {
@@ -620,14 +627,14 @@
         stream.shutdown(std::net::Shutdown::Write).expect("an end");
         asked
     };
-    assert!(tell(standins::list(7, true, &[(at, "up")])).contains("watch=1&after=0"));
+    assert!(tell(standins::discovery_list(7, true, &[(at, "up")])).contains("watch=1&after=0"));
     wait(&mut log, "ready");
     // Discovery is away: nobody takes the next watch, and scans are served by the list that is held.
     let mut client = TcpStream::connect(addr).expect("the mixer accepts");
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
     assert!(heard.recv().expect("a frame").starts_with("D q1.0"));
-    assert!(tell(standins::list(8, false, &[(at, "draining")])).contains("watch=1&after=7"));
+    assert!(tell(standins::discovery_list(8, false, &[(at, "draining")])).contains("watch=1&after=7"));
     wait(&mut log, "drains");
     client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 503"));
@@ -651,7 +658,7 @@
 #[test]
 fn threads_do_not_grow_with_searchers() {
     // A thread for each link made a hundred for each of hundreds of mixers, more than one machine had.
-    let mixer = start(&[Manner::Answers; 40]);
+    let mixer = start(&[SearcherBehavior::Answers; 40]);
     let mut client = mixer.connect();
     client.write_all(scan("entry", 16).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
--- a/crates/mixer/tests/rig/mod.rs
+++ b/crates/mixer/tests/rig/mod.rs
@@ -10,14 +10,14 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::{self as standins, Manner};
+use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::Value;
 
 pub struct Mixer {
     pub child: Child,
     pub log: BufReader<ChildStderr>,
     pub addr: SocketAddr,
-    pub lists: standins::Lists,
+    pub lists: standins::DiscoveryServer,
     /// What searchers were sent.
     pub heard: Receiver<String>,
     pub searchers: Vec<(SocketAddr, &'static str)>,
@@ -28,34 +28,39 @@
 }
 
 /// Starts a mixer and its searchers, and waits until it is ready.
-pub fn start(manners: &[Manner]) -> Mixer {
+pub fn start(manners: &[SearcherBehavior]) -> Mixer {
     start_on(EXAMPLE, manners)
 }
 
-pub fn start_on(config: &str, manners: &[Manner]) -> Mixer {
+pub fn start_on(config: &str, manners: &[SearcherBehavior]) -> Mixer {
     start_with(config, None, manners)
 }
 
 /// `settings`: the operator's own file.
-pub fn start_with(config: &str, settings: Option<&Path>, manners: &[Manner]) -> Mixer {
+pub fn start_with(config: &str, settings: Option<&Path>, manners: &[SearcherBehavior]) -> Mixer {
     start_after("true", config, settings, manners)
 }
 
 /// `before`: what the shell that starts it does first.
-pub fn start_after(before: &str, config: &str, settings: Option<&Path>, manners: &[Manner]) -> Mixer {
+pub fn start_after(
+    before: &str,
+    config: &str,
+    settings: Option<&Path>,
+    manners: &[SearcherBehavior],
+) -> Mixer {
     let (says, heard) = mpsc::channel();
     let searchers = manners.iter().map(|manner| {
         let listener = port();
         let addr = listener.local_addr().expect("an address");
-        standins::searcher(listener, *manner, says.clone());
+        standins::serve_searcher(listener, *manner, says.clone());
         (addr, "up")
     });
     let searchers: Vec<_> = searchers.collect();
     let listener = port();
     let discovery = listener.local_addr().expect("an address").to_string();
-    let lists = standins::Lists::default();
+    let lists = standins::DiscoveryServer::default();
     lists.serve(listener);
-    lists.tell(standins::list(1, true, &searchers));
+    lists.publish(standins::discovery_list(1, true, &searchers));
     let child =
         command(before, &discovery, config).envs(settings.map(|path| ("PEWTERWHARF_SETTINGS", path))).spawn();
     let (child, mut log, addr) = listens(child.expect("the mixer starts"));
--- a/crates/mixer/tests/starts.rs
+++ b/crates/mixer/tests/starts.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::{self as standins, Manner};
+use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::{Value, json};
 
 mod rig;
@@ -16,7 +16,7 @@
 fn searcher() -> SocketAddr {
     let listener = port();
     let at = listener.local_addr().expect("an address");
-    standins::searcher(listener, Manner::Answers, mpsc::channel().0);
+    standins::serve_searcher(listener, SearcherBehavior::Answers, mpsc::channel().0);
     at
 }
 
@@ -33,7 +33,8 @@
 fn a_mixer_that_holds_a_list_is_ready_though_discovery_is_down_or_silent() {
     let at = searcher();
     for silent in [false, true] {
-        let path = config("known", |config| config["known"] = standins::list(1, true, &[(at, "up")]));
+        let path =
+            config("known", |config| config["known"] = standins::discovery_list(1, true, &[(at, "up")]));
         let discovery = port();
         let place = discovery.local_addr().expect("an address").to_string();
         let held = silent.then_some(discovery);
@@ -60,7 +61,7 @@
     let slow = mixer.asked();
     std::thread::sleep(Duration::from_millis(1500)); // it is slow to start, and answers what was asked first
     assert!(asks(mixer.addr, READY).starts_with("HTTP/1.1 503"));
-    let list = format!("{}\n", standins::list(1, true, &[(at, "up")]));
+    let list = format!("{}\n", standins::discovery_list(1, true, &[(at, "up")]));
     (&slow).write_all(format!("{WATCH}{}", chunk(&list)).as_bytes()).expect("it is waited for");
     wait(&mut mixer.log, "ready");
     assert!(asks(mixer.addr, &scan("lookup", 1)).starts_with("HTTP/1.1 200"));
@@ -101,7 +102,7 @@
         let at = searcher();
         let path = config("full", |config| config["limits"]["sockets"] = sockets.into());
         let mut mixer = Watched::start(before, &path);
-        drop(mixer.well_until(&standins::list(1, true, &[(at, "up")]), "ready"));
+        drop(mixer.well_until(&standins::discovery_list(1, true, &[(at, "up")]), "ready"));
         mixer.down();
         // Many more than there is room for: some have just come, some rest after an answer.
         let clients: Vec<TcpStream> = (0..sockets + 100)
@@ -119,7 +120,7 @@
         assert!(served.starts_with("HTTP/1.1 200"), "{sockets} {before}: {served}");
         mixer.up();
         let back = Instant::now();
-        let _watch = mixer.well_until(&standins::list(2, false, &[(at, "draining")]), "drains");
+        let _watch = mixer.well_until(&standins::discovery_list(2, false, &[(at, "draining")]), "drains");
         assert!(
             back.elapsed() < Duration::from_secs(3),
             "{sockets} {before}: heard after {:?}",
@@ -198,7 +199,7 @@
 fn an_entry_that_cannot_be_read_costs_nothing_but_itself_and_is_named() {
     let at = searcher();
     let mut mixer = Watched::start("true", EXAMPLE);
-    let mut list = standins::list(1, true, &[(at, "up")]);
+    let mut list = standins::discovery_list(1, true, &[(at, "up")]);
     let bad = json!({"name": "s-broken", "address": "nowhere", "zone": "hall", "type": "toy", "group": 0, "status": "up"});
     list["endpoints"].as_array_mut().expect("a list").push(bad);
     let stream = mixer.asked();
--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -11,7 +11,7 @@
 use pewterwharf_soak::clock::now_ms;
 use pewterwharf_soak::fleet::{Library, build_library};
 use pewterwharf_soak::record::Event;
-use pewterwharf_standins::Manner;
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -21,7 +21,7 @@
 const DEADLINE_MS: f64 = 1000.0;
 
 /// A mixer that notes its own writes, with this setting of the library that makes connections come up late.
-fn start_noted(name: &str, setting: &str, manners: &[Manner]) -> (Mixer, PathBuf) {
+fn start_noted(name: &str, setting: &str, manners: &[SearcherBehavior]) -> (Mixer, PathBuf) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = |library| build_library(library, &folder).expect("the library can be built");
     let (accepts, sends) = (library(Library::Accepts), library(Library::Sends));
@@ -82,7 +82,7 @@
 /// Guards against a deadline that counts from when a request was read though it waited while accepting failed.
 #[test]
 fn requests_that_wait_while_accepts_fail_are_told_no_more_time_than_is_left() {
-    let (mixer, notes) = start_noted("accepts", "SHIM_ACCEPTS_FAIL=1200,400", &[Manner::Answers]);
+    let (mixer, notes) = start_noted("accepts", "SHIM_ACCEPTS_FAIL=1200,400", &[SearcherBehavior::Answers]);
     let (sent, answers) = ask_again_and_again(&mixer, 150, Duration::from_millis(20));
     let found = told_too_much(&notes, &sent);
     assert!(found.is_empty(), "{} of {} parts: {:?}", found.len(), sent.len(), &found[..found.len().min(5)]);
@@ -93,7 +93,8 @@
 /// Guards against a connection that is reset, and a deadline that is wrong, as it can't be registered with the poll at once.
 #[test]
 fn requests_on_connections_that_cannot_be_polled_are_answered() {
-    let (mixer, notes) = start_noted("registers", "SHIM_REGISTERS_FAIL=600,300", &[Manner::Answers]);
+    let (mixer, notes) =
+        start_noted("registers", "SHIM_REGISTERS_FAIL=600,300", &[SearcherBehavior::Answers]);
     let (sent, answers) = ask_again_and_again(&mixer, 100, Duration::from_millis(20));
     let found = told_too_much(&notes, &sent);
     assert!(found.is_empty(), "{} of {} parts: {:?}", found.len(), sent.len(), &found[..found.len().min(5)]);
@@ -103,7 +104,7 @@
 /// Guards against a request that comes in pieces, or is followed by its client's end, on a connection that the poll does not tell of.
 #[test]
 fn connections_that_cannot_be_polled_are_read_on() {
-    let (mixer, _) = start_noted("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[Manner::Hangs]);
+    let (mixer, _) = start_noted("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
     let request = scan("lookup", 1);
     let (first, rest) = request.split_at(request.len() / 2);
@@ -120,7 +121,8 @@
 #[test]
 fn requests_behind_another_are_told_no_more_time_than_is_left() {
     const WORK_MS: u64 = 600;
-    let (mixer, notes) = start_noted("behind", "SHIM_ACCEPTS_FAIL=1000,0", &[Manner::Works(WORK_MS)]);
+    let (mixer, notes) =
+        start_noted("behind", "SHIM_ACCEPTS_FAIL=1000,0", &[SearcherBehavior::AnswersAfterMs(WORK_MS)]);
     let mut client = mixer.connect();
     client.set_read_timeout(Some(CEILING)).expect("a time-out");
     let both = format!("{}{}", scan("lookup", 1), scan("lookup", 1).replace("q1", "q2"));
--- a/crates/mixer/tests/watches.rs
+++ b/crates/mixer/tests/watches.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use pewterwharf_standins::{self as standins, Manner};
+use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::Value;
 
 mod rig;
@@ -31,7 +31,7 @@
     }
 
     fn list(&self, index: u64, status: &str) -> String {
-        standins::list(index, index == 1, &[(self.searcher, status)]).to_string()
+        standins::discovery_list(index, index == 1, &[(self.searcher, status)]).to_string()
     }
 
     /// A watch that is asked for, which has told the searcher as up.
@@ -132,7 +132,7 @@
 fn a_list_over_several_lines_is_read_and_one_that_is_none_is_not_waited_for() {
     let mut mixer = Listed::start();
     let first = mixer.told();
-    let list = standins::list(2, false, &[(mixer.searcher, "draining")]);
+    let list = standins::discovery_list(2, false, &[(mixer.searcher, "draining")]);
     let indented = serde_json::to_string_pretty(&list).expect("it is JSON");
     // In pieces that end anywhere, with an empty line between.
     let text = format!("\n{indented}\n\n");
@@ -148,7 +148,7 @@
 
 /// The one searcher of a list that a test tells; nobody serves there.
 fn one(index: u64, status: &str) -> Value {
-    standins::list(index, index == 1, &[("127.0.0.1:9".parse().expect("an address"), status)])
+    standins::discovery_list(index, index == 1, &[("127.0.0.1:9".parse().expect("an address"), status)])
 }
 
 #[test]
@@ -327,7 +327,7 @@
     lines: Receiver<String>,
     addr: SocketAddr,
     path: String,
-    old: standins::Lists,
+    old: standins::DiscoveryServer,
     searcher: SocketAddr,
     heard: Receiver<String>,
 }
@@ -339,10 +339,10 @@
         let (listener, discovery) = (port(), port());
         let searcher = listener.local_addr().expect("an address");
         let at = discovery.local_addr().expect("an address").to_string();
-        standins::searcher(listener, Manner::Answers, says);
-        let old = standins::Lists::default();
+        standins::serve_searcher(listener, SearcherBehavior::Answers, says);
+        let old = standins::DiscoveryServer::default();
         old.serve(discovery);
-        old.tell(standins::list(1, true, &[(searcher, "up")]));
+        old.publish(standins::discovery_list(1, true, &[(searcher, "up")]));
         let (child, log, addr) = launch(at, &path);
         let mixer = Self { child, lines: lines_of(log), addr, path, old, searcher, heard };
         assert!(mixer.says("ready"), "it is not ready");
@@ -396,8 +396,10 @@
     std::thread::sleep(CHANGED_OVER);
     let told = Instant::now();
     match by_old {
-        true => mixer.old.tell(standins::list(2, false, &[(mixer.searcher, "draining")])),
-        false => place.returns(standins::list(1, true, &[(mixer.searcher, "draining")]), fault.is_none()),
+        true => mixer.old.publish(standins::discovery_list(2, false, &[(mixer.searcher, "draining")])),
+        false => {
+            place.returns(standins::discovery_list(1, true, &[(mixer.searcher, "draining")]), fault.is_none())
+        }
     }
     let drains = mixer.says("drains");
     let after = told.elapsed();
@@ -424,6 +426,6 @@
 #[test]
 fn a_searcher_that_is_not_on_a_whole_list_is_logged_as_gone() {
     let mixer = Moving::start("gone");
-    mixer.old.tell(standins::list(2, true, &[]));
+    mixer.old.publish(standins::discovery_list(2, true, &[]));
     assert!(mixer.says(&format!("s-{} is gone", mixer.searcher.port())), "nothing is logged");
 }
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use pewterwharf_soak::fleet::{Library, build_library};
-use pewterwharf_standins::{self as standins, Lists, Manner};
+use pewterwharf_standins::{self as standins, DiscoveryServer, SearcherBehavior};
 use rustix::net::sockopt;
 
 mod rig;
@@ -32,7 +32,7 @@
 
 /// A mixer that has stopped itself once the first of the calls of one query was written, and the client of that query.
 fn stopped_between_two_calls(searchers: usize, deadline_ms: u32) -> (Mixer, TcpStream) {
-    let manners = vec![Manner::Answers; searchers];
+    let manners = vec![SearcherBehavior::Answers; searchers];
     let mixer = start_after(&loads("SHIM_STOPS_AFTER=stops"), EXAMPLE, None, &manners);
     let client = mixer.connect();
     // Its links are up from here on.
@@ -88,7 +88,7 @@
 fn calls_of_one_step_are_not_sent_to_searchers_that_drain_in_a_stop_between_them() {
     let (mixer, _client) = stopped_between_two_calls(2, 1900);
     let drain: Vec<_> = mixer.searchers.iter().map(|(address, _)| (*address, "draining")).collect();
-    mixer.lists.tell(standins::list(2, false, &drain));
+    mixer.lists.publish(standins::discovery_list(2, false, &drain));
     thread::sleep(STOPPED);
     let calls = calls_after_the_stop(&mixer);
     assert!(calls.is_empty(), "{} calls to searchers that drain: {calls:?}", calls.len());
@@ -99,7 +99,7 @@
     const DEADLINE_MS: u64 = 1500;
     const SLACK_MS: u64 = 150;
     for is_known in [true, false] {
-        let mixer = start(&[Manner::Answers]);
+        let mixer = start(&[SearcherBehavior::Answers]);
         let known = mixer.connect();
         write!(&known, "{}", scan("entry", 1)).expect("it takes bytes");
         assert!(answer(&known).starts_with("HTTP/1.1 200 OK"));
@@ -123,7 +123,12 @@
     const HELD_MS: u64 = 400;
     for look in 1..=6 {
         let setting = format!("SHIM_STOPS_AFTER=stops SHIM_HOLDS={look} SHIM_HOLD_MS={HELD_MS}");
-        let mixer = start_after(&loads(&setting), EXAMPLE, None, &[Manner::Answers, Manner::Answers]);
+        let mixer = start_after(
+            &loads(&setting),
+            EXAMPLE,
+            None,
+            &[SearcherBehavior::Answers, SearcherBehavior::Answers],
+        );
         let client = mixer.connect();
         // Its links are up from here on.
         write!(&client, "{}", scan("entry", PARTS)).expect("it takes bytes");
@@ -189,12 +194,12 @@
     name: &str,
     change: impl FnOnce(&mut serde_json::Value),
 ) -> Mixer {
-    let lists = Lists::default();
+    let lists = DiscoveryServer::default();
     let discovery = port();
     let at = discovery.local_addr().expect("an address").to_string();
     lists.serve(discovery);
     let searchers: Vec<_> = searchers.iter().map(|address| (*address, "up")).collect();
-    lists.tell(standins::list(1, true, &searchers));
+    lists.publish(standins::discovery_list(1, true, &searchers));
     let path = config(name, change);
     let (child, mut log, addr) = listens(command(before, &at, &path).spawn().expect("the mixer starts"));
     wait(&mut log, "ready");
--- a/crates/speaker/tests/loopback.rs
+++ b/crates/speaker/tests/loopback.rs
@@ -8,7 +8,7 @@
 use pewterwharf_bgp::session::{self, State};
 use pewterwharf_bgp::speaker::{Carried, Peer as PeerTerms, Terms};
 use pewterwharf_speaker::{Shown, Speaker};
-use pewterwharf_standins::bgp::{self as standin, Manner, Peer, Wire};
+use pewterwharf_standins::bgp::{self as standin, BgpConnection, Peer, PeerBehavior};
 
 /// For what has to come: nothing waits this long but on a machine that stands still. Five seconds once were too few on two
 /// cores, where other tests looked without a pause.
@@ -77,54 +77,55 @@
 
 #[test]
 fn a_drain_depreferences_withdraws_and_only_then_lets_scans_stop() {
-    let peer = Peer::start(&[Manner::Speaks]);
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
     let speaker = start(&peer);
-    let (_, before) = peer.until("up");
+    let (_, before) = peer.wait_for("up");
     assert_eq!(before, ["open 4200000000 hold 9"]);
     speaker.health(health(1.0));
-    assert_eq!(peer.next().what, "announce 198.51.100.1/32, path of 1");
-    assert_eq!(peer.next().what, "announce 2001:db8:1::1/128, path of 1");
+    assert_eq!(peer.next_event().text, "announce 198.51.100.1/32, path of 1");
+    assert_eq!(peer.next_event().text, "announce 2001:db8:1::1/128, path of 1");
     speaker.drain();
-    assert_eq!(peer.next().what, "announce 198.51.100.1/32, path of 3, depreferenced");
-    assert_eq!(peer.next().what, "announce 2001:db8:1::1/128, path of 3, depreferenced");
-    let withdrawn = [peer.next(), peer.next()];
-    assert_eq!(withdrawn[0].what, "withdraw 198.51.100.1/32");
-    assert_eq!(withdrawn[1].what, "withdraw 2001:db8:1::1/128");
+    assert_eq!(peer.next_event().text, "announce 198.51.100.1/32, path of 3, depreferenced");
+    assert_eq!(peer.next_event().text, "announce 2001:db8:1::1/128, path of 3, depreferenced");
+    let withdrawn = [peer.next_event(), peer.next_event()];
+    assert_eq!(withdrawn[0].text, "withdraw 198.51.100.1/32");
+    assert_eq!(withdrawn[1].text, "withdraw 2001:db8:1::1/128");
     speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
     let stopped = Instant::now();
     // By the peer's own times.
     assert!(withdrawn.iter().all(|w| w.at < stopped), "{withdrawn:?} and stopped at {stopped:?}");
-    assert!(peer.rest().is_empty());
+    assert!(peer.pending_events().is_empty());
     speaker.end("mending");
-    let (told, _) = peer.until("notification");
-    assert!(told.what.contains("AdministrativeShutdown"), "{}", told.what);
-    peer.until("closed");
+    let (told, _) = peer.wait_for("notification");
+    assert!(told.text.contains("AdministrativeShutdown"), "{}", told.text);
+    peer.wait_for("closed");
 }
 
 #[test]
 fn what_can_no_longer_be_served_is_withdrawn_and_comes_back() {
-    let peer = Peer::start(&[Manner::Speaks]);
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
     let speaker = start(&peer);
     speaker.health(health(1.0));
-    peer.until("announce 2001:db8:1::1/128");
+    peer.wait_for("announce 2001:db8:1::1/128");
     speaker.health(health(0.0));
-    peer.until("withdraw 2001:db8:1::1/128");
+    peer.wait_for("withdraw 2001:db8:1::1/128");
     speaker.health(health(0.7));
     speaker.health(health(1.0));
-    let (_, before) = peer.until("announce 2001:db8:1::1/128");
+    let (_, before) = peer.wait_for("announce 2001:db8:1::1/128");
     assert_eq!(before, ["announce 198.51.100.1/32, path of 1"]);
 }
 
 #[test]
 fn a_session_that_flaps_is_up_again_and_told_all_routes() {
-    let peer = Peer::start(&[Manner::Flaps, Manner::Flaps, Manner::Flaps, Manner::Speaks]);
+    let peer =
+        Peer::start(&[PeerBehavior::Flaps, PeerBehavior::Flaps, PeerBehavior::Flaps, PeerBehavior::Conforms]);
     let speaker = start(&peer);
     speaker.health(health(1.0));
     for _ in 0..3 {
-        peer.until("closed");
+        peer.wait_for("closed");
     }
-    peer.until("announce 198.51.100.1/32, path of 1");
-    peer.until("announce 2001:db8:1::1/128, path of 1");
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
+    peer.wait_for("announce 2001:db8:1::1/128, path of 1");
     let Shown { peers, addresses, counts, .. } = speaker.show().expect("it runs");
     assert_eq!((counts.sessions_up, counts.sessions_lost), (4, 3));
     assert_eq!((peers[0].ups, peers[0].flaps, peers[0].announced.len()), (4, 3, 2));
@@ -134,20 +135,20 @@
 #[test]
 fn peers_that_misbehave_are_told_why_and_tried_again() {
     let cases = [
-        (Manner::WrongAs, "BadPeerAs", "2/2"),
-        (Manner::Malformed, "MalformedAttributeList", "3/1"),
-        (Manner::Floods(1_000_000), "MaximumNumberOfPrefixesReached", "6/1"),
-        (Manner::Half, "HoldTimerExpired", "4/0"),
+        (PeerBehavior::WrongAs, "BadPeerAs", "2/2"),
+        (PeerBehavior::SendsMalformedUpdate, "MalformedAttributeList", "3/1"),
+        (PeerBehavior::FloodsRoutes(1_000_000), "MaximumNumberOfPrefixesReached", "6/1"),
+        (PeerBehavior::SendsPartialMessage, "HoldTimerExpired", "4/0"),
     ];
     for (manner, reason, code) in cases {
-        let peer = Peer::start(&[manner, Manner::Speaks]);
+        let peer = Peer::start(&[manner, PeerBehavior::Conforms]);
         let mut terms = terms(peer.address);
         terms.peers[0].session.hold_s = 3;
         let speaker = Speaker::start(terms, None, 7).expect("it starts");
         speaker.health(health(1.0));
         // A peer that still sends may have its connection reset before it reads why; and what the next connection brings may be
         // heard before the end of the first.
-        let (_, before) = peer.until("closed");
+        let (_, before) = peer.wait_for("closed");
         let told = before.iter().any(|what| what.starts_with("notification") && what.contains(reason));
         let error = speaker.show().expect("it runs").peers[0].last_error.clone().unwrap_or_default();
         assert!(told || error.contains(code), "{manner:?}: {before:?} and {error}");
@@ -161,19 +162,19 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         if !before.iter().any(|what| what.starts_with("announce 2001:db8:1::1/128")) {
-            peer.until("announce 2001:db8:1::1/128");
+            peer.wait_for("announce 2001:db8:1::1/128");
         }
     }
 }
 
 #[test]
 fn a_peer_that_reads_no_more_holds_up_no_drain() {
-    let peer = Peer::start(&[Manner::Deaf]);
+    let peer = Peer::start(&[PeerBehavior::StopsReading]);
     let mut terms = terms(peer.address);
     terms.announce.depreferenced_ms = 5.0;
     terms.announce.leave_ms = 5.0;
     let speaker = Speaker::start(terms, None, 7).expect("it starts");
-    peer.until("up");
+    peer.wait_for("up");
     speaker.health(health(1.0));
     while speaker.show().expect("it runs").peers[0].announced.len() < 2 {
         std::thread::sleep(Duration::from_millis(1));
@@ -199,20 +200,20 @@
 #[test]
 fn a_peer_that_ends_the_session_in_any_state_is_tried_again() {
     let cases = [
-        (Manner::ResetsUnopened, "the peer said 6/4"),
-        (Manner::ResetsOpened, "the peer said 6/4"),
-        (Manner::ResetsUp, "the peer said 6/4"),
-        (Manner::Twin, "we said 2/3"),
+        (PeerBehavior::ResetsBeforeOpen, "the peer said 6/4"),
+        (PeerBehavior::ResetsAfterOpen, "the peer said 6/4"),
+        (PeerBehavior::ResetsEstablished, "the peer said 6/4"),
+        (PeerBehavior::DuplicateIdentity, "we said 2/3"),
     ];
     for (manner, reason) in cases {
-        let peer = Peer::start(&[manner, Manner::Speaks]);
+        let peer = Peer::start(&[manner, PeerBehavior::Conforms]);
         let mut terms = terms(peer.address);
-        if manner == Manner::Twin {
+        if manner == PeerBehavior::DuplicateIdentity {
             (terms.peers[0].session.asn, terms.peers[0].session.peer_asn) = (64_512, 64_512);
         }
         let speaker = Speaker::start(terms, None, 7).expect("it starts");
         speaker.health(health(1.0));
-        peer.until("closed");
+        peer.wait_for("closed");
         loop {
             let shown = speaker.show().expect("it runs").peers[0].clone();
             if let Some(error) = shown.last_error {
@@ -220,8 +221,8 @@
                 break;
             }
         }
-        if manner != Manner::Twin {
-            peer.until("announce 2001:db8:1::1/128");
+        if manner != PeerBehavior::DuplicateIdentity {
+            peer.wait_for("announce 2001:db8:1::1/128");
             assert_eq!(state(&speaker), State::Established);
         }
     }
@@ -231,9 +232,9 @@
 #[test]
 fn a_drain_in_each_state_of_the_session_ends() {
     for (manner, reached) in [
-        (Manner::Silent, State::OpenSent),
-        (Manner::OpensOnly, State::OpenConfirm),
-        (Manner::Speaks, State::Established),
+        (PeerBehavior::Silent, State::OpenSent),
+        (PeerBehavior::SendsOpenOnly, State::OpenConfirm),
+        (PeerBehavior::Conforms, State::Established),
     ] {
         let peer = Peer::start(&[manner]);
         let speaker = start(&peer);
@@ -244,8 +245,8 @@
         speaker.drain();
         speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
         speaker.end("off");
-        let (told, before) = peer.until("notification");
-        assert!(told.what.contains("AdministrativeShutdown"), "{reached:?}: {}", told.what);
+        let (told, before) = peer.wait_for("notification");
+        assert!(told.text.contains("AdministrativeShutdown"), "{reached:?}: {}", told.text);
         assert!(
             reached == State::Established || before.iter().all(|b| !b.starts_with("announce")),
             "{before:?}"
@@ -266,11 +267,11 @@
             let speaker = Speaker::start(terms(address), Some(any), 7).expect("it starts");
             speaker.health(health(1.0));
             let (stream, _) = listener.accept().expect("the mixer connects");
-            let mut out = Wire::new(stream);
-            assert_eq!(out.words(), "open 4200000000 hold 9");
+            let mut out = BgpConnection::new(stream);
+            assert_eq!(out.describe_next(), "open 4200000000 hold 9");
             let at = speaker.listens().expect("it listens");
-            let mut came = Wire::new(TcpStream::connect(at).expect("the mixer listens"));
-            assert_eq!(came.words(), "open 4200000000 hold 9");
+            let mut came = BgpConnection::new(TcpStream::connect(at).expect("the mixer listens"));
+            assert_eq!(came.describe_next(), "open 4200000000 hold 9");
             let id = Ipv4Addr::new(10, 0, 0, peer_id);
             let order = if mixers_first { [&mut out, &mut came] } else { [&mut came, &mut out] };
             for wire in order {
@@ -279,41 +280,41 @@
             let (stays, goes) = if mixers_stays { (&mut out, &mut came) } else { (&mut came, &mut out) };
             let mut last = String::new();
             while !last.contains("notification") {
-                last = goes.words();
+                last = goes.describe_next();
                 assert_ne!(last, "closed", "id {peer_id}, mixer's first {mixers_first}");
             }
             assert!(last.contains("ConnectionCollisionResolution"), "{last}");
-            assert_eq!(stays.words(), "keepalive");
+            assert_eq!(stays.describe_next(), "keepalive");
             assert!(stays.keepalive());
-            assert!(stays.words().starts_with("announce 198.51.100.1/32"));
+            assert!(stays.describe_next().starts_with("announce 198.51.100.1/32"));
         }
     }
 }
 
 #[test]
 fn what_a_peer_reflects_decides_whether_a_last_announcer_goes() {
-    let peer = Peer::start(&[Manner::Speaks]);
+    let peer = Peer::start(&[PeerBehavior::Conforms]);
     let mut terms = terms(peer.address);
     terms.announce.addresses.truncate(1);
     terms.announce.addresses[0].keep_last = true;
     let speaker = Speaker::start(terms.clone(), None, 7).expect("it starts");
     speaker.health(health(1.0));
-    peer.until("announce 198.51.100.1/32, path of 1");
+    peer.wait_for("announce 198.51.100.1/32, path of 1");
     speaker.health(health(0.3));
-    peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
+    peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     let (address, other) = (Ipv4Addr::new(198, 51, 100, 1), Ipv4Addr::new(192, 0, 2, 2));
     // One more last resort, and then one's own route come back: neither is a reason to go.
-    peer.say(&standin::route(address, other, true));
-    peer.say(&standin::route(address, Ipv4Addr::new(192, 0, 2, 1), false));
-    peer.say(&standin::route(Ipv4Addr::new(198, 51, 100, 2), other, false));
+    peer.send(&standin::announce_update(address, other, true));
+    peer.send(&standin::announce_update(address, Ipv4Addr::new(192, 0, 2, 1), false));
+    peer.send(&standin::announce_update(Ipv4Addr::new(198, 51, 100, 2), other, false));
     while speaker.show().expect("it runs").peers[0].heard_routes < 3 {
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!(!speaker.show().expect("it runs").addresses[0].others);
-    peer.say(&standin::route(address, other, false));
-    peer.until("withdraw 198.51.100.1/32");
-    peer.say(&standin::gone(address));
-    peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
+    peer.send(&standin::announce_update(address, other, false));
+    peer.wait_for("withdraw 198.51.100.1/32");
+    peer.send(&standin::withdraw_update(address));
+    peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     // Named anew, an address is asked for: the peer may have told of it before.
     let mut more = terms.clone();
     more.announce.addresses.push(Address {
@@ -322,17 +323,17 @@
         keep_last: true,
     });
     speaker.change(more);
-    peer.until("refresh");
+    peer.wait_for("refresh");
 }
 
 /// What the operator changes while sessions are up, and that none is lost by it.
 #[test]
 fn the_operators_changes_leave_sessions_up() {
-    let (peer, second) = (Peer::start(&[Manner::Speaks]), Peer::start(&[Manner::Speaks]));
+    let (peer, second) = (Peer::start(&[PeerBehavior::Conforms]), Peer::start(&[PeerBehavior::Conforms]));
     let before = terms(peer.address);
     let speaker = Speaker::start(before.clone(), None, 7).expect("it starts");
     speaker.health(health(1.0));
-    peer.until("announce 2001:db8:1::1/128");
+    peer.wait_for("announce 2001:db8:1::1/128");
     let mut new = before.clone();
     new.announce.addresses.remove(1);
     new.announce.addresses.push(Address {
@@ -343,19 +344,19 @@
     new.peers[0].session.hold_s = 30;
     new.peers.push(terms(second.address).peers.remove(0));
     speaker.change(new.clone());
-    peer.until("withdraw 2001:db8:1::1/128");
-    peer.until("announce 198.51.100.7/32");
-    second.until("up");
-    second.until("announce 198.51.100.7/32");
+    peer.wait_for("withdraw 2001:db8:1::1/128");
+    peer.wait_for("announce 198.51.100.7/32");
+    second.wait_for("up");
+    second.wait_for("announce 198.51.100.7/32");
     // A new next hop: all is told again, and nothing is withdrawn.
     new.peers[0].next_hop_v4 = Some(IpAddr::V4(Ipv4Addr::new(192, 0, 2, 77)));
     speaker.change(new.clone());
-    let (_, told) = peer.until("announce 198.51.100.7/32");
+    let (_, told) = peer.wait_for("announce 198.51.100.7/32");
     assert_eq!(told.last().map(String::as_str), Some("announce 198.51.100.1/32, path of 1"));
     new.peers.remove(1);
     speaker.change(new);
-    let (gone, _) = second.until("notification");
-    assert!(gone.what.contains("PeerDeConfigured"), "{}", gone.what);
+    let (gone, _) = second.wait_for("notification");
+    assert!(gone.text.contains("PeerDeConfigured"), "{}", gone.text);
     let shown = speaker.show().expect("it runs");
     assert_eq!((shown.peers.len(), shown.peers[0].ups, shown.peers[0].state), (1, 1, State::Established));
 }
@@ -364,7 +365,10 @@
 /// peer hears all, and a drain waits for neither.
 #[test]
 fn a_peer_whose_window_is_shut_is_let_go_and_another_hears_the_drain() {
-    let (deaf, peer) = (Peer::start(&[Manner::Deaf, Manner::Silent]), Peer::start(&[Manner::Speaks]));
+    let (deaf, peer) = (
+        Peer::start(&[PeerBehavior::StopsReading, PeerBehavior::Silent]),
+        Peer::start(&[PeerBehavior::Conforms]),
+    );
     let mut terms = terms(peer.address);
     terms.peers.push(self::terms(deaf.address).peers.remove(0));
     terms.announce.addresses = (0..64)
@@ -376,15 +380,15 @@
         .collect();
     let speaker = Speaker::start(terms.clone(), None, 7).expect("it starts");
     speaker.health(health(1.0));
-    deaf.until("up");
-    peer.until("announce 2001:db8:2::3f/128");
+    deaf.wait_for("up");
+    peer.wait_for("announce 2001:db8:2::3f/128");
     let lost = |speaker: &Speaker| speaker.show().expect("it runs").counts.sessions_lost;
     let mut rounds = 0;
     while lost(&speaker) == 0 {
         // A new MED: every route is told again, in one message to each peer.
         terms.carried.med += 1;
         speaker.change(terms.clone());
-        peer.until("announce 2001:db8:2::3f/128");
+        peer.wait_for("announce 2001:db8:2::3f/128");
         rounds += 1;
         assert!(rounds < 100_000, "it is never let go");
     }
@@ -392,21 +396,21 @@
     assert_eq!(shown.peers.iter().map(|p| p.ups).collect::<Vec<_>>(), [1, 1]);
     assert_eq!(shown.peers[0].state, State::Established);
     speaker.drain();
-    peer.until("announce 2001:db8:2::3f/128, path of 3, depreferenced");
-    peer.until("withdraw 2001:db8:2::3f");
+    peer.wait_for("announce 2001:db8:2::3f/128, path of 3, depreferenced");
+    peer.wait_for("withdraw 2001:db8:2::3f");
     speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
 }
 
 /// More routes than the buffers of a connection hold: a peer whose window stays shut waits for as long as its system lets it.
 #[test]
 fn peers_in_the_midst_of_a_flood_are_closed() {
-    let floods = || Peer::start(&[Manner::Floods(1_000_000), Manner::Speaks]);
+    let floods = || Peer::start(&[PeerBehavior::FloodsRoutes(1_000_000), PeerBehavior::Conforms]);
     let peers: Vec<Peer> = (0..16).map(|_| floods()).collect();
     let mut all = terms(peers[0].address);
     all.peers = peers.iter().map(|peer| terms(peer.address).peers.remove(0)).collect();
     let speaker = Speaker::start(all, None, 7).expect("it starts");
     for (nth, peer) in peers.iter().enumerate() {
-        let (_, before) = peer.until("closed");
+        let (_, before) = peer.wait_for("closed");
         let told = before.iter().any(|what| what.contains("MaximumNumberOfPrefixesReached"));
         let error = speaker.show().expect("it runs").peers[nth].last_error.clone().unwrap_or_default();
         assert!(told || error.contains("6/1"), "peer {nth}: {before:?} and {error}");
--- a/crates/standins/src/bgp.rs
+++ b/crates/standins/src/bgp.rs
@@ -24,44 +24,44 @@
 
 /// What a peer does on each of its connections, one after the other; the last goes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum PeerBehavior {
     /// Speaks as it should.
-    Speaks,
+    Conforms,
     /// Is up, and then ends the connection without a word.
     Flaps,
     /// Names another AS.
     WrongAs,
     /// Sends half a message and then nothing.
-    Half,
+    SendsPartialMessage,
     /// Sends an UPDATE of which a field can't be told from the next.
-    Malformed,
+    SendsMalformedUpdate,
     /// Sends as many routes as this, some thousand at a time.
-    Floods(u32),
+    FloodsRoutes(u32),
     /// Is up, and never reads again.
-    Deaf,
+    StopsReading,
     /// Says nothing at all.
     Silent,
     /// Sends its OPEN, and no KEEPALIVE.
-    OpensOnly,
+    SendsOpenOnly,
     /// Ends the session with an administrative reset: before its OPEN, after it, once it is up.
-    ResetsUnopened,
-    ResetsOpened,
-    ResetsUp,
+    ResetsBeforeOpen,
+    ResetsAfterOpen,
+    ResetsEstablished,
     /// Has the mixer's own AS and identifier.
-    Twin,
+    DuplicateIdentity,
 }
 
 /// What was heard, and when.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct PeerEvent {
     pub at: Instant,
-    pub what: String,
+    pub text: String,
 }
 
 /// A peer that listens, and what it has heard.
 pub struct Peer {
     pub address: SocketAddr,
-    heard: Receiver<Heard>,
+    heard: Receiver<PeerEvent>,
     /// The connection that is up, for what the test wants said on it.
     up: Arc<Mutex<Option<TcpStream>>>,
 }
@@ -69,7 +69,7 @@
 impl Peer {
     /// # Panics
     /// If no port is to be had.
-    pub fn start(manners: &[Manner]) -> Self {
+    pub fn start(manners: &[PeerBehavior]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (to, heard) = mpsc::channel();
@@ -81,8 +81,8 @@
                 let manner = manners[nth.min(manners.len() - 1)];
                 let (to, held) = (to.clone(), held.clone());
                 thread::spawn(move || {
-                    serve(Wire::new(stream), manner, &to, &held);
-                    let _ = to.send(Heard { at: Instant::now(), what: "closed".to_owned() }); // or the test is over
+                    serve(BgpConnection::new(stream), manner, &to, &held);
+                    let _ = to.send(PeerEvent { at: Instant::now(), text: "closed".to_owned() }); // or the test is over
                 });
             }
         });
@@ -93,24 +93,24 @@
     ///
     /// # Panics
     /// If nothing is for 20 s.
-    pub fn next(&self) -> Heard {
+    pub fn next_event(&self) -> PeerEvent {
         self.heard.recv_timeout(Duration::from_secs(20)).expect("something is heard")
     }
 
     /// Waits for one thing; what was heard before it.
-    pub fn until(&self, what: &str) -> (Heard, Vec<String>) {
+    pub fn wait_for(&self, what: &str) -> (PeerEvent, Vec<String>) {
         let mut before = Vec::new();
         loop {
             let heard = self.heard.recv_timeout(Duration::from_secs(20));
             let heard = heard.unwrap_or_else(|_| panic!("waits for {what:?}, heard {before:?}"));
-            if heard.what.starts_with(what) {
+            if heard.text.starts_with(what) {
                 return (heard, before);
             }
-            before.push(heard.what);
+            before.push(heard.text);
         }
     }
 
-    pub fn rest(&self) -> Vec<Heard> {
+    pub fn pending_events(&self) -> Vec<PeerEvent> {
         self.heard.try_iter().collect()
     }
 
@@ -118,7 +118,7 @@
     ///
     /// # Panics
     /// If none is.
-    pub fn say(&self, bytes: &[u8]) {
+    pub fn send(&self, bytes: &[u8]) {
         let mut up = self.up.lock().expect("no holder fails");
         up.as_mut().expect("a session is up").write_all(bytes).expect("it takes bytes");
     }
@@ -126,7 +126,7 @@
 
 /// An UPDATE by which somebody else's route to an address of /32 is told: over that next hop, by a path without the
 /// mixer's AS, and as a last resort if it is so.
-pub fn route(address: Ipv4Addr, next_hop: Ipv4Addr, last: bool) -> Vec<u8> {
+pub fn announce_update(address: Ipv4Addr, next_hop: Ipv4Addr, last: bool) -> Vec<u8> {
     let mut attributes = vec![0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xFC, 1, 0x40, 3, 4];
     attributes.extend(next_hop.octets());
     if last {
@@ -141,7 +141,7 @@
 }
 
 /// An UPDATE by which a route to an address of /32 goes.
-pub fn gone(address: Ipv4Addr) -> Vec<u8> {
+pub fn withdraw_update(address: Ipv4Addr) -> Vec<u8> {
     let mut body = vec![0, 5, 32];
     body.extend(address.octets());
     body.extend([0, 0]);
@@ -157,13 +157,13 @@
 }
 
 /// One end of a connection, spoken with the other codec.
-pub struct Wire {
+pub struct BgpConnection {
     stream: TcpStream,
     codec: BgpCodec,
     buffer: BytesMut,
 }
 
-impl Wire {
+impl BgpConnection {
     pub fn new(stream: TcpStream) -> Self {
         Self { stream, codec: BgpCodec::new(true), buffer: BytesMut::new() }
     }
@@ -199,7 +199,7 @@
     }
 
     /// The next message; none at the connection's end, or where it can't be read.
-    pub fn message(&mut self) -> Result<Option<BgpMessage>, String> {
+    pub fn next_message(&mut self) -> Result<Option<BgpMessage>, String> {
         let mut piece = [0; 4096];
         loop {
             match self.codec.decode(&mut self.buffer) {
@@ -214,8 +214,8 @@
     }
 
     /// The next message in words; `closed` at the end.
-    pub fn words(&mut self) -> String {
-        match self.message() {
+    pub fn describe_next(&mut self) -> String {
+        match self.next_message() {
             Ok(Some(message)) => words(&message).join(", "),
             Ok(None) => "closed".to_owned(),
             Err(error) => error,
@@ -233,11 +233,16 @@
     }
 }
 
-fn serve(mut wire: Wire, manner: Manner, to: &Sender<Heard>, held: &Mutex<Option<TcpStream>>) {
+fn serve(
+    mut wire: BgpConnection,
+    manner: PeerBehavior,
+    to: &Sender<PeerEvent>,
+    held: &Mutex<Option<TcpStream>>,
+) {
     let mut up = false;
-    let tell = |what: String| drop(to.send(Heard { at: Instant::now(), what })); // or the test is over
+    let tell = |what: String| drop(to.send(PeerEvent { at: Instant::now(), text: what })); // or the test is over
     loop {
-        let message = match wire.message() {
+        let message = match wire.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(error) => return tell(error),
@@ -246,24 +251,24 @@
             BgpMessage::Open(_) => {
                 words(&message).into_iter().for_each(tell);
                 let (asn, id) = match manner {
-                    Manner::WrongAs => (64_999, Ipv4Addr::new(10, 0, 0, 9)),
-                    Manner::Twin => (64_512, Ipv4Addr::new(10, 0, 0, 1)),
+                    PeerBehavior::WrongAs => (64_999, Ipv4Addr::new(10, 0, 0, 9)),
+                    PeerBehavior::DuplicateIdentity => (64_512, Ipv4Addr::new(10, 0, 0, 1)),
                     _ => (64_513, Ipv4Addr::new(10, 0, 0, 9)),
                 };
                 match manner {
-                    Manner::Silent => continue,
-                    Manner::ResetsUnopened => drop(wire.reset()),
+                    PeerBehavior::Silent => continue,
+                    PeerBehavior::ResetsBeforeOpen => drop(wire.reset()),
                     _ => drop(wire.open(asn, id)),
                 }
                 match manner {
-                    Manner::OpensOnly | Manner::ResetsUnopened => {}
-                    Manner::ResetsOpened => drop(wire.reset()),
+                    PeerBehavior::SendsOpenOnly | PeerBehavior::ResetsBeforeOpen => {}
+                    PeerBehavior::ResetsAfterOpen => drop(wire.reset()),
                     _ => drop(wire.keepalive()),
                 }
             }
             BgpMessage::KeepAlive => {
-                if manner == Manner::OpensOnly || std::mem::replace(&mut up, true) {
-                    if !matches!(manner, Manner::Half | Manner::OpensOnly) {
+                if manner == PeerBehavior::SendsOpenOnly || std::mem::replace(&mut up, true) {
+                    if !matches!(manner, PeerBehavior::SendsPartialMessage | PeerBehavior::SendsOpenOnly) {
                         wire.keepalive();
                     }
                     continue;
@@ -271,12 +276,12 @@
                 *held.lock().expect("no holder fails") = wire.stream.try_clone().ok();
                 tell("up".to_owned());
                 match manner {
-                    Manner::Flaps => return,
-                    Manner::ResetsUp => drop(wire.reset()),
-                    Manner::Half => drop(wire.stream.write_all(&[0xFF; 9])),
-                    Manner::Malformed => drop(wire.stream.write_all(&update(&[0, 9, 0, 0]))),
-                    Manner::Floods(routes) => flood(&mut wire.stream, routes),
-                    Manner::Deaf => loop {
+                    PeerBehavior::Flaps => return,
+                    PeerBehavior::ResetsEstablished => drop(wire.reset()),
+                    PeerBehavior::SendsPartialMessage => drop(wire.stream.write_all(&[0xFF; 9])),
+                    PeerBehavior::SendsMalformedUpdate => drop(wire.stream.write_all(&update(&[0, 9, 0, 0]))),
+                    PeerBehavior::FloodsRoutes(routes) => flood(&mut wire.stream, routes),
+                    PeerBehavior::StopsReading => loop {
                         thread::park();
                     },
                     _ => {}
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -16,31 +16,31 @@
 
 /// What a searcher does with a call.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Manner {
+pub enum SearcherBehavior {
     Answers,
     /// Answers for shards under this one, and says nothing of others.
-    Below(u32),
+    AnswersShardsBelow(u32),
     /// Takes it and says nothing.
     Hangs,
     /// Ends the connection.
-    Dies,
+    DisconnectsOnCall,
     /// Answers for a part that it was not asked for.
-    Spoils,
+    AnswersWrongPart,
     /// Answers after so many milliseconds of work.
-    Works(u64),
+    AnswersAfterMs(u64),
     /// Ends every connection as soon as anything comes.
-    Gone,
+    DisconnectsAlways,
 }
 
 /// Serves the connections of one searcher; what it is sent is told to `heard`, where somebody listens.
-pub fn searcher(listener: TcpListener, manner: Manner, heard: Sender<String>) {
-    searcher_that(listener, move || manner, heard);
+pub fn serve_searcher(listener: TcpListener, manner: SearcherBehavior, heard: Sender<String>) {
+    serve_searcher_with(listener, move || manner, heard);
 }
 
 /// The same for one whose manner changes: it is asked for with each frame.
-pub fn searcher_that(
+pub fn serve_searcher_with(
     listener: TcpListener,
-    manner: impl Fn() -> Manner + Clone + Send + 'static,
+    manner: impl Fn() -> SearcherBehavior + Clone + Send + 'static,
     heard: Sender<String>,
 ) {
     thread::spawn(move || {
@@ -51,7 +51,7 @@
     });
 }
 
-fn serve(stream: TcpStream, manner: &dyn Fn() -> Manner, heard: &Sender<String>) -> io::Result<()> {
+fn serve(stream: TcpStream, manner: &dyn Fn() -> SearcherBehavior, heard: &Sender<String>) -> io::Result<()> {
     let mut input = BufReader::new(stream.try_clone()?);
     let mut output = stream;
     loop {
@@ -61,16 +61,21 @@
         input.read_exact(&mut frame)?;
         let Some((letter, mut rest)) = frame.split_first() else { return Ok(()) };
         let manner = manner();
-        if manner == Manner::Gone {
+        if manner == SearcherBehavior::DisconnectsAlways {
             return output.shutdown(std::net::Shutdown::Both);
         }
         let _ = heard.send(format!("{} {}", char::from(*letter), String::from_utf8_lossy(rest)));
         match (letter, manner) {
-            (b'K', _) | (_, Manner::Hangs) => {}
-            (b'D', Manner::Dies) => return output.shutdown(std::net::Shutdown::Both),
-            (b'D', Manner::Spoils) => send(&mut output, b'O', "nobody.0 200 1 -\nvalue")?,
-            (b'D', Manner::Answers | Manner::Below(_) | Manner::Works(_)) => {
-                if let Manner::Works(ms) = manner {
+            (b'K', _) | (_, SearcherBehavior::Hangs) => {}
+            (b'D', SearcherBehavior::DisconnectsOnCall) => return output.shutdown(std::net::Shutdown::Both),
+            (b'D', SearcherBehavior::AnswersWrongPart) => send(&mut output, b'O', "nobody.0 200 1 -\nvalue")?,
+            (
+                b'D',
+                SearcherBehavior::Answers
+                | SearcherBehavior::AnswersShardsBelow(_)
+                | SearcherBehavior::AnswersAfterMs(_),
+            ) => {
+                if let SearcherBehavior::AnswersAfterMs(ms) = manner {
                     thread::sleep(Duration::from_millis(ms));
                 }
                 while !rest.is_empty() {
@@ -81,7 +86,8 @@
                     let length = words.last().and_then(|l| l.parse().ok()).unwrap_or(0);
                     let (text, more) = rest.split_at(rest.len().min(length));
                     rest = more;
-                    if matches!(manner, Manner::Below(end) if shard.parse().is_ok_and(|s: u32| s >= end)) {
+                    if matches!(manner, SearcherBehavior::AnswersShardsBelow(end) if shard.parse().is_ok_and(|s: u32| s >= end))
+                    {
                         continue;
                     }
                     let value = format!("{} in {shard}", String::from_utf8_lossy(text));
@@ -101,7 +107,7 @@
 }
 
 /// A list of searchers in set 0, each with its status.
-pub fn list(index: u64, whole: bool, searchers: &[(SocketAddr, &str)]) -> Value {
+pub fn discovery_list(index: u64, whole: bool, searchers: &[(SocketAddr, &str)]) -> Value {
     let entries: Vec<Value> = searchers
         .iter()
         .map(|(address, status)| {
@@ -114,10 +120,10 @@
 
 /// The lists told so far; every watch gets those after the version that it holds, then what is told later.
 #[derive(Clone, Default)]
-pub struct Lists(Arc<(Mutex<Vec<Value>>, Condvar)>);
+pub struct DiscoveryServer(Arc<(Mutex<Vec<Value>>, Condvar)>);
 
-impl Lists {
-    pub fn tell(&self, list: Value) {
+impl DiscoveryServer {
+    pub fn publish(&self, list: Value) {
         self.0.0.lock().expect("no holder fails").push(list);
         self.0.1.notify_all();
     }
