--- a/crates/standins/src/bgp.rs
+++ b/crates/standins/src/bgp.rs
@@ -1,5 +1,5 @@
-//! A stand-in BGP peer on loopback. It reads and writes with another project's codec, so that ours is not held against
-//! itself, and records what it is told with its own times.
+//! A stand-in BGP peer on loopback. It uses another project's codec, so that this project's codec is not tested against
+//! itself, and it records what it receives with its own timestamps.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -19,117 +19,144 @@
 use netgauze_iana::address_family::AddressType;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// RFC 8326, by its number.
+/// The `GRACEFUL_SHUTDOWN` community of RFC 8326.
 const GRACEFUL_SHUTDOWN: u32 = 0xFFFF_0000;
+/// AS and identifier of a mixer under test.
+const MIXER_ASN: u32 = 64_512;
+const MIXER_ID: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
+/// AS and identifier of the peer.
+const PEER_ASN: u32 = 64_513;
+const PEER_ID: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
+/// An AS that the mixer does not expect.
+const WRONG_ASN: u32 = 64_999;
+/// Hold time that the peer proposes.
+const HOLD_TIME_S: u16 = 9;
+/// How long [`Peer::next_event`] and [`Peer::wait_for`] wait for an event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Routes in one UPDATE of a flood.
+const FLOOD_ROUTES_PER_UPDATE: u32 = 1000;
 
-/// What a peer does on each of its connections, one after the other; the last goes on.
+/// What a peer does on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerBehavior {
-    /// Speaks as it should.
+    /// Follows the protocol.
     Conforms,
-    /// Is up, and then ends the connection without a word.
+    /// Establishes the session, then closes the connection without a NOTIFICATION.
     Flaps,
-    /// Names another AS.
+    /// Sends an OPEN with an unexpected AS.
     WrongAs,
-    /// Sends half a message and then nothing.
+    /// Sends an incomplete message and then nothing.
     SendsPartialMessage,
-    /// Sends an UPDATE of which a field can't be told from the next.
+    /// Sends an UPDATE whose length fields are inconsistent.
     SendsMalformedUpdate,
-    /// Sends as many routes as this, some thousand at a time.
+    /// Announces this many routes, a thousand per message.
     FloodsRoutes(u32),
-    /// Is up, and never reads again.
+    /// Establishes the session and never reads again.
     StopsReading,
-    /// Says nothing at all.
+    /// Sends nothing at all.
     Silent,
-    /// Sends its OPEN, and no KEEPALIVE.
+    /// Sends an OPEN and no KEEPALIVE.
     SendsOpenOnly,
-    /// Ends the session with an administrative reset: before its OPEN, after it, once it is up.
+    /// Sends an administrative reset in place of its OPEN.
     ResetsBeforeOpen,
+    /// Sends an administrative reset after its OPEN.
     ResetsAfterOpen,
+    /// Sends an administrative reset once the session is established.
     ResetsEstablished,
-    /// Has the mixer's own AS and identifier.
+    /// Uses the mixer's own AS and identifier.
     DuplicateIdentity,
 }
 
-/// What was heard, and when.
+/// A message or a change of state, as text, and when the peer saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerEvent {
     pub at: Instant,
     pub text: String,
 }
 
-/// A peer that listens, and what it has heard.
+/// A listening peer.
 pub struct Peer {
     pub address: SocketAddr,
-    heard: Receiver<PeerEvent>,
-    /// The connection that is up, for what the test wants said on it.
-    up: Arc<Mutex<Option<TcpStream>>>,
+    events: Receiver<PeerEvent>,
+    /// The connection of the established session.
+    established: Arc<Mutex<Option<TcpStream>>>,
 }
 
 impl Peer {
+    /// Starts a peer. The nth connection gets the nth behavior, and all further ones the last.
+    ///
     /// # Panics
-    /// If no port is to be had.
-    pub fn start(manners: &[PeerBehavior]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (to, heard) = mpsc::channel();
-        let manners = manners.to_vec();
-        let up: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-        let held = up.clone();
+    /// If no port is free.
+    pub fn start(behaviors: &[PeerBehavior]) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the listener's address");
+        let (sender, events) = mpsc::channel();
+        let behaviors = behaviors.to_vec();
+        let established: Arc<Mutex<Option<TcpStream>>> = Arc::default();
+        let shared = established.clone();
         thread::spawn(move || {
             for (nth, stream) in listener.incoming().flatten().enumerate() {
-                let manner = manners[nth.min(manners.len() - 1)];
-                let (to, held) = (to.clone(), held.clone());
+                let behavior = behaviors[nth.min(behaviors.len() - 1)];
+                let (sender, established) = (sender.clone(), shared.clone());
                 thread::spawn(move || {
-                    serve(BgpConnection::new(stream), manner, &to, &held);
-                    let _ = to.send(PeerEvent { at: Instant::now(), text: "closed".to_owned() }); // or the test is over
+                    serve(BgpConnection::new(stream), behavior, &sender, &established);
+                    // The test may have ended.
+                    let _ = sender.send(PeerEvent { at: Instant::now(), text: "closed".to_owned() });
                 });
             }
         });
-        Self { address, heard, up }
+        Self { address, events, established }
     }
 
-    /// The next that is heard.
+    /// The next event.
     ///
     /// # Panics
-    /// If nothing is for 20 s.
+    /// If there is none within 20 s.
     pub fn next_event(&self) -> PeerEvent {
-        self.heard.recv_timeout(Duration::from_secs(20)).expect("something is heard")
+        self.events.recv_timeout(EVENT_TIMEOUT).expect("an event within 20 s")
     }
 
-    /// Waits for one thing; what was heard before it.
-    pub fn wait_for(&self, what: &str) -> (PeerEvent, Vec<String>) {
+    /// Waits for an event whose text starts with `prefix`; returns it and the texts of those before it.
+    ///
+    /// # Panics
+    /// If no event arrives for 20 s.
+    pub fn wait_for(&self, prefix: &str) -> (PeerEvent, Vec<String>) {
         let mut before = Vec::new();
         loop {
-            let heard = self.heard.recv_timeout(Duration::from_secs(20));
-            let heard = heard.unwrap_or_else(|_| panic!("waits for {what:?}, heard {before:?}"));
-            if heard.text.starts_with(what) {
-                return (heard, before);
+            let event = self.events.recv_timeout(EVENT_TIMEOUT);
+            let event = event.unwrap_or_else(|_| panic!("no event {prefix:?} in time, received {before:?}"));
+            if event.text.starts_with(prefix) {
+                return (event, before);
             }
-            before.push(heard.text);
+            before.push(event.text);
         }
     }
 
+    /// The events that have not been read yet.
     pub fn pending_events(&self) -> Vec<PeerEvent> {
-        self.heard.try_iter().collect()
+        self.events.try_iter().collect()
     }
 
-    /// Says this on the connection that is up.
+    /// Sends these bytes on the established session.
     ///
     /// # Panics
-    /// If none is.
+    /// If there is none.
     pub fn send(&self, bytes: &[u8]) {
-        let mut up = self.up.lock().expect("no holder fails");
-        up.as_mut().expect("a session is up").write_all(bytes).expect("it takes bytes");
+        let mut connection = self.established.lock().expect("no thread panics while it holds the lock");
+        connection
+            .as_mut()
+            .expect("an established session")
+            .write_all(bytes)
+            .expect("the connection accepts bytes");
     }
 }
 
-/// An UPDATE by which somebody else's route to an address of /32 is told: over that next hop, by a path without the
-/// mixer's AS, and as a last resort if it is so.
-pub fn announce_update(address: Ipv4Addr, next_hop: Ipv4Addr, last: bool) -> Vec<u8> {
+/// An UPDATE that announces another speaker's /32 route to `address`: its AS path does not contain the mixer's AS. A route
+/// of last resort carries the `GRACEFUL_SHUTDOWN` community.
+pub fn announce_update(address: Ipv4Addr, next_hop: Ipv4Addr, is_last_resort: bool) -> Vec<u8> {
     let mut attributes = vec![0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xFC, 1, 0x40, 3, 4];
     attributes.extend(next_hop.octets());
-    if last {
+    if is_last_resort {
         attributes.extend([0xC0, 8, 4]);
         attributes.extend(GRACEFUL_SHUTDOWN.to_be_bytes());
     }
@@ -140,7 +167,7 @@
     update(&body)
 }
 
-/// An UPDATE by which a route to an address of /32 goes.
+/// An UPDATE that withdraws the /32 route to `address`.
 pub fn withdraw_update(address: Ipv4Addr) -> Vec<u8> {
     let mut body = vec![0, 5, 32];
     body.extend(address.octets());
@@ -156,7 +183,7 @@
     bytes
 }
 
-/// One end of a connection, spoken with the other codec.
+/// One end of a BGP connection, encoded and decoded by the other project's codec.
 pub struct BgpConnection {
     stream: TcpStream,
     codec: BgpCodec,
@@ -173,133 +200,150 @@
         self.codec.encode(message, &mut bytes).is_ok() && self.stream.write_all(&bytes).is_ok()
     }
 
-    /// Sends an OPEN of both families with a hold time of 9 s; whether it went out.
+    /// Sends an OPEN with both address families and a hold time of 9 s; whether it was written.
     pub fn open(&mut self, asn: u32, id: Ipv4Addr) -> bool {
-        let multi =
+        let multiprotocol =
             |family| BgpCapability::MultiProtocolExtensions(MultiProtocolExtensionsCapability::new(family));
         let capabilities: Vec<BgpCapability> = vec![
-            multi(AddressType::Ipv4Unicast),
-            multi(AddressType::Ipv6Unicast),
+            multiprotocol(AddressType::Ipv4Unicast),
+            multiprotocol(AddressType::Ipv6Unicast),
             BgpCapability::RouteRefresh,
             BgpCapability::FourOctetAs(FourOctetAsCapability::new(asn)),
         ];
         let parameters = vec![BgpOpenMessageParameter::Capabilities(capabilities.into())];
-        self.write(BgpMessage::Open(BgpOpenMessage::new(asn as u16, 9, id, parameters)))
+        self.write(BgpMessage::Open(BgpOpenMessage::new(asn as u16, HOLD_TIME_S, id, parameters)))
     }
 
     pub fn keepalive(&mut self) -> bool {
         self.write(BgpMessage::KeepAlive)
     }
 
-    /// Cease, administrative reset.
+    /// Sends a NOTIFICATION: cease, administrative reset.
     pub fn reset(&mut self) -> bool {
         let mut bytes = vec![0xFF; 16];
         bytes.extend([0, 21, 3, 6, 4]);
         self.stream.write_all(&bytes).is_ok()
     }
 
-    /// The next message; none at the connection's end, or where it can't be read.
+    /// The next message; `None` at the end of the connection, an error for a message that can't be decoded.
     pub fn next_message(&mut self) -> Result<Option<BgpMessage>, String> {
-        let mut piece = [0; 4096];
+        let mut chunk = [0; 4096];
         loop {
             match self.codec.decode(&mut self.buffer) {
                 Ok(Some((message, _))) => return Ok(Some(message)),
-                Ok(None) => match self.stream.read(&mut piece) {
-                    Ok(count) if count > 0 => self.buffer.extend_from_slice(&piece[..count]),
+                Ok(None) => match self.stream.read(&mut chunk) {
+                    Ok(count) if count > 0 => self.buffer.extend_from_slice(&chunk[..count]),
                     _ => return Ok(None),
                 },
-                Err(error) => return Err(format!("can't be read: {error}")),
+                Err(error) => return Err(format!("can't be decoded: {error}")),
             }
         }
     }
 
-    /// The next message in words; `closed` at the end.
+    /// A description of the next message; `closed` at the end of the connection.
     pub fn describe_next(&mut self) -> String {
         match self.next_message() {
-            Ok(Some(message)) => words(&message).join(", "),
+            Ok(Some(message)) => describe(&message).join(", "),
             Ok(None) => "closed".to_owned(),
             Err(error) => error,
         }
     }
 }
 
-fn words(message: &BgpMessage) -> Vec<String> {
+/// One line for each change that a message makes.
+fn describe(message: &BgpMessage) -> Vec<String> {
     match message {
         BgpMessage::Open(open) => vec![format!("open {} hold {}", open.my_asn4(), open.hold_time())],
-        BgpMessage::Update(update) => lines(update),
-        BgpMessage::Notification(told) => vec![format!("notification {told:?}")],
+        BgpMessage::Update(update) => describe_update(update),
+        BgpMessage::Notification(notification) => vec![format!("notification {notification:?}")],
         BgpMessage::KeepAlive => vec!["keepalive".to_owned()],
         BgpMessage::RouteRefresh(_) => vec!["refresh".to_owned()],
     }
 }
 
 fn serve(
-    mut wire: BgpConnection,
-    manner: PeerBehavior,
-    to: &Sender<PeerEvent>,
-    held: &Mutex<Option<TcpStream>>,
+    mut connection: BgpConnection,
+    behavior: PeerBehavior,
+    events: &Sender<PeerEvent>,
+    established: &Mutex<Option<TcpStream>>,
 ) {
-    let mut up = false;
-    let tell = |what: String| drop(to.send(PeerEvent { at: Instant::now(), text: what })); // or the test is over
+    let mut is_up = false;
+    // The test may have ended.
+    let report = |text: String| drop(events.send(PeerEvent { at: Instant::now(), text }));
     loop {
-        let message = match wire.next_message() {
+        let message = match connection.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => return,
-            Err(error) => return tell(error),
+            Err(error) => return report(error),
         };
         match message {
             BgpMessage::Open(_) => {
-                words(&message).into_iter().for_each(tell);
-                let (asn, id) = match manner {
-                    PeerBehavior::WrongAs => (64_999, Ipv4Addr::new(10, 0, 0, 9)),
-                    PeerBehavior::DuplicateIdentity => (64_512, Ipv4Addr::new(10, 0, 0, 1)),
-                    _ => (64_513, Ipv4Addr::new(10, 0, 0, 9)),
-                };
-                match manner {
-                    PeerBehavior::Silent => continue,
-                    PeerBehavior::ResetsBeforeOpen => drop(wire.reset()),
-                    _ => drop(wire.open(asn, id)),
-                }
-                match manner {
-                    PeerBehavior::SendsOpenOnly | PeerBehavior::ResetsBeforeOpen => {}
-                    PeerBehavior::ResetsAfterOpen => drop(wire.reset()),
-                    _ => drop(wire.keepalive()),
-                }
+                describe(&message).into_iter().for_each(report);
+                answer_open(&mut connection, behavior);
             }
             BgpMessage::KeepAlive => {
-                if manner == PeerBehavior::SendsOpenOnly || std::mem::replace(&mut up, true) {
-                    if !matches!(manner, PeerBehavior::SendsPartialMessage | PeerBehavior::SendsOpenOnly) {
-                        wire.keepalive();
+                if behavior == PeerBehavior::SendsOpenOnly || std::mem::replace(&mut is_up, true) {
+                    if !matches!(behavior, PeerBehavior::SendsPartialMessage | PeerBehavior::SendsOpenOnly) {
+                        connection.keepalive();
                     }
                     continue;
                 }
-                *held.lock().expect("no holder fails") = wire.stream.try_clone().ok();
-                tell("up".to_owned());
-                match manner {
-                    PeerBehavior::Flaps => return,
-                    PeerBehavior::ResetsEstablished => drop(wire.reset()),
-                    PeerBehavior::SendsPartialMessage => drop(wire.stream.write_all(&[0xFF; 9])),
-                    PeerBehavior::SendsMalformedUpdate => drop(wire.stream.write_all(&update(&[0, 9, 0, 0]))),
-                    PeerBehavior::FloodsRoutes(routes) => flood(&mut wire.stream, routes),
-                    PeerBehavior::StopsReading => loop {
-                        thread::park();
-                    },
-                    _ => {}
+                *established.lock().expect("no thread panics while it holds the lock") =
+                    connection.stream.try_clone().ok();
+                report("up".to_owned());
+                if behavior == PeerBehavior::Flaps {
+                    return;
                 }
+                act_when_established(&mut connection, behavior);
             }
-            other => words(&other).into_iter().for_each(tell),
+            other => describe(&other).into_iter().for_each(report),
+        }
+    }
+}
+
+/// Answers the mixer's OPEN.
+fn answer_open(connection: &mut BgpConnection, behavior: PeerBehavior) {
+    let (asn, id) = match behavior {
+        PeerBehavior::WrongAs => (WRONG_ASN, PEER_ID),
+        PeerBehavior::DuplicateIdentity => (MIXER_ASN, MIXER_ID),
+        _ => (PEER_ASN, PEER_ID),
+    };
+    match behavior {
+        PeerBehavior::Silent => return,
+        PeerBehavior::ResetsBeforeOpen => drop(connection.reset()),
+        _ => drop(connection.open(asn, id)),
+    }
+    match behavior {
+        PeerBehavior::SendsOpenOnly | PeerBehavior::ResetsBeforeOpen => {}
+        PeerBehavior::ResetsAfterOpen => drop(connection.reset()),
+        _ => drop(connection.keepalive()),
+    }
+}
+
+/// What the peer does as soon as the session is established.
+fn act_when_established(connection: &mut BgpConnection, behavior: PeerBehavior) {
+    match behavior {
+        PeerBehavior::ResetsEstablished => drop(connection.reset()),
+        PeerBehavior::SendsPartialMessage => drop(connection.stream.write_all(&[0xFF; 9])),
+        PeerBehavior::SendsMalformedUpdate => {
+            drop(connection.stream.write_all(&update(&[0, 9, 0, 0])));
         }
+        PeerBehavior::FloodsRoutes(routes) => flood(&mut connection.stream, routes),
+        PeerBehavior::StopsReading => loop {
+            thread::park();
+        },
+        _ => {}
     }
 }
 
-/// Routes of /24, a thousand in a message, with the three attributes that must be there.
+/// Announces /24 routes, a thousand per message, with only the mandatory attributes.
 fn flood(stream: &mut TcpStream, routes: u32) {
-    for from in (0..routes).step_by(1000) {
+    for first in (0..routes).step_by(FLOOD_ROUTES_PER_UPDATE as usize) {
         let attributes = [0x40, 1, 1, 0, 0x40, 2, 6, 2, 1, 0, 0, 0xFC, 1, 0x40, 3, 4, 10, 0, 0, 9];
         let mut body = vec![0, 0, 0, attributes.len() as u8];
         body.extend(attributes);
-        for n in from..(from + 1000).min(routes) {
-            body.extend([24, (n >> 16) as u8, (n >> 8) as u8, n as u8]);
+        for route in first..(first + FLOOD_ROUTES_PER_UPDATE).min(routes) {
+            body.extend([24, (route >> 16) as u8, (route >> 8) as u8, route as u8]);
         }
         if stream.write_all(&update(&body)).is_err() {
             return;
@@ -307,32 +351,36 @@
     }
 }
 
-fn lines(update: &netgauze_bgp_pkt::update::BgpUpdateMessage) -> Vec<String> {
+/// One line for each route that an UPDATE withdraws or announces.
+fn describe_update(update: &netgauze_bgp_pkt::update::BgpUpdateMessage) -> Vec<String> {
+    let withdrawn = update.withdraw_routes().iter();
     let mut lines: Vec<String> =
-        update.withdraw_routes().iter().map(|r| format!("withdraw {}", r.network().address())).collect();
-    let (mut announced, mut shut, mut path) = (Vec::new(), "", 0);
-    announced.extend(update.nlri().iter().map(|r| r.network().address().to_string()));
+        withdrawn.map(|route| format!("withdraw {}", route.network().address())).collect();
+    let (mut announced, mut preference, mut path_length) = (Vec::new(), "", 0);
+    announced.extend(update.nlri().iter().map(|route| route.network().address().to_string()));
     for attribute in update.path_attributes() {
         match attribute.value() {
             PathAttributeValue::Communities(communities)
                 if communities.communities().iter().any(|c| c.value() == GRACEFUL_SHUTDOWN) =>
             {
-                shut = ", depreferenced";
+                preference = ", depreferenced";
             }
             PathAttributeValue::AsPath(netgauze_bgp_pkt::path_attribute::AsPath::As4PathSegments(
                 segments,
             )) => {
-                path = segments.iter().map(|s| s.as_numbers().len()).sum();
+                path_length = segments.iter().map(|segment| segment.as_numbers().len()).sum();
             }
             PathAttributeValue::MpReach(MpReach::Ipv6Unicast { nlri, .. }) => {
-                announced.extend(nlri.iter().map(|r| r.network().address().to_string()));
+                announced.extend(nlri.iter().map(|route| route.network().address().to_string()));
             }
             PathAttributeValue::MpUnreach(MpUnreach::Ipv6Unicast { nlri }) => {
-                lines.extend(nlri.iter().map(|r| format!("withdraw {}", r.network().address())));
+                lines.extend(nlri.iter().map(|route| format!("withdraw {}", route.network().address())));
             }
             _ => {}
         }
     }
-    lines.extend(announced.into_iter().map(|p| format!("announce {p}, path of {path}{shut}")));
+    lines.extend(
+        announced.into_iter().map(|prefix| format!("announce {prefix}, path of {path_length}{preference}")),
+    );
     lines
 }
