--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -40,7 +40,7 @@
     let list_path = list.map_or_else(|| folder.join(&draft.about.list), Path::to_owned);
     let list = list::list(&json(&list_path)?).with_context(|| format!("in {}", list_path.display()))?;
     let fleet = Fleet::new(terms, &list).with_context(|| format!("in {}", list_path.display()))?;
-    for reason in fleet.passed_over() {
+    for reason in fleet.skipped_entries() {
         warn!(list = %list_path.display(), "an entry was passed over: {reason}");
     }
     info!(
--- a/crates/expect/benches/verdicts.rs
+++ b/crates/expect/benches/verdicts.rs
@@ -39,7 +39,9 @@
     let mut fleet = Fleet::new(Terms::of_json(&settings).expect("terms"), &list).expect("a fleet");
     for n in 0..59 {
         let from = n * slices / 59;
-        fleet.own(&format!("c{n}"), from..=((n + 2) * slices / 59).min(slices - 1)).expect("slices");
+        fleet
+            .add_customer_slices(&format!("c{n}"), from..=((n + 2) * slices / 59).min(slices - 1))
+            .expect("slices");
     }
     fleet
 }
--- a/crates/expect/src/explore/arena.rs
+++ b/crates/expect/src/explore/arena.rs
@@ -74,17 +74,17 @@
         halls_count: bool,
         seed: u64,
     ) -> Vec<Self> {
-        let holding = fleet.holding();
+        let holding = fleet.placement();
         let shape = |class: usize| {
             let mut places = Vec::new();
-            hold(fleet, scene, order, holding.of_class(class), &mut places);
+            hold(fleet, scene, order, holding.sets_of_class(class), &mut places);
             alike(&places, fleet.terms().berth.zone, halls_count)
         };
         let takes = |class: usize| {
-            let held = holding.of_class(class);
+            let held = holding.sets_of_class(class);
             scene
                 .iter()
-                .filter(|g| held.contains(&g.set) && g.condition.takes())
+                .filter(|g| held.contains(&g.set) && g.condition.accepts_work())
                 .map(|g| g.count)
                 .sum::<u32>()
         };
@@ -97,16 +97,19 @@
             .into_iter()
             .map(|first| {
                 // The second part lies elsewhere, where there is such a place.
-                let apart =
-                    |c: &&usize| !holding.of_class(**c).iter().any(|s| holding.of_class(first).contains(s));
+                let apart = |c: &&usize| {
+                    !holding.sets_of_class(**c).iter().any(|s| holding.sets_of_class(first).contains(s))
+                };
                 let second = classes.iter().find(apart).copied();
                 let mut places: Vec<Place> = Vec::new();
                 for class in [Some(first), second].into_iter().flatten() {
-                    hold(fleet, scene, order, holding.of_class(class), &mut places);
+                    hold(fleet, scene, order, holding.sets_of_class(class), &mut places);
                 }
                 let spread = match second {
-                    Some(second) => vec![holding.slices_of(first)[0], holding.slices_of(second)[0]],
-                    None => holding.slices_of(first).iter().take(PARTS).copied().collect(),
+                    Some(second) => {
+                        vec![holding.slices_of_class(first)[0], holding.slices_of_class(second)[0]]
+                    }
+                    None => holding.slices_of_class(first).iter().take(PARTS).copied().collect(),
                 };
                 let weight = 1.0 / spread.len().max(1) as f64;
                 let plans = vec![
@@ -144,10 +147,10 @@
     for nth in 0..HOLDERS as u32 {
         for group in groups.iter().filter(|g| nth < g.count) {
             // Every condition is told once, whatever the number; it is there to be wrongly sent to.
-            if kept >= HOLDERS && (nth > 0 || group.condition.takes()) {
+            if kept >= HOLDERS && (nth > 0 || group.condition.accepts_work()) {
                 continue;
             }
-            kept += usize::from(group.condition.takes());
+            kept += usize::from(group.condition.accepts_work());
             let searcher = order[(group.from + nth) as usize];
             let port = u16::try_from(places.len() + 1).unwrap_or(u16::MAX);
             places.push(Place {
--- a/crates/expect/src/explore/world.rs
+++ b/crates/expect/src/explore/world.rs
@@ -219,7 +219,7 @@
             if self
                 .flights
                 .values()
-                .any(|f| f.place == place && (f.epoch != state.epoch || state.truth.takes()))
+                .any(|f| f.place == place && (f.epoch != state.epoch || state.truth.accepts_work()))
             {
                 moves.push(Move::Lost(place));
             }
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -59,12 +59,12 @@
 impl<'a> Judge<'a> {
     /// The list is `list_ms` old, and grows old at this pace.
     pub fn new(fleet: &'a Fleet, pace: Pace, list_ms: f64) -> Self {
-        let holding = fleet.holding();
+        let holding = fleet.placement();
         let by_slice = fleet.weights();
-        let weigh = |class| holding.slices_of(class).iter().map(|s| by_slice[*s as usize]).sum();
+        let weigh = |class| holding.slices_of_class(class).iter().map(|s| by_slice[*s as usize]).sum();
         let mut classes = vec![Vec::new(); fleet.sets()];
         for class in 0..holding.classes() {
-            holding.of_class(class).iter().for_each(|set| classes[*set as usize].push(class));
+            holding.sets_of_class(class).iter().for_each(|set| classes[*set as usize].push(class));
         }
         let oldest = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
         Self {
@@ -188,15 +188,16 @@
         pending: &[Happening],
     ) -> Found {
         let fleet = self.fleet;
-        let holding = fleet.holding();
+        let holding = fleet.placement();
         let sets = ranges(scene, holding.sets());
         let counts = |slice: &u32| {
-            of.is_none_or(|customer| fleet.owns(customer, *slice)) && only.is_none_or(|r| r.contains(slice))
+            of.is_none_or(|customer| fleet.customer_reads(customer, *slice))
+                && only.is_none_or(|r| r.contains(slice))
         };
         let (mut least, mut seen) = (None, HashSet::new());
         for class in 0..holding.classes() {
-            let Some(slice) = holding.slices_of(class).iter().copied().find(counts) else { continue };
-            let held = holding.of_class(class);
+            let Some(slice) = holding.slices_of_class(class).iter().copied().find(counts) else { continue };
+            let held = holding.sets_of_class(class);
             let local: Scene =
                 held.iter().flat_map(|set| &scene[sets[*set as usize].clone()]).copied().collect();
             if seen.insert(shape(&local)) {
@@ -210,23 +211,23 @@
 
     fn load(&mut self, most: f64, scene: &[Group], sure: &[Befell], pending: &[Happening]) -> Found {
         let fleet = self.fleet;
-        let holding = fleet.holding();
+        let holding = fleet.placement();
         let sets = ranges(scene, holding.sets());
         let cold = fleet.terms().guards.cold_from;
         let (weights, classes, average) = (self.weights.clone(), self.classes.clone(), self.average);
         let mut least = None;
         for (set, held) in classes.iter().enumerate() {
-            let mut near: Vec<u32> = held.iter().flat_map(|c| holding.of_class(*c)).copied().collect();
+            let mut near: Vec<u32> = held.iter().flat_map(|c| holding.sets_of_class(*c)).copied().collect();
             near.sort_unstable();
             near.dedup();
             let local: Scene =
                 near.iter().flat_map(|set| &scene[sets[*set as usize].clone()]).copied().collect();
             let fails = |groups: &[Group]| {
-                if !groups.iter().any(|g| g.set as usize == set && g.condition.takes()) {
+                if !groups.iter().any(|g| g.set as usize == set && g.condition.accepts_work()) {
                     return None;
                 }
                 let able = |class: &usize| {
-                    let of = groups.iter().filter(|g| holding.of_class(*class).contains(&g.set));
+                    let of = groups.iter().filter(|g| holding.sets_of_class(*class).contains(&g.set));
                     of.map(|g| able(g.condition, cold) * f64::from(g.count)).sum::<f64>()
                 };
                 let load: f64 = held.iter().map(|class| weights[*class] / able(class)).sum::<f64>() / average;
@@ -239,8 +240,9 @@
     }
 
     fn room(&self, most: u32) -> Option<Case> {
-        let holding = self.fleet.holding();
-        let held = |set: usize| self.classes[set].iter().map(|c| holding.slices_of(*c).len()).sum::<usize>();
+        let holding = self.fleet.placement();
+        let held =
+            |set: usize| self.classes[set].iter().map(|c| holding.slices_of_class(*c).len()).sum::<usize>();
         let over = (0..self.classes.len())
             .find(|s| held(*s) > most as usize && !self.fleet.members(*s as u32).is_empty())?;
         Some(case(&[], None, format!("{} slices at the searchers of set {over}", held(over))))
@@ -312,7 +314,7 @@
 
 /// The load of a searcher if all of the fleet as listed bore the same.
 pub(crate) fn average(fleet: &Fleet, weights: &[f64]) -> f64 {
-    let ready = fleet.in_life(pewterwharf::interface::Life::Ready).count_ones(..);
+    let ready = fleet.in_state(pewterwharf::interface::Life::Ready).count_ones(..);
     (weights.iter().sum::<f64>() / ready.max(1) as f64).max(f64::MIN_POSITIVE)
 }
 
@@ -368,7 +370,7 @@
 
 /// Searchers, halls and sets that are reached.
 fn count(reach: &Reach, groups: &[Group]) -> (u32, u32, u32) {
-    let counts = |g: &&Group| g.condition.takes() && reach.hall.is_none_or(|h| h == g.hall as usize);
+    let counts = |g: &&Group| g.condition.accepts_work() && reach.hall.is_none_or(|h| h == g.hall as usize);
     let (mut searchers, mut halls, mut sets) = (0, Vec::new(), Vec::new());
     for group in groups.iter().filter(counts) {
         searchers += group.count;
--- a/crates/expect/src/plain.rs
+++ b/crates/expect/src/plain.rs
@@ -1,7 +1,7 @@
 //! The plain evaluator: every case of every failure, every slice, every searcher, with nothing clever. It is what
 //! the structural verdicts are compared with in tests, and measured against.
 
-use pewterwharf_fleet::{Condition, Fleet, Standing};
+use pewterwharf_fleet::{Condition, Conditions, Fleet};
 
 use crate::claim::{Claim, Happening, Local, Pace, Whom};
 use crate::judge::{able, average};
@@ -11,7 +11,7 @@
     let oldest = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
     let plain =
         Plain { fleet, weights: fleet.weights(), pace, list_ms, changes: pace.within(list_ms + oldest) };
-    plain.holds(claim, &mut Standing::listed(fleet))
+    plain.holds(claim, &mut Conditions::listed(fleet))
 }
 
 struct Plain<'a> {
@@ -23,14 +23,15 @@
 }
 
 impl Plain<'_> {
-    fn holds(&self, claim: &Claim, standing: &mut Standing) -> bool {
+    fn holds(&self, claim: &Claim, standing: &mut Conditions) -> bool {
         match claim {
             Claim::All(claims) => claims.iter().all(|c| self.holds(c, standing)),
             Claim::Some(claims) => claims.iter().any(|c| self.holds(c, standing)),
             Claim::Not(claim) => !self.holds(claim, standing),
             Claim::ForAllSlices { of, only, what } => (0..self.fleet.slices())
                 .filter(|s| {
-                    of.is_none_or(|c| self.fleet.owns(c, *s)) && only.as_ref().is_none_or(|r| r.contains(s))
+                    of.is_none_or(|c| self.fleet.customer_reads(c, *s))
+                        && only.as_ref().is_none_or(|r| r.contains(s))
                 })
                 .all(|slice| self.local(what, slice, standing)),
             Claim::After(happening, claim) => self.cases(happening, claim, standing),
@@ -52,7 +53,7 @@
         }
     }
 
-    fn cases(&self, happening: &Happening, claim: &Claim, standing: &mut Standing) -> bool {
+    fn cases(&self, happening: &Happening, claim: &Claim, standing: &mut Conditions) -> bool {
         let all = || 0..self.fleet.searchers().len() as u32;
         let of = |hit: &dyn Fn(usize) -> bool| all().filter(|s| hit(*s as usize)).collect::<Vec<u32>>();
         let searchers = self.fleet.searchers();
@@ -69,7 +70,7 @@
             Whom::Searcher(searcher) => vec![vec![*searcher]],
             Whom::Searchers(most) | Whom::Unsure(most) => {
                 let able: Vec<u32> =
-                    all().filter(|s| standing.get(*s).and(happening.what) != standing.get(*s)).collect();
+                    all().filter(|s| standing.get(*s).worst(happening.what) != standing.get(*s)).collect();
                 return self.subsets(&able, *most, happening.what, claim, standing);
             }
         };
@@ -77,8 +78,8 @@
             && (!whole.is_empty() || self.holds(claim, standing))
     }
 
-    fn under(&self, hit: &[u32], what: Condition, claim: &Claim, standing: &mut Standing) -> bool {
-        let before: Vec<Condition> = hit.iter().map(|s| standing.befall(*s, what)).collect();
+    fn under(&self, hit: &[u32], what: Condition, claim: &Claim, standing: &mut Conditions) -> bool {
+        let before: Vec<Condition> = hit.iter().map(|s| standing.worsen(*s, what)).collect();
         let holds = self.holds(claim, standing);
         hit.iter().zip(before).for_each(|(s, before)| standing.restore(*s, before));
         holds
@@ -90,14 +91,14 @@
         most: u32,
         what: Condition,
         claim: &Claim,
-        standing: &mut Standing,
+        standing: &mut Conditions,
     ) -> bool {
         if !self.holds(claim, standing) {
             return false;
         }
         most == 0
             || (0..of.len()).all(|i| {
-                let before = standing.befall(of[i], what);
+                let before = standing.worsen(of[i], what);
                 let holds = self.subsets(&of[i + 1..], most - 1, what, claim, standing);
                 standing.restore(of[i], before);
                 holds
@@ -105,14 +106,14 @@
     }
 
     /// Any so many, each gone, draining, or back and cold.
-    fn mixtures(&self, of: &[u32], most: u32, claim: &Claim, standing: &mut Standing) -> bool {
+    fn mixtures(&self, of: &[u32], most: u32, claim: &Claim, standing: &mut Conditions) -> bool {
         if !self.holds(claim, standing) {
             return false;
         }
         most == 0
             || (0..of.len()).all(|i| {
                 [Condition::Gone, Condition::Draining, Condition::Cold].into_iter().all(|what| {
-                    let before = standing.befall(of[i], what);
+                    let before = standing.worsen(of[i], what);
                     let holds = self.mixtures(&of[i + 1..], most - 1, claim, standing);
                     standing.restore(of[i], before);
                     holds
@@ -120,16 +121,16 @@
             })
     }
 
-    fn local(&self, local: &Local, slice: u32, standing: &Standing) -> bool {
+    fn local(&self, local: &Local, slice: u32, standing: &Conditions) -> bool {
         match local {
             Local::All(locals) => locals.iter().all(|l| self.local(l, slice, standing)),
             Local::Some(locals) => locals.iter().any(|l| self.local(l, slice, standing)),
             Local::Not(local) => !self.local(local, slice, standing),
             Local::Reachable(reach) => {
-                let held = self.fleet.holding().sets_of(slice);
+                let held = self.fleet.placement().sets_of_slice(slice);
                 let there: Vec<_> = (0u32..)
                     .zip(self.fleet.searchers())
-                    .filter(|(at, s)| held.contains(&s.set) && standing.get(*at).takes())
+                    .filter(|(at, s)| held.contains(&s.set) && standing.get(*at).accepts_work())
                     .filter(|(_, s)| reach.hall.is_none_or(|h| h == s.hall))
                     .collect();
                 let distinct = |mut of: Vec<usize>| {
@@ -144,13 +145,13 @@
         }
     }
 
-    fn load(&self, most: f64, standing: &Standing) -> bool {
+    fn load(&self, most: f64, standing: &Conditions) -> bool {
         let (searchers, cold) = (self.fleet.searchers(), self.fleet.terms().guards.cold_from);
         let mut loads = vec![0.0; searchers.len()];
         for slice in 0..self.fleet.slices() {
             let holders: Vec<u32> = self.fleet.holders(slice).collect();
             let sum: f64 = holders.iter().map(|h| able(standing.get(*h), cold)).sum();
-            for holder in holders.iter().filter(|h| standing.get(**h).takes()) {
+            for holder in holders.iter().filter(|h| standing.get(**h).accepts_work()) {
                 loads[*holder as usize] += self.weights[slice as usize] / sum;
             }
         }
--- a/crates/expect/src/plan.rs
+++ b/crates/expect/src/plan.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use pewterwharf_fleet::{Fleet, Holding};
+use pewterwharf_fleet::{Fleet, Placement};
 use pewterwharf_terms::list::{Entry, List};
 
 use crate::claim::{Claim, Local, Pace, Whom};
@@ -94,10 +94,10 @@
         // One who leaves stands in no set of the new layout; any will do, its own slices are told by its group.
         union.entries.extend(old_list.entries.iter().filter(joined).map(|e| Entry { cell: 0, ..e.clone() }));
         let mut fleet = Fleet::new(new.terms().clone(), &union).map_err(|e| apart(e.to_string()))?;
-        for owned in new.owned() {
+        for owned in new.customer_slices() {
             let name = &new.terms().customer_names[owned.customer];
             for slices in &owned.slices {
-                fleet.own(name, slices.clone()).map_err(|e| apart(e.to_string()))?;
+                fleet.add_customer_slices(name, slices.clone()).map_err(|e| apart(e.to_string()))?;
             }
         }
         let set_in =
@@ -116,7 +116,7 @@
         }
         let held = |fleet: &Fleet, set: Option<u32>| -> BTreeSet<u32> {
             let Some(set) = set else { return BTreeSet::new() };
-            (0..fleet.slices()).filter(|s| fleet.holding().sets_of(*s).contains(&set)).collect()
+            (0..fleet.slices()).filter(|s| fleet.placement().sets_of_slice(*s).contains(&set)).collect()
         };
         let (mut start, mut steps) = (Vec::new(), Vec::new());
         for (group, troop) in (0u32..).zip(&groups) {
@@ -154,8 +154,8 @@
                 Deed::Drop => held.retain(|g| *g != step.group),
             }
         }
-        let holding = Holding::new(self.groups.len(), held_by);
-        let fleet = holding.and_then(|holding| self.fleet.arranged(holding, &self.sets));
+        let holding = Placement::new(self.groups.len(), held_by);
+        let fleet = holding.and_then(|holding| self.fleet.with_placement(holding, &self.sets));
         fleet.map_err(|e| Stuck::Apart { why: e.to_string() })
     }
 
--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -77,7 +77,7 @@
     /// The place of a customer or slice that the fleet does not have.
     pub fn own(&self, fleet: &mut Fleet) -> Result<(), Fault> {
         for (customer, slices, at) in &self.about.slices {
-            let done = fleet.own(customer, slices.clone());
+            let done = fleet.add_customer_slices(customer, slices.clone());
             done.map_err(|error| Fault { at: *at, what: error.to_string() })?;
         }
         Ok(())
@@ -246,7 +246,7 @@
                 ("of", [customer]) => {
                     let name = customer.text("a customer's name")?;
                     let index = named(customer, self.fleet.customer(name))?;
-                    if !self.fleet.owned().iter().any(|o| o.customer == index) {
+                    if !self.fleet.customer_slices().iter().any(|o| o.customer == index) {
                         return Err(customer.fault(format!("(fleet ...) states no slices of \"{name}\"")));
                     }
                     of = Some(index);
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -87,7 +87,7 @@
     pub fn of(fleet: &Fleet, list_ms: f64, sure_ms: f64) -> Self {
         let kind = |at: &u32| {
             let s = &fleet.searchers()[*at as usize];
-            (s.set, s.hall as u32, Condition::of(s.life), s.age_ms + list_ms >= sure_ms)
+            (s.set, s.hall as u32, Condition::listed(s.life), s.age_ms + list_ms >= sure_ms)
         };
         let mut order: Vec<u32> = (0..fleet.searchers().len() as u32).collect();
         order.sort_by_key(kind);
@@ -127,7 +127,7 @@
             _ => return None,
         };
         let befall =
-            |g: &Group| Group { condition: if hit(g) { g.condition.and(what) } else { g.condition }, ..*g };
+            |g: &Group| Group { condition: if hit(g) { g.condition.worst(what) } else { g.condition }, ..*g };
         Some((scene.iter().map(befall).collect(), Befell { what, whom }))
     }
 
@@ -191,7 +191,7 @@
         }
         for at in here {
             let befall = |g: &Group| Group {
-                condition: if place(g) == at { g.condition.and(what) } else { g.condition },
+                condition: if place(g) == at { g.condition.worst(what) } else { g.condition },
                 ..*g
             };
             each(scene.iter().map(befall).collect(), vec![Befell { what, whom: whom(at) }])?;
@@ -224,7 +224,7 @@
             return each(after, names);
         }
         let Some(group) = scene.get(at) else { return ControlFlow::Continue(()) };
-        let able = group.condition.and(what) != group.condition && (group.unsure || !unsure);
+        let able = group.condition.worst(what) != group.condition && (group.unsure || !unsure);
         let most = if able { group.count.min(total) } else { 0 };
         for count in (0..=most).rev() {
             if count > 0 {
@@ -298,7 +298,7 @@
 
 /// The first `count` of a group become `what`.
 fn split(group: &Group, count: u32, what: Condition, into: &mut Scene) {
-    into.push(Group { condition: group.condition.and(what), count, ..*group });
+    into.push(Group { condition: group.condition.worst(what), count, ..*group });
     if count < group.count {
         into.push(Group { from: group.from + count, count: group.count - count, ..*group });
     }
--- a/crates/expect/tests/verdicts.rs
+++ b/crates/expect/tests/verdicts.rs
@@ -96,7 +96,7 @@
 fn a_searcher_listed_twice_is_refused_and_one_in_no_set_is_passed_over() {
     let mut list = listed(&[("a", 0, "up", 0.0), ("a", 7, "up", 0.0)]);
     let fleet = Fleet::new(terms(2, 1, 4), &list).expect("a fleet");
-    assert_eq!(fleet.passed_over(), ["s1 stands in set 7 of 2"]);
+    assert_eq!(fleet.skipped_entries(), ["s1 stands in set 7 of 2"]);
     list.entries.push(list.entries[0].clone());
     assert_eq!(
         Fleet::new(terms(2, 1, 4), &list).err().map(|e| e.to_string()),
@@ -163,8 +163,8 @@
             })
             .collect();
         let mut fleet = Fleet::new(terms(3, reach, 5), &listed(&searchers)).expect("a fleet");
-        fleet.own("one", 0..=2).expect("they are there");
-        fleet.own("two", 2..=4).expect("they are there");
+        fleet.add_customer_slices("one", 0..=2).expect("they are there");
+        fleet.add_customer_slices("two", 2..=4).expect("they are there");
         let pace = Pace::default();
         let judged = Judge::new(&fleet, pace, list_ms).fails(&claim);
         let judged = judged.map(|case| case.is_none()).expect("few cases");
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/conditions.rs
@@ -18,7 +18,7 @@
 
 impl Condition {
     /// As listed. Nothing is cold in the list itself: `since` against what time would be a guess.
-    pub fn of(life: Life) -> Self {
+    pub fn listed(life: Life) -> Self {
         match life {
             Life::Ready => Self::Up,
             Life::Draining => Self::Draining,
@@ -27,23 +27,23 @@
     }
 
     /// Whether it takes parts.
-    pub fn takes(self) -> bool {
+    pub fn accepts_work(self) -> bool {
         matches!(self, Self::Up | Self::Cold)
     }
 
     /// What it becomes when `then` befalls it: nothing brings back who is gone, nor undoes a drain.
-    pub fn and(self, then: Self) -> Self {
+    pub fn worst(self, then: Self) -> Self {
         self.max(then)
     }
 }
 
 /// The condition of every searcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing(Vec<Condition>);
+pub struct Conditions(Vec<Condition>);
 
-impl Standing {
+impl Conditions {
     pub fn listed(fleet: &Fleet) -> Self {
-        Self(fleet.searchers().iter().map(|s| Condition::of(s.life)).collect())
+        Self(fleet.searchers().iter().map(|s| Condition::listed(s.life)).collect())
     }
 
     pub fn get(&self, searcher: u32) -> Condition {
@@ -51,13 +51,13 @@
     }
 
     /// Lets `then` befall a searcher; what it was.
-    pub fn befall(&mut self, searcher: u32, then: Condition) -> Condition {
+    pub fn worsen(&mut self, searcher: u32, then: Condition) -> Condition {
         let before = self.get(searcher);
-        self.0[searcher as usize] = before.and(then);
+        self.0[searcher as usize] = before.worst(then);
         before
     }
 
-    /// Puts back what [`Standing::befall`] returned.
+    /// Puts back what [`Conditions::worsen`] returned.
     pub fn restore(&mut self, searcher: u32, before: Condition) {
         self.0[searcher as usize] = before;
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one model of a fleet, for all packages that ask questions of it without sending anything.
 //!
 //! A [`Fleet`] is built from what a mixer is told at its start ([`Terms`]) and a list in discovery's form
-//! ([`List`]). It never changes: a question under a failure lays a [`Standing`] over it. Words:
+//! ([`List`]). It never changes: a question under a failure lays a [`Conditions`] over it. Words:
 //!
 //! - **hall**: where a searcher stands (`zone` on the wire).
 //! - **set**: searchers that hold the same slices (`group` on the wire, a cell of the layout).
@@ -12,12 +12,12 @@
 //! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and one
 //! set; the members of a set are ascending; every slice has exactly one class. Nothing here does I/O or decides.
 
-mod holding;
-mod standing;
+mod conditions;
+mod placement;
 
-pub use holding::{Class, Holding};
+pub use conditions::{Condition, Conditions};
 pub use pewterwharf_settings::near;
-pub use standing::{Condition, Standing};
+pub use placement::{Class, Placement};
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -29,9 +29,9 @@
 use pewterwharf_terms::list::List;
 
 /// Most searchers that a fleet may have: ten times the largest that the bounds below were measured with.
-pub const MOST_SEARCHERS: usize = 100_000;
+pub const MAX_SEARCHERS: usize = 100_000;
 /// Most slices that are told apart.
-pub const MOST_SLICES: u32 = 1 << 20;
+pub const MAX_SLICES: u32 = 1 << 20;
 
 /// One searcher as the list has it.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
 
 /// Slices of a customer: inclusive ranges.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Owned {
+pub struct CustomerSlices {
     pub customer: usize,
     pub slices: Vec<RangeInclusive<u32>>,
 }
@@ -64,8 +64,8 @@
     by_life: [FixedBitSet; 3],
     /// Members of each set.
     sets: Vec<Vec<u32>>,
-    holding: Holding,
-    owned: Vec<Owned>,
+    holding: Placement,
+    owned: Vec<CustomerSlices>,
     /// Why entries of the list were passed over.
     passed_over: Vec<String>,
 }
@@ -85,7 +85,7 @@
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
     pub fn new(terms: Terms, list: &List) -> Result<Self> {
-        ensure!(list.entries.len() <= MOST_SEARCHERS, "the list names over {MOST_SEARCHERS} searchers");
+        ensure!(list.entries.len() <= MAX_SEARCHERS, "the list names over {MAX_SEARCHERS} searchers");
         let mut fleet = Self {
             halls: terms.zones.clone(),
             searchers: Vec::with_capacity(list.entries.len()),
@@ -93,7 +93,7 @@
             by_hall: Vec::new(),
             by_life: [const { FixedBitSet::new() }; 3],
             sets: vec![Vec::new(); terms.layout.cells as usize],
-            holding: Holding::of(&terms)?,
+            holding: Placement::of(&terms)?,
             owned: Vec::new(),
             passed_over: list.bad.clone(),
             terms,
@@ -140,14 +140,14 @@
     ///
     /// # Errors
     /// Names the customer that the terms don't have, with the nearest that they do, or a range out of bounds.
-    pub fn own(&mut self, customer: &str, slices: RangeInclusive<u32>) -> Result<()> {
+    pub fn add_customer_slices(&mut self, customer: &str, slices: RangeInclusive<u32>) -> Result<()> {
         let index = self.customer(customer)?;
         let count = self.slices();
         ensure!(slices.start() <= slices.end(), "slices {} to {} are none", slices.start(), slices.end());
         ensure!(*slices.end() < count, "slice {} is not among the {count} of the layout", slices.end());
         match self.owned.iter_mut().find(|o| o.customer == index) {
             Some(owned) => owned.slices.push(slices),
-            None => self.owned.push(Owned { customer: index, slices: vec![slices] }),
+            None => self.owned.push(CustomerSlices { customer: index, slices: vec![slices] }),
         }
         Ok(())
     }
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// If a searcher's set is not one of the holding's.
-    pub fn arranged(&self, holding: Holding, sets: &[u32]) -> Result<Self> {
+    pub fn with_placement(&self, holding: Placement, sets: &[u32]) -> Result<Self> {
         ensure!(
             sets.len() == self.searchers.len(),
             "{} sets for {} searchers",
@@ -193,7 +193,7 @@
     }
 
     /// Searchers that the list has in that state.
-    pub fn in_life(&self, life: Life) -> &FixedBitSet {
+    pub fn in_state(&self, life: Life) -> &FixedBitSet {
         &self.by_life[rank(life)]
     }
 
@@ -212,26 +212,26 @@
         self.holding.slices()
     }
 
-    pub fn holding(&self) -> &Holding {
+    pub fn placement(&self) -> &Placement {
         &self.holding
     }
 
-    pub fn owned(&self) -> &[Owned] {
+    pub fn customer_slices(&self) -> &[CustomerSlices] {
         &self.owned
     }
 
     /// Why entries of the list were passed over.
-    pub fn passed_over(&self) -> &[String] {
+    pub fn skipped_entries(&self) -> &[String] {
         &self.passed_over
     }
 
     /// All searchers that hold a slice, whatever their state: ascending by set, each once.
     pub fn holders(&self, slice: u32) -> impl Iterator<Item = u32> + '_ {
-        self.holding.sets_of(slice).iter().flat_map(|set| self.members(*set)).copied()
+        self.holding.sets_of_slice(slice).iter().flat_map(|set| self.members(*set)).copied()
     }
 
     /// Whether a customer's scans read that slice.
-    pub fn owns(&self, customer: usize, slice: u32) -> bool {
+    pub fn customer_reads(&self, customer: usize, slice: u32) -> bool {
         self.owned.iter().any(|o| o.customer == customer && o.slices.iter().any(|r| r.contains(&slice)))
     }
 
--- a/crates/fleet/src/holding.rs
+++ b/crates/fleet/src/placement.rs
@@ -5,14 +5,14 @@
 use anyhow::{Result, ensure};
 use pewterwharf_terms::Terms;
 
-use crate::MOST_SLICES;
+use crate::MAX_SLICES;
 
 /// Index of a class of slices that the same sets hold.
 pub type Class = usize;
 
 /// Which sets hold each slice, by class. All sets of a class are ascending and told once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct Placement {
     sets: usize,
     classes: Vec<Vec<u32>>,
     class_of: Vec<Class>,
@@ -20,7 +20,7 @@
     slices_of: Vec<Vec<u32>>,
 }
 
-impl Holding {
+impl Placement {
     /// The layout's: a slice is held by `reach` sets in a row, the first by its number.
     ///
     /// # Errors
@@ -29,7 +29,7 @@
         let layout = &terms.layout;
         // Where no number of slices is stated, they repeat with the sets.
         let slices = if terms.shards == u32::MAX { layout.cells } else { terms.shards };
-        ensure!(slices <= MOST_SLICES, "{slices} slices are over {MOST_SLICES}");
+        ensure!(slices <= MAX_SLICES, "{slices} slices are over {MAX_SLICES}");
         let reach = layout.reach.min(layout.cells);
         let sets = |slice: u32| (0..reach).map(|j| (slice % layout.cells + j) % layout.cells).collect();
         Self::new(layout.cells as usize, (0..slices).map(sets).collect())
@@ -73,12 +73,12 @@
     }
 
     /// The sets of a class, ascending.
-    pub fn of_class(&self, class: Class) -> &[u32] {
+    pub fn sets_of_class(&self, class: Class) -> &[u32] {
         &self.classes[class]
     }
 
     /// The slices of a class, ascending.
-    pub fn slices_of(&self, class: Class) -> &[u32] {
+    pub fn slices_of_class(&self, class: Class) -> &[u32] {
         &self.slices_of[class]
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// The sets that hold a slice, ascending.
-    pub fn sets_of(&self, slice: u32) -> &[u32] {
+    pub fn sets_of_slice(&self, slice: u32) -> &[u32] {
         &self.classes[self.class_of[slice as usize]]
     }
 }
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use pewterwharf_peers::{FORMAT, Hello, Refusal, Start};
+use pewterwharf_peers::{FORMAT, Hello, Incarnation, Refusal};
 use pewterwharf_replica::Word;
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     /// Why the link is refused: on its way back, and the last.
     Refused(Refusal),
     /// The one that speaks leaves the fleet.
-    Bye(Start),
+    Bye(Incarnation),
     /// A word of membership.
     Swim(Vec<u8>),
     Copy(Word),
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -19,6 +19,6 @@
 mod show;
 
 pub use frame::{Frame, LONGEST, Unreadable};
-pub use links::{Mesh, Terms, Way};
-pub use node::{Node, Out, Own, Say};
-pub use show::{Member, Shown};
+pub use links::{Mesh, MeshConfig, MeshHandle};
+pub use node::{LocalReport, LocalStatus, Node, Out};
+pub use show::{FleetStatus, Member};
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -11,13 +11,13 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use oorandom::Rand64;
-use pewterwharf_peers::{Refusal, Rival, Start};
+use pewterwharf_peers::{Incarnation, Refusal, Rival};
 use pewterwharf_replica::Advice;
 use tracing::{debug, info, warn};
 
 use crate::frame::{Frame, LONGEST, Unreadable};
-use crate::node::{Node, Out, Say};
-use crate::show::Shown;
+use crate::node::{LocalReport, Node, Out};
+use crate::show::FleetStatus;
 
 const STACK: usize = 256 * 1024;
 /// Orders that may wait: whoever gives more goes without, and gives them later.
@@ -56,20 +56,20 @@
 
 /// What a mixer of a fleet is told at its start.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct MeshConfig {
     pub fleet: String,
-    pub me: String,
+    pub local_name: String,
     pub listen: SocketAddr,
     pub peers: Vec<(String, SocketAddr)>,
     /// Differs between starts.
     pub seed: u64,
     /// For so long a deletion is kept before it is forgotten, in milliseconds.
-    pub forget_ms: f64,
+    pub tombstone_ttl_ms: f64,
 }
 
-impl Terms {
+impl MeshConfig {
     /// Descriptors that links may hold at most, with the thread's own.
-    pub fn descriptors(&self) -> usize {
+    pub fn max_descriptors(&self) -> usize {
         const OWN: usize = 4;
         // One more that is on its way in while another leaves.
         self.peers.len().min(KEPT) + (self.peers.len() + 1).min(TAKEN) + OWN
@@ -77,20 +77,20 @@
 }
 
 enum Order {
-    Say(Vec<Say>),
-    Show(Sender<Shown>),
+    Report(Vec<LocalReport>),
+    Show(Sender<FleetStatus>),
     Ends,
     Leave,
 }
 
 /// The way to the thread.
 #[derive(Clone)]
-pub struct Way {
+pub struct MeshHandle {
     to: Sender<Order>,
     waker: Arc<Waker>,
 }
 
-impl Way {
+impl MeshHandle {
     fn give(&self, order: Order) -> bool {
         let given = self.to.try_send(order).is_ok();
         let _ = self.waker.wake(); // or the thread has ended
@@ -98,7 +98,7 @@
     }
 
     /// What this mixer sees of its fleet; nothing, if the thread does not answer in time.
-    pub fn show(&self) -> Option<Shown> {
+    pub fn status(&self) -> Option<FleetStatus> {
         const TIME: Duration = Duration::from_secs(2);
         let (to, shown) = bounded(1);
         self.give(Order::Show(to)).then(|| shown.recv_timeout(TIME).ok()).flatten()
@@ -107,7 +107,7 @@
 
 /// Links that run.
 pub struct Mesh {
-    way: Way,
+    way: MeshHandle,
     told: Arc<Mutex<String>>,
     /// Ends with the thread.
     over: Receiver<()>,
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// If the listener, the poll or the thread can't be had.
-    pub fn start(terms: Terms, hear: impl FnMut(Vec<Advice>) + Send + 'static) -> io::Result<Self> {
+    pub fn start(terms: MeshConfig, hear: impl FnMut(Vec<Advice>) + Send + 'static) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind(terms.listen)?;
         listener.set_nonblocking(true)?;
         let at = listener.local_addr()?;
@@ -137,30 +137,30 @@
             drop(lives);
         };
         Builder::new().name("mesh".to_owned()).stack_size(STACK).spawn(run)?;
-        Ok(Self { way: Way { to, waker }, told, over, at })
+        Ok(Self { way: MeshHandle { to, waker }, told, over, at })
     }
 
     /// Where it listens.
-    pub fn at(&self) -> SocketAddr {
+    pub fn local_addr(&self) -> SocketAddr {
         self.at
     }
 
-    pub fn way(&self) -> Way {
+    pub fn handle(&self) -> MeshHandle {
         self.way.clone()
     }
 
     /// Tells the others what this mixer has met by itself; false where it has to be told again later.
-    pub fn say(&self, says: Vec<Say>) -> bool {
-        self.way.give(Order::Say(says))
+    pub fn publish(&self, says: Vec<LocalReport>) -> bool {
+        self.way.give(Order::Report(says))
     }
 
     /// Counts, a line each, as of some tenths of a second ago: whoever asks waits for nothing.
-    pub fn counts(&self) -> String {
+    pub fn counters_text(&self) -> String {
         self.told.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// This mixer was asked to end, and serves what it has taken on: a later process of its name may have the name.
-    pub fn ends(&self) {
+    pub fn begin_shutdown(&self) {
         self.way.give(Order::Ends);
     }
 
@@ -199,7 +199,7 @@
 struct From {
     stream: TcpStream,
     /// Whose it is, and of which start, once it has said hello.
-    who: Option<(String, Start)>,
+    who: Option<(String, Incarnation)>,
     ip: IpAddr,
     buffer: Vec<u8>,
     since: f64,
@@ -250,7 +250,7 @@
 
 impl Links {
     fn new(
-        terms: Terms,
+        terms: MeshConfig,
         poll: Poll,
         listener: TcpListener,
         given: Receiver<Order>,
@@ -267,8 +267,8 @@
                 To { at, standing, token, wait_ms, queue, written: 0, bytes: 0, back, used_at: 0.0, why };
             (name, to)
         };
-        let mut node = Node::new(&terms.fleet, &terms.me, &names, terms.seed);
-        node.exchange.replica.forget_after(terms.forget_ms);
+        let mut node = Node::new(&terms.fleet, &terms.local_name, &names, terms.seed);
+        node.exchange.replica.forget_after(terms.tombstone_ttl_ms);
         Self {
             node,
             poll,
@@ -346,7 +346,7 @@
             }
             if now >= self.tell_at || self.ends_at.is_some() {
                 self.tell_at = now + TELL_MS;
-                let counts = self.shown(now).counts();
+                let counts = self.shown(now).counters_text();
                 *self.told.lock().unwrap_or_else(PoisonError::into_inner) = counts;
             }
             if let Some(at) = self.ends_at
@@ -380,7 +380,7 @@
     fn obey(&mut self, now: f64) {
         while let Ok(order) = self.given.try_recv() {
             match order {
-                Order::Say(says) => {
+                Order::Report(says) => {
                     let out = says.into_iter().filter_map(|say| self.node.say(now, say)).collect();
                     self.carry(now, out);
                 }
@@ -397,7 +397,7 @@
         }
     }
 
-    fn shown(&self, now: f64) -> Shown {
+    fn shown(&self, now: f64) -> FleetStatus {
         let mut shown = self.node.shown(now);
         for member in &mut shown.members {
             let to = match self.to.get(&member.name) {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use pewterwharf_peers::{Effect, Hello, Life, Peers, Refusal, Rival, Standing, Start};
-pub use pewterwharf_replica::Own;
-use pewterwharf_replica::kinds::{Began, IdleLost, Leaving, ListHeld, Mark, Stage, Used};
-use pewterwharf_replica::{Advice, Exchange, Heed, Limits, Progress, Replica, Word, kinds};
+use pewterwharf_peers::{Effect, Hello, Incarnation, Life, Peers, Refusal, Rival, Standing};
+pub use pewterwharf_replica::LocalStatus;
+use pewterwharf_replica::kinds::{IdleLost, Leaving, ListHeld, Mark, ProcessStart, Stage, Used};
+use pewterwharf_replica::{Advice, Exchange, Limits, PeerReportPolicy, Progress, Replica, Word, kinds};
 
 use crate::frame::Frame;
-use crate::show::{Member, Shown};
+use crate::show::{FleetStatus, Member};
 
 /// What rows of all mixers may take in sum, in bytes.
 const ROWS: usize = 2 << 20;
@@ -21,16 +21,22 @@
 
 /// What this mixer has met by itself, for the others.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Say {
+pub enum LocalReport {
     /// What it knows of a searcher; nothing, where its list does not name it any more. With the multiple of normal where it
     /// is marked, the parts that this goes by, and whether it is cold since its start.
-    Searcher { at: SocketAddrV4, own: Option<Own>, cold: bool, normals: f64, parts: u32 },
+    Searcher {
+        address: SocketAddrV4,
+        status: Option<LocalStatus>,
+        cold: bool,
+        latency_ratio: f64,
+        parts: u32,
+    },
     /// The list that it holds.
     List { index: u64, ready: u32 },
     /// Connections were lost while idle.
-    IdleLost { times: u16 },
+    IdleConnectionsLost { times: u16 },
     /// A customer's scans in a span.
-    Used { customer: String, scans: u32, span_ms: u32 },
+    CustomerUsage { customer: String, scans: u32, span_ms: u32 },
 }
 
 /// What is to be done.
@@ -54,7 +60,7 @@
 pub struct Node {
     pub peers: Peers,
     pub exchange: Exchange,
-    pub heed: Heed,
+    pub policy: PeerReportPolicy,
     looked_at: Option<f64>,
     /// How much older than they say the words are that are read in this turn.
     old_ms: f64,
@@ -69,11 +75,11 @@
     /// A mixer that has just started; `names` are its peers, and the seed differs between starts.
     pub fn new(fleet: &str, me: &str, names: &[String], seed: u64) -> Self {
         let peers = Peers::new(fleet, me, names.iter().cloned(), seed);
-        let limits = Limits::shared(ROWS, names.len() + 1);
+        let limits = Limits::per_origin(ROWS, names.len() + 1);
         let replica = Replica::new(me, peers.start(), names.iter().cloned(), limits);
         Self {
             exchange: Exchange::new(replica, seed),
-            heed: Heed::new(me),
+            policy: PeerReportPolicy::new(me),
             peers,
             looked_at: None,
             old_ms: 0.0,
@@ -107,7 +113,7 @@
     }
 
     /// A word of a peer, on a link whose hello was taken.
-    pub fn heard(&mut self, now: f64, from: &str, start: Start, frame: Frame) -> Vec<Out> {
+    pub fn heard(&mut self, now: f64, from: &str, start: Incarnation, frame: Frame) -> Vec<Out> {
         let mut out = Vec::new();
         match frame {
             Frame::Swim(bytes) => self.peers.heard(now, &bytes),
@@ -119,65 +125,72 @@
     }
 
     fn copy(&mut self, now: f64, from: &str, word: Word, out: &mut Vec<Out>) {
-        for (origin, start, upto) in word.origins() {
-            let beyond = self.exchange.replica.of(origin).is_some_and(|(_, held, _)| upto > held);
+        for (origin, start, through) in word.origins() {
+            let beyond = self.exchange.replica.origin(origin).is_some_and(|held| through > held.version);
             self.peers.speaks(now, origin, start, beyond);
         }
         let (news, words) = self.exchange.heard(now, self.old_ms, from, word);
         out.extend(words.into_iter().map(|(to, word)| Out::Send { to, frame: Frame::Copy(word) }));
-        let advice = self.heed.news(now, &news, &self.exchange.replica);
+        let advice = self.policy.apply_changes(now, &news, &self.exchange.replica);
         out.extend(advice.into_iter().map(Out::Advice));
     }
 
     /// What this mixer has met by itself.
-    pub fn say(&mut self, now: f64, say: Say) -> Option<Out> {
+    pub fn say(&mut self, now: f64, say: LocalReport) -> Option<Out> {
         let replica = &mut self.exchange.replica;
         match say {
-            Say::Searcher { at, own, cold, normals, parts } => {
-                let advice = self.heed.knows(now, at, own);
+            LocalReport::Searcher { address: at, status: own, cold, latency_ratio, parts } => {
+                let advice = self.policy.local_status_changed(now, at, own);
                 let late = own.is_some_and(|own| !own.marked);
-                self.searcher(now, at, own, cold, Mark { normals, parts, late });
+                self.searcher(now, at, own, cold, Mark { latency_ratio, parts, late });
                 return advice.map(Out::Advice);
             }
-            Say::List { index, ready } => drop(replica.say(now, "list", &ListHeld { index, ready }, now)),
-            Say::IdleLost { times } => drop(replica.say(now, "", &IdleLost { times }, now)),
-            Say::Used { customer, scans, span_ms } => {
-                replica.say(now, &customer, &Used { scans, span_ms }, now);
+            LocalReport::List { index, ready } => {
+                drop(replica.publish(now, "list", &ListHeld { index, ready }, now))
+            }
+            LocalReport::IdleConnectionsLost { times } => {
+                drop(replica.publish(now, "", &IdleLost { times }, now))
+            }
+            LocalReport::CustomerUsage { customer, scans, span_ms } => {
+                replica.publish(now, &customer, &Used { scans, span_ms }, now);
             }
         }
         None
     }
 
     /// Says what the others may want to know of a searcher: who is up, warm and not marked, and always was, is no word.
-    fn searcher(&mut self, now: f64, at: SocketAddrV4, own: Option<Own>, cold: bool, mark: Mark) {
+    fn searcher(&mut self, now: f64, at: SocketAddrV4, own: Option<LocalStatus>, cold: bool, mark: Mark) {
         let (replica, name) = (&mut self.exchange.replica, at.to_string());
-        let before =
-            replica.said::<Leaving>(now, &name).into_iter().find(|s| s.0 == replica.me()).map(|s| s.1);
+        let before = replica
+            .reports::<Leaving>(now, &name)
+            .into_iter()
+            .find(|report| report.origin == replica.local_name())
+            .map(|report| report.value);
         let Some(own) = own else {
-            replica.unsay::<Mark>(now, &name);
-            replica.unsay::<Began>(now, &name);
+            replica.retract::<Mark>(now, &name);
+            replica.retract::<ProcessStart>(now, &name);
             let since = before.map_or(0.0, |said| said.since);
-            replica.say(now, &name, &Leaving { since, stage: Stage::Going }, now);
+            replica.publish(now, &name, &Leaving { since, stage: Stage::Going }, now);
             self.gone.insert(at, now);
             return;
         };
         self.gone.remove(&at);
         match own.marked || own.late {
-            true => drop(replica.say(now, &name, &mark, now)),
-            false => replica.unsay::<Mark>(now, &name),
+            true => drop(replica.publish(now, &name, &mark, now)),
+            false => replica.retract::<Mark>(now, &name),
         }
         let leaving = Leaving { since: own.since, stage: own.stage };
         if before.map_or(own.stage > Stage::Up, |before| before != leaving) {
-            replica.say(now, &name, &leaving, now);
+            replica.publish(now, &name, &leaving, now);
         }
         let began = replica
-            .said::<Began>(now, &name)
+            .reports::<ProcessStart>(now, &name)
             .into_iter()
-            .any(|s| s.0 == replica.me() && s.1.since == own.since);
+            .any(|report| report.origin == replica.local_name() && report.value.since == own.since);
         match cold {
-            true if !began => drop(replica.say(now, &name, &Began { since: own.since }, now)),
+            true if !began => drop(replica.publish(now, &name, &ProcessStart { since: own.since }, now)),
             true => {}
-            false => replica.unsay::<Began>(now, &name),
+            false => replica.retract::<ProcessStart>(now, &name),
         }
     }
 
@@ -233,11 +246,11 @@
             self.gone.iter().filter(|(_, since)| now - **since > GONE_MS).map(|(at, _)| *at).collect();
         for at in long_gone {
             self.gone.remove(&at);
-            self.exchange.replica.unsay::<Leaving>(now, &at.to_string());
+            self.exchange.replica.retract::<Leaving>(now, &at.to_string());
         }
-        out.extend(self.heed.tick(now).into_iter().map(Out::Advice));
+        out.extend(self.policy.tick(now).into_iter().map(Out::Advice));
         let members = self.peers.up().len() as u32 + 1;
-        out.extend(self.heed.members(members).map(Out::Advice));
+        out.extend(self.policy.set_mixer_count(members).map(Out::Advice));
         let progress = self.exchange.progress();
         if std::mem::discriminant(&progress) != std::mem::discriminant(&self.was) {
             out.push(Out::Log(match &progress {
@@ -264,11 +277,11 @@
     }
 
     /// What it sees of its fleet, for people; without what the links know.
-    pub fn shown(&self, now: f64) -> Shown {
+    pub fn shown(&self, now: f64) -> FleetStatus {
         let replica = &self.exchange.replica;
-        let trust = self.heed.trust(now);
+        let trust = self.policy.trust(now);
         let member = |seen: pewterwharf_peers::Seen| {
-            let (_, version, rows) = replica.of(&seen.name).unwrap_or_default();
+            let held = replica.origin(&seen.name).unwrap_or_default();
             Member {
                 trust: trust.get(&seen.name).copied().unwrap_or(0.5),
                 life: match seen.life {
@@ -280,16 +293,16 @@
                 },
                 start: seen.start.map(|s| s.to_string()),
                 name: seen.name,
-                version,
-                rows,
+                version: held.version,
+                rows: held.records,
                 link: String::new(),
             }
         };
         let (rows, bytes) = replica.size();
-        let (_, version, own_rows) = replica.of(replica.me()).unwrap_or_default();
-        let lists = replica.said::<ListHeld>(now, "list").into_iter();
-        Shown {
-            me: replica.me().to_owned(),
+        let own = replica.origin(replica.local_name()).unwrap_or_default();
+        let lists = replica.reports::<ListHeld>(now, "list").into_iter();
+        FleetStatus {
+            me: replica.local_name().to_owned(),
             standing: match self.peers.standing() {
                 Standing::Joining => "joining".to_owned(),
                 Standing::Member => "member".to_owned(),
@@ -306,16 +319,16 @@
                 }
             },
             members: self.peers.seen().into_iter().map(member).collect(),
-            version,
-            own_rows,
+            version: own.version,
+            own_rows: own.records,
             rows,
             bytes,
             sum: format!("{:016x}", replica.sum()),
             kinds: replica.by_kind().into_iter().map(|(kind, count)| (kinds::name(kind), count)).collect(),
-            lists: lists.map(|(origin, list, _)| (origin.to_owned(), list.index)).collect(),
+            lists: lists.map(|report| (report.origin.to_owned(), report.value.index)).collect(),
             refused: replica.refused().iter().map(|(why, count)| (why.word().to_owned(), *count)).collect(),
             unfit_words: self.peers.unfit(),
-            passed_over: self.heed.passed_over,
+            passed_over: self.policy.passed_over,
             longest_pause_ms: self.longest_pause_ms,
             links: BTreeMap::new(),
         }
--- a/crates/mesh/src/show.rs
+++ b/crates/mesh/src/show.rs
@@ -22,7 +22,7 @@
 
 /// What a mixer sees of its fleet.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Shown {
+pub struct FleetStatus {
     pub me: String,
     pub standing: String,
     pub start: String,
@@ -47,14 +47,14 @@
     pub links: BTreeMap<&'static str, u64>,
 }
 
-impl Shown {
+impl FleetStatus {
     /// As one JSON object on one line.
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default() // strings and finite figures can always be written
     }
 
     /// Counts, a line each, with a prefix of their own.
-    pub fn counts(&self) -> String {
+    pub fn counters_text(&self) -> String {
         let mut text = String::new();
         let refused = self.refused.iter().map(|(why, count)| (format!("refused_{why}"), *count));
         let links = self.links.iter().map(|(name, count)| ((*name).to_owned(), *count));
@@ -69,7 +69,7 @@
     }
 }
 
-impl fmt::Display for Shown {
+impl fmt::Display for FleetStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}, start {}: {}, {}", self.me, self.start, self.standing, self.progress)?;
         writeln!(f, "  own version {}, {} rows", self.version, self.own_rows)?;
--- a/crates/mesh/tests/fleet.rs
+++ b/crates/mesh/tests/fleet.rs
@@ -53,7 +53,7 @@
                 node.peers.standing(),
                 node.exchange.progress(),
                 node.peers.up(),
-                node.exchange.replica.vector(),
+                node.exchange.replica.version_vector(),
                 node.peers.inside()
             )
         };
@@ -197,19 +197,20 @@
 
 #[test]
 fn words_under_a_mixer_s_own_start_that_it_never_said_are_void_soon() {
-    use pewterwharf_replica::{Part, Why, WireRow, Word};
+    use pewterwharf_replica::{RecordBatch, Why, WireRow, Word};
     let mut net = Net::new(3, 6);
     net.run(3000.0);
     net.mark(0, 1, true);
     net.run(1000.0);
-    let (start, upto) = {
+    let (start, through) = {
         let node = net.nodes[0].node.as_ref().expect("it runs");
-        (node.peers.start(), node.exchange.replica.of("m1").expect("itself").1)
+        (node.peers.start(), node.exchange.replica.origin("m1").expect("itself").version)
     };
     let row =
         WireRow { kind: 200, name: "x".to_owned(), counter: u64::MAX, age_ms: 0, value: Some(Vec::new()) };
     let (origin, rows) = ("m1".to_owned(), vec![row]);
-    let part = Part { origin, start, from: upto, upto: u64::MAX, floor: 0, why: Why::Delta, rows };
+    let part =
+        RecordBatch { origin, start, from: through, through: u64::MAX, floor: 0, why: Why::Delta, rows };
     let (now, third) = (net.time(2), net.nodes[2].node.as_ref().expect("it runs").peers.start());
     let forged = Frame::Copy(Word::Parts { parts: vec![part], left: 0 });
     let believes = net.nodes[1].node.as_mut().expect("it runs");
@@ -229,8 +230,8 @@
 #[test]
 fn a_frame_that_was_changed_anywhere_is_told_and_one_that_is_cut_is_awaited() {
     use pewterwharf_mesh::{LONGEST, Unreadable};
-    use pewterwharf_peers::{Hello, Start};
-    let (fleet, name, start) = ("fleet".to_owned(), "m1".to_owned(), Start::first(77));
+    use pewterwharf_peers::{Hello, Incarnation};
+    let (fleet, name, start) = ("fleet".to_owned(), "m1".to_owned(), Incarnation::first(77));
     let hello =
         |format| Hello { format, fleet: fleet.clone(), name: name.clone(), start, age_ms: 5, yours: None };
     let bytes = Frame::Hello(hello(1)).bytes();
--- a/crates/mesh/tests/links.rs
+++ b/crates/mesh/tests/links.rs
@@ -4,26 +4,33 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use pewterwharf_mesh::{Frame, LONGEST, Mesh, Own, Say, Shown, Terms, Way};
-use pewterwharf_peers::{Hello, Refusal, Start};
+use pewterwharf_mesh::{FleetStatus, Frame, LONGEST, LocalReport, LocalStatus, Mesh, MeshConfig, MeshHandle};
+use pewterwharf_peers::{Hello, Incarnation, Refusal};
 use pewterwharf_replica::kinds::Stage;
-use pewterwharf_replica::{Part, Why, WireRow, Word};
+use pewterwharf_replica::{RecordBatch, Why, WireRow, Word};
 
 /// A port that was free just now.
 fn port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port")
 }
 
-fn terms(me: &str, listen: SocketAddr, peers: &[(&str, SocketAddr)], seed: u64) -> Terms {
+fn terms(me: &str, listen: SocketAddr, peers: &[(&str, SocketAddr)], seed: u64) -> MeshConfig {
     let peers = peers.iter().map(|(name, at)| ((*name).to_owned(), *at)).collect();
-    Terms { fleet: "praha".to_owned(), me: me.to_owned(), listen, peers, seed, forget_ms: 60_000.0 }
+    MeshConfig {
+        fleet: "praha".to_owned(),
+        local_name: me.to_owned(),
+        listen,
+        peers,
+        seed,
+        tombstone_ttl_ms: 60_000.0,
+    }
 }
 
 /// Waits until what is seen is as wanted; the ceiling is for a machine that stands still.
-fn until(way: &Way, what: &str, wanted: impl Fn(&Shown) -> bool) -> Shown {
+fn until(way: &MeshHandle, what: &str, wanted: impl Fn(&FleetStatus) -> bool) -> FleetStatus {
     let begun = Instant::now();
     loop {
-        let shown = way.show().expect("it answers");
+        let shown = way.status().expect("it answers");
         if wanted(&shown) {
             return shown;
         }
@@ -32,7 +39,7 @@
     }
 }
 
-fn count(shown: &Shown, what: &str) -> u64 {
+fn count(shown: &FleetStatus, what: &str) -> u64 {
     shown.links.get(what).copied().unwrap_or(0)
 }
 
@@ -43,7 +50,7 @@
     let one = Mesh::start(terms("m1", a, &[("m2", b), ("m3", c)], 1), hear).expect("it listens");
     let two = Mesh::start(terms("m2", b, &[("m1", a), ("m3", c)], 2), hear).expect("it listens");
     for mesh in [&one, &two] {
-        until(&mesh.way(), "joined", |s| {
+        until(&mesh.handle(), "joined", |s| {
             s.members.iter().any(|m| m.life == "alive") && s.progress == "caught up"
         });
     }
@@ -52,7 +59,7 @@
 
 fn hello() -> Hello {
     let (fleet, name) = ("praha".to_owned(), "m3".to_owned());
-    Hello { format: 1, fleet, name, start: Start::first(3), age_ms: 1, yours: None }
+    Hello { format: 1, fleet, name, start: Incarnation::first(3), age_ms: 1, yours: None }
 }
 
 /// Says something as a peer might, and hears how the link is refused, if it is.
@@ -71,20 +78,26 @@
 #[test]
 fn a_word_of_one_is_soon_the_other_s() {
     let (one, two) = two();
-    let own = Own { marked: true, late: false, since: 0.0, stage: Stage::Up };
+    let own = LocalStatus { marked: true, late: false, since: 0.0, stage: Stage::Up };
     let at = "127.0.0.1:7000".parse().expect("an address");
-    assert!(one.say(vec![Say::Searcher { at, own: Some(own), cold: false, normals: 4.0, parts: 3 }]));
-    let shown = until(&two.way(), "told", |s| s.kinds.get("mark") == Some(&1));
-    assert_eq!(shown.sum, until(&one.way(), "said", |s| s.sum == shown.sum).sum);
+    assert!(one.publish(vec![LocalReport::Searcher {
+        address: at,
+        status: Some(own),
+        cold: false,
+        latency_ratio: 4.0,
+        parts: 3
+    }]));
+    let shown = until(&two.handle(), "told", |s| s.kinds.get("mark") == Some(&1));
+    assert_eq!(shown.sum, until(&one.handle(), "said", |s| s.sum == shown.sum).sum);
     one.leave();
-    until(&two.way(), "left", |s| s.members.iter().any(|m| m.name == "m1" && m.life == "left"));
+    until(&two.handle(), "left", |s| s.members.iter().any(|m| m.name == "m1" && m.life == "left"));
     two.leave();
 }
 
 #[test]
 fn links_that_do_not_belong_here_are_refused_with_a_reason() {
     let (one, two) = two();
-    let at = one.at();
+    let at = one.local_addr();
     let refused = |hello: Hello| says(at, &Frame::Hello(hello).bytes());
     assert_eq!(refused(Hello { format: 2, ..hello() }), Some(Refusal::Format { theirs: 2, ours: 1 }));
     let (theirs, ours) = ("brno".to_owned(), "praha".to_owned());
@@ -92,8 +105,12 @@
     let name = "m9".to_owned();
     assert_eq!(refused(Hello { name: name.clone(), ..hello() }), Some(Refusal::Unnamed(name)));
     // Its own name: whoever says that is told of the one that is here.
-    let twin =
-        Hello { name: "m1".to_owned(), start: Start { number: 0, lot: 0 }, age_ms: 1_000_000, ..hello() };
+    let twin = Hello {
+        name: "m1".to_owned(),
+        start: Incarnation { number: 0, lot: 0 },
+        age_ms: 1_000_000,
+        ..hello()
+    };
     assert!(matches!(refused(twin), Some(Refusal::Older(by)) if by.start.number >= 1));
     let told: Vec<String> = [
         Refusal::Format { theirs: 2, ours: 1 },
@@ -105,7 +122,7 @@
     .map(ToString::to_string)
     .collect();
     insta::assert_snapshot!(told.join("\n"));
-    let shown = until(&one.way(), "counted", |s| count(s, "links_refused") >= 4);
+    let shown = until(&one.handle(), "counted", |s| count(s, "links_refused") >= 4);
     assert!(
         shown.members.iter().any(|m| m.name == "m2" && m.life == "alive"),
         "and nothing else was harmed:\n{shown}"
@@ -117,12 +134,12 @@
 #[test]
 fn whatever_can_t_be_read_ends_its_link_and_nothing_else() {
     let (one, two) = two();
-    let at = one.at();
+    let at = one.local_addr();
     let mut huge = ((60 << 20) as u32).to_le_bytes().to_vec();
     huge.extend(vec![7; 1 << 20]);
     says(at, &huge);
     says(at, b"GET / HTTP/1.1\r\n\r\n");
-    says(at, &Frame::Bye(Start::first(3)).bytes()); // no hello went before it
+    says(at, &Frame::Bye(Incarnation::first(3)).bytes()); // no hello went before it
     let mut good = Frame::Hello(hello()).bytes();
     let mut bad = Frame::Copy(Word::Sum(1)).bytes();
     bad[9] ^= 1;
@@ -131,8 +148,9 @@
     let mut twice = Frame::Hello(hello()).bytes();
     twice.extend(Frame::Hello(Hello { name: "m2".to_owned(), ..hello() }).bytes());
     says(at, &twice); // a link is one mixer's
-    let shown =
-        until(&one.way(), "counted", |s| count(s, "links_unreadable") >= 4 && count(s, "links_refused") >= 1);
+    let shown = until(&one.handle(), "counted", |s| {
+        count(s, "links_unreadable") >= 4 && count(s, "links_refused") >= 1
+    });
     assert!(shown.members.iter().any(|m| m.name == "m2" && m.life == "alive"), "{shown}");
     one.leave();
     two.leave();
@@ -142,9 +160,9 @@
 fn one_that_says_nothing_is_let_go_of() {
     let (one, two) = two();
     let began = Instant::now();
-    assert_eq!(says(one.at(), &[]), None, "it waits for the end of the link");
+    assert_eq!(says(one.local_addr(), &[]), None, "it waits for the end of the link");
     assert!(began.elapsed() < Duration::from_secs(25));
-    until(&one.way(), "counted", |s| count(s, "links_mute") == 1);
+    until(&one.handle(), "counted", |s| count(s, "links_mute") == 1);
     one.leave();
     two.leave();
 }
@@ -152,7 +170,7 @@
 #[test]
 fn a_flood_of_rows_takes_its_share_and_the_others_hear_each_other() {
     let (one, two) = two();
-    let mut stream = TcpStream::connect(one.at()).expect("it accepts");
+    let mut stream = TcpStream::connect(one.local_addr()).expect("it accepts");
     stream.write_all(&Frame::Hello(hello()).bytes()).expect("it is taken");
     // A hundred thousand rows of the most that a row may be, in frames of the longest: 30 MB.
     let (mut counter, mut sent) = (0, 0);
@@ -165,23 +183,29 @@
             value: Some(vec![1; 256]),
         };
         let rows: Vec<WireRow> = (1..=80).map(row).collect();
-        let (origin, start, from) = ("m3".to_owned(), Start::first(3), counter);
+        let (origin, start, from) = ("m3".to_owned(), Incarnation::first(3), counter);
         counter += 80;
         sent += 80;
-        let part = Part { origin, start, from, upto: counter, floor: 0, why: Why::Delta, rows };
+        let part = RecordBatch { origin, start, from, through: counter, floor: 0, why: Why::Delta, rows };
         let frame = Frame::Copy(Word::Parts { parts: vec![part], left: 0 }).bytes();
         assert!(frame.len() <= LONGEST);
         if stream.write_all(&frame).is_err() {
             break; // it was ended, which is as good
         }
     }
-    let shown = until(&one.way(), "refused", |s| s.refused.get("over_its_share").is_some_and(|n| *n > 0));
+    let shown = until(&one.handle(), "refused", |s| s.refused.get("over_its_share").is_some_and(|n| *n > 0));
     assert!(shown.bytes < 2 << 20, "{shown}");
     assert!(shown.members.iter().any(|m| m.name == "m2" && m.life == "alive"), "{shown}");
     let at = "127.0.0.1:7000".parse().expect("an address");
-    let own = Own { marked: true, late: false, since: 0.0, stage: Stage::Up };
-    assert!(two.say(vec![Say::Searcher { at, own: Some(own), cold: false, normals: 4.0, parts: 3 }]));
-    until(&one.way(), "told", |s| s.kinds.get("mark") == Some(&1));
+    let own = LocalStatus { marked: true, late: false, since: 0.0, stage: Stage::Up };
+    assert!(two.publish(vec![LocalReport::Searcher {
+        address: at,
+        status: Some(own),
+        cold: false,
+        latency_ratio: 4.0,
+        parts: 3
+    }]));
+    until(&one.handle(), "told", |s| s.kinds.get("mark") == Some(&1));
     one.leave();
     two.leave();
 }
@@ -208,13 +232,13 @@
 fn what_is_seen_is_told_to_people_and_to_programs() {
     let (one, two) = two();
     let at = "127.0.0.1:7000".parse().expect("an address");
-    let own = Own { marked: true, late: false, since: 0.0, stage: Stage::Up };
+    let own = LocalStatus { marked: true, late: false, since: 0.0, stage: Stage::Up };
     let says = vec![
-        Say::Searcher { at, own: Some(own), cold: false, normals: 4.0, parts: 3 },
-        Say::List { index: 17, ready: 4 },
+        LocalReport::Searcher { address: at, status: Some(own), cold: false, latency_ratio: 4.0, parts: 3 },
+        LocalReport::List { index: 17, ready: 4 },
     ];
-    assert!(one.say(says));
-    let shown = until(&two.way(), "told", |s| s.lists.get("m1") == Some(&17));
+    assert!(one.publish(says));
+    let shown = until(&two.handle(), "told", |s| s.lists.get("m1") == Some(&17));
     let text = shown.to_string();
     for words in [
         "m2, start 1.",
@@ -225,10 +249,14 @@
     ] {
         assert!(text.contains(words), "no {words:?} in\n{text}");
     }
-    let json: serde_json::Value = serde_json::from_str(&shown.json()).expect("it is JSON");
+    let json: serde_json::Value = serde_json::from_str(&shown.to_json()).expect("it is JSON");
     assert_eq!((json["me"].as_str(), json["members"][0]["name"].as_str()), (Some("m2"), Some("m1")));
     assert_eq!((json["kinds"]["mark"].as_u64(), json["lists"]["m1"].as_u64()), (Some(1), Some(17)));
-    assert!(shown.counts().lines().any(|l| l.starts_with("fleet_links_opened ")), "{}", shown.counts());
+    assert!(
+        shown.counters_text().lines().any(|l| l.starts_with("fleet_links_opened ")),
+        "{}",
+        shown.counters_text()
+    );
     one.leave();
     two.leave();
 }
--- a/crates/mesh/tests/net/mod.rs
+++ b/crates/mesh/tests/net/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use oorandom::Rand64;
-use pewterwharf_mesh::{Frame, Node, Out, Own, Say};
-use pewterwharf_peers::{Hello, Start};
+use pewterwharf_mesh::{Frame, LocalReport, LocalStatus, Node, Out};
+use pewterwharf_peers::{Hello, Incarnation};
 use pewterwharf_replica::Advice;
 use pewterwharf_replica::kinds::Stage;
 
@@ -16,7 +16,7 @@
     Hello(Hello),
     /// A hello was refused: the reason, on its way back.
     Refused(pewterwharf_peers::Refusal),
-    Word(Start, Vec<u8>),
+    Word(Incarnation, Vec<u8>),
 }
 
 pub struct Process {
@@ -30,7 +30,7 @@
     starts: u64,
     pub advice: Vec<(f64, Advice)>,
     /// Hellos taken, by whom: a link is there once one is.
-    linked: BTreeMap<usize, Start>,
+    linked: BTreeMap<usize, Incarnation>,
 }
 
 pub struct Net {
@@ -254,10 +254,18 @@
     pub fn mark(&mut self, i: usize, searcher: u16, marked: bool) {
         let now = self.time(i);
         if let Some(node) = self.nodes[i].node.as_mut() {
-            let own = Own { marked, late: false, since: 1.0, stage: Stage::Up };
+            let own = LocalStatus { marked, late: false, since: 1.0, stage: Stage::Up };
             let at = format!("127.0.0.1:{}", 7000 + searcher).parse().expect("an address");
-            let out =
-                node.say(now, Say::Searcher { at, own: Some(own), cold: false, normals: 5.0, parts: 3 });
+            let out = node.say(
+                now,
+                LocalReport::Searcher {
+                    address: at,
+                    status: Some(own),
+                    cold: false,
+                    latency_ratio: 5.0,
+                    parts: 3,
+                },
+            );
             self.carry(i, out.into_iter().collect());
         }
     }
--- a/crates/mixer/src/announcing.rs
+++ b/crates/mixer/src/announcing.rs
@@ -12,7 +12,7 @@
 use pewterwharf_bgp::session;
 use pewterwharf_bgp::speaker::{Carried, Peer, Terms};
 use pewterwharf_console::{Console, Said};
-use pewterwharf_mesh::Way;
+use pewterwharf_mesh::MeshHandle;
 use pewterwharf_settings::{Bgp, BgpPeer, Settings, near};
 use pewterwharf_speaker::{Show, Speaker};
 use tracing::warn;
@@ -35,7 +35,7 @@
     type_names: Vec<String>,
     console: Option<Console>,
     console_at: Option<PathBuf>,
-    fleet: Option<Way>,
+    fleet: Option<MeshHandle>,
 }
 
 /// A speaker that runs.
@@ -126,15 +126,15 @@
     show: Option<&Show>,
     type_names: &[String],
     messages: &MessageSender,
-    fleet: Option<&Way>,
+    fleet: Option<&MeshHandle>,
 ) -> Said {
     let shown = || {
         let fleet = fleet.ok_or("fleet is not set in the operator's file")?;
-        fleet.show().ok_or_else(|| "the links between mixers do not answer".to_owned())
+        fleet.status().ok_or_else(|| "the links between mixers do not answer".to_owned())
     };
     match (question, show) {
         ("fleet show", _) => Ok(shown()?.to_string()),
-        ("fleet show --json", _) => Ok(shown()?.json() + "\n"),
+        ("fleet show --json", _) => Ok(shown()?.to_json() + "\n"),
         ("bgp show", Some(show)) => {
             let shown = show.ask().ok_or("the speaker does not answer")?;
             Ok(format!("{shown}table types, in the order above\n  {}\n", type_names.join(" ")))
@@ -192,7 +192,7 @@
         type_names: &[String],
         seed: u64,
         messages: &MessageSender,
-        fleet: Option<Way>,
+        fleet: Option<MeshHandle>,
     ) -> Result<Self> {
         let mut announcing = Self {
             on: None,
--- a/crates/mixer/src/copies.rs
+++ b/crates/mixer/src/copies.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 
 use anyhow::{Context, Result, ensure};
-use pewterwharf_mesh::{Mesh, Own, Say, Terms, Way};
+use pewterwharf_mesh::{LocalReport, LocalStatus, Mesh, MeshConfig, MeshHandle};
 use pewterwharf_replica::Advice;
 use pewterwharf_settings::{Fleet, Settings};
 use pewterwharf_terms::Start;
@@ -28,7 +28,7 @@
 /// What was said of a searcher, and when.
 #[derive(Clone, Copy, PartialEq)]
 struct Said {
-    own: Own,
+    own: LocalStatus,
     at: f64,
 }
 
@@ -48,14 +48,14 @@
     used: Vec<usize>,
 }
 
-fn terms(fleet: &Fleet, seed: u64) -> Terms {
-    Terms {
+fn terms(fleet: &Fleet, seed: u64) -> MeshConfig {
+    MeshConfig {
         fleet: fleet.name.clone(),
-        me: fleet.me.clone(),
+        local_name: fleet.me.clone(),
         listen: fleet.listen,
         peers: fleet.peers.iter().map(|p| (p.name.clone(), p.address)).collect(),
         seed,
-        forget_ms: fleet.forget_ms,
+        tombstone_ttl_ms: fleet.forget_ms,
     }
 }
 
@@ -67,20 +67,20 @@
     pub fn open(settings: &Settings, start: &mut Start, messages: &MessageSender) -> Result<Self> {
         let Some(fleet) = &settings.fleet else { return Ok(Self { on: None, section: None }) };
         let terms = terms(fleet, start.seed);
-        let left = start.sockets.saturating_sub(terms.descriptors());
+        let left = start.sockets.saturating_sub(terms.max_descriptors());
         ensure!(
             left >= FEWEST,
             "fleet: its links take {} of limits.sockets={}, and {FEWEST} at least have to be left",
-            terms.descriptors(),
+            terms.max_descriptors(),
             start.sockets
         );
         start.sockets = left;
         let messages = messages.clone();
         let hear = move |advice: Vec<Advice>| {
-            messages.send(Input::Heard(advice.into_iter().map(Advice::event).collect()));
+            messages.send(Input::Heard(advice.into_iter().map(Advice::to_event).collect()));
         };
         let mesh = Mesh::start(terms, hear).with_context(|| format!("fleet listen {}", fleet.listen))?;
-        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.at());
+        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.local_addr());
         let on = On {
             mesh,
             said: BTreeMap::new(),
@@ -94,8 +94,8 @@
     }
 
     /// The way to ask what this mixer sees of its fleet.
-    pub fn way(&self) -> Option<Way> {
-        self.on.as_ref().map(|on| on.mesh.way())
+    pub fn way(&self) -> Option<MeshHandle> {
+        self.on.as_ref().map(|on| on.mesh.handle())
     }
 
     /// The operator's file was read anew.
@@ -120,12 +120,12 @@
 
     /// Counts, a line each; nothing, where there is no fleet.
     pub fn counts(&self) -> String {
-        self.on.as_ref().map_or_else(String::new, |on| on.mesh.counts())
+        self.on.as_ref().map_or_else(String::new, |on| on.mesh.counters_text())
     }
 
     /// This mixer was asked to end.
     pub fn ends(&self) {
-        self.on.iter().for_each(|on| on.mesh.ends());
+        self.on.iter().for_each(|on| on.mesh.begin_shutdown());
     }
 
     /// Leaves the fleet with a word.
@@ -139,42 +139,54 @@
         let mut says = Vec::new();
         let mut said = BTreeMap::new();
         for known in reducer.searchers() {
-            let own = Own::of(&known);
+            let own = LocalStatus::from_report(&known);
             let before = self.said.get(&known.searcher).copied();
             let stands = own.marked || own.late;
             let again = |before: Said| before.own != own || stands && now - before.at >= AGAIN_MS;
             if before.is_none_or(again) {
-                let (normals, parts) = if known.marked { known.evidence } else { (known.late, 1) };
+                let (latency_ratio, parts) = if known.marked { known.evidence } else { (known.late, 1) };
                 let cold = known.cold;
-                says.push(Say::Searcher { at: known.searcher, own: Some(own), cold, normals, parts });
+                says.push(LocalReport::Searcher {
+                    address: known.searcher,
+                    status: Some(own),
+                    cold,
+                    latency_ratio,
+                    parts,
+                });
                 said.insert(known.searcher, Said { own, at: now });
             } else {
                 said.extend(before.map(|before| (known.searcher, before)));
             }
         }
         for gone in self.said.keys().filter(|at| !said.contains_key(at)) {
-            says.push(Say::Searcher { at: *gone, own: None, cold: false, normals: 0.0, parts: 0 });
+            says.push(LocalReport::Searcher {
+                address: *gone,
+                status: None,
+                cold: false,
+                latency_ratio: 0.0,
+                parts: 0,
+            });
         }
         let list = reducer.list();
         if Some(list) != self.list {
-            says.push(Say::List { index: list.0, ready: list.1 });
+            says.push(LocalReport::List { index: list.0, ready: list.1 });
         }
         let (used, idle_lost) = reducer.used();
         if idle_lost && !self.idle_lost {
-            says.push(Say::IdleLost { times: 1 });
+            says.push(LocalReport::IdleConnectionsLost { times: 1 });
         }
         let tells_use = now >= self.used_at && used != self.used;
         if tells_use {
             let scans = used.iter().zip(reducer.customer_names()).enumerate();
             let scans = scans.filter(|(nth, (count, _))| self.used.get(*nth) != Some(*count));
-            says.extend(scans.map(|(_, (count, name))| Say::Used {
+            says.extend(scans.map(|(_, (count, name))| LocalReport::CustomerUsage {
                 customer: name.clone(),
                 scans: *count as u32,
                 span_ms: SPAN_MS,
             }));
         }
         // What could not be told now is found new again at the next look.
-        if says.is_empty() || self.mesh.say(says) {
+        if says.is_empty() || self.mesh.publish(says) {
             (self.said, self.list, self.idle_lost) = (said, Some(list), idle_lost);
             if tells_use {
                 (self.used, self.used_at) = (used.to_vec(), now + USED_MS);
--- a/crates/peers/src/start.rs
+++ b/crates/peers/src/incarnation.rs
@@ -7,12 +7,12 @@
 /// A process among those that ever ran under a name; what the greater says is gone by. The number grows when a process
 /// learns of another under its name that it is the later of; the lot, drawn at the start, tells any two apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Start {
+pub struct Incarnation {
     pub number: u64,
     pub lot: u64,
 }
 
-impl Start {
+impl Incarnation {
     /// The first that a process knows of itself.
     pub fn first(lot: u64) -> Self {
         Self { number: 1, lot }
@@ -25,7 +25,7 @@
     }
 }
 
-impl fmt::Display for Start {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{:04x}", self.number, self.lot as u16)
     }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -15,10 +15,10 @@
 //! Invariants: of a name the highest start that was heard counts, and never a lower one after it; one that stood aside or
 //! left says nothing more. Nothing here decides anything about scans.
 
+mod incarnation;
 mod membership;
 mod names;
-mod start;
 
+pub use incarnation::Incarnation;
 pub use membership::{Effect, Life, Peers, Seen, Standing};
 pub use names::{FORMAT, Hello, LONGEST_NAME, MOST, Refusal, Rival};
-pub use start::Start;
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -15,7 +15,7 @@
 use rand::TryRng;
 use serde::{Deserialize, Serialize};
 
-use crate::{FORMAT, Hello, Refusal, Rival, Start};
+use crate::{FORMAT, Hello, Incarnation, Refusal, Rival};
 
 /// A member is asked this often, one at a time: with three mixers each is asked once a second.
 const PROBE_MS: u64 = 500;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Id {
     name: String,
-    start: Start,
+    start: Incarnation,
     life: u32,
 }
 
@@ -82,7 +82,7 @@
     me: String,
     names: Arc<BTreeSet<String>>,
     /// The highest start under this mixer's own name that others talk of.
-    namesake: Arc<Mutex<Option<Start>>>,
+    namesake: Arc<Mutex<Option<Incarnation>>>,
 }
 
 impl Named {
@@ -174,7 +174,7 @@
     Joining,
     Member,
     /// A later start has its name. It serves its clients, and says nothing more to mixers.
-    Aside(Start),
+    Aside(Incarnation),
     Left,
 }
 
@@ -196,7 +196,7 @@
 pub struct Seen {
     pub name: String,
     pub life: Life,
-    pub start: Option<Start>,
+    pub start: Option<Incarnation>,
 }
 
 /// What is to be done, or has changed.
@@ -217,7 +217,7 @@
     },
     Up {
         name: String,
-        start: Start,
+        start: Incarnation,
     },
     Down {
         name: String,
@@ -225,33 +225,33 @@
     /// A later start has taken a peer's name: what the earlier one said is void.
     Started {
         name: String,
-        start: Start,
+        start: Incarnation,
     },
     /// This mixer has a new start; what it said under the one before is said anew.
-    Renewed(Start),
+    Renewed(Incarnation),
     /// This mixer stands aside.
-    Aside(Start),
+    Aside(Incarnation),
 }
 
 /// The mixers of a fleet, as one of them sees them.
 pub struct Peers {
     me: String,
     fleet: String,
-    start: Start,
+    start: Incarnation,
     standing: Standing,
     names: Arc<BTreeSet<String>>,
     /// The highest start heard of each name, and when its process began by this mixer's clock, where that is known.
-    starts: BTreeMap<String, (Start, Option<f64>)>,
+    starts: BTreeMap<String, (Incarnation, Option<f64>)>,
     /// When this process began.
     began: Option<f64>,
     /// Processes of its own name, by their lots, that it has taken a number above, and that number.
     topped: BTreeMap<u64, u64>,
     /// It was asked to end.
     ends: bool,
-    up: BTreeMap<String, Start>,
+    up: BTreeMap<String, Incarnation>,
     left: BTreeSet<String>,
     foca: Foca<Id, Named, Chance, foca::NoCustomBroadcast>,
-    namesake: Arc<Mutex<Option<Start>>>,
+    namesake: Arc<Mutex<Option<Incarnation>>>,
     wishes: Wishes,
     timers: BTreeMap<(u64, u64), Timer<Id>>,
     order: u64,
@@ -293,7 +293,7 @@
         let names: Arc<BTreeSet<String>> =
             Arc::new(names.into_iter().filter(|n| n != me).take(crate::MOST).collect());
         let mut chance = Rand64::new(u128::from(seed) ^ 0x70ee_2500);
-        let start = Start::first(chance.rand_u64());
+        let start = Incarnation::first(chance.rand_u64());
         let namesake = Arc::new(Mutex::new(None));
         let codec = Named { me: me.to_owned(), names: names.clone(), namesake: namesake.clone() };
         let id = Id { name: me.to_owned(), start, life: 0 };
@@ -324,7 +324,7 @@
         }
     }
 
-    pub fn start(&self) -> Start {
+    pub fn start(&self) -> Incarnation {
         self.start
     }
 
@@ -338,7 +338,7 @@
     }
 
     /// Those that are up, with their starts.
-    pub fn up(&self) -> &BTreeMap<String, Start> {
+    pub fn up(&self) -> &BTreeMap<String, Incarnation> {
         &self.up
     }
 
@@ -461,7 +461,7 @@
         Ok(())
     }
 
-    fn started(&mut self, name: &str, start: Start) {
+    fn started(&mut self, name: &str, start: Incarnation) {
         self.starts.insert(name.to_owned(), (start, None));
         self.left.remove(name);
         self.up.get_mut(name).into_iter().for_each(|held| *held = start);
@@ -507,7 +507,7 @@
     }
 
     /// Takes a number above that start.
-    fn rise(&mut self, above: Start) {
+    fn rise(&mut self, above: Incarnation) {
         self.start = self.start.after(above);
         let id = Id { name: self.me.clone(), start: self.start, life: 0 };
         let done = self.foca.change_identity(id, &mut self.wishes);
@@ -518,7 +518,7 @@
 
     /// Copies speak of a start of that name, and how far its words went. Guards against rows of a dead start that came by way
     /// of a third: whoever runs under that name now has to come above it.
-    pub fn speaks(&mut self, now: f64, name: &str, start: Start, beyond: bool) {
+    pub fn speaks(&mut self, now: f64, name: &str, start: Incarnation, beyond: bool) {
         if !self.takes_part() {
             return;
         }
@@ -541,7 +541,7 @@
     }
 
     /// A peer says that it goes.
-    pub fn bye(&mut self, name: &str, start: Start) {
+    pub fn bye(&mut self, name: &str, start: Incarnation) {
         if self.starts.get(name).is_some_and(|s| s.0 == start) {
             self.left.insert(name.to_owned());
             let id = self.foca.iter_members().find(|m| m.id().name == name).map(|m| m.id().clone());
@@ -617,7 +617,7 @@
     /// living one, which has to come above it. Nothing is notified of who was never heard of alive.
     fn rivals(&mut self) {
         let held = |m: &Member<Id>| (m.id().name.clone(), m.id().start);
-        let held: Vec<(String, Start)> = self.foca.iter_membership_state().map(held).collect();
+        let held: Vec<(String, Incarnation)> = self.foca.iter_membership_state().map(held).collect();
         for (name, start) in held {
             if self.starts.get(&name).is_none_or(|s| s.0 < start) {
                 self.started(&name, start);
@@ -629,7 +629,7 @@
     /// each of which has nobody left to ask, on links that carry words again.
     fn ask_down(&mut self) {
         let down = |name: &&String| !self.up.contains_key(*name) && !self.left.contains(*name);
-        let mut down: Vec<(String, Start)> =
+        let mut down: Vec<(String, Incarnation)> =
             self.starts.keys().filter(down).map(|name| (name.clone(), self.starts[name].0)).collect();
         while down.len() > ASKED.get() {
             down.swap_remove(self.chance.rand_range(0..down.len() as u64) as usize);
@@ -666,7 +666,7 @@
             }
         }
         let known = |id: &&Id| self.starts.get(&id.name).is_some_and(|s| s.0 == id.start);
-        let live: BTreeMap<String, Start> =
+        let live: BTreeMap<String, Incarnation> =
             ids.iter().filter(known).map(|id| (id.name.clone(), id.start)).collect();
         let before = mem::replace(&mut self.up, live);
         let down = before.keys().filter(|name| !self.up.contains_key(*name));
--- a/crates/peers/src/names.rs
+++ b/crates/peers/src/names.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Start;
+use crate::Incarnation;
 
 /// The form of all words between mixers; a mixer of another does not join.
 pub const FORMAT: u16 = 1;
@@ -19,7 +19,7 @@
     pub format: u16,
     pub fleet: String,
     pub name: String,
-    pub start: Start,
+    pub start: Incarnation,
     /// Milliseconds for which the process that speaks has run.
     pub age_ms: u64,
     /// The highest start that the one who speaks has heard of under the name of the one spoken to.
@@ -29,7 +29,7 @@
 /// A start as others know it, and for how long its process has run by now, where that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rival {
-    pub start: Start,
+    pub start: Incarnation,
     pub age_ms: Option<u64>,
 }
 
--- a/crates/rehearse/src/words.rs
+++ b/crates/rehearse/src/words.rs
@@ -2,9 +2,11 @@
 
 use pewterwharf::interface::Event;
 use pewterwharf::report::Known;
-use pewterwharf_peers::Start;
-use pewterwharf_replica::kinds::{Began, Mark};
-use pewterwharf_replica::{Advice, Heed, Limits, Own, Part, Refused, Replica};
+use pewterwharf_peers::Incarnation;
+use pewterwharf_replica::kinds::{Mark, ProcessStart};
+use pewterwharf_replica::{
+    Advice, Limits, LocalStatus, PeerReportPolicy, RecordBatch, RejectReason, Replica,
+};
 
 /// A mark that stays is said anew this often, as on the sockets.
 const AGAIN_MS: f64 = 700.0;
@@ -15,7 +17,7 @@
 /// One mixer's copies.
 pub(crate) struct Copies {
     pub replica: Replica,
-    heed: Heed,
+    policy: PeerReportPolicy,
     /// What of its own it has told the others.
     told: u64,
     /// What it says of whom, since when, and whether that a part is late.
@@ -26,65 +28,67 @@
     pub fn new(mixer: usize, mixers: usize) -> Self {
         let named = (0..mixers).map(|m| format!("m{m}"));
         let me = format!("m{mixer}");
-        let replica = Replica::new(&me, Start::first(mixer as u64), named, Limits::shared(ROOM, mixers));
-        let mut heed = Heed::new(&me);
-        heed.members(mixers as u32);
-        Self { replica, heed, told: 0, marked_at: Vec::new() }
+        let replica =
+            Replica::new(&me, Incarnation::first(mixer as u64), named, Limits::per_origin(ROOM, mixers));
+        let mut policy = PeerReportPolicy::new(&me);
+        policy.set_mixer_count(mixers as u32);
+        Self { replica, policy, told: 0, marked_at: Vec::new() }
     }
 
     /// Says what is new of what the module knows; a liar marks all. What the others are to be told.
-    pub fn look(&mut self, now: f64, known: &[Known], lies: bool) -> (Vec<Event>, Option<Part>) {
+    pub fn look(&mut self, now: f64, known: &[Known], lies: bool) -> (Vec<Event>, Option<RecordBatch>) {
         let mut events = Vec::new();
         for one in known {
-            let (own, name) = (Own::of(one), one.searcher.to_string());
-            events.extend(self.heed.knows(now, one.searcher, Some(own)).map(Advice::event));
+            let (own, name) = (LocalStatus::from_report(one), one.searcher.to_string());
+            events
+                .extend(self.policy.local_status_changed(now, one.searcher, Some(own)).map(Advice::to_event));
             let held = self.marked_at.iter().position(|m| m.0 == name);
             match (one.marked || own.late || lies, held) {
                 (true, Some(at))
                     if now - self.marked_at[at].1 < AGAIN_MS && self.marked_at[at].2 == own.late => {}
                 (true, held) => {
-                    let (normals, parts) = match lies {
+                    let (latency_ratio, parts) = match lies {
                         true => (9.0, 9),
                         false if own.late => (one.late, 1),
                         false => one.evidence,
                     };
                     let late = own.late && !lies;
-                    self.replica.say(now, &name, &Mark { normals, parts, late }, now);
+                    self.replica.publish(now, &name, &Mark { latency_ratio, parts, late }, now);
                     held.into_iter().for_each(|at| drop(self.marked_at.swap_remove(at)));
                     self.marked_at.push((name.clone(), now, own.late));
                 }
                 (false, Some(at)) => {
-                    self.replica.unsay::<Mark>(now, &name);
+                    self.replica.retract::<Mark>(now, &name);
                     self.marked_at.swap_remove(at);
                 }
                 (false, None) => {}
             }
             if one.cold {
-                let said = self.replica.said::<Began>(now, &name);
-                if !said.iter().any(|s| s.0 == self.replica.me() && s.1.since == one.since) {
-                    self.replica.say(now, &name, &Began { since: one.since }, now);
+                let said = self.replica.reports::<ProcessStart>(now, &name);
+                if !said.iter().any(|s| s.origin == self.replica.local_name() && s.value.since == one.since) {
+                    self.replica.publish(now, &name, &ProcessStart { since: one.since }, now);
                 }
             }
         }
-        let part = self.replica.said_since(now, self.told, PIECE);
-        self.told = part.as_ref().map_or(self.told, |part| part.upto);
+        let part = self.replica.own_records_since(now, self.told, PIECE);
+        self.told = part.as_ref().map_or(self.told, |part| part.through);
         (events, part)
     }
 
     /// Takes a word; the events that come of it, or that something between is missing.
-    pub fn heard(&mut self, now: f64, from: usize, part: &Part) -> Result<Vec<Event>, Refused> {
-        let news = self.replica.take(now, 0.0, &format!("m{from}"), part)?;
-        let advice = self.heed.news(now, &news, &self.replica);
-        Ok(advice.into_iter().map(Advice::event).collect())
+    pub fn heard(&mut self, now: f64, from: usize, part: &RecordBatch) -> Result<Vec<Event>, RejectReason> {
+        let news = self.replica.apply(now, 0.0, &format!("m{from}"), part)?;
+        let advice = self.policy.apply_changes(now, &news, &self.replica);
+        Ok(advice.into_iter().map(Advice::to_event).collect())
     }
 
     pub fn tick(&mut self, now: f64) -> Vec<Event> {
         self.replica.tick(now);
-        self.heed.tick(now).into_iter().map(Advice::event).collect()
+        self.policy.tick(now).into_iter().map(Advice::to_event).collect()
     }
 
     /// What this one holds and another lacks.
-    pub fn delta(&self, now: f64, other: &Self) -> Vec<Part> {
-        self.replica.delta(now, &other.replica.vector(), PIECE).0
+    pub fn delta(&self, now: f64, other: &Self) -> Vec<RecordBatch> {
+        self.replica.delta(now, &other.replica.version_vector(), PIECE).batches
     }
 }
--- a/crates/rehearse/src/world.rs
+++ b/crates/rehearse/src/world.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 use pewterwharf::interface::*;
 use pewterwharf::logic::Mixer;
-use pewterwharf_replica::{Part, Refused};
+use pewterwharf_replica::{RecordBatch, RejectReason};
 
 use crate::searcher::{Job, Searcher};
 use crate::words::Copies;
@@ -124,7 +124,7 @@
     /// Of each mixer, where they share words.
     copies: Vec<Copies>,
     /// Words on their way: from, to, and what.
-    words: BTreeMap<u64, (usize, usize, Part)>,
+    words: BTreeMap<u64, (usize, usize, RecordBatch)>,
     /// The first searcher that hung, when, and who has marked it.
     hung: Option<(usize, f64)>,
     knows: BTreeSet<usize>,
@@ -348,10 +348,10 @@
         }
     }
 
-    fn word(&mut self, from: usize, to: usize, part: &Part) {
+    fn word(&mut self, from: usize, to: usize, part: &RecordBatch) {
         match self.copies[to].heard(EPOCH + self.now, from, part) {
             Ok(events) => events.into_iter().for_each(|event| self.tell(to, event)),
-            Err(Refused::Gap) => self.add(self.now + ROUND_MS, Next::Round(from, to)),
+            Err(RejectReason::Gap) => self.add(self.now + ROUND_MS, Next::Round(from, to)),
             Err(_) => {}
         }
     }
--- a/crates/replica/benches/rows.rs
+++ b/crates/replica/benches/rows.rs
@@ -4,9 +4,9 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
-use pewterwharf_peers::Start;
+use pewterwharf_peers::Incarnation;
 use pewterwharf_replica::kinds::Mark;
-use pewterwharf_replica::{Limits, Part, Replica};
+use pewterwharf_replica::{Limits, RecordBatch, Replica};
 
 /// Of a kind and a name, the greatest counter and its value.
 type Plain = BTreeMap<(u8, String), (u64, Option<Vec<u8>>)>;
@@ -15,15 +15,15 @@
 
 fn replica(me: &str) -> Replica {
     let room = Limits { rows: 10_000, bytes: 1 << 24 };
-    Replica::new(me, Start::first(1), ["a".to_owned(), "b".to_owned()], room)
+    Replica::new(me, Incarnation::first(1), ["a".to_owned(), "b".to_owned()], room)
 }
 
-fn full() -> (Replica, Part) {
+fn full() -> (Replica, RecordBatch) {
     let mut a = replica("a");
     for nth in 0..ROWS {
-        a.say(0.0, &format!("127.0.0.1:{nth}"), &Mark { normals: 4.0, parts: 3, late: false }, 0.0);
+        a.publish(0.0, &format!("127.0.0.1:{nth}"), &Mark { latency_ratio: 4.0, parts: 3, late: false }, 0.0);
     }
-    let part = a.said_since(0.0, 0, 1 << 24).expect("it has rows");
+    let part = a.own_records_since(0.0, 0, 1 << 24).expect("it has rows");
     (a, part)
 }
 
@@ -32,7 +32,7 @@
     c.bench_function("take 1000 rows", |b| {
         b.iter_batched(
             || replica("b"),
-            |mut r| r.take(0.0, 0.0, "a", &part).map(|n| n.len()),
+            |mut r| r.apply(0.0, 0.0, "a", &part).map(|n| n.len()),
             BatchSize::SmallInput,
         );
     });
--- a/crates/replica/src/exchange.rs
+++ b/crates/replica/src/exchange.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use oorandom::Rand64;
-use pewterwharf_peers::Start;
+use pewterwharf_peers::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::rows::{Entry, Part, Refused};
-use crate::store::{News, Replica};
+use crate::rows::{Entry, RecordBatch, RejectReason};
+use crate::store::{Delta, News, Replica};
 
 /// A word between two mixers about copies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,22 +21,24 @@
     /// All that is held, by origin; `ask` wants what is lacking.
     Vector { entries: Vec<Entry>, ask: bool },
     /// Some of what the other lacks, and how many counters are left to send; none, if it is all.
-    Parts { parts: Vec<Part>, left: u64 },
+    Parts { parts: Vec<RecordBatch>, left: u64 },
     /// Digests of an origin's ranges, where versions agree and rows do not.
-    Ranges { origin: String, start: Start, upto: u64, digests: Vec<u64> },
+    Ranges { origin: String, start: Incarnation, through: u64, digests: Vec<u64> },
     /// Who was asked is catching up itself, and gives nothing out.
     CatchingUp,
 }
 
 impl Word {
     /// The mixers that it speaks of, with their starts and how far their words went.
-    pub fn origins(&self) -> Vec<(&str, Start, u64)> {
+    pub fn origins(&self) -> Vec<(&str, Incarnation, u64)> {
         match self {
             Self::Vector { entries, .. } => {
-                entries.iter().map(|e| (e.origin.as_str(), e.start, e.upto)).collect()
+                entries.iter().map(|e| (e.origin.as_str(), e.start, e.through)).collect()
             }
-            Self::Parts { parts, .. } => parts.iter().map(|p| (p.origin.as_str(), p.start, p.upto)).collect(),
-            Self::Ranges { origin, start, upto, .. } => vec![(origin, *start, *upto)],
+            Self::Parts { parts, .. } => {
+                parts.iter().map(|p| (p.origin.as_str(), p.start, p.through)).collect()
+            }
+            Self::Ranges { origin, start, through, .. } => vec![(origin, *start, *through)],
             Self::Sum(_) | Self::CatchingUp => Vec::new(),
         }
     }
@@ -93,7 +95,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     pub replica: Replica,
-    up: BTreeMap<String, Start>,
+    up: BTreeMap<String, Incarnation>,
     chance: Rand64,
     round_at: f64,
     /// The version of its own that was told at once.
@@ -118,7 +120,7 @@
     }
 
     /// A peer is up, or not any more.
-    pub fn peer(&mut self, name: &str, start: Option<Start>) {
+    pub fn peer(&mut self, name: &str, start: Option<Incarnation>) {
         match start {
             Some(start) => {
                 self.up.insert(name.to_owned(), start);
@@ -147,7 +149,7 @@
     }
 
     /// A later start of a mixer is known.
-    pub fn started(&mut self, name: &str, start: Start) {
+    pub fn started(&mut self, name: &str, start: Incarnation) {
         self.replica.started(name, start);
         self.up.get_mut(name).into_iter().for_each(|held| *held = start);
         // It knows nothing yet, whatever its earlier start did.
@@ -155,7 +157,7 @@
     }
 
     /// This mixer has a new start.
-    pub fn renewed(&mut self, start: Start) {
+    pub fn renewed(&mut self, start: Incarnation) {
         self.replica.renew(start);
         self.told = 0;
     }
@@ -207,7 +209,7 @@
                     self.catching = None;
                 } else if let Some(source) = self.lot(&others) {
                     self.catching.iter_mut().for_each(|c| c.asked = Some((source.clone(), now)));
-                    words.push((source, Word::Vector { entries: self.replica.vector(), ask: true }));
+                    words.push((source, Word::Vector { entries: self.replica.version_vector(), ask: true }));
                 }
             }
         }
@@ -221,8 +223,8 @@
 
     /// New rows of its own, to all at once.
     fn tell(&mut self, now: f64, words: &mut Vec<(String, Word)>) {
-        let Some(part) = self.replica.said_since(now, self.told, PIECE) else { return };
-        self.told = part.upto;
+        let Some(part) = self.replica.own_records_since(now, self.told, PIECE) else { return };
+        self.told = part.through;
         let mut to: Vec<String> = self.up.keys().cloned().collect();
         while to.len() > AT_ONCE {
             let nth = self.chance.rand_range(0..to.len() as u64) as usize;
@@ -260,7 +262,7 @@
             Word::Sum(_) if self.catching.is_some() => {}
             Word::Sum(sum) => {
                 if sum != self.replica.sum() {
-                    answer(Word::Vector { entries: self.replica.vector(), ask: true });
+                    answer(Word::Vector { entries: self.replica.version_vector(), ask: true });
                 }
             }
             Word::Vector { ask, .. } if self.catching.is_some() => {
@@ -270,7 +272,7 @@
             }
             Word::Vector { entries, ask } => {
                 let budget = self.allowance(from, now);
-                let (parts, left) = self.replica.delta(now, &entries, budget);
+                let Delta { batches: parts, remaining: left } = self.replica.delta(now, &entries, budget);
                 let spent: usize = parts.iter().flat_map(|p| &p.rows).map(|r| r.name.len() + 48).sum();
                 self.given.get_mut(from).into_iter().for_each(|g| g.left -= spent as f64);
                 let lacks = self.replica.lacks(&entries);
@@ -279,19 +281,21 @@
                     words.push((from.to_owned(), Word::Parts { parts, left }));
                 }
                 if lacks && ask {
-                    words
-                        .push((from.to_owned(), Word::Vector { entries: self.replica.vector(), ask: false }));
+                    words.push((
+                        from.to_owned(),
+                        Word::Vector { entries: self.replica.version_vector(), ask: false },
+                    ));
                 }
                 for origin in unlike {
-                    if let Some((start, upto, digests)) = self.replica.ranges(&origin) {
-                        words.push((from.to_owned(), Word::Ranges { origin, start, upto, digests }));
+                    if let Some((start, through, digests)) = self.replica.ranges(&origin) {
+                        words.push((from.to_owned(), Word::Ranges { origin, start, through, digests }));
                     }
                 }
             }
-            Word::Ranges { origin, start, upto, digests } => {
+            Word::Ranges { origin, start, through, digests } => {
                 if self.catching.is_none() {
                     let budget = self.allowance(from, now);
-                    let parts = self.replica.mend(now, &origin, start, upto, &digests, budget);
+                    let parts = self.replica.mend(now, &origin, start, through, &digests, budget);
                     if !parts.is_empty() {
                         words.push((from.to_owned(), Word::Parts { parts, left: 0 }));
                     }
@@ -308,9 +312,9 @@
                 let mut gap = false;
                 let rows: usize = parts.iter().map(|p| p.rows.len()).sum();
                 for part in &parts {
-                    match self.replica.take(now, old_ms, from, part) {
+                    match self.replica.apply(now, old_ms, from, part) {
                         Ok(more) => news.extend(more),
-                        Err(Refused::Gap) => gap = true,
+                        Err(RejectReason::Gap) => gap = true,
                         Err(_) => {}
                     }
                 }
@@ -332,7 +336,10 @@
                 if ask {
                     self.allowance(from, now);
                     self.given.get_mut(from).into_iter().for_each(|g| g.asked_at = now);
-                    words.push((from.to_owned(), Word::Vector { entries: self.replica.vector(), ask: true }));
+                    words.push((
+                        from.to_owned(),
+                        Word::Vector { entries: self.replica.version_vector(), ask: true },
+                    ));
                 }
             }
         }
--- a/crates/replica/src/kinds/mark.rs
+++ b/crates/replica/src/kinds/mark.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
     /// Average latency in the slice that marked it, in multiples of normal.
-    pub normals: f64,
+    pub latency_ratio: f64,
     /// Parts that this is the average of.
     pub parts: u32,
     /// No mark yet: a part is late there.
@@ -21,12 +21,13 @@
     const FRESH_MS: f64 = 1500.0;
 
     fn fits(&self) -> bool {
-        self.normals.is_finite() && self.normals >= 0.0
+        self.latency_ratio.is_finite() && self.latency_ratio >= 0.0
     }
 
     /// The better founded: a mark before a late part, more parts, then the higher average. Marks are weighed one by one where that matters.
     fn join(self, other: Self) -> Self {
-        let more = (!other.late, other.parts, other.normals) > (!self.late, self.parts, self.normals);
+        let more =
+            (!other.late, other.parts, other.latency_ratio) > (!self.late, self.parts, self.latency_ratio);
         if more { other } else { self }
     }
 }
--- a/crates/replica/src/kinds/mod.rs
+++ b/crates/replica/src/kinds/mod.rs
@@ -17,7 +17,7 @@
 pub use leaving::{Leaving, Stage};
 pub use list::ListHeld;
 pub use mark::Mark;
-pub use start::Began;
+pub use start::ProcessStart;
 pub use used::Used;
 
 /// What one mixer says of one thing.
@@ -45,7 +45,7 @@
     fn of<K: Kind>() -> Known {
         (K::CODE, K::NAME, |bytes| read::<K>(bytes).is_some())
     }
-    [of::<Mark>(), of::<Began>(), of::<Leaving>(), of::<IdleLost>(), of::<ListHeld>(), of::<Used>()]
+    [of::<Mark>(), of::<ProcessStart>(), of::<Leaving>(), of::<IdleLost>(), of::<ListHeld>(), of::<Used>()]
 }
 
 /// Whether a value keeps to its kind; of kinds that are not known here, nobody can say.
--- a/crates/replica/src/kinds/start.rs
+++ b/crates/replica/src/kinds/start.rs
@@ -4,11 +4,11 @@
 
 /// When a searcher's process started, as discovery numbers it: it is cold since then.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Began {
+pub struct ProcessStart {
     pub since: f64,
 }
 
-impl Kind for Began {
+impl Kind for ProcessStart {
     const CODE: u8 = 2;
     const NAME: &'static str = "start";
     /// Longer than any searcher takes to warm; who is warm is no harm to hear of.
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -18,11 +18,11 @@
 pub mod kinds;
 
 mod exchange;
-mod heed;
+mod policy;
 mod rows;
 mod store;
 
 pub use exchange::{Exchange, Progress, Word};
-pub use heed::{Advice, Heed, Own, Trust};
-pub use rows::{Entry, LONGEST_NAME, LONGEST_VALUE, Part, RANGES, Refused, Why, WireRow};
-pub use store::{Limits, News, Replica};
+pub use policy::{Advice, LocalStatus, PeerReportPolicy, Trust};
+pub use rows::{Entry, LONGEST_NAME, LONGEST_VALUE, RANGES, RecordBatch, RejectReason, Why, WireRow};
+pub use store::{Delta, Limits, News, OriginState, Replica, Report};
--- a/crates/replica/src/heed.rs
+++ b/crates/replica/src/policy.rs
@@ -10,8 +10,8 @@
 use pewterwharf::interface::{Event, Life, Word};
 use pewterwharf::report::Known;
 
-use crate::kinds::{Began, IdleLost, Kind, Leaving, Mark, Stage};
-use crate::store::{News, Replica};
+use crate::kinds::{IdleLost, Kind, Leaving, Mark, ProcessStart, Stage};
+use crate::store::{News, Replica, Report};
 
 /// How far a peer has been right of late: 1 always, 0 never.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,9 +60,9 @@
     /// Nothing has confirmed that: it is as the own list says.
     Stays(SocketAddrV4),
     /// It has a later start than the own list says, and is cold.
-    Began(SocketAddrV4, f64),
+    Restarted(SocketAddrV4, f64),
     /// Nothing has confirmed that.
-    NotBegan(SocketAddrV4),
+    RestartRetracted(SocketAddrV4),
     /// Several lose connections that are idle.
     IdleLost,
     /// So many mixers are there, this one among them.
@@ -71,15 +71,15 @@
 
 impl Advice {
     /// As the decision module is told.
-    pub fn event(self) -> Event {
+    pub fn to_event(self) -> Event {
         let of = |searcher, word| Event::Heard { searcher, word };
         match self {
             Self::Look(searcher) => of(searcher, Word::Look),
             Self::Doubt(searcher) => of(searcher, Word::Doubt),
             Self::Leaves(searcher) => of(searcher, Word::Leaves(true)),
             Self::Stays(searcher) => of(searcher, Word::Leaves(false)),
-            Self::Began(searcher, since) => of(searcher, Word::Began(since)),
-            Self::NotBegan(searcher) => of(searcher, Word::Began(0.0)),
+            Self::Restarted(searcher, since) => of(searcher, Word::Began(since)),
+            Self::RestartRetracted(searcher) => of(searcher, Word::Began(0.0)),
             Self::IdleLost => Event::IdleLost,
             Self::Mixers(count) => Event::Mixers(count),
         }
@@ -88,7 +88,7 @@
 
 /// What this mixer knows by itself of a searcher that its own list names.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Own {
+pub struct LocalStatus {
     pub marked: bool,
     /// Not marked, and a part is late there.
     pub late: bool,
@@ -97,9 +97,9 @@
     pub stage: Stage,
 }
 
-impl Own {
+impl LocalStatus {
     /// As the decision module knows it.
-    pub fn of(known: &Known) -> Self {
+    pub fn from_report(known: &Known) -> Self {
         let stage = match known.life {
             Life::Ready => Stage::Up,
             Life::Draining => Stage::Draining,
@@ -145,9 +145,9 @@
 
 /// Turns copies into advice.
 #[derive(Debug)]
-pub struct Heed {
+pub struct PeerReportPolicy {
     me: String,
-    own: BTreeMap<SocketAddrV4, Own>,
+    own: BTreeMap<SocketAddrV4, LocalStatus>,
     trust: BTreeMap<String, Trust>,
     cases: BTreeMap<SocketAddrV4, Case>,
     leaving: BTreeMap<SocketAddrV4, Hearsay>,
@@ -162,7 +162,7 @@
     pub passed_over: u64,
 }
 
-impl Heed {
+impl PeerReportPolicy {
     pub fn new(me: &str) -> Self {
         Self {
             me: me.to_owned(),
@@ -197,7 +197,12 @@
     /// What this mixer now knows by itself of a searcher; nothing, where its list does not name it any more. Hearsay of it is
     /// held against that; what of it is over comes back.
     #[must_use]
-    pub fn knows(&mut self, now: f64, searcher: SocketAddrV4, own: Option<Own>) -> Option<Advice> {
+    pub fn local_status_changed(
+        &mut self,
+        now: f64,
+        searcher: SocketAddrV4,
+        own: Option<LocalStatus>,
+    ) -> Option<Advice> {
         let Some(own) = own else {
             self.own.remove(&searcher);
             // Gone from the list: that it would leave was right.
@@ -231,12 +236,12 @@
     }
 
     /// So many mixers are members, this one among them.
-    pub fn members(&mut self, mixers: u32) -> Option<Advice> {
+    pub fn set_mixer_count(&mut self, mixers: u32) -> Option<Advice> {
         (std::mem::replace(&mut self.mixers, mixers) != mixers).then_some(Advice::Mixers(mixers))
     }
 
     /// What peers said anew, as the replica now holds it.
-    pub fn news(&mut self, now: f64, news: &[News], replica: &Replica) -> Vec<Advice> {
+    pub fn apply_changes(&mut self, now: f64, news: &[News], replica: &Replica) -> Vec<Advice> {
         let mut advice = Vec::new();
         for one in news {
             if one.origin == self.me {
@@ -246,7 +251,7 @@
                 self.idle(now, replica, &mut advice);
                 continue;
             }
-            if ![Mark::CODE, Leaving::CODE, Began::CODE].contains(&one.kind) {
+            if ![Mark::CODE, Leaving::CODE, ProcessStart::CODE].contains(&one.kind) {
                 continue;
             }
             // A mixer sends only to searchers that its own list has named: of others it needs to know nothing.
@@ -278,16 +283,18 @@
         &mut self,
         now: f64,
         searcher: SocketAddrV4,
-        own: Own,
+        own: LocalStatus,
         one: &News,
         replica: &Replica,
         advice: &mut Vec<Advice>,
     ) {
-        let fresh =
-            replica.said::<Mark>(now, &one.name).into_iter().filter(|(.., age)| *age <= Mark::FRESH_MS);
-        let heard = fresh.filter(|(origin, ..)| *origin != self.me && self.trusts(origin, now));
+        let fresh = replica
+            .reports::<Mark>(now, &one.name)
+            .into_iter()
+            .filter(|report| report.age_ms <= Mark::FRESH_MS);
+        let heard = fresh.filter(|report| report.origin != self.me && self.trusts(report.origin, now));
         let said: Vec<(String, bool)> =
-            heard.map(|(origin, mark, _)| (origin.to_owned(), mark.late)).collect();
+            heard.map(|report| (report.origin.to_owned(), report.value.late)).collect();
         // A mark stands for a slice; late parts of several make one together, the own among them.
         let parts: u32 = said.iter().map(|s| if s.1 { 1 } else { SLICE }).sum::<u32>() + u32::from(own.late);
         let by: BTreeSet<String> = said.iter().map(|s| s.0.clone()).collect();
@@ -331,16 +338,15 @@
         &mut self,
         now: f64,
         searcher: SocketAddrV4,
-        own: Own,
+        own: LocalStatus,
         one: &News,
         replica: &Replica,
         advice: &mut Vec<Advice>,
     ) {
-        let said = replica.said::<Leaving>(now, &one.name);
-        let Some((_, said, _)) = said.into_iter().find(|s| s.0 == one.origin && s.2 <= Leaving::FRESH_MS)
-        else {
-            return;
-        };
+        let said = replica.reports::<Leaving>(now, &one.name);
+        let current =
+            |report: &Report<Leaving>| report.origin == one.origin && report.age_ms <= Leaving::FRESH_MS;
+        let Some(said) = said.into_iter().find(current).map(|report| report.value) else { return };
         // What it says has to be news: of the start that is known here or a later one.
         if said.stage == Stage::Up || own.stage != Stage::Up || said.since < own.since {
             return;
@@ -361,16 +367,16 @@
         &mut self,
         now: f64,
         searcher: SocketAddrV4,
-        own: Own,
+        own: LocalStatus,
         one: &News,
         replica: &Replica,
         advice: &mut Vec<Advice>,
     ) {
-        let said = replica.said::<Began>(now, &one.name);
-        let Some((_, said, _)) = said.into_iter().find(|s| s.0 == one.origin && s.2 <= Began::FRESH_MS)
-        else {
-            return;
+        let said = replica.reports::<ProcessStart>(now, &one.name);
+        let current = |report: &Report<ProcessStart>| {
+            report.origin == one.origin && report.age_ms <= ProcessStart::FRESH_MS
         };
+        let Some(said) = said.into_iter().find(current).map(|report| report.value) else { return };
         if said.since <= own.since {
             return;
         }
@@ -383,14 +389,18 @@
         let hearsay =
             Hearsay { by: one.origin.clone(), until: now + CONFIRM_MS, since: said.since, over: false };
         self.began.insert(searcher, hearsay);
-        advice.push(Advice::Began(searcher, said.since));
+        advice.push(Advice::Restarted(searcher, said.since));
     }
 
     fn idle(&mut self, now: f64, replica: &Replica, advice: &mut Vec<Advice>) {
-        let all = replica.said::<IdleLost>(now, "");
+        let all = replica.reports::<IdleLost>(now, "");
         let by = all
             .into_iter()
-            .filter(|s| s.0 != self.me && s.2 <= IdleLost::FRESH_MS && self.trusts(s.0, now))
+            .filter(|report| {
+                report.origin != self.me
+                    && report.age_ms <= IdleLost::FRESH_MS
+                    && self.trusts(report.origin, now)
+            })
             .count();
         if by >= (self.mixers as usize).div_ceil(10).max(2) && now >= self.idle_until {
             self.idle_until = now + IdleLost::FRESH_MS;
@@ -425,7 +435,7 @@
         }
         for (searcher, by) in not_begun {
             self.case(&by, now, false);
-            advice.push(Advice::NotBegan(searcher));
+            advice.push(Advice::RestartRetracted(searcher));
         }
         advice
     }
--- a/crates/replica/src/rows.rs
+++ b/crates/replica/src/rows.rs
@@ -1,6 +1,6 @@
 //! The words for rows.
 
-use pewterwharf_peers::Start;
+use pewterwharf_peers::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// Longest name of what a row is about, and longest value, in bytes.
@@ -22,11 +22,11 @@
 
 /// All rows of an origin whose counter is above `from` and not above `upto`, in their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct RecordBatch {
     pub origin: String,
-    pub start: Start,
+    pub start: Incarnation,
     pub from: u64,
-    pub upto: u64,
+    pub through: u64,
     /// Highest counter of a deletion that whoever sends this has forgotten.
     pub floor: u64,
     pub why: Why,
@@ -48,8 +48,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub origin: String,
-    pub start: Start,
-    pub upto: u64,
+    pub start: Incarnation,
+    pub through: u64,
     /// How far it is in taking all from the beginning.
     pub sweep: Option<u64>,
     /// Of all rows that are not deletions.
@@ -58,11 +58,11 @@
 
 /// Why a part was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum RejectReason {
     /// The file names no such origin.
     Unnamed,
     /// About this mixer itself, which knows better.
-    Own,
+    OwnOrigin,
     /// Of an earlier start.
     Old,
     /// Something between is missing: it is asked for.
@@ -73,14 +73,15 @@
     Share,
 }
 
-impl Refused {
-    pub const ALL: [Self; 6] = [Self::Unnamed, Self::Own, Self::Old, Self::Gap, Self::Unfit, Self::Share];
+impl RejectReason {
+    pub const ALL: [Self; 6] =
+        [Self::Unnamed, Self::OwnOrigin, Self::Old, Self::Gap, Self::Unfit, Self::Share];
 
     /// The word for it in counts.
     pub fn word(self) -> &'static str {
         match self {
             Self::Unnamed => "origin_not_named",
-            Self::Own => "of_ourselves",
+            Self::OwnOrigin => "of_ourselves",
             Self::Old => "earlier_start",
             Self::Gap => "gap",
             Self::Unfit => "unfit",
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pewterwharf_peers::Start;
+use pewterwharf_peers::Incarnation;
 
 use crate::kinds::{self, Kind};
-use crate::rows::{Entry, LONGEST_NAME, LONGEST_VALUE, Part, RANGES, Refused, Sum, Why, WireRow};
+use crate::rows::{Entry, LONGEST_NAME, LONGEST_VALUE, RANGES, RecordBatch, RejectReason, Sum, Why, WireRow};
 
 /// A deletion is kept for so long, where nothing else is said: well past the time in which rounds reach everybody who is up. Who was away for longer
 /// takes all from the beginning.
@@ -24,7 +24,7 @@
 
 impl Limits {
     /// What all origins together may take is parted among them.
-    pub fn shared(bytes: usize, origins: usize) -> Self {
+    pub fn per_origin(bytes: usize, origins: usize) -> Self {
         let bytes = bytes / origins.max(1);
         Self { rows: bytes / ROW_COST, bytes }
     }
@@ -51,15 +51,15 @@
 /// A sweep under way: how far, and what the sender had forgotten at its begin.
 #[derive(Clone, Copy, Debug)]
 struct Sweep {
-    upto: u64,
+    through: u64,
     floor: u64,
 }
 
 /// All that is held of one origin.
 #[derive(Clone, Debug, Default)]
 struct Held {
-    start: Start,
-    upto: u64,
+    start: Incarnation,
+    through: u64,
     floor: u64,
     sweep: Option<Sweep>,
     rows: BTreeMap<Key, Row>,
@@ -69,6 +69,33 @@
     deleted: usize,
 }
 
+/// What is held of one origin.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OriginState {
+    pub incarnation: Incarnation,
+    /// Highest counter up to which all of its records are held.
+    pub version: u64,
+    /// Records, not counting tombstones.
+    pub records: usize,
+}
+
+/// What one origin reports about one subject.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Report<'a, K> {
+    pub origin: &'a str,
+    pub value: K,
+    /// Age of the evidence, in milliseconds.
+    pub age_ms: f64,
+}
+
+/// The records that a peer lacks, limited to a byte budget.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Delta {
+    pub batches: Vec<RecordBatch>,
+    /// Counters that did not fit the budget; zero if the batches are complete.
+    pub remaining: u64,
+}
+
 /// What has changed here by what another said.
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
@@ -85,7 +112,7 @@
     limits: Limits,
     forget_ms: f64,
     held: BTreeMap<String, Held>,
-    refused: BTreeMap<Refused, u64>,
+    refused: BTreeMap<RejectReason, u64>,
 }
 
 impl Held {
@@ -134,13 +161,13 @@
     }
 
     /// Rows above `from` and up to `upto` until so many bytes are used; how far that is.
-    fn gather(&self, from: u64, upto: u64, now: f64, budget: &mut usize) -> (Vec<WireRow>, u64) {
+    fn gather(&self, from: u64, through: u64, now: f64, budget: &mut usize) -> (Vec<WireRow>, u64) {
         let mut rows = Vec::new();
         let mut end = from;
-        if upto <= from {
+        if through <= from {
             return (rows, from);
         }
-        for (counter, key) in self.order.range(from + 1..=upto) {
+        for (counter, key) in self.order.range(from + 1..=through) {
             let Some(row) = self.wire(*counter, key, now) else { continue };
             let cost = row.name.len() + row.value.as_ref().map_or(0, Vec::len) + 24;
             if cost > *budget {
@@ -150,19 +177,24 @@
             end = *counter;
             rows.push(row);
         }
-        (rows, upto)
+        (rows, through)
     }
 
     /// The bounds of a range of counters.
     fn range(&self, nth: u64) -> (u64, u64) {
-        let at = |n: u64| (u128::from(self.upto) * u128::from(n) / u128::from(RANGES)) as u64;
+        let at = |n: u64| (u128::from(self.through) * u128::from(n) / u128::from(RANGES)) as u64;
         (at(nth), at(nth + 1))
     }
 }
 
 impl Replica {
     /// Holds nothing yet. `named` are the mixers that the file names, this one among them or not.
-    pub fn new(me: &str, start: Start, named: impl IntoIterator<Item = String>, limits: Limits) -> Self {
+    pub fn new(
+        me: &str,
+        start: Incarnation,
+        named: impl IntoIterator<Item = String>,
+        limits: Limits,
+    ) -> Self {
         let mut named: BTreeSet<String> = named.into_iter().collect();
         named.insert(me.to_owned());
         let held = BTreeMap::from([(me.to_owned(), Held { start, ..Held::default() })]);
@@ -174,7 +206,7 @@
         self.forget_ms = ms;
     }
 
-    pub fn me(&self) -> &str {
+    pub fn local_name(&self) -> &str {
         &self.me
     }
 
@@ -184,7 +216,7 @@
     }
 
     /// Parts and rows that were not taken, by the reason.
-    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
+    pub fn refused(&self) -> &BTreeMap<RejectReason, u64> {
         &self.refused
     }
 
@@ -203,8 +235,12 @@
     }
 
     /// Of an origin: start, version, rows that are not deletions.
-    pub fn of(&self, origin: &str) -> Option<(Start, u64, usize)> {
-        self.held.get(origin).map(|h| (h.start, h.upto, h.rows.len() - h.deleted))
+    pub fn origin(&self, origin: &str) -> Option<OriginState> {
+        self.held.get(origin).map(|h| OriginState {
+            incarnation: h.start,
+            version: h.through,
+            records: h.rows.len() - h.deleted,
+        })
     }
 
     fn own(&mut self) -> &mut Held {
@@ -212,13 +248,13 @@
     }
 
     /// Says something of its own, with the time of its evidence. False where there is no room for it.
-    pub fn say<K: Kind>(&mut self, now: f64, name: &str, value: &K, at: f64) -> bool {
+    pub fn publish<K: Kind>(&mut self, now: f64, name: &str, value: &K, at: f64) -> bool {
         let Ok(bytes) = postcard::to_allocvec(value) else { return false };
         self.write(now, Key { kind: K::CODE, name: name.to_owned() }, Some(bytes), at)
     }
 
     /// Takes back what it said.
-    pub fn unsay<K: Kind>(&mut self, now: f64, name: &str) {
+    pub fn retract<K: Kind>(&mut self, now: f64, name: &str) {
         let key = Key { kind: K::CODE, name: name.to_owned() };
         if self.own().rows.get(&key).is_some_and(|row| row.value.is_some()) {
             self.write(now, key, None, now);
@@ -229,31 +265,31 @@
         let limits = self.limits;
         let fits = key.name.len() <= LONGEST_NAME && value.as_ref().is_none_or(|v| v.len() <= LONGEST_VALUE);
         let held = self.own();
-        let row = Row { counter: held.upto.saturating_add(1), value, at, since: now };
+        let row = Row { counter: held.through.saturating_add(1), value, at, since: now };
         if !fits || !held.fits(&key, &row, &limits) {
-            *self.refused.entry(Refused::Share).or_default() += 1;
+            *self.refused.entry(RejectReason::Share).or_default() += 1;
             return false;
         }
-        held.upto = row.counter;
+        held.through = row.counter;
         held.insert(key, row);
         true
     }
 
     /// This mixer has a new start: all that it says is said anew under it.
-    pub fn renew(&mut self, start: Start) {
+    pub fn renew(&mut self, start: Incarnation) {
         let held = self.own();
         let rows: Vec<(Key, Row)> =
             held.order.values().filter_map(|key| Some((key.clone(), held.rows.get(key)?.clone()))).collect();
         *held = Held { start, ..Held::default() };
         for (key, row) in rows.into_iter().filter(|(_, row)| row.value.is_some()) {
-            held.upto += 1;
-            let counter = held.upto;
+            held.through += 1;
+            let counter = held.through;
             held.insert(key, Row { counter, ..row });
         }
     }
 
     /// A later start of an origin is heard of: what the earlier one said is void.
-    pub fn started(&mut self, origin: &str, start: Start) {
+    pub fn started(&mut self, origin: &str, start: Incarnation) {
         if origin != self.me
             && self.named.contains(origin)
             && self.held.get(origin).is_none_or(|held| held.start < start)
@@ -263,12 +299,12 @@
     }
 
     /// What is held, by origin.
-    pub fn vector(&self) -> Vec<Entry> {
+    pub fn version_vector(&self) -> Vec<Entry> {
         let entry = |(origin, h): (&String, &Held)| Entry {
             origin: origin.clone(),
             start: h.start,
-            upto: h.upto,
-            sweep: h.sweep.map(|s| s.upto),
+            through: h.through,
+            sweep: h.sweep.map(|s| s.through),
             digest: h.digest,
         };
         self.held.iter().map(entry).collect()
@@ -276,20 +312,20 @@
 
     /// One number for all that is held: two mixers with the same hold the same.
     pub fn sum(&self) -> u64 {
-        self.held.iter().filter(|(_, h)| h.upto > 0).fold(0, |sum, (origin, h)| {
+        self.held.iter().filter(|(_, h)| h.through > 0).fold(0, |sum, (origin, h)| {
             let one = Sum::new().bytes(origin.as_bytes()).number(h.start.number).number(h.start.lot);
-            sum ^ one.number(h.upto).number(h.digest).number(u64::from(h.sweep.is_some())).end()
+            sum ^ one.number(h.through).number(h.digest).number(u64::from(h.sweep.is_some())).end()
         })
     }
 
     /// Whether another holds something that this mixer does not.
     pub fn lacks(&self, theirs: &[Entry]) -> bool {
         theirs.iter().any(|t| {
-            let ours = self.held.get(&t.origin).map(|h| (h.start, h.upto));
+            let ours = self.held.get(&t.origin).map(|h| (h.start, h.through));
             t.origin != self.me
-                && t.upto > 0
+                && t.through > 0
                 && self.named.contains(&t.origin)
-                && ours < Some((t.start, t.upto))
+                && ours < Some((t.start, t.through))
         })
     }
 
@@ -297,61 +333,69 @@
     pub fn behind(&self, theirs: &[Entry]) -> u64 {
         let behind = |t: &Entry| match self.held.get(&t.origin) {
             _ if t.origin == self.me => 0,
-            Some(h) if h.start == t.start => t.upto.saturating_sub(h.upto),
+            Some(h) if h.start == t.start => t.through.saturating_sub(h.through),
             Some(h) if h.start > t.start => 0,
-            _ => t.upto,
+            _ => t.through,
         };
         theirs.iter().map(behind).fold(0, u64::saturating_add)
     }
 
     /// What this mixer holds and another does not, in pieces of so many bytes; how many counters are left, none if that was all.
-    pub fn delta(&self, now: f64, theirs: &[Entry], budget: usize) -> (Vec<Part>, u64) {
+    pub fn delta(&self, now: f64, theirs: &[Entry], budget: usize) -> Delta {
         let theirs: BTreeMap<&str, &Entry> = theirs.iter().map(|e| (e.origin.as_str(), e)).collect();
         let (mut parts, mut budget, mut left) = (Vec::new(), budget, 0_u64);
-        for (origin, held) in self.held.iter().filter(|(_, h)| h.upto > 0) {
+        for (origin, held) in self.held.iter().filter(|(_, h)| h.through > 0) {
             let entry = theirs.get(origin.as_str()).copied().filter(|e| e.start >= held.start);
             let (from, sweep) = match entry {
                 Some(e) if e.start > held.start => continue,
                 Some(Entry { sweep: Some(pos), .. }) => (*pos, true),
-                Some(e) if e.upto < held.floor => (0, true),
-                Some(e) if e.upto >= held.upto => continue,
-                Some(e) => (e.upto, false),
+                Some(e) if e.through < held.floor => (0, true),
+                Some(e) if e.through >= held.through => continue,
+                Some(e) => (e.through, false),
                 None => (0, false),
             };
-            let (rows, upto) = held.gather(from, held.upto, now, &mut budget);
-            let last = upto >= held.upto;
-            left = left.saturating_add(held.upto.saturating_sub(upto));
+            let (rows, through) = held.gather(from, held.through, now, &mut budget);
+            let last = through >= held.through;
+            left = left.saturating_add(held.through.saturating_sub(through));
             if rows.is_empty() && !last {
                 continue; // the next piece begins with it
             }
             let why = if sweep { Why::Sweep { last } } else { Why::Delta };
-            parts.push(Part {
+            parts.push(RecordBatch {
                 origin: origin.clone(),
                 start: held.start,
                 from,
-                upto,
+                through,
                 floor: held.floor,
                 why,
                 rows,
             });
         }
-        (parts, left)
+        Delta { batches: parts, remaining: left }
     }
 
     /// What this mixer has said since a version of its own.
-    pub fn said_since(&self, now: f64, from: u64, budget: usize) -> Option<Part> {
-        let held = self.held.get(&self.me).filter(|h| h.upto > from)?;
+    pub fn own_records_since(&self, now: f64, from: u64, budget: usize) -> Option<RecordBatch> {
+        let held = self.held.get(&self.me).filter(|h| h.through > from)?;
         let mut left = budget;
-        let (rows, upto) = held.gather(from, held.upto, now, &mut left);
+        let (rows, through) = held.gather(from, held.through, now, &mut left);
         let (origin, floor, why) = (self.me.clone(), held.floor, Why::Delta);
-        (!rows.is_empty()).then_some(Part { origin, start: held.start, from, upto, floor, why, rows })
+        (!rows.is_empty()).then_some(RecordBatch {
+            origin,
+            start: held.start,
+            from,
+            through,
+            floor,
+            why,
+            rows,
+        })
     }
 
     /// Origins of which another holds the same version, and other rows.
     pub fn unlike(&self, theirs: &[Entry]) -> Vec<String> {
         let unlike = |t: &&Entry| {
             self.held.get(&t.origin).is_some_and(|h| {
-                (h.start, h.upto) == (t.start, t.upto)
+                (h.start, h.through) == (t.start, t.through)
                     && h.sweep.is_none()
                     && t.sweep.is_none()
                     && h.digest != t.digest
@@ -361,15 +405,15 @@
     }
 
     /// Digests of the ranges of an origin's counters, with its start and version.
-    pub fn ranges(&self, origin: &str) -> Option<(Start, u64, Vec<u64>)> {
+    pub fn ranges(&self, origin: &str) -> Option<(Incarnation, u64, Vec<u64>)> {
         let held = self.held.get(origin)?;
         let digest = |nth| {
-            let (from, upto) = held.range(nth);
-            let rows = held.order.range(from + 1..=upto.max(from + 1)).filter(|(c, _)| **c <= upto);
+            let (from, through) = held.range(nth);
+            let rows = held.order.range(from + 1..=through.max(from + 1)).filter(|(c, _)| **c <= through);
             rows.filter_map(|(_, key)| held.rows.get(key).map(|row| Held::sum(key, row)))
                 .fold(0, |a, b| a ^ b)
         };
-        Some((held.start, held.upto, (0..RANGES).map(digest).collect()))
+        Some((held.start, held.through, (0..RANGES).map(digest).collect()))
     }
 
     /// The ranges of an origin in which another's digests differ, where it has the same version.
@@ -377,24 +421,24 @@
         &self,
         now: f64,
         origin: &str,
-        start: Start,
-        upto: u64,
+        start: Incarnation,
+        through: u64,
         theirs: &[u64],
         budget: usize,
-    ) -> Vec<Part> {
+    ) -> Vec<RecordBatch> {
         let Some((_, _, ours)) = self.ranges(origin) else { return Vec::new() };
-        let Some(held) = self.held.get(origin).filter(|h| (h.start, h.upto) == (start, upto)) else {
+        let Some(held) = self.held.get(origin).filter(|h| (h.start, h.through) == (start, through)) else {
             return Vec::new();
         };
         let mut left = budget;
         let unlike = ours.iter().zip(theirs).zip(0..).filter(|((a, b), _)| a != b).map(|(_, nth)| nth);
         let mut parts = Vec::new();
         for nth in unlike {
-            let (from, upto) = held.range(nth);
-            let (rows, end) = held.gather(from, upto, now, &mut left);
+            let (from, through) = held.range(nth);
+            let (rows, end) = held.gather(from, through, now, &mut left);
             if end > from {
                 let (origin, floor, why) = (origin.to_owned(), held.floor, Why::Repair);
-                parts.push(Part { origin, start, from, upto: end, floor, why, rows });
+                parts.push(RecordBatch { origin, start, from, through: end, floor, why, rows });
             }
         }
         parts
@@ -404,31 +448,43 @@
     ///
     /// # Errors
     /// Why it was not taken; it is counted.
-    pub fn take(&mut self, now: f64, old_ms: f64, by: &str, part: &Part) -> Result<Vec<News>, Refused> {
-        let taken = self.try_take(now, old_ms, by, part);
+    pub fn apply(
+        &mut self,
+        now: f64,
+        old_ms: f64,
+        by: &str,
+        part: &RecordBatch,
+    ) -> Result<Vec<News>, RejectReason> {
+        let taken = self.try_apply(now, old_ms, by, part);
         if let Err(why) = taken {
             *self.refused.entry(why).or_default() += 1;
         }
         taken
     }
 
-    fn try_take(&mut self, now: f64, old_ms: f64, by: &str, part: &Part) -> Result<Vec<News>, Refused> {
+    fn try_apply(
+        &mut self,
+        now: f64,
+        old_ms: f64,
+        by: &str,
+        part: &RecordBatch,
+    ) -> Result<Vec<News>, RejectReason> {
         if !self.named.contains(&part.origin) {
-            return Err(Refused::Unnamed);
+            return Err(RejectReason::Unnamed);
         }
         if part.origin == self.me {
-            return Err(Refused::Own);
+            return Err(RejectReason::OwnOrigin);
         }
         let ordered = part.rows.windows(2).all(|w| w[0].counter < w[1].counter);
-        let within = part.rows.iter().all(|r| r.counter > part.from && r.counter <= part.upto);
-        if !ordered || !within || part.upto < part.from || !part.rows.iter().all(fit) {
-            return Err(Refused::Unfit);
+        let within = part.rows.iter().all(|r| r.counter > part.from && r.counter <= part.through);
+        if !ordered || !within || part.through < part.from || !part.rows.iter().all(fit) {
+            return Err(RejectReason::Unfit);
         }
         let limits = self.limits;
         match self.held.get(&part.origin).map(|h| h.start) {
-            Some(start) if start > part.start => return Err(Refused::Old),
+            Some(start) if start > part.start => return Err(RejectReason::Old),
             Some(start) if start == part.start => {}
-            _ if part.from > 0 || part.why == Why::Repair => return Err(Refused::Gap),
+            _ if part.from > 0 || part.why == Why::Repair => return Err(RejectReason::Gap),
             _ => {
                 self.held.insert(part.origin.clone(), Held { start: part.start, ..Held::default() });
             }
@@ -444,18 +500,18 @@
         // Whatever of the interval is not in the part is not there any more; with a repair only its origin may say so.
         let clears = match part.why {
             Why::Delta => {
-                if part.from > held.upto {
-                    return Err(Refused::Gap);
+                if part.from > held.through {
+                    return Err(RejectReason::Gap);
                 }
                 false
             }
             Why::Sweep { .. } => {
                 let begins = part.from == 0;
                 if begins {
-                    held.sweep = Some(Sweep { upto: 0, floor: part.floor });
+                    held.sweep = Some(Sweep { through: 0, floor: part.floor });
                 }
-                if held.sweep.is_none_or(|s| s.upto != part.from) {
-                    return Err(Refused::Gap);
+                if held.sweep.is_none_or(|s| s.through != part.from) {
+                    return Err(RejectReason::Gap);
                 }
                 true
             }
@@ -464,9 +520,9 @@
         if clears {
             let kept: BTreeSet<u64> = part.rows.iter().map(|r| r.counter).collect();
             let range =
-                held.order.range(part.from.saturating_add(1)..=part.upto.max(part.from.saturating_add(1)));
+                held.order.range(part.from.saturating_add(1)..=part.through.max(part.from.saturating_add(1)));
             let gone: Vec<Key> = range
-                .filter(|(c, _)| **c <= part.upto && !kept.contains(c))
+                .filter(|(c, _)| **c <= part.through && !kept.contains(c))
                 .map(|(_, key)| key.clone())
                 .collect();
             for key in gone {
@@ -490,7 +546,7 @@
                     continue;
                 }
                 // What is not held and lies under the version was deleted, or is missing: a repair or a sweep tells.
-                None if row.counter <= held.upto && part.why == Why::Delta => continue,
+                None if row.counter <= held.through && part.why == Why::Delta => continue,
                 None if row.counter <= held.floor && part.why == Why::Repair && by != part.origin => continue,
                 _ => {}
             }
@@ -503,18 +559,18 @@
         }
         if over {
             // The version stays: what has no room is not said to be held.
-            return Err(Refused::Share);
+            return Err(RejectReason::Share);
         }
         match part.why {
-            Why::Delta => held.upto = held.upto.max(part.upto),
+            Why::Delta => held.through = held.through.max(part.through),
             Why::Sweep { last: false } => {
-                held.sweep.iter_mut().for_each(|s| s.upto = part.upto);
+                held.sweep.iter_mut().for_each(|s| s.through = part.through);
             }
             Why::Sweep { last: true } => {
                 if let Some(sweep) = held.sweep.take() {
                     // What was forgotten while it went on may have been missed: the version then stays under that.
-                    let sure = if part.floor > sweep.floor { sweep.floor } else { part.upto };
-                    held.upto = held.upto.max(sure);
+                    let sure = if part.floor > sweep.floor { sweep.floor } else { part.through };
+                    held.through = held.through.max(sure);
                     held.floor = held.floor.max(sweep.floor);
                 }
             }
@@ -539,26 +595,22 @@
     }
 
     /// What each origin says of something, with the age of its evidence in milliseconds, as far as it can be read.
-    pub fn said<K: Kind>(&self, now: f64, name: &str) -> Vec<(&str, K, f64)> {
+    pub fn reports<K: Kind>(&self, now: f64, name: &str) -> Vec<Report<'_, K>> {
         let key = Key { kind: K::CODE, name: name.to_owned() };
-        let read = |(origin, held): (&'_ String, &Held)| {
-            let row = held.rows.get(&key)?;
-            let value = kinds::read::<K>(row.value.as_ref()?)?;
-            Some((origin.clone(), value, (now - row.at).max(0.0)))
-        };
-        let mut all = Vec::new();
+        let mut reports = Vec::new();
         for (origin, held) in &self.held {
-            if let Some((_, value, age)) = read((origin, held)) {
-                all.push((origin.as_str(), value, age));
-            }
+            let Some(row) = held.rows.get(&key) else { continue };
+            let Some(value) = row.value.as_ref().and_then(|bytes| kinds::read::<K>(bytes)) else { continue };
+            let age_ms = (now - row.at).max(0.0);
+            reports.push(Report { origin, value, age_ms });
         }
-        all
+        reports
     }
 
     /// What all origins say of something, joined.
     pub fn joined<K: Kind>(&self, now: f64, name: &str) -> Option<K> {
-        let fresh = self.said::<K>(now, name).into_iter().filter(|(.., age)| *age <= K::FRESH_MS);
-        fresh.map(|(_, value, _)| value).reduce(K::join)
+        let fresh = self.reports::<K>(now, name).into_iter().filter(|report| report.age_ms <= K::FRESH_MS);
+        fresh.map(|report| report.value).reduce(K::join)
     }
 
     /// All rows that are not deletions, for those who compare or print: origin, kind, name, counter, value.
--- a/crates/replica/tests/rows.rs
+++ b/crates/replica/tests/rows.rs
@@ -1,36 +1,38 @@
 //! Rows: what is said in any order, twice, in pieces or over a forgetful third comes to the same; nothing grows past its bounds.
 
-use pewterwharf_peers::Start;
-use pewterwharf_replica::kinds::{Began, IdleLost, Kind, Leaving, ListHeld, Mark, Stage, Used};
-use pewterwharf_replica::{Limits, Part, Refused, Replica, Why, WireRow};
+use pewterwharf_peers::Incarnation;
+use pewterwharf_replica::kinds::{IdleLost, Kind, Leaving, ListHeld, Mark, ProcessStart, Stage, Used};
+use pewterwharf_replica::{
+    Delta, Limits, OriginState, RecordBatch, RejectReason, Replica, Report, Why, WireRow,
+};
 use proptest::prelude::*;
 
 const ROOM: Limits = Limits { rows: 1000, bytes: 1 << 20 };
 /// Pieces so large that all fits in one.
 const ALL: usize = 1 << 20;
 
-fn start(number: u64) -> Start {
-    Start { number, lot: 7 }
+fn start(number: u64) -> Incarnation {
+    Incarnation { number, lot: 7 }
 }
 
 fn replica(me: &str) -> Replica {
     Replica::new(me, start(1), ["a", "b", "c"].map(str::to_owned), ROOM)
 }
 
-fn mark(normals: f64) -> Mark {
-    Mark { normals, parts: 3, late: false }
+fn mark(latency_ratio: f64) -> Mark {
+    Mark { latency_ratio, parts: 3, late: false }
 }
 
 /// `to` takes all that `from` holds and it lacks, piece by piece; how many pieces that took.
 fn catch_up(from: &Replica, to: &mut Replica, now: f64, piece: usize) -> usize {
     // Starts are told by membership, also of who has said nothing yet.
-    from.vector().iter().for_each(|e| to.started(&e.origin, e.start));
+    from.version_vector().iter().for_each(|e| to.started(&e.origin, e.start));
     for nth in 1..10_000 {
-        let (parts, left) = from.delta(now, &to.vector(), piece);
-        for part in &parts {
-            to.take(now, 0.0, from.me(), part).expect("a delta to what is held fits");
+        let delta = from.delta(now, &to.version_vector(), piece);
+        for part in &delta.batches {
+            to.apply(now, 0.0, from.local_name(), part).expect("a delta to what is held fits");
         }
-        if left == 0 {
+        if delta.remaining == 0 {
             return nth;
         }
     }
@@ -63,9 +65,9 @@
         // Few values, so that ties are common.
         let f = f.map(f64::round);
         let three = [0, 1, 2];
-        let [a, b, c] = three.map(|i| Mark { normals: f[i], parts: n[i], late: s[i] == Stage::Up });
+        let [a, b, c] = three.map(|i| Mark { latency_ratio: f[i], parts: n[i], late: s[i] == Stage::Up });
         assert_joins(a, b, c);
-        let [a, b, c] = three.map(|i| Began { since: f[i] });
+        let [a, b, c] = three.map(|i| ProcessStart { since: f[i] });
         assert_joins(a, b, c);
         let [a, b, c] = three.map(|i| Leaving { since: f[i], stage: s[i] });
         assert_joins(a, b, c);
@@ -85,20 +87,20 @@
         order in prop::collection::vec((0usize..64, 0usize..3), 0..120),
     ) {
         let mut origin = replica("a");
-        let mut words: Vec<Part> = Vec::new();
+        let mut words: Vec<RecordBatch> = Vec::new();
         for (nth, (what, about)) in deeds.into_iter().enumerate() {
-            let before = origin.of("a").map_or(0, |o| o.1);
+            let before = origin.origin("a").map_or(0, |o| o.version);
             match what {
                 0 => { origin.renew(start(2 + nth as u64)); }
-                1 | 2 => origin.unsay::<Mark>(0.0, &about.to_string()),
-                _ => { origin.say(0.0, &about.to_string(), &mark(f64::from(what)), 0.0); }
+                1 | 2 => origin.retract::<Mark>(0.0, &about.to_string()),
+                _ => { origin.publish(0.0, &about.to_string(), &mark(f64::from(what)), 0.0); }
             }
-            words.extend(origin.said_since(0.0, if what == 0 { 0 } else { before }, ALL));
+            words.extend(origin.own_records_since(0.0, if what == 0 { 0 } else { before }, ALL));
         }
         let mut others = [replica("b"), replica("c")];
         for (nth, to) in order {
             if let (Some(part), Some(other)) = (words.get(nth), others.get_mut(to)) {
-                let _ = other.take(0.0, 0.0, "a", part); // a gap is as good as a loss here
+                let _ = other.apply(0.0, 0.0, "a", part); // a gap is as good as a loss here
             }
         }
         let [mut b, mut c] = others;
@@ -126,28 +128,29 @@
     let mut origin = replica("a");
     let mut words = Vec::new();
     let mut say = |origin: &mut Replica, deed: &dyn Fn(&mut Replica)| {
-        let (start, upto, _) = origin.of("a").expect("itself");
+        let before = origin.origin("a").expect("itself");
         deed(origin);
-        let (now, ..) = origin.of("a").expect("itself");
-        words.extend(origin.said_since(0.0, if now == start { upto } else { 0 }, ALL));
+        let after = origin.origin("a").expect("itself");
+        let from = if after.incarnation == before.incarnation { before.version } else { 0 };
+        words.extend(origin.own_records_since(0.0, from, ALL));
     };
-    say(&mut origin, &|o| assert!(o.say(0.0, "s1", &mark(4.0), 0.0)));
-    say(&mut origin, &|o| assert!(o.say(0.0, "s2", &mark(5.0), 0.0)));
-    say(&mut origin, &|o| o.unsay::<Mark>(0.0, "s1"));
+    say(&mut origin, &|o| assert!(o.publish(0.0, "s1", &mark(4.0), 0.0)));
+    say(&mut origin, &|o| assert!(o.publish(0.0, "s2", &mark(5.0), 0.0)));
+    say(&mut origin, &|o| o.retract::<Mark>(0.0, "s1"));
     say(&mut origin, &|o| o.renew(start(2)));
-    say(&mut origin, &|o| assert!(o.say(0.0, "s1", &mark(6.0), 0.0)));
-    say(&mut origin, &|o| o.unsay::<Mark>(0.0, "s2"));
+    say(&mut origin, &|o| assert!(o.publish(0.0, "s1", &mark(6.0), 0.0)));
+    say(&mut origin, &|o| o.retract::<Mark>(0.0, "s2"));
     assert_eq!(words.len(), 6);
     let orders = permutations(6);
     assert_eq!(orders.len(), 720);
     for order in orders {
         let mut other = replica("b");
-        let mut newest = (Start::default(), 0);
+        let mut newest = (Incarnation::default(), 0);
         for nth in order {
-            let _ = other.take(0.0, 0.0, "a", &words[nth]);
-            let (start, upto, _) = other.of("a").unwrap_or_default();
-            assert!((start, upto) >= newest, "a version never goes back");
-            newest = (start, upto);
+            let _ = other.apply(0.0, 0.0, "a", &words[nth]);
+            let held = other.origin("a").unwrap_or_default();
+            assert!((held.incarnation, held.version) >= newest, "a version never goes back");
+            newest = (held.incarnation, held.version);
         }
         catch_up(&origin, &mut other, 0.0, ALL);
         assert_eq!(rows(&other), rows(&origin));
@@ -158,12 +161,12 @@
 fn a_row_deleted_long_ago_does_not_come_back_from_who_was_away() {
     let (mut a, mut b, mut away) = (replica("a"), replica("b"), replica("c"));
     for nth in 0..50 {
-        a.say(0.0, &format!("s{nth}"), &mark(4.0), 0.0);
+        a.publish(0.0, &format!("s{nth}"), &mark(4.0), 0.0);
     }
     catch_up(&a, &mut b, 0.0, ALL);
     catch_up(&a, &mut away, 0.0, ALL);
     for nth in 0..40 {
-        a.unsay::<Mark>(10.0, &format!("s{nth}"));
+        a.retract::<Mark>(10.0, &format!("s{nth}"));
     }
     catch_up(&a, &mut b, 10.0, ALL);
     // Deletions are forgotten by all but the one that is away.
@@ -171,7 +174,7 @@
     b.tick(100_000.0);
     assert_eq!(a.size().0, 10);
     // Nothing of what it holds is taken, and from whomever it catches up, in small pieces, the old rows go.
-    let (back, _) = away.delta(100_000.0, &b.vector(), ALL);
+    let back = away.delta(100_000.0, &b.version_vector(), ALL).batches;
     assert!(back.iter().all(|p| p.origin == "c" || p.rows.is_empty()), "{back:?}");
     let pieces = catch_up(&b, &mut away, 100_000.0, 200);
     assert!(pieces >= 2, "in {pieces}");
@@ -183,16 +186,16 @@
 fn what_is_forgotten_while_a_sweep_goes_on_is_not_missed() {
     let (mut a, mut away) = (replica("a"), replica("c"));
     for nth in 0..50 {
-        a.say(0.0, &format!("s{nth:02}"), &mark(4.0), 0.0);
+        a.publish(0.0, &format!("s{nth:02}"), &mark(4.0), 0.0);
     }
     catch_up(&a, &mut away, 0.0, ALL);
-    a.unsay::<Mark>(0.0, "s40");
+    a.retract::<Mark>(0.0, "s40");
     a.tick(100_000.0);
-    let (parts, left) = a.delta(100_000.0, &away.vector(), 300);
+    let Delta { batches: parts, remaining: left } = a.delta(100_000.0, &away.version_vector(), 300);
     assert!(left > 0 && matches!(parts[0].why, Why::Sweep { last: false }));
-    away.take(100_000.0, 0.0, "a", &parts[0]).expect("it begins");
+    away.apply(100_000.0, 0.0, "a", &parts[0]).expect("it begins");
     // A row of the piece that is through is deleted, and that deletion forgotten, before the next piece.
-    a.unsay::<Mark>(100_000.0, "s00");
+    a.retract::<Mark>(100_000.0, "s00");
     a.tick(200_000.0);
     for _ in 0..3 {
         catch_up(&a, &mut away, 200_000.0, 300);
@@ -203,31 +206,31 @@
 #[test]
 fn an_earlier_start_is_void_once_a_later_one_is_heard_of() {
     let (mut a, mut b) = (replica("a"), replica("b"));
-    a.say(0.0, "s1", &mark(4.0), 0.0);
-    let old = a.said_since(0.0, 0, ALL).expect("a word");
-    b.take(0.0, 0.0, "a", &old).expect("it is new");
+    a.publish(0.0, "s1", &mark(4.0), 0.0);
+    let old = a.own_records_since(0.0, 0, ALL).expect("a word");
+    b.apply(0.0, 0.0, "a", &old).expect("it is new");
     b.started("a", start(2));
-    assert_eq!(b.of("a"), Some((start(2), 0, 0)));
-    assert_eq!(b.take(0.0, 0.0, "a", &old), Err(Refused::Old));
+    assert_eq!(b.origin("a"), Some(OriginState { incarnation: start(2), version: 0, records: 0 }));
+    assert_eq!(b.apply(0.0, 0.0, "a", &old), Err(RejectReason::Old));
 }
 
 #[test]
 fn ranges_that_differ_at_the_same_version_are_mended() {
     let (mut a, mut b, mut c) = (replica("a"), replica("b"), replica("c"));
     for nth in 0..100 {
-        a.say(0.0, &format!("s{nth}"), &mark(4.0), 0.0);
+        a.publish(0.0, &format!("s{nth}"), &mark(4.0), 0.0);
     }
     // Two rows are cut out of what b is sent, as no honest mixer would.
-    let mut part = a.said_since(0.0, 0, ALL).expect("a word");
+    let mut part = a.own_records_since(0.0, 0, ALL).expect("a word");
     part.rows.retain(|r| ![7, 70].contains(&r.counter));
-    b.take(0.0, 0.0, "a", &part).expect("nobody can tell");
+    b.apply(0.0, 0.0, "a", &part).expect("nobody can tell");
     catch_up(&a, &mut c, 0.0, ALL);
-    assert_eq!(b.unlike(&c.vector()), ["a"]);
-    let (start, upto, digests) = b.ranges("a").expect("it is held");
-    let parts = c.mend(0.0, "a", start, upto, &digests, ALL);
+    assert_eq!(b.unlike(&c.version_vector()), ["a"]);
+    let (start, through, digests) = b.ranges("a").expect("it is held");
+    let parts = c.mend(0.0, "a", start, through, &digests, ALL);
     assert_eq!(parts.len(), 2, "two of sixteen ranges: {parts:?}");
     for part in &parts {
-        b.take(0.0, 0.0, "c", part).expect("it fits");
+        b.apply(0.0, 0.0, "c", part).expect("it fits");
     }
     assert_eq!(rows(&b), rows(&a));
     assert_eq!(b.sum(), a.sum());
@@ -235,9 +238,9 @@
 
 #[test]
 fn ten_million_rows_of_a_peer_take_no_more_than_its_share() {
-    let limits = Limits::shared(64 * 1024, 4);
+    let limits = Limits::per_origin(64 * 1024, 4);
     let mut me = Replica::new("a", start(1), ["a", "b", "c"].map(str::to_owned), limits);
-    me.say(0.0, "s1", &mark(4.0), 0.0);
+    me.publish(0.0, "s1", &mark(4.0), 0.0);
     let row = |nth: u64| WireRow {
         kind: 200,
         name: format!("{nth}"),
@@ -250,17 +253,17 @@
     for round in 0..10_000 {
         rows.iter_mut().for_each(|r| r.counter += 1000);
         rows[0].name = format!("new {round}");
-        let (origin, upto) = ("b".to_owned(), rows[999].counter);
-        let part = Part { origin, start: start(1), from: 0, upto, floor: 0, why: Why::Delta, rows };
-        assert_eq!(me.take(0.0, 0.0, "b", &part), Err(Refused::Share));
+        let (origin, through) = ("b".to_owned(), rows[999].counter);
+        let part = RecordBatch { origin, start: start(1), from: 0, through, floor: 0, why: Why::Delta, rows };
+        assert_eq!(me.apply(0.0, 0.0, "b", &part), Err(RejectReason::Share));
         let (_, bytes) = me.size();
         assert!(bytes <= 2 * limits.bytes, "{bytes} of {}", limits.bytes);
         rows = part.rows;
     }
     // The others' words have their room still.
     let mut c = replica("c");
-    c.say(0.0, "s2", &mark(4.0), 0.0);
-    assert!(me.take(0.0, 0.0, "c", &c.said_since(0.0, 0, ALL).expect("a word")).is_ok());
+    c.publish(0.0, "s2", &mark(4.0), 0.0);
+    assert!(me.apply(0.0, 0.0, "c", &c.own_records_since(0.0, 0, ALL).expect("a word")).is_ok());
 }
 
 #[test]
@@ -273,59 +276,63 @@
         age_ms: 0,
         value: Some(value),
     };
-    let part = |origin: &str, from, upto, rows| Part {
+    let part = |origin: &str, from, through, rows| RecordBatch {
         origin: origin.to_owned(),
         start: start(1),
         from,
-        upto,
+        through,
         floor: 0,
         why: Why::Delta,
         rows,
     };
     let good = || {
         let mut b = replica("b");
-        b.say(0.0, "s", &mark(4.0), 0.0);
-        b.said_since(0.0, 0, ALL).expect("a word").rows.remove(0).value.expect("no deletion")
+        b.publish(0.0, "s", &mark(4.0), 0.0);
+        b.own_records_since(0.0, 0, ALL).expect("a word").rows.remove(0).value.expect("no deletion")
     };
-    let mut refused = |part: Part| me.take(0.0, 0.0, "b", &part).expect_err("it can't be");
-    assert_eq!(refused(part("x", 0, 1, vec![row("s", 1, good())])), Refused::Unnamed);
-    assert_eq!(refused(part("a", 0, 1, vec![row("s", 1, good())])), Refused::Own);
-    assert_eq!(refused(part("b", 0, 1, vec![row("s", 2, good())])), Refused::Unfit, "beyond its interval");
+    let mut refused = |part: RecordBatch| me.apply(0.0, 0.0, "b", &part).expect_err("it can't be");
+    assert_eq!(refused(part("x", 0, 1, vec![row("s", 1, good())])), RejectReason::Unnamed);
+    assert_eq!(refused(part("a", 0, 1, vec![row("s", 1, good())])), RejectReason::OwnOrigin);
+    assert_eq!(
+        refused(part("b", 0, 1, vec![row("s", 2, good())])),
+        RejectReason::Unfit,
+        "beyond its interval"
+    );
     assert_eq!(
         refused(part("b", 0, 2, vec![row("s", 2, good()), row("t", 1, good())])),
-        Refused::Unfit,
+        RejectReason::Unfit,
         "out of order"
     );
-    assert_eq!(refused(part("b", 3, 1, Vec::new())), Refused::Unfit, "an interval that runs backwards");
+    assert_eq!(refused(part("b", 3, 1, Vec::new())), RejectReason::Unfit, "an interval that runs backwards");
     assert_eq!(
         refused(part("b", 0, 1, vec![row("s", 1, vec![9; 300])])),
-        Refused::Unfit,
+        RejectReason::Unfit,
         "over the longest value"
     );
-    assert_eq!(refused(part("b", 0, 1, vec![row("s", 1, vec![9; 3])])), Refused::Unfit, "no mark");
+    assert_eq!(refused(part("b", 0, 1, vec![row("s", 1, vec![9; 3])])), RejectReason::Unfit, "no mark");
     assert_eq!(
         refused(part("b", 0, 1, vec![row(&"s".repeat(100), 1, good())])),
-        Refused::Unfit,
+        RejectReason::Unfit,
         "a long name"
     );
-    let infinite = postcard::to_allocvec(&Mark { normals: f64::INFINITY, parts: 1, late: false })
+    let infinite = postcard::to_allocvec(&Mark { latency_ratio: f64::INFINITY, parts: 1, late: false })
         .expect("it is written");
-    assert_eq!(refused(part("b", 0, 1, vec![row("s", 1, infinite)])), Refused::Unfit, "no figure");
-    assert_eq!(refused(part("b", 5, 6, Vec::new())), Refused::Gap);
+    assert_eq!(refused(part("b", 0, 1, vec![row("s", 1, infinite)])), RejectReason::Unfit, "no figure");
+    assert_eq!(refused(part("b", 5, 6, Vec::new())), RejectReason::Gap);
     assert_eq!(me.size().0, 0);
 }
 
 #[test]
 fn an_age_grows_while_it_is_held_and_the_older_evidence_counts() {
     let (mut a, mut b, mut c) = (replica("a"), replica("b"), replica("c"));
-    a.say(1000.0, "s1", &mark(4.0), 900.0);
-    let part = a.said_since(1500.0, 0, ALL).expect("a word");
+    a.publish(1000.0, "s1", &mark(4.0), 900.0);
+    let part = a.own_records_since(1500.0, 0, ALL).expect("a word");
     assert_eq!(part.rows[0].age_ms, 600);
     // b's clock stands elsewhere, and it read the word 200 ms after it may have come.
-    b.take(77_000.0, 200.0, "a", &part).expect("it is new");
-    assert_eq!(b.said::<Mark>(77_100.0, "s1"), [("a", mark(4.0), 900.0)]);
+    b.apply(77_000.0, 200.0, "a", &part).expect("it is new");
+    assert_eq!(b.reports::<Mark>(77_100.0, "s1"), [Report { origin: "a", value: mark(4.0), age_ms: 900.0 }]);
     catch_up(&b, &mut c, 77_100.0, ALL);
-    c.take(77_100.0, 0.0, "a", &part).expect("the same again");
-    assert_eq!(c.said::<Mark>(77_100.0, "s1"), [("a", mark(4.0), 900.0)]);
+    c.apply(77_100.0, 0.0, "a", &part).expect("the same again");
+    assert_eq!(c.reports::<Mark>(77_100.0, "s1"), [Report { origin: "a", value: mark(4.0), age_ms: 900.0 }]);
     assert_eq!(c.joined::<Mark>(79_000.0, "s1"), None, "old evidence says nothing");
 }
