--- a/crates/bgp/benches/rib.rs
+++ b/crates/bgp/benches/rib.rs
@@ -1,4 +1,4 @@
-//! The trie of routes out against a `BTreeMap`. `cargo bench -p pewterwharf-bgp`; the figures stand in `docs/bgp.md`.
+//! Compares the prefix trie with a `BTreeMap`: `cargo bench -p pewterwharf-bgp`. Results are in `docs/bgp.md`.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -9,7 +9,7 @@
 use ipnet::IpNet;
 use pewterwharf_bgp::rib::Trie;
 
-/// So many prefixes of /24 to /32, spread by a fixed multiplier.
+/// `count` prefixes of /24 to /32, spread by a fixed multiplier.
 fn prefixes(count: u32) -> Vec<IpNet> {
     let net = |n: u32| {
         let len = 24 + (n % 9) as u8;
@@ -27,39 +27,45 @@
         .configure_from_args();
     for count in [1, 1000, 100_000] {
         let all = prefixes(count);
-        let (mut trie, mut map) = (Trie::default(), BTreeMap::new());
-        for (n, at) in (0u32..).zip(&all) {
-            trie.insert(at, n);
-            map.insert(*at, n);
+        let mut trie = Trie::default();
+        let mut map = BTreeMap::new();
+        for (n, prefix) in (0u32..).zip(&all) {
+            trie.insert(prefix, n);
+            map.insert(*prefix, n);
         }
-        let asked: Vec<IpAddr> = all.iter().step_by((count as usize / 100).max(1)).map(IpNet::addr).collect();
+        let addresses: Vec<IpAddr> =
+            all.iter().step_by((count as usize / 100).max(1)).map(IpNet::addr).collect();
         let mut measure = |name: &str, run: &mut dyn FnMut() -> u64| {
             criterion
                 .bench_with_input(BenchmarkId::new(name, count), &(), |b, ()| b.iter(|| black_box(run())));
         };
         measure("build/trie", &mut || {
             let mut trie = Trie::default();
-            for at in &all {
-                let _ = trie.insert(at, 1u32);
+            for prefix in &all {
+                let _ = trie.insert(prefix, 1u32);
             }
             trie.len() as u64
         });
         measure("build/map", &mut || {
             let mut map = BTreeMap::new();
-            for at in &all {
-                let _ = map.insert(*at, 1u32);
+            for prefix in &all {
+                let _ = map.insert(*prefix, 1u32);
             }
             map.len() as u64
         });
-        measure("get/trie", &mut || all.iter().map(|at| u64::from(*trie.get(at).unwrap_or(&0))).sum());
-        measure("get/map", &mut || all.iter().map(|at| u64::from(*map.get(at).unwrap_or(&0))).sum());
+        measure("get/trie", &mut || {
+            all.iter().map(|prefix| u64::from(*trie.get(prefix).unwrap_or(&0))).sum()
+        });
+        measure("get/map", &mut || all.iter().map(|prefix| u64::from(*map.get(prefix).unwrap_or(&0))).sum());
         measure("covering 100/trie", &mut || {
-            asked.iter().filter(|a| trie.covering(**a).is_some()).count() as u64
+            addresses.iter().filter(|a| trie.longest_match(**a).is_some()).count() as u64
         });
-        // A map can be asked for each length in turn.
-        let covering = |address: IpAddr| {
+        // The map needs one lookup for each prefix length.
+        let longest_match = |address: IpAddr| {
             (0..=32u8).rev().find_map(|len| map.get(&IpNet::new(address, len).ok()?.trunc()).copied())
         };
-        measure("covering 100/map", &mut || asked.iter().filter(|a| covering(**a).is_some()).count() as u64);
+        measure("covering 100/map", &mut || {
+            addresses.iter().filter(|a| longest_match(**a).is_some()).count() as u64
+        });
     }
 }
--- a/crates/bgp/src/announce.rs
+++ b/crates/bgp/src/announce.rs
@@ -1,60 +1,60 @@
-//! Whether each service address is announced, depreferenced or withdrawn, and when a mixer that drains may stop taking
-//! scans. No I/O: inputs and the time in, effects out.
+//! Decides whether each service address is announced, depreferenced or withdrawn, and when a draining mixer may stop
+//! accepting scans. No I/O: inputs and the current time in, effects out.
 //!
-//! A mixer is announced by what it can serve, not by being alive. What it can serve is told by the decision module's own
-//! view ([`Health`]); here it is weighed against time:
+//! Addresses are announced by what the mixer can serve, not by its being alive. The decision module reports what it can
+//! serve as [`Health`]; this module applies hysteresis and rate limits:
 //!
-//! - **worse** counts after it has lasted `down_ms`, **better** after `up_ms`; what lies between the two shares changes
-//!   nothing;
-//! - the number of changes in a minute is bounded: once it is reached nothing gets better until it is under it again.
-//!   Getting worse is never held back, or scans would be called to where nobody serves them;
-//! - where the operator says so, a last announcer is depreferenced in place of withdrawn, unless it drains or can serve
-//!   nothing at all; one that had withdrawn beside another comes back, depreferenced, once that other is gone. Who else
-//!   announces is known from what peers reflect ([`others`]): a route that may be the mixer's own, or that is itself
-//!   a last resort, is nobody's;
-//! - a drain goes its own way, in this order and no other: depreference, wait, withdraw, wait for the route to leave, stop.
+//! - A change for the worse applies after it has lasted `down_delay_ms`, a change for the better after `up_delay_ms`.
+//!   Between the two shares an address keeps its state.
+//! - The number of changes per minute is limited: at the limit no address improves until the rate falls below it. Changes
+//!   for the worse are never delayed by the limit, or scans would be routed to a mixer that cannot serve them.
+//! - If the operator asks for it (`keep_last`), the last announcer of an address is depreferenced instead of withdrawn,
+//!   unless it drains or can serve nothing at all. One that withdrew because of another announcer comes back depreferenced
+//!   once that one is gone. Other announcers are known from the routes that peers send ([`is_other_announcer`]); a route
+//!   that may be the mixer's own, or that is itself a last resort, does not count.
+//! - A drain has a fixed order: depreference, wait, withdraw, wait for the withdrawal to propagate, stop.
 //!
-//! A lost session changes nothing here: the peer forgets the routes by itself, and is told all again.
+//! A lost session changes nothing here: the peer drops the routes and gets all of them again with the next session.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
 
 use ipnet::IpNet;
 
-use crate::message::Seen;
+use crate::message::ObservedRoute;
 
-/// What is read at start.
+/// Configuration of the announcements.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    pub addresses: Vec<Address>,
-    /// Shares of an address's weight that are usable: announced from the first on, withdrawn under the second.
+pub struct AnnounceConfig {
+    pub addresses: Vec<ServiceAddress>,
+    /// Servable share from which on an address is announced, and below which it is withdrawn.
     pub up_share: f64,
     pub down_share: f64,
-    /// Milliseconds that better, or worse, has to last.
-    pub up_ms: f64,
-    pub down_ms: f64,
-    /// A list older than that, in milliseconds, depreferences.
-    pub stale_ms: f64,
-    /// Share of the scans refused at the door from which on an address is depreferenced.
-    pub pressure: f64,
-    /// Changes of all addresses in a minute, beyond which nothing gets better.
-    pub changes: u32,
-    /// Milliseconds of a drain: depreferenced, then withdrawn before scans stop being taken.
+    /// Milliseconds that a change for the better, or for the worse, has to last before it applies.
+    pub up_delay_ms: f64,
+    pub down_delay_ms: f64,
+    /// Age of the searcher list in milliseconds above which addresses are depreferenced.
+    pub max_list_age_ms: f64,
+    /// Share of scans rejected at admission from which on addresses are depreferenced.
+    pub max_rejected_share: f64,
+    /// Changes of all addresses per minute, above which no address improves.
+    pub max_changes_per_minute: u32,
+    /// Phases of a drain in milliseconds: depreferenced, then withdrawn before the mixer stops accepting scans.
     pub depreferenced_ms: f64,
-    pub leave_ms: f64,
+    pub withdrawn_ms: f64,
 }
 
-/// One service address. No two are of the same prefix.
+/// One service address; prefixes are unique.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Address {
+pub struct ServiceAddress {
     pub prefix: IpNet,
-    /// Table types that are served there; all, if none is named.
+    /// Table types served at the address; empty for all.
     pub table_types: Vec<usize>,
-    /// Not withdrawn on mere suspicion while nobody else is known to announce it.
+    /// The last known announcer depreferences the address instead of withdrawing it while it can serve something.
     pub keep_last: bool,
 }
 
-/// The service's phases.
+/// Life cycle phase of the mixer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Opening,
@@ -63,69 +63,79 @@
     Closed,
 }
 
-/// What a mixer can serve now.
+/// What the mixer can currently serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Health {
     pub phase: Phase,
-    /// Of each table type, the share of what it needs that can be served (see [`served`]).
-    pub usable: Vec<f64>,
-    /// Share of the scans refused at the door lately.
-    pub pressure: f64,
-    /// Places for clients are left.
-    pub places: bool,
-    /// Milliseconds since discovery was last heard.
+    /// Servable share of each table type (see [`servable_share`]).
+    pub servable_shares: Vec<f64>,
+    /// Share of recent scans rejected at admission.
+    pub rejected_share: f64,
+    /// Further client connections can be accepted.
+    pub has_client_capacity: bool,
+    /// Milliseconds since the last message from discovery.
     pub list_age_ms: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     Health(Health),
-    /// Sessions that are established.
+    /// Number of established sessions.
     Sessions(usize),
-    /// Whether somebody else is known to announce an address, by routes that peers reflect.
-    Others(IpNet, bool),
-    /// The operator has changed them. Addresses that stay keep their standing; others begin withdrawn, and what is no
-    /// longer named is withdrawn at once.
-    Terms(Terms),
-    /// The mixer is to end.
+    /// Whether another announcer of an address is known from the routes that peers send.
+    OtherAnnouncer(IpNet, bool),
+    /// The configuration has changed. Addresses that remain keep their state, new ones start withdrawn, and removed ones
+    /// are withdrawn at once.
+    Configure(AnnounceConfig),
+    /// The mixer has been asked to stop.
     Drain,
-    /// At once: asked a second time.
-    Hurry,
-    /// Time has come to [`Announcer::due`].
+    /// Skips the waiting times of a drain: the mixer has been asked to stop a second time.
+    DrainNow,
+    /// The time returned by [`Announcer::next_timer`] has come.
     Timer,
 }
 
+/// State of an address, ordered by preference. The names are part of the output of `bgp show`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stance {
+pub enum RouteState {
     Withdrawn,
-    /// Announced so that any other announcer is preferred (RFC 8326).
+    /// Announced with lower preference than any other announcer's route (RFC 8326).
     Depreferenced,
     Announced,
 }
 
-/// Why a stance is what it is: the reason that `bgp show` gives.
+/// Reason of an address's state. The names are part of the output of `bgp show`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
+    /// The mixer has not finished starting.
     NotReady,
     Serves,
+    /// No part of the data of a table type can be served.
     NothingUsable,
+    /// The servable share is below the threshold.
     TooLittleUsable,
+    /// The servable share is below the threshold, but no other announcer is known.
     LastAnnouncer,
+    /// The searcher list is older than the limit.
     ListStale,
+    /// Too large a share of scans is rejected at admission.
     DoorPressed,
+    /// No further client connections can be accepted.
     NoPlaces,
+    /// The mixer is draining.
     Drains,
-    /// The operator names it no longer.
+    /// The address was removed from the configuration.
     NotNamed,
 }
 
-/// Of what a table type needs, the share that can be served where `usable` is the share of the slices with a searcher that
-/// is up, not draining and not marked. `need` is the weight of parts that makes a whole answer, `floor` the least for any:
-/// under it every scan fails.
-pub fn served(usable: f64, need: f64, floor: f64) -> f64 {
-    // Shares of a few slices: a rounding error must not count as a slice.
-    const CLOSE: f64 = 1e-9;
-    if usable + CLOSE < floor {
+/// Share of a table type's need that can be served.
+///
+/// `usable` is the share of slices with a searcher that is up, not draining and not marked. `need` is the weight of parts
+/// that makes an answer complete, `floor` the least weight for any answer: below it every scan fails.
+pub fn servable_share(usable: f64, need: f64, floor: f64) -> f64 {
+    // The shares are sums over a few slices: a rounding error must not count as a missing slice.
+    const EPSILON: f64 = 1e-9;
+    if usable + EPSILON < floor {
         0.0
     } else if need > 0.0 {
         (usable / need).min(1.0)
@@ -134,84 +144,110 @@
     }
 }
 
-/// Whether a route that a peer holds is surely another's, for a mixer of this identifier that told the peer this next
-/// hop.
+/// Whether a received route certainly comes from another announcer, for a mixer with this BGP Identifier that announced
+/// `next_hop` to the peer.
 ///
-/// A peer that sets itself as next hop sends routes back so that they can't be told from another's of the same AS. Taking
-/// one's own route for another's would withdraw the last; so what is not sure counts as nobody's. A route that is itself a
-/// last resort is no reason to go either: two of them would send each other away.
-pub fn others(seen: &Seen, id: Ipv4Addr, next_hop: Option<IpAddr>) -> bool {
-    let told = seen.originator.map(|by| by != id);
-    let elsewhere = seen.next_hop.is_some() && seen.next_hop != next_hop;
-    !seen.last && told.unwrap_or(elsewhere && !seen.own_as)
+/// A peer that sets itself as next hop sends routes back in a form that cannot be told from another announcer's route in
+/// the same AS. Mistaking the mixer's own route for another's would withdraw the last route, so a doubtful route does not
+/// count. Neither does a depreferenced route: two last announcers would otherwise make each other withdraw.
+pub fn is_other_announcer(route: &ObservedRoute, bgp_id: Ipv4Addr, next_hop: Option<IpAddr>) -> bool {
+    let other_originator = route.originator_id.map(|originator| originator != bgp_id);
+    let other_next_hop = route.next_hop.is_some() && route.next_hop != next_hop;
+    !route.graceful_shutdown && other_originator.unwrap_or(other_next_hop && !route.own_as_in_path)
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// An address is to stand so.
-    Stand { prefix: IpNet, stance: Stance, reason: Reason },
-    /// Scans may stop being taken: no route leads here any more, as far as can be known.
-    MayStop,
+    /// An address changes to this state.
+    SetState { prefix: IpNet, state: RouteState, reason: Reason },
+    /// The drain is complete: as far as can be known no route leads to this mixer, and it may stop accepting scans.
+    DrainComplete,
 }
 
-/// A minute, in which changes are counted.
+/// Window of the rate limit on changes.
 const MINUTE_MS: f64 = 60_000.0;
 
+/// A state with its reason.
+#[derive(Clone, Copy, Debug)]
+struct Target {
+    state: RouteState,
+    reason: Reason,
+}
+
+/// State of one address, for status output.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AddressState {
+    pub prefix: IpNet,
+    pub state: RouteState,
+    pub reason: Reason,
+    /// Another announcer of the address is known.
+    pub other_announcer: bool,
+    /// Time of the last change of state; `None` before the first.
+    pub changed_at: Option<f64>,
+}
+
 #[derive(Clone, Debug)]
-struct Standing {
-    stance: Stance,
+struct AddressRecord {
+    state: RouteState,
     reason: Reason,
-    /// What health asks for, and since when it asks for nothing else.
-    asked: (Stance, Reason),
-    since: f64,
-    others: bool,
-    /// When the stance last changed; never, before it first did.
-    changed: Option<f64>,
+    /// State that the health calls for.
+    target: Target,
+    /// Since when the target has been on the same side of the current state: better, worse or equal.
+    target_since: f64,
+    other_announcer: bool,
+    /// Time of the last change of state; `None` before the first.
+    changed_at: Option<f64>,
 }
 
-impl Standing {
+impl AddressRecord {
     fn new() -> Self {
-        let begins = (Stance::Withdrawn, Reason::NotReady);
-        let (stance, reason) = begins;
-        Self { stance, reason, asked: begins, since: 0.0, others: false, changed: None }
+        let target = Target { state: RouteState::Withdrawn, reason: Reason::NotReady };
+        Self {
+            state: target.state,
+            reason: target.reason,
+            target,
+            target_since: 0.0,
+            other_announcer: false,
+            changed_at: None,
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Drain {
     No,
-    /// Depreferenced until then.
-    Last(f64),
-    /// Withdrawn, and the route on its way out until then.
-    Leaving(f64),
+    /// Addresses are depreferenced until this time.
+    Depreferenced(f64),
+    /// Addresses are withdrawn; waits until this time for the withdrawals to propagate.
+    Withdrawn(f64),
     Done,
 }
 
-/// The announcements of one mixer.
+/// Decides on the announcements of one mixer.
 #[derive(Clone, Debug)]
 pub struct Announcer {
-    terms: Terms,
+    config: AnnounceConfig,
     now: f64,
     health: Health,
-    addresses: Vec<Standing>,
+    addresses: Vec<AddressRecord>,
     sessions: usize,
     drain: Drain,
-    /// When stances changed lately.
+    /// Times of the changes within the last minute.
     changes: VecDeque<f64>,
 }
 
 impl Announcer {
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(config: AnnounceConfig) -> Self {
         let health = Health {
             phase: Phase::Opening,
-            usable: Vec::new(),
-            pressure: 0.0,
-            places: true,
+            servable_shares: Vec::new(),
+            rejected_share: 0.0,
+            has_client_capacity: true,
             list_age_ms: f64::INFINITY,
         };
         Self {
-            addresses: vec![Standing::new(); terms.addresses.len()],
-            terms,
+            addresses: vec![AddressRecord::new(); config.addresses.len()],
+            config,
             now: 0.0,
             health,
             sessions: 0,
@@ -220,192 +256,208 @@
         }
     }
 
-    /// How each address stands, why, whether somebody else is known to announce it, and when its stance last changed.
-    pub fn standings(&self) -> impl Iterator<Item = (IpNet, Stance, Reason, bool, Option<f64>)> {
-        let named = self.terms.addresses.iter().map(|a| a.prefix);
-        named.zip(&self.addresses).map(|(at, a)| (at, a.stance, a.reason, a.others, a.changed))
+    /// State of each configured address.
+    pub fn address_states(&self) -> impl Iterator<Item = AddressState> {
+        let prefixes = self.config.addresses.iter().map(|a| a.prefix);
+        prefixes.zip(&self.addresses).map(|(prefix, record)| AddressState {
+            prefix,
+            state: record.state,
+            reason: record.reason,
+            other_announcer: record.other_announcer,
+            changed_at: record.changed_at,
+        })
     }
 
-    /// What was last reported.
+    /// Last reported health.
     pub fn health(&self) -> &Health {
         &self.health
     }
 
-    /// Whether it drains.
-    pub fn drains(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drain != Drain::No
     }
 
-    /// When [`Input::Timer`] is due next, in milliseconds.
-    pub fn due(&self) -> f64 {
+    /// Time of the next [`Input::Timer`], in milliseconds.
+    pub fn next_timer(&self) -> f64 {
         match self.drain {
-            Drain::Last(at) | Drain::Leaving(at) => at,
+            Drain::Depreferenced(at) | Drain::Withdrawn(at) => at,
             Drain::Done => f64::INFINITY,
             Drain::No => {
-                let lasting = self.addresses.iter().map(|a| self.lasts_until(a));
-                lasting.fold(f64::INFINITY, f64::min)
+                let times = self.addresses.iter().map(|record| self.applies_at(record));
+                times.fold(f64::INFINITY, f64::min)
             }
         }
     }
 
-    /// Takes in what happened at `now`; a clock that goes back stands still.
+    /// Processes an input at time `now` in milliseconds. If `now` is before the time of an earlier input, that time is used.
     pub fn step(&mut self, now: f64, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         match input {
             Input::Health(health) => self.health = health,
-            Input::Sessions(up) => self.sessions = up,
-            Input::Others(prefix, known) => {
-                let named = self.terms.addresses.iter().position(|a| a.prefix == prefix);
-                named.into_iter().for_each(|at| self.addresses[at].others = known);
+            Input::Sessions(established) => self.sessions = established,
+            Input::OtherAnnouncer(prefix, known) => {
+                let index = self.config.addresses.iter().position(|a| a.prefix == prefix);
+                index.into_iter().for_each(|index| self.addresses[index].other_announcer = known);
             }
-            Input::Terms(terms) => self.change(terms, &mut out),
+            Input::Configure(config) => self.configure(config, &mut effects),
             Input::Drain if self.drain == Drain::No => {
-                self.drain = Drain::Last(self.now + self.terms.depreferenced_ms);
-                self.stand_all(Stance::Depreferenced, &mut out);
+                self.drain = Drain::Depreferenced(self.now + self.config.depreferenced_ms);
+                self.lower_all(RouteState::Depreferenced, &mut effects);
             }
-            Input::Hurry => {
+            Input::DrainNow => {
                 if self.drain != Drain::Done {
-                    self.drain = Drain::Leaving(self.now);
-                    self.stand_all(Stance::Withdrawn, &mut out);
+                    self.drain = Drain::Withdrawn(self.now);
+                    self.lower_all(RouteState::Withdrawn, &mut effects);
                 }
             }
             Input::Drain | Input::Timer => {}
         }
-        self.drained(&mut out);
+        self.advance_drain(&mut effects);
         if self.drain == Drain::No {
-            (0..self.addresses.len()).for_each(|address| self.weigh(address, &mut out));
+            (0..self.addresses.len()).for_each(|address| self.evaluate(address, &mut effects));
         }
-        out
+        effects
     }
 
-    fn change(&mut self, terms: Terms, out: &mut Vec<Effect>) {
-        let before = std::mem::replace(&mut self.terms, terms).addresses;
-        let mut held: Vec<(IpNet, Standing)> =
+    fn configure(&mut self, config: AnnounceConfig, effects: &mut Vec<Effect>) {
+        let before = std::mem::replace(&mut self.config, config).addresses;
+        let mut records: Vec<(IpNet, AddressRecord)> =
             before.iter().map(|a| a.prefix).zip(std::mem::take(&mut self.addresses)).collect();
-        for Address { prefix, .. } in &self.terms.addresses {
-            let kept = held.iter().position(|h| h.0 == *prefix).map(|at| held.swap_remove(at).1);
-            self.addresses.push(kept.unwrap_or_else(Standing::new));
+        for ServiceAddress { prefix, .. } in &self.config.addresses {
+            let kept = records.iter().position(|r| r.0 == *prefix).map(|index| records.swap_remove(index).1);
+            self.addresses.push(kept.unwrap_or_else(AddressRecord::new));
         }
-        held.sort_by_key(|h| h.0);
-        for (prefix, standing) in held {
-            if standing.stance > Stance::Withdrawn {
-                out.push(Effect::Stand { prefix, stance: Stance::Withdrawn, reason: Reason::NotNamed });
+        records.sort_by_key(|r| r.0);
+        for (prefix, record) in records {
+            if record.state > RouteState::Withdrawn {
+                effects.push(Effect::SetState {
+                    prefix,
+                    state: RouteState::Withdrawn,
+                    reason: Reason::NotNamed,
+                });
             }
         }
     }
 
-    /// Goes on with a drain as far as time, and those who listen, allow.
-    fn drained(&mut self, out: &mut Vec<Effect>) {
-        // Where nobody listens, or nothing is announced, there is nothing to wait for.
-        let heard = self.sessions > 0;
-        let announced = self.addresses.iter().any(|a| a.stance > Stance::Withdrawn);
-        if let Drain::Last(until) = self.drain
-            && (self.now >= until || !heard || !announced)
+    /// Advances a drain; phases that have no effect on any peer are skipped.
+    fn advance_drain(&mut self, effects: &mut Vec<Effect>) {
+        // Without a session, or with nothing announced, there is nothing to wait for.
+        let has_session = self.sessions > 0;
+        let announced = self.addresses.iter().any(|a| a.state > RouteState::Withdrawn);
+        if let Drain::Depreferenced(until) = self.drain
+            && (self.now >= until || !has_session || !announced)
         {
-            self.stand_all(Stance::Withdrawn, out);
-            let leave = if heard && announced { self.terms.leave_ms } else { 0.0 };
-            self.drain = Drain::Leaving(self.now + leave);
+            self.lower_all(RouteState::Withdrawn, effects);
+            let wait_ms = if has_session && announced { self.config.withdrawn_ms } else { 0.0 };
+            self.drain = Drain::Withdrawn(self.now + wait_ms);
         }
-        if let Drain::Leaving(until) = self.drain
-            && (self.now >= until || !heard)
+        if let Drain::Withdrawn(until) = self.drain
+            && (self.now >= until || !has_session)
         {
             self.drain = Drain::Done;
-            out.push(Effect::MayStop);
+            effects.push(Effect::DrainComplete);
         }
     }
 
-    /// A drain makes nothing better than it is.
-    fn stand_all(&mut self, stance: Stance, out: &mut Vec<Effect>) {
+    /// Lowers all addresses to a state for a drain; addresses below it stay as they are.
+    fn lower_all(&mut self, state: RouteState, effects: &mut Vec<Effect>) {
         for address in 0..self.addresses.len() {
-            if self.addresses[address].stance > stance {
-                self.stand(address, stance, Reason::Drains, out);
+            if self.addresses[address].state > state {
+                self.set_state(address, state, Reason::Drains, effects);
             }
         }
     }
 
-    fn stand(&mut self, address: usize, stance: Stance, reason: Reason, out: &mut Vec<Effect>) {
-        let standing = &mut self.addresses[address];
-        (standing.stance, standing.reason, standing.changed) = (stance, reason, Some(self.now));
+    fn set_state(&mut self, address: usize, state: RouteState, reason: Reason, effects: &mut Vec<Effect>) {
+        let record = &mut self.addresses[address];
+        record.state = state;
+        record.reason = reason;
+        record.changed_at = Some(self.now);
         self.changes.push_back(self.now);
-        out.push(Effect::Stand { prefix: self.terms.addresses[address].prefix, stance, reason });
+        effects.push(Effect::SetState { prefix: self.config.addresses[address].prefix, state, reason });
     }
 
-    /// What an address's health asks for, by itself.
-    fn asks(&self, address: usize) -> (Stance, Reason) {
-        let (terms, health) = (&self.terms, &self.health);
-        let Some(Address { table_types, keep_last, .. }) = terms.addresses.get(address) else {
-            return (Stance::Withdrawn, Reason::NotReady);
+    /// State that the current health calls for, without delays and rate limits.
+    fn target(&self, address: usize) -> Target {
+        let withdrawn = |reason| Target { state: RouteState::Withdrawn, reason };
+        let depreferenced = |reason| Target { state: RouteState::Depreferenced, reason };
+        let config = &self.config;
+        let health = &self.health;
+        let Some(ServiceAddress { table_types, keep_last, .. }) = config.addresses.get(address) else {
+            return withdrawn(Reason::NotReady);
         };
-        let standing = &self.addresses[address];
+        let record = &self.addresses[address];
         if health.phase != Phase::Ready {
-            return (Stance::Withdrawn, Reason::NotReady);
+            return withdrawn(Reason::NotReady);
         }
-        // An address is as good as the worst of its table types: a scan of that type is called here too.
-        let named = health
-            .usable
+        // The table type with the smallest share decides, as scans of that type are routed to the address as well.
+        let served_types = health
+            .servable_shares
             .iter()
             .enumerate()
-            .filter(|(t, _)| table_types.is_empty() || table_types.contains(t));
-        let usable = named.map(|(_, share)| *share).reduce(f64::min).unwrap_or(0.0);
-        if usable <= 0.0 {
-            return (Stance::Withdrawn, Reason::NothingUsable);
+            .filter(|(table_type, _)| table_types.is_empty() || table_types.contains(table_type));
+        let servable = served_types.map(|(_, share)| *share).reduce(f64::min).unwrap_or(0.0);
+        if servable <= 0.0 {
+            return withdrawn(Reason::NothingUsable);
         }
-        // Between the two shares an address stays on the side on which it is.
-        let enough = if standing.stance == Stance::Withdrawn { terms.up_share } else { terms.down_share };
-        if usable < enough {
-            return match *keep_last && !standing.others {
-                true => (Stance::Depreferenced, Reason::LastAnnouncer),
-                false => (Stance::Withdrawn, Reason::TooLittleUsable),
+        // Hysteresis: between the two shares an address keeps its state.
+        let threshold =
+            if record.state == RouteState::Withdrawn { config.up_share } else { config.down_share };
+        if servable < threshold {
+            return match *keep_last && !record.other_announcer {
+                true => depreferenced(Reason::LastAnnouncer),
+                false => withdrawn(Reason::TooLittleUsable),
             };
         }
-        if health.list_age_ms > terms.stale_ms {
-            (Stance::Depreferenced, Reason::ListStale)
-        } else if !health.places {
-            (Stance::Depreferenced, Reason::NoPlaces)
-        } else if health.pressure >= terms.pressure {
-            (Stance::Depreferenced, Reason::DoorPressed)
+        if health.list_age_ms > config.max_list_age_ms {
+            depreferenced(Reason::ListStale)
+        } else if !health.has_client_capacity {
+            depreferenced(Reason::NoPlaces)
+        } else if health.rejected_share >= config.max_rejected_share {
+            depreferenced(Reason::DoorPressed)
         } else {
-            (Stance::Announced, Reason::Serves)
+            Target { state: RouteState::Announced, reason: Reason::Serves }
         }
     }
 
-    /// When what is asked for has lasted long enough to count.
-    fn lasts_until(&self, standing: &Standing) -> f64 {
-        let (stance, _) = standing.asked;
-        if stance == standing.stance {
+    /// Time at which the target applies if it persists; infinite if it equals the current state.
+    fn applies_at(&self, record: &AddressRecord) -> f64 {
+        let state = record.target.state;
+        if state == record.state {
             return f64::INFINITY;
         }
-        if stance < standing.stance {
-            return standing.since + self.terms.down_ms;
+        if state < record.state {
+            return record.target_since + self.config.down_delay_ms;
         }
-        let full = self.changes.len() >= self.terms.changes.max(1) as usize;
-        let nth = self.changes.len().saturating_sub(self.terms.changes.max(1) as usize);
-        let room = if full { self.changes[nth] + MINUTE_MS } else { 0.0 };
-        (standing.since + self.terms.up_ms).max(room)
+        let limit = self.config.max_changes_per_minute.max(1) as usize;
+        let at_limit = self.changes.len() >= limit;
+        let oldest_counted = self.changes.len().saturating_sub(limit);
+        let below_limit_at = if at_limit { self.changes[oldest_counted] + MINUTE_MS } else { 0.0 };
+        (record.target_since + self.config.up_delay_ms).max(below_limit_at)
     }
 
-    fn weigh(&mut self, address: usize, out: &mut Vec<Effect>) {
+    fn evaluate(&mut self, address: usize, effects: &mut Vec<Effect>) {
         while self.changes.front().is_some_and(|at| *at <= self.now - MINUTE_MS) {
             self.changes.pop_front();
         }
-        let asked = self.asks(address);
+        let target = self.target(address);
         let now = self.now;
-        let standing = &mut self.addresses[address];
-        // Worse still does not begin anew what is worse already; so with better.
-        let side = |stance: Stance| stance.cmp(&standing.stance);
-        if side(asked.0) != side(standing.asked.0) {
-            standing.since = now;
+        let record = &mut self.addresses[address];
+        // The delay restarts only if the target moves to another side of the state: a further change for the worse does
+        // not restart the delay of an earlier one, and likewise for the better.
+        let side = |state: RouteState| state.cmp(&record.state);
+        if side(target.state) != side(record.target.state) {
+            record.target_since = now;
         }
-        standing.asked = asked;
-        let (stance, reason) = asked;
-        if stance == standing.stance {
-            standing.reason = reason;
+        record.target = target;
+        if target.state == record.state {
+            record.reason = target.reason;
             return;
         }
-        if now >= self.lasts_until(&self.addresses[address]) {
-            self.stand(address, stance, reason, out);
-            self.addresses[address].since = now;
+        if now >= self.applies_at(&self.addresses[address]) {
+            self.set_state(address, target.state, target.reason, effects);
+            self.addresses[address].target_since = now;
         }
     }
 }
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -1,26 +1,79 @@
-//! Messages to bytes and back (RFC 4271 section 4).
+//! Encoding and decoding of BGP messages (RFC 4271 section 4).
 //!
-//! Reading never allocates more than the message's own bytes. A message that can't be read gives a [`Refusal`], which
-//! carries the NOTIFICATION that answers it (section 6); an UPDATE whose attributes are faulty is read as far as RFC 7606
-//! allows: its routes are taken as withdrawn, and the session lives on.
+//! Decoding never allocates more than the size of the message. A message that cannot be decoded yields a [`MessageError`]
+//! with the NOTIFICATION to send in reply (section 6). An UPDATE with malformed attributes is handled by RFC 7606: where
+//! the RFC allows it, its routes are treated as withdrawn and the session stays up.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 
-/// Bytes of a message's header: marker, length, type.
-pub const HEADER: usize = 19;
-/// Longest message (RFC 4271 section 4.1).
-pub const LONGEST: usize = 4096;
-/// In place of an AS number over 65,535 (RFC 6793 section 9).
+/// Length of a message header in bytes: marker, length, type.
+pub const HEADER_LEN: usize = 19;
+/// Maximum length of a message in bytes (RFC 4271 section 4.1).
+pub const MAX_MESSAGE_LEN: usize = 4096;
+/// Stands for an AS number above 65,535 in a two-octet field (RFC 6793 section 9).
 pub const AS_TRANS: u16 = 23456;
-/// Depreferenced routes carry it (RFC 8326 section 5).
+/// Well-known community GRACEFUL_SHUTDOWN, attached to depreferenced routes (RFC 8326 section 5).
 pub const GRACEFUL_SHUTDOWN: u32 = 0xFFFF_0000;
-/// Longest words in a shutdown (RFC 9003 section 2), in bytes.
-pub const LONGEST_WORDS: usize = 255;
-
-/// What routes a session carries (RFC 4760).
+/// Maximum length in bytes of a shutdown communication (RFC 9003 section 2).
+pub const MAX_SHUTDOWN_TEXT_LEN: usize = 255;
+
+/// Length of the marker at the start of each message, in bytes.
+const MARKER_LEN: usize = 16;
+/// Protocol version in OPEN.
+const VERSION: u8 = 4;
+/// Optional parameter of OPEN that holds capabilities (RFC 5492).
+const PARAMETER_CAPABILITIES: u8 = 2;
+/// Subsequent address family identifier of unicast routes.
+const SAFI_UNICAST: u8 = 1;
+/// ORIGIN value IGP.
+const ORIGIN_IGP: u8 = 0;
+/// AS_PATH segment type AS_SEQUENCE.
+const AS_SEQUENCE: u8 = 2;
+
+/// Message types (RFC 4271 section 4.1, RFC 2918).
+mod kind {
+    pub const OPEN: u8 = 1;
+    pub const UPDATE: u8 = 2;
+    pub const NOTIFICATION: u8 = 3;
+    pub const KEEPALIVE: u8 = 4;
+    pub const ROUTE_REFRESH: u8 = 5;
+}
+
+/// Capability codes (RFC 5492).
+mod capability {
+    pub const MULTIPROTOCOL: u8 = 1;
+    pub const ROUTE_REFRESH: u8 = 2;
+    pub const FOUR_OCTET_ASN: u8 = 65;
+}
+
+/// Attribute flags (RFC 4271 section 4.3).
+mod flag {
+    pub const OPTIONAL: u8 = 0x80;
+    pub const TRANSITIVE: u8 = 0x40;
+    pub const EXTENDED_LENGTH: u8 = 0x10;
+}
+
+const OPTIONAL_TRANSITIVE: u8 = flag::OPTIONAL | flag::TRANSITIVE;
+
+/// Attribute type codes.
+mod attribute {
+    pub const ORIGIN: u8 = 1;
+    pub const AS_PATH: u8 = 2;
+    pub const NEXT_HOP: u8 = 3;
+    pub const MULTI_EXIT_DISC: u8 = 4;
+    pub const LOCAL_PREF: u8 = 5;
+    pub const COMMUNITIES: u8 = 8;
+    pub const ORIGINATOR_ID: u8 = 9;
+    pub const MP_REACH_NLRI: u8 = 14;
+    pub const MP_UNREACH_NLRI: u8 = 15;
+    pub const AS4_PATH: u8 = 17;
+    pub const LARGE_COMMUNITIES: u8 = 32;
+}
+
+/// Address family of routes (RFC 4760).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Family {
     V4,
@@ -32,14 +85,14 @@
         if matches!(prefix, IpNet::V4(_)) { Self::V4 } else { Self::V6 }
     }
 
-    fn code(self) -> u16 {
+    fn afi(self) -> u16 {
         match self {
             Self::V4 => 1,
             Self::V6 => 2,
         }
     }
 
-    fn read(afi: u16, safi: u8) -> Option<Self> {
+    fn from_afi_safi(afi: u16, safi: u8) -> Option<Self> {
         match (afi, safi) {
             (1, 1) => Some(Self::V4),
             (2, 1) => Some(Self::V6),
@@ -48,73 +101,76 @@
     }
 }
 
-/// OPEN (section 4.2) with the capabilities that count here (RFC 5492).
+/// OPEN (section 4.2) with the capabilities used here (RFC 5492).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
     pub asn: u32,
-    /// Seconds; zero, or three at least.
-    pub hold_s: u16,
-    pub id: Ipv4Addr,
+    /// Seconds: zero, or at least three.
+    pub hold_time_s: u16,
+    /// BGP Identifier.
+    pub bgp_id: Ipv4Addr,
     pub families: Vec<Family>,
-    /// Numbers of the AS have four octets (RFC 6793).
+    /// Four-octet AS numbers are supported (RFC 6793).
     pub four_octets: bool,
-    /// ROUTE-REFRESH is understood (RFC 2918).
-    pub refresh: bool,
+    /// ROUTE-REFRESH is supported (RFC 2918).
+    pub route_refresh: bool,
 }
 
-/// Attributes of the routes that this speaker originates.
+/// Path attributes of the routes that this speaker originates.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attributes {
-    /// AS numbers, the nearest first; empty towards a peer of the same AS.
-    pub path: Vec<u32>,
+    /// AS_PATH with the nearest AS first; empty towards an internal peer.
+    pub as_path: Vec<u32>,
     pub next_hop: IpAddr,
     pub med: Option<u32>,
-    /// Only towards a peer of the same AS.
+    /// Sent to internal peers only.
     pub local_pref: Option<u32>,
-    /// RFC 1997, ascending.
+    /// RFC 1997, in ascending order.
     pub communities: Vec<u32>,
-    /// RFC 8092, ascending.
-    pub large: Vec<(u32, u32, u32)>,
+    /// RFC 8092, in ascending order.
+    pub large_communities: Vec<LargeCommunity>,
 }
 
-/// UPDATE (section 4.3): routes of one family with one set of attributes.
+/// Large community (RFC 8092): Global Administrator, Local Data Part 1, Local Data Part 2.
+pub type LargeCommunity = (u32, u32, u32);
+
+/// UPDATE (section 4.3): withdrawn prefixes, and announced prefixes that share one set of attributes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Update {
     pub withdrawn: Vec<IpNet>,
     pub announced: Vec<IpNet>,
-    /// Present with routes announced.
+    /// Present if `announced` is not empty.
     pub attributes: Option<Attributes>,
 }
 
-/// What a peer's UPDATE came to: counted, and of no other routes than those that are watched anything kept (see
-/// [`read_routes`]).
+/// Content of a received UPDATE: the number of routes, and details of the watched prefixes only (see [`decode_update`]).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Routes {
+pub struct UpdateSummary {
     pub announced: u32,
     pub withdrawn: u32,
-    /// Attributes that were passed over or that turned the announcement into a withdrawal (RFC 7606).
-    pub faulty: u32,
-    /// Of the watched prefixes that it names, in its order: none is a withdrawal.
-    pub watched: Vec<(IpNet, Option<Seen>)>,
+    /// Attributes that were discarded, or that turned the announcement into a withdrawal (RFC 7606).
+    pub faulty_attributes: u32,
+    /// Watched prefixes in the message, ordered by prefix; `None` is a withdrawal.
+    pub watched: Vec<(IpNet, Option<ObservedRoute>)>,
 }
 
-/// What tells whose a route is that a peer holds.
+/// Properties of a received route that show which speaker originated it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedRoute {
     pub next_hop: Option<IpAddr>,
-    /// Who brought it into the AS, by a route reflector's word (RFC 4456 section 8).
-    pub originator: Option<Ipv4Addr>,
-    /// The AS that watches stands in its path.
-    pub own_as: bool,
-    /// It carries [`GRACEFUL_SHUTDOWN`].
-    pub last: bool,
+    /// ORIGINATOR_ID set by a route reflector (RFC 4456 section 8).
+    pub originator_id: Option<Ipv4Addr>,
+    /// AS_PATH contains the local AS.
+    pub own_as_in_path: bool,
+    /// The route carries [`GRACEFUL_SHUTDOWN`].
+    pub graceful_shutdown: bool,
 }
 
-/// Prefixes of which it counts whether a peer holds a route, and the AS that asks.
+/// Prefixes for which received routes are reported, and the local AS.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Watch {
+pub struct WatchedPrefixes {
     pub prefixes: Vec<IpNet>,
-    pub asn: u32,
+    pub own_asn: u32,
 }
 
 /// NOTIFICATION (section 4.5).
@@ -125,29 +181,31 @@
     pub data: Vec<u8>,
 }
 
-/// Codes of section 4.5 and subcodes of sections 6.1 to 6.6 and RFC 4486, 6608, 5492.
+/// Error codes of RFC 4271 section 4.5 and subcodes of its sections 6.1 to 6.6 and of RFC 4486, RFC 6608 and RFC 5492.
 pub mod code {
     pub const HEADER: u8 = 1;
     pub const OPEN: u8 = 2;
     pub const UPDATE: u8 = 3;
-    pub const HOLD: u8 = 4;
-    pub const STATE: u8 = 5;
+    pub const HOLD_TIMER_EXPIRED: u8 = 4;
+    pub const FSM_ERROR: u8 = 5;
     pub const CEASE: u8 = 6;
-    pub const NOT_SYNCHRONISED: u8 = 1;
-    pub const BAD_LENGTH: u8 = 2;
-    pub const BAD_TYPE: u8 = 3;
-    pub const BAD_VERSION: u8 = 1;
+    pub const CONNECTION_NOT_SYNCHRONIZED: u8 = 1;
+    pub const BAD_MESSAGE_LENGTH: u8 = 2;
+    pub const BAD_MESSAGE_TYPE: u8 = 3;
+    pub const UNSUPPORTED_VERSION: u8 = 1;
     pub const BAD_PEER_AS: u8 = 2;
-    pub const BAD_ID: u8 = 3;
-    pub const BAD_PARAMETER: u8 = 4;
-    pub const BAD_HOLD: u8 = 6;
-    pub const BAD_CAPABILITY: u8 = 7;
-    pub const MALFORMED_ATTRIBUTES: u8 = 1;
-    pub const MOST_PREFIXES: u8 = 1;
-    pub const SHUTDOWN: u8 = 2;
-    pub const PEER_REMOVED: u8 = 3;
-    pub const RECONFIGURED: u8 = 6;
-    pub const COLLISION: u8 = 7;
+    pub const BAD_BGP_IDENTIFIER: u8 = 3;
+    pub const UNSUPPORTED_PARAMETER: u8 = 4;
+    pub const UNACCEPTABLE_HOLD_TIME: u8 = 6;
+    pub const UNSUPPORTED_CAPABILITY: u8 = 7;
+    pub const MALFORMED_ATTRIBUTE_LIST: u8 = 1;
+    pub const OPTIONAL_ATTRIBUTE_ERROR: u8 = 9;
+    pub const INVALID_NETWORK_FIELD: u8 = 10;
+    pub const MAX_PREFIXES_REACHED: u8 = 1;
+    pub const ADMINISTRATIVE_SHUTDOWN: u8 = 2;
+    pub const PEER_DECONFIGURED: u8 = 3;
+    pub const OTHER_CONFIG_CHANGE: u8 = 6;
+    pub const CONNECTION_COLLISION: u8 = 7;
 }
 
 impl Notification {
@@ -155,22 +213,23 @@
         Self { code, subcode, data: Vec::new() }
     }
 
-    /// Cease, administrative shutdown, with words for people (RFC 9003); cut at a letter if they are too long.
-    pub fn shutdown(words: &str) -> Self {
-        let mut end = words.len().min(LONGEST_WORDS);
-        while !words.is_char_boundary(end) {
+    /// Cease with subcode Administrative Shutdown and a shutdown communication (RFC 9003). A text that is too long is cut
+    /// at a character boundary.
+    pub fn shutdown(text: &str) -> Self {
+        let mut end = text.len().min(MAX_SHUTDOWN_TEXT_LEN);
+        while !text.is_char_boundary(end) {
             end -= 1;
         }
         let mut data = vec![end as u8];
-        data.extend_from_slice(&words.as_bytes()[..end]);
-        Self { code: code::CEASE, subcode: code::SHUTDOWN, data }
+        data.extend_from_slice(&text.as_bytes()[..end]);
+        Self { code: code::CEASE, subcode: code::ADMINISTRATIVE_SHUTDOWN, data }
     }
 
-    /// The words of a shutdown or reset, if it carries any that can be read.
-    pub fn words(&self) -> Option<&str> {
+    /// Shutdown communication of an administrative shutdown or reset, if there is one in valid UTF-8.
+    pub fn shutdown_text(&self) -> Option<&str> {
         let (2 | 4, code::CEASE) = (self.subcode, self.code) else { return None };
         let (length, rest) = self.data.split_first()?;
-        std::str::from_utf8(rest.get(..usize::from(*length))?).ok().filter(|words| !words.is_empty())
+        std::str::from_utf8(rest.get(..usize::from(*length))?).ok().filter(|text| !text.is_empty())
     }
 }
 
@@ -200,315 +259,348 @@
             _ => "unknown error",
         };
         write!(f, "{}/{} {name}", self.code, self.subcode)?;
-        self.words().map_or(Ok(()), |words| write!(f, ": {words}"))
+        self.shutdown_text().map_or(Ok(()), |text| write!(f, ": {text}"))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     Open(Open),
-    /// Of a peer: counted, not kept.
-    Update(Routes),
+    /// Routes received from a peer; they are counted, not stored.
+    Update(UpdateSummary),
     Notification(Notification),
     Keepalive,
     Refresh(Family),
-    /// Of a family that is not spoken here.
-    RefreshOther,
+    /// ROUTE-REFRESH for an address family that is not supported.
+    RefreshUnsupported,
 }
 
-/// A message that can't be read, and what answers it.
+/// A message that cannot be decoded, with the NOTIFICATION to send in reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal(pub Notification);
+pub struct MessageError(pub Notification);
 
-fn refuse<T>(code: u8, subcode: u8, data: &[u8]) -> Result<T, Refusal> {
-    Err(Refusal(Notification { code, subcode, data: data.to_vec() }))
+fn error<T>(code: u8, subcode: u8, data: &[u8]) -> Result<T, MessageError> {
+    Err(MessageError(Notification { code, subcode, data: data.to_vec() }))
 }
 
-/// The length of the first message, once its header is there (section 6.1).
+/// Returns the length of the first message, or `None` until its header is complete (section 6.1).
 ///
 /// # Errors
-/// If marker, length or type can't be.
-pub fn length(bytes: &[u8]) -> Result<Option<usize>, Refusal> {
-    let seen = bytes.len().min(16);
-    if bytes[..seen].iter().any(|b| *b != 0xFF) {
-        return refuse(code::HEADER, code::NOT_SYNCHRONISED, &[]);
+/// If the marker, length or type is invalid.
+pub fn message_length(bytes: &[u8]) -> Result<Option<usize>, MessageError> {
+    let marker_len = bytes.len().min(MARKER_LEN);
+    if bytes[..marker_len].iter().any(|b| *b != 0xFF) {
+        return error(code::HEADER, code::CONNECTION_NOT_SYNCHRONIZED, &[]);
     }
-    let Some(header) = bytes.get(..HEADER) else { return Ok(None) };
+    let Some(header) = bytes.get(..HEADER_LEN) else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
-    let least = match header[18] {
-        1 => 29,
-        2 | 5 => 23,
-        3 => 21,
-        4 => 19,
-        _ => return refuse(code::HEADER, code::BAD_TYPE, &header[18..19]),
+    let min_length = match header[18] {
+        kind::OPEN => 29,
+        kind::UPDATE | kind::ROUTE_REFRESH => 23,
+        kind::NOTIFICATION => 21,
+        kind::KEEPALIVE => 19,
+        _ => return error(code::HEADER, code::BAD_MESSAGE_TYPE, &header[18..19]),
     };
-    let exact = matches!(header[18], 4 | 5);
-    if length < least || length > LONGEST || exact && length != least {
-        return refuse(code::HEADER, code::BAD_LENGTH, &header[16..18]);
+    let fixed_length = matches!(header[18], kind::KEEPALIVE | kind::ROUTE_REFRESH);
+    if length < min_length || length > MAX_MESSAGE_LEN || fixed_length && length != min_length {
+        return error(code::HEADER, code::BAD_MESSAGE_LENGTH, &header[16..18]);
     }
     Ok(Some(length))
 }
 
-/// Reads one whole message, of the length that [`length`] gave. `four_octets`: as agreed on in the OPENs; `watch`: what is
-/// told of more than its number.
+/// Decodes one complete message of the length given by [`message_length`].
+///
+/// `four_octets` is whether both sides support four-octet AS numbers; `watch` names the prefixes whose routes are
+/// reported.
 ///
 /// # Errors
-/// What answers it.
-pub fn read(bytes: &[u8], four_octets: bool, watch: &Watch) -> Result<Message, Refusal> {
-    let Some(length) = length(bytes)?.filter(|l| *l == bytes.len()) else {
-        return refuse(code::HEADER, code::BAD_LENGTH, &[]);
+/// If the message is malformed.
+pub fn decode(bytes: &[u8], four_octets: bool, watch: &WatchedPrefixes) -> Result<Message, MessageError> {
+    let Some(length) = message_length(bytes)?.filter(|l| *l == bytes.len()) else {
+        return error(code::HEADER, code::BAD_MESSAGE_LENGTH, &[]);
     };
-    let body = &bytes[HEADER..length];
+    let body = &bytes[HEADER_LEN..length];
     match bytes[18] {
-        1 => read_open(body).map(Message::Open),
-        2 => read_routes(body, four_octets, watch).map(Message::Update),
-        3 => Ok(Message::Notification(Notification {
+        kind::OPEN => decode_open(body).map(Message::Open),
+        kind::UPDATE => decode_update(body, four_octets, watch).map(Message::Update),
+        kind::NOTIFICATION => Ok(Message::Notification(Notification {
             code: body[0],
             subcode: body[1],
             data: body[2..].to_vec(),
         })),
-        4 => Ok(Message::Keepalive),
+        kind::KEEPALIVE => Ok(Message::Keepalive),
         _ => {
-            let family = Family::read(u16::from_be_bytes([body[0], body[1]]), body[3]);
-            Ok(family.map_or(Message::RefreshOther, Message::Refresh))
+            let family = Family::from_afi_safi(u16::from_be_bytes([body[0], body[1]]), body[3]);
+            Ok(family.map_or(Message::RefreshUnsupported, Message::Refresh))
         }
     }
 }
 
-/// Takes what a reader needs from the front of bytes.
-struct Cut<'a>(&'a [u8]);
+/// Cursor over the remaining bytes of a field.
+struct Cursor<'a>(&'a [u8]);
 
-impl<'a> Cut<'a> {
+impl<'a> Cursor<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let (front, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
         Some(front)
     }
 
-    fn byte(&mut self) -> Option<u8> {
+    fn u8(&mut self) -> Option<u8> {
         self.take(1).map(|b| b[0])
     }
 
-    fn pair(&mut self) -> Option<u16> {
+    fn u16(&mut self) -> Option<u16> {
         self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
     }
 }
 
-fn four(bytes: &[u8]) -> Option<u32> {
+fn decode_u32(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
-fn read_open(body: &[u8]) -> Result<Open, Refusal> {
-    if body[0] != 4 {
-        return refuse(code::OPEN, code::BAD_VERSION, &[0, 4]);
+fn decode_open(body: &[u8]) -> Result<Open, MessageError> {
+    if body[0] != VERSION {
+        return error(code::OPEN, code::UNSUPPORTED_VERSION, &[0, VERSION]);
     }
     let asn = u16::from_be_bytes([body[1], body[2]]);
-    let hold_s = u16::from_be_bytes([body[3], body[4]]);
-    if hold_s == 1 || hold_s == 2 {
-        return refuse(code::OPEN, code::BAD_HOLD, &[]);
-    }
-    let id = Ipv4Addr::new(body[5], body[6], body[7], body[8]);
-    if id.is_unspecified() {
-        return refuse(code::OPEN, code::BAD_ID, &[]);
-    }
-    let mut open =
-        Open { asn: u32::from(asn), hold_s, id, families: Vec::new(), four_octets: false, refresh: false };
-    let broken = || Refusal(Notification::new(code::OPEN, 0));
-    let mut parameters = Cut(&body[10..]);
+    let hold_time_s = u16::from_be_bytes([body[3], body[4]]);
+    if hold_time_s == 1 || hold_time_s == 2 {
+        return error(code::OPEN, code::UNACCEPTABLE_HOLD_TIME, &[]);
+    }
+    let bgp_id = Ipv4Addr::new(body[5], body[6], body[7], body[8]);
+    if bgp_id.is_unspecified() {
+        return error(code::OPEN, code::BAD_BGP_IDENTIFIER, &[]);
+    }
+    let mut open = Open {
+        asn: u32::from(asn),
+        hold_time_s,
+        bgp_id,
+        families: Vec::new(),
+        four_octets: false,
+        route_refresh: false,
+    };
+    let malformed = || MessageError(Notification::new(code::OPEN, 0));
+    let mut parameters = Cursor(&body[10..]);
     let mut length = usize::from(body[9]);
-    // Parameters longer than 255 bytes (RFC 9072).
+    // Optional parameters longer than 255 bytes (RFC 9072).
     let extended = length == 255 && parameters.0.first() == Some(&255);
     if extended {
-        parameters.byte();
-        length = usize::from(parameters.pair().ok_or_else(broken)?);
+        parameters.u8();
+        length = usize::from(parameters.u16().ok_or_else(malformed)?);
     }
     if parameters.0.len() != length {
-        return Err(broken());
-    }
-    let (mut multi, mut told) = (false, false);
-    while let Some(kind) = parameters.byte() {
-        let length = if extended { parameters.pair() } else { parameters.byte().map(u16::from) };
-        let value = length.and_then(|l| parameters.take(usize::from(l))).ok_or_else(broken)?;
-        if kind != 2 {
-            return refuse(code::OPEN, code::BAD_PARAMETER, &[]);
+        return Err(malformed());
+    }
+    let mut has_multiprotocol = false;
+    let mut has_four_octet_asn = false;
+    while let Some(parameter) = parameters.u8() {
+        let length = if extended { parameters.u16() } else { parameters.u8().map(u16::from) };
+        let value = length.and_then(|l| parameters.take(usize::from(l))).ok_or_else(malformed)?;
+        if parameter != PARAMETER_CAPABILITIES {
+            return error(code::OPEN, code::UNSUPPORTED_PARAMETER, &[]);
         }
-        let mut capabilities = Cut(value);
-        while let Some(capability) = capabilities.byte() {
-            let length = capabilities.byte().ok_or_else(broken)?;
-            let value = capabilities.take(usize::from(length)).ok_or_else(broken)?;
+        let mut capabilities = Cursor(value);
+        while let Some(capability) = capabilities.u8() {
+            let length = capabilities.u8().ok_or_else(malformed)?;
+            let value = capabilities.take(usize::from(length)).ok_or_else(malformed)?;
             match (capability, value) {
-                (1, [a, b, _, safi]) => {
-                    multi = true;
-                    let family = Family::read(u16::from_be_bytes([*a, *b]), *safi);
+                (capability::MULTIPROTOCOL, [afi_high, afi_low, _, safi]) => {
+                    has_multiprotocol = true;
+                    let family = Family::from_afi_safi(u16::from_be_bytes([*afi_high, *afi_low]), *safi);
                     open.families.extend(family.filter(|f| !open.families.contains(f)));
                 }
-                (2, []) => open.refresh = true,
-                (65, value) if value.len() == 4 => {
-                    told = true;
-                    open.asn = four(value).unwrap_or(0);
+                (capability::ROUTE_REFRESH, []) => open.route_refresh = true,
+                (capability::FOUR_OCTET_ASN, value) if value.len() == 4 => {
+                    has_four_octet_asn = true;
+                    open.asn = decode_u32(value).unwrap_or(0);
                     open.four_octets = true;
                 }
                 _ => {}
             }
         }
     }
-    // Who says nothing of families speaks of IPv4 (RFC 4760 section 8).
-    if !multi {
+    // Without the multiprotocol capability the session carries IPv4 unicast (RFC 4760 section 8).
+    if !has_multiprotocol {
         open.families.push(Family::V4);
     }
     open.families.sort();
-    if open.asn == 0 || told && asn != AS_TRANS && u32::from(asn) != open.asn {
-        return refuse(code::OPEN, code::BAD_PEER_AS, &[]);
+    if open.asn == 0 || has_four_octet_asn && asn != AS_TRANS && u32::from(asn) != open.asn {
+        return error(code::OPEN, code::BAD_PEER_AS, &[]);
     }
     Ok(open)
 }
 
-/// Walks the prefixes of a field; their number, or none if one can't be.
-fn prefixes(field: &[u8], family: Family, mut each: impl FnMut(IpNet)) -> Option<u32> {
-    let (mut field, mut count) = (Cut(field), 0);
-    while let Some(bits) = field.byte() {
-        let widest = if family == Family::V4 { 32 } else { 128 };
-        if bits > widest {
+/// Calls `visit` for each prefix of a field and returns their number, or `None` if a prefix is malformed.
+fn decode_nlri(field: &[u8], family: Family, mut visit: impl FnMut(IpNet)) -> Option<u32> {
+    let mut field = Cursor(field);
+    let mut count = 0;
+    while let Some(bits) = field.u8() {
+        let max_bits = if family == Family::V4 { 32 } else { 128 };
+        if bits > max_bits {
             return None;
         }
         let octets = field.take(usize::from(bits).div_ceil(8))?;
-        let mut all = [0; 16];
-        all[..octets.len()].copy_from_slice(octets);
+        let mut address = [0; 16];
+        address[..octets.len()].copy_from_slice(octets);
         let net = match family {
-            Family::V4 => {
-                Ipv4Net::new(Ipv4Addr::new(all[0], all[1], all[2], all[3]), bits).ok().map(IpNet::V4)
-            }
-            Family::V6 => Ipv6Net::new(Ipv6Addr::from(all), bits).ok().map(IpNet::V6),
+            Family::V4 => Ipv4Net::new(Ipv4Addr::new(address[0], address[1], address[2], address[3]), bits)
+                .ok()
+                .map(IpNet::V4),
+            Family::V6 => Ipv6Net::new(Ipv6Addr::from(address), bits).ok().map(IpNet::V6),
         };
-        // Bits beyond the length are of no account (RFC 4271 section 4.3).
-        net.into_iter().for_each(|net| each(net.trunc()));
+        // Bits beyond the prefix length are ignored (RFC 4271 section 4.3).
+        net.into_iter().for_each(|net| visit(net.trunc()));
         count += 1;
     }
     Some(count)
 }
 
-/// Counts the routes of an UPDATE and checks its attributes (RFC 7606): what can be told is told, nothing is kept.
+/// Counts the routes of an UPDATE and checks its attributes by RFC 7606; no routes are stored.
 ///
 /// # Errors
-/// If the fields themselves can't be told apart, or a prefix can't be read: the session has to end (section 5.3).
-pub fn read_routes(body: &[u8], four_octets: bool, watch: &Watch) -> Result<Routes, Refusal> {
-    let malformed = || Refusal(Notification::new(code::UPDATE, code::MALFORMED_ATTRIBUTES));
-    let mut rest = Cut(body);
-    let length = rest.pair().ok_or_else(malformed)?;
+/// If the fields cannot be parsed or a prefix is malformed: the session has to be reset (RFC 7606 section 5.3).
+pub fn decode_update(
+    body: &[u8],
+    four_octets: bool,
+    watch: &WatchedPrefixes,
+) -> Result<UpdateSummary, MessageError> {
+    let malformed = || MessageError(Notification::new(code::UPDATE, code::MALFORMED_ATTRIBUTE_LIST));
+    let mut rest = Cursor(body);
+    let length = rest.u16().ok_or_else(malformed)?;
     let withdrawn = rest.take(usize::from(length)).ok_or_else(malformed)?;
-    let length = rest.pair().ok_or_else(malformed)?;
+    let length = rest.u16().ok_or_else(malformed)?;
     let attributes = rest.take(usize::from(length)).ok_or_else(malformed)?;
-    let bad_field = || Refusal(Notification::new(code::UPDATE, 10));
+    let invalid_nlri = || MessageError(Notification::new(code::UPDATE, code::INVALID_NETWORK_FIELD));
     let mut watched: Vec<(IpNet, bool)> = Vec::new();
-    let mut note = |net: IpNet, reach: bool| {
-        // A prefix counts once a message and way, so that no message costs more than is watched.
-        if watch.prefixes.contains(&net) && !watched.contains(&(net, reach)) {
-            watched.push((net, reach));
+    let mut record_watched = |net: IpNet, reachable: bool| {
+        // Each prefix is recorded once per message and kind, so the cost of a message is bounded by the watched prefixes.
+        if watch.prefixes.contains(&net) && !watched.contains(&(net, reachable)) {
+            watched.push((net, reachable));
         }
     };
-    let mut routes = Routes {
-        withdrawn: prefixes(withdrawn, Family::V4, |net| note(net, false)).ok_or_else(bad_field)?,
-        announced: prefixes(rest.0, Family::V4, |net| note(net, true)).ok_or_else(bad_field)?,
-        ..Routes::default()
+    let mut routes = UpdateSummary {
+        withdrawn: decode_nlri(withdrawn, Family::V4, |net| record_watched(net, false))
+            .ok_or_else(invalid_nlri)?,
+        announced: decode_nlri(rest.0, Family::V4, |net| record_watched(net, true))
+            .ok_or_else(invalid_nlri)?,
+        ..UpdateSummary::default()
     };
-    let mut told = Seen::default();
-    let (mut seen, mut treat_as_withdrawn) = ([false; 256], false);
-    let (mut multi_announced, mut unreadable) = (0, false);
-    let mut field = Cut(attributes);
+    let mut observed = ObservedRoute::default();
+    let mut seen = [false; 256];
+    let mut treat_as_withdrawn = false;
+    let mut multiprotocol_announced = 0;
+    let mut truncated = false;
+    let mut field = Cursor(attributes);
     while !field.0.is_empty() {
         let head = field.take(2).map(|h| (h[0], h[1]));
-        let length =
-            head.and_then(
-                |(flags, _)| {
-                    if flags & 0x10 != 0 { field.pair() } else { field.byte().map(u16::from) }
-                },
-            );
+        let length = head.and_then(|(flags, _)| {
+            if flags & flag::EXTENDED_LENGTH != 0 { field.u16() } else { field.u8().map(u16::from) }
+        });
         let value = length.and_then(|l| field.take(usize::from(l)));
         let (Some((flags, kind)), Some(value)) = (head, value) else {
-            // The attributes end in the middle of one: what stands before it counts, the routes do not.
-            (treat_as_withdrawn, unreadable) = (true, true);
+            // The field ends inside an attribute: the attributes before it are evaluated, the routes are withdrawn.
+            treat_as_withdrawn = true;
+            truncated = true;
             break;
         };
         if std::mem::replace(&mut seen[usize::from(kind)], true) {
-            if matches!(kind, 14 | 15) {
+            if matches!(kind, attribute::MP_REACH_NLRI | attribute::MP_UNREACH_NLRI) {
                 return Err(malformed());
             }
-            routes.faulty += 1;
+            routes.faulty_attributes += 1;
             continue;
         }
-        let class = flags & 0xC0;
-        let sound = match kind {
-            1 => class == 0x40 && matches!(value, [0..=2]),
-            2 => class == 0x40 && path_reads(value, four_octets),
-            3 => class == 0x40 && value.len() == 4,
-            4 => class == 0x80 && value.len() == 4,
-            5 => value.len() == 4,
-            8 => class == 0xC0 && !value.is_empty() && value.len().is_multiple_of(4),
-            32 => class == 0xC0 && !value.is_empty() && value.len().is_multiple_of(12),
-            9 => class == 0x80 && value.len() == 4,
-            14 => {
-                let (count, hop) = read_multi(value, true, |net| note(net, true))
-                    .ok_or_else(|| Refusal(Notification::new(code::UPDATE, 9)))?;
-                multi_announced = count;
-                told.next_hop = hop.or(told.next_hop);
-                class == 0x80
+        let class = flags & OPTIONAL_TRANSITIVE;
+        let valid = match kind {
+            attribute::ORIGIN => class == flag::TRANSITIVE && matches!(value, [0..=2]),
+            attribute::AS_PATH => class == flag::TRANSITIVE && is_valid_as_path(value, four_octets),
+            attribute::NEXT_HOP => class == flag::TRANSITIVE && value.len() == 4,
+            attribute::MULTI_EXIT_DISC => class == flag::OPTIONAL && value.len() == 4,
+            attribute::LOCAL_PREF => value.len() == 4,
+            attribute::COMMUNITIES => {
+                class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(4)
+            }
+            attribute::LARGE_COMMUNITIES => {
+                class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(12)
             }
-            15 => {
-                let (gone, _) = read_multi(value, false, |net| note(net, false))
-                    .ok_or_else(|| Refusal(Notification::new(code::UPDATE, 9)))?;
-                routes.withdrawn += gone;
-                class == 0x80
+            attribute::ORIGINATOR_ID => class == flag::OPTIONAL && value.len() == 4,
+            attribute::MP_REACH_NLRI => {
+                let (count, next_hop) = decode_multiprotocol(value, true, |net| record_watched(net, true))
+                    .ok_or_else(|| {
+                        MessageError(Notification::new(code::UPDATE, code::OPTIONAL_ATTRIBUTE_ERROR))
+                    })?;
+                multiprotocol_announced = count;
+                observed.next_hop = next_hop.or(observed.next_hop);
+                class == flag::OPTIONAL
             }
-            // Well-known ones are all above; others that claim to be well known are not.
-            _ => flags & 0x80 != 0,
+            attribute::MP_UNREACH_NLRI => {
+                let (count, _) = decode_multiprotocol(value, false, |net| record_watched(net, false))
+                    .ok_or_else(|| {
+                        MessageError(Notification::new(code::UPDATE, code::OPTIONAL_ATTRIBUTE_ERROR))
+                    })?;
+                routes.withdrawn += count;
+                class == flag::OPTIONAL
+            }
+            // All well-known attributes are listed above, so any other one has to be optional.
+            _ => flags & flag::OPTIONAL != 0,
         };
-        if !sound {
-            routes.faulty += 1;
+        if !valid {
+            routes.faulty_attributes += 1;
             treat_as_withdrawn = true;
             continue;
         }
         match kind {
-            2 => told.own_as = path_holds(value, four_octets, watch.asn),
-            3 => told.next_hop = four(value).map(|hop| IpAddr::V4(Ipv4Addr::from(hop))),
-            8 => told.last = value.chunks(4).any(|c| four(c) == Some(GRACEFUL_SHUTDOWN)),
-            9 => told.originator = four(value).map(Ipv4Addr::from),
+            attribute::AS_PATH => {
+                observed.own_as_in_path = as_path_contains(value, four_octets, watch.own_asn);
+            }
+            attribute::NEXT_HOP => {
+                observed.next_hop = decode_u32(value).map(|hop| IpAddr::V4(Ipv4Addr::from(hop)));
+            }
+            attribute::COMMUNITIES => {
+                observed.graceful_shutdown =
+                    value.chunks(4).any(|c| decode_u32(c) == Some(GRACEFUL_SHUTDOWN));
+            }
+            attribute::ORIGINATOR_ID => observed.originator_id = decode_u32(value).map(Ipv4Addr::from),
             _ => {}
         }
     }
-    let announces = routes.announced + multi_announced > 0;
-    let lacks = !seen[1] || !seen[2] || routes.announced > 0 && !seen[3];
-    if announces && lacks && !unreadable {
-        routes.faulty += 1;
+    let announces = routes.announced + multiprotocol_announced > 0;
+    let lacks_mandatory = !seen[usize::from(attribute::ORIGIN)]
+        || !seen[usize::from(attribute::AS_PATH)]
+        || routes.announced > 0 && !seen[usize::from(attribute::NEXT_HOP)];
+    if announces && lacks_mandatory && !truncated {
+        routes.faulty_attributes += 1;
         treat_as_withdrawn = true;
     }
-    routes.faulty += u32::from(unreadable);
-    routes.announced += multi_announced;
+    routes.faulty_attributes += u32::from(truncated);
+    routes.announced += multiprotocol_announced;
     if treat_as_withdrawn {
         routes.withdrawn += std::mem::take(&mut routes.announced);
     }
-    let seen = |reach: bool| Some(told).filter(|_| reach && !treat_as_withdrawn);
-    routes.watched = watched.into_iter().map(|(net, reach)| (net, seen(reach))).collect();
-    // Of a prefix in both fields, the announcement counts (RFC 4271 section 4.3).
-    routes.watched.sort_by_key(|(net, seen)| (*net, seen.is_some()));
+    let route = |reachable: bool| Some(observed).filter(|_| reachable && !treat_as_withdrawn);
+    routes.watched = watched.into_iter().map(|(net, reachable)| (net, route(reachable))).collect();
+    // For a prefix that is both withdrawn and announced, the announcement applies (RFC 4271 section 4.3).
+    routes.watched.sort_by_key(|(net, route)| (*net, route.is_some()));
     Ok(routes)
 }
 
-fn path_reads(value: &[u8], four_octets: bool) -> bool {
-    let mut path = Cut(value);
-    while let Some(kind) = path.byte() {
-        let Some(count) = path.byte().filter(|c| *c > 0) else { return false };
+fn is_valid_as_path(value: &[u8], four_octets: bool) -> bool {
+    let mut path = Cursor(value);
+    while let Some(segment_type) = path.u8() {
+        let Some(count) = path.u8().filter(|c| *c > 0) else { return false };
         let size = if four_octets { 4 } else { 2 };
-        if !(1..=4).contains(&kind) || path.take(usize::from(count) * size).is_none() {
+        if !(1..=4).contains(&segment_type) || path.take(usize::from(count) * size).is_none() {
             return false;
         }
     }
     true
 }
 
-fn path_holds(value: &[u8], four_octets: bool, asn: u32) -> bool {
-    let mut path = Cut(value);
+fn as_path_contains(value: &[u8], four_octets: bool, asn: u32) -> bool {
+    let mut path = Cursor(value);
     let size = if four_octets { 4 } else { 2 };
-    while let (Some(_), Some(count)) = (path.byte(), path.byte()) {
+    while let (Some(_), Some(count)) = (path.u8(), path.u8()) {
         let Some(numbers) = path.take(usize::from(count) * size) else { return false };
         let number = |n: &[u8]| n.iter().fold(0, |sum, b| sum << 8 | u32::from(*b));
         if numbers.chunks(size).any(|n| number(n) == asn) {
@@ -518,28 +610,36 @@
     false
 }
 
-/// MP_REACH_NLRI and MP_UNREACH_NLRI (RFC 4760 sections 3 and 4): the number of prefixes, and the next hop.
-fn read_multi(value: &[u8], reach: bool, each: impl FnMut(IpNet)) -> Option<(u32, Option<IpAddr>)> {
-    let mut field = Cut(value);
-    let (afi, safi) = (field.pair()?, field.byte()?);
-    let mut hop = None;
+/// Decodes MP_REACH_NLRI (`reach`) or MP_UNREACH_NLRI (RFC 4760 sections 3 and 4). Returns the number of prefixes and the
+/// next hop.
+fn decode_multiprotocol(
+    value: &[u8],
+    reach: bool,
+    visit: impl FnMut(IpNet),
+) -> Option<(u32, Option<IpAddr>)> {
+    let mut field = Cursor(value);
+    let afi = field.u16()?;
+    let safi = field.u8()?;
+    let mut next_hop = None;
     if reach {
-        let length = field.byte()?;
+        let length = field.u8()?;
         let octets = field.take(usize::from(length))?;
         // A link-local address may follow the global one (RFC 2545 section 3).
-        let wide = octets.get(..16).and_then(|o| <[u8; 16]>::try_from(o).ok()).map(Ipv6Addr::from);
-        hop = wide.map(IpAddr::V6).or_else(|| four(octets).map(|hop| IpAddr::V4(Ipv4Addr::from(hop))));
-        field.byte()?;
+        let ipv6 = octets.get(..16).and_then(|o| <[u8; 16]>::try_from(o).ok()).map(Ipv6Addr::from);
+        let ipv4 = || decode_u32(octets).map(|hop| IpAddr::V4(Ipv4Addr::from(hop)));
+        next_hop = ipv6.map(IpAddr::V6).or_else(ipv4);
+        field.u8()?;
     }
-    let count = match Family::read(afi, safi) {
-        Some(family) => prefixes(field.0, family, each)?,
+    let count = match Family::from_afi_safi(afi, safi) {
+        Some(family) => decode_nlri(field.0, family, visit)?,
         None => 0,
     };
-    Some((count, hop))
+    Some((count, next_hop))
 }
 
-fn framed(kind: u8, body: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
-    let mut bytes = vec![0xFF; 16];
+/// Encodes a message of the given type with its header.
+fn encode_message(kind: u8, body: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
+    let mut bytes = vec![0xFF; MARKER_LEN];
     bytes.extend([0, 0, kind]);
     body(&mut bytes);
     let length = (bytes.len() as u16).to_be_bytes();
@@ -548,121 +648,127 @@
 }
 
 impl Open {
-    /// The message, with one parameter for each capability.
-    pub fn write(&self) -> Vec<u8> {
-        framed(1, |bytes| {
-            let short = u16::try_from(self.asn).unwrap_or(AS_TRANS);
-            bytes.push(4);
-            bytes.extend(short.to_be_bytes());
-            bytes.extend(self.hold_s.to_be_bytes());
-            bytes.extend(self.id.octets());
+    /// Encodes the message; all capabilities are in one optional parameter.
+    pub fn encode(&self) -> Vec<u8> {
+        encode_message(kind::OPEN, |bytes| {
+            let two_octet_asn = u16::try_from(self.asn).unwrap_or(AS_TRANS);
+            bytes.push(VERSION);
+            bytes.extend(two_octet_asn.to_be_bytes());
+            bytes.extend(self.hold_time_s.to_be_bytes());
+            bytes.extend(self.bgp_id.octets());
             let mut capabilities = Vec::new();
             for family in &self.families {
-                let code = family.code().to_be_bytes();
-                capabilities.extend([1, 4, code[0], code[1], 0, 1]);
+                let afi = family.afi().to_be_bytes();
+                capabilities.extend([capability::MULTIPROTOCOL, 4, afi[0], afi[1], 0, SAFI_UNICAST]);
             }
-            if self.refresh {
-                capabilities.extend([2, 0]);
+            if self.route_refresh {
+                capabilities.extend([capability::ROUTE_REFRESH, 0]);
             }
             if self.four_octets {
-                capabilities.extend([65, 4]);
+                capabilities.extend([capability::FOUR_OCTET_ASN, 4]);
                 capabilities.extend(self.asn.to_be_bytes());
             }
             if capabilities.is_empty() {
                 bytes.push(0);
                 return;
             }
-            bytes.extend([capabilities.len() as u8 + 2, 2, capabilities.len() as u8]);
+            let length = capabilities.len() as u8;
+            bytes.extend([length + 2, PARAMETER_CAPABILITIES, length]);
             bytes.extend(capabilities);
         })
     }
 }
 
 impl Notification {
-    pub fn write(&self) -> Vec<u8> {
-        framed(3, |bytes| {
+    pub fn encode(&self) -> Vec<u8> {
+        encode_message(kind::NOTIFICATION, |bytes| {
             bytes.extend([self.code, self.subcode]);
-            bytes.extend(&self.data[..self.data.len().min(LONGEST - HEADER - 2)]);
+            bytes.extend(&self.data[..self.data.len().min(MAX_MESSAGE_LEN - HEADER_LEN - 2)]);
         })
     }
 }
 
-/// KEEPALIVE (section 4.4).
-pub fn keepalive() -> Vec<u8> {
-    framed(4, |_| {})
+/// Encodes a KEEPALIVE (section 4.4).
+pub fn encode_keepalive() -> Vec<u8> {
+    encode_message(kind::KEEPALIVE, |_| {})
 }
 
-/// ROUTE-REFRESH (RFC 2918 section 3).
-pub fn refresh(family: Family) -> Vec<u8> {
-    framed(5, |bytes| {
-        bytes.extend(family.code().to_be_bytes());
-        bytes.extend([0, 1]);
+/// Encodes a ROUTE-REFRESH (RFC 2918 section 3).
+pub fn encode_route_refresh(family: Family) -> Vec<u8> {
+    encode_message(kind::ROUTE_REFRESH, |bytes| {
+        bytes.extend(family.afi().to_be_bytes());
+        bytes.extend([0, SAFI_UNICAST]);
     })
 }
 
-fn write_prefix(bytes: &mut Vec<u8>, prefix: &IpNet) {
-    let whole = usize::from(prefix.prefix_len()).div_ceil(8);
+fn encode_prefix(bytes: &mut Vec<u8>, prefix: &IpNet) {
+    let octets = usize::from(prefix.prefix_len()).div_ceil(8);
     bytes.push(prefix.prefix_len());
     match prefix.trunc() {
-        IpNet::V4(net) => bytes.extend(&net.addr().octets()[..whole]),
-        IpNet::V6(net) => bytes.extend(&net.addr().octets()[..whole]),
+        IpNet::V4(net) => bytes.extend(&net.addr().octets()[..octets]),
+        IpNet::V6(net) => bytes.extend(&net.addr().octets()[..octets]),
     }
 }
 
-/// An attribute with as long a length as it needs.
-fn attribute(bytes: &mut Vec<u8>, flags: u8, kind: u8, value: &[u8]) {
+/// Encodes an attribute; a value over 255 bytes gets an extended length.
+fn encode_attribute(bytes: &mut Vec<u8>, flags: u8, kind: u8, value: &[u8]) {
     match u8::try_from(value.len()) {
         Ok(length) => bytes.extend([flags, kind, length]),
         Err(_) => {
-            bytes.extend([flags | 0x10, kind]);
+            bytes.extend([flags | flag::EXTENDED_LENGTH, kind]);
             bytes.extend((value.len() as u16).to_be_bytes());
         }
     }
     bytes.extend(value);
 }
 
-/// Bytes of a prefix at most: its length and sixteen octets.
-const PREFIX: usize = 17;
+/// Maximum size of an encoded prefix in bytes: the length and sixteen octets.
+const MAX_PREFIX_BYTES: usize = 17;
+/// Bytes left free in an UPDATE for attribute headers and the multiprotocol next hop.
+const UPDATE_RESERVE_BYTES: usize = 64;
 
 impl Update {
-    /// As many messages as it takes, each of one family and no longer than a message may be.
-    pub fn write(&self, four_octets: bool) -> Vec<Vec<u8>> {
+    /// Encodes the update as one or more messages, each for one address family and within the maximum length.
+    pub fn encode(&self, four_octets: bool) -> Vec<Vec<u8>> {
         let mut messages = Vec::new();
         for family in [Family::V4, Family::V6] {
-            let of = |routes: &[IpNet]| routes.iter().copied().filter(|p| Family::of(p) == family).collect();
-            let (withdrawn, announced): (Vec<IpNet>, Vec<IpNet>) = (of(&self.withdrawn), of(&self.announced));
-            let most = (LONGEST - HEADER - 4 - 64) / PREFIX;
-            for some in withdrawn.chunks(most) {
-                messages.push(write_routes(family, some, &[], None, four_octets));
+            let in_family = |routes: &[IpNet]| -> Vec<IpNet> {
+                routes.iter().copied().filter(|p| Family::of(p) == family).collect()
+            };
+            let withdrawn = in_family(&self.withdrawn);
+            let announced = in_family(&self.announced);
+            let max_bytes = MAX_MESSAGE_LEN - HEADER_LEN - 4 - UPDATE_RESERVE_BYTES;
+            for chunk in withdrawn.chunks(max_bytes / MAX_PREFIX_BYTES) {
+                messages.push(encode_update(family, chunk, &[], None, four_octets));
             }
             let Some(attributes) = &self.attributes else { continue };
-            let most = (LONGEST - HEADER - 4 - 64).saturating_sub(attributes.size()) / PREFIX;
-            for some in announced.chunks(most.max(1)) {
-                messages.push(write_routes(family, &[], some, Some(attributes), four_octets));
+            let max_prefixes = max_bytes.saturating_sub(attributes.max_size()) / MAX_PREFIX_BYTES;
+            for chunk in announced.chunks(max_prefixes.max(1)) {
+                messages.push(encode_update(family, &[], chunk, Some(attributes), four_octets));
             }
         }
         messages
     }
 
-    /// End-of-RIB (RFC 4724 section 2): nothing more of this family for now.
-    pub fn end(family: Family) -> Vec<u8> {
-        write_routes(family, &[], &[], None, true)
+    /// Encodes the End-of-RIB marker of a family (RFC 4724 section 2).
+    pub fn end_of_rib(family: Family) -> Vec<u8> {
+        encode_update(family, &[], &[], None, true)
     }
 }
 
 impl Attributes {
-    /// Bytes that they take at most.
-    fn size(&self) -> usize {
-        self.path.len() * 4 + self.communities.len() * 4 + self.large.len() * 12 + 64
+    /// Upper bound of the encoded size in bytes.
+    fn max_size(&self) -> usize {
+        self.as_path.len() * 4 + self.communities.len() * 4 + self.large_communities.len() * 12 + 64
     }
 
-    fn write(&self, bytes: &mut Vec<u8>, v4: bool, four_octets: bool) {
-        attribute(bytes, 0x40, 1, &[0]);
+    fn encode(&self, bytes: &mut Vec<u8>, with_next_hop: bool, four_octets: bool) {
+        encode_attribute(bytes, flag::TRANSITIVE, attribute::ORIGIN, &[ORIGIN_IGP]);
         let segments = |four_octets: bool| {
             let mut value = Vec::new();
-            for some in self.path.chunks(255) {
-                value.extend([2, some.len() as u8]);
-                for asn in some {
+            for segment in self.as_path.chunks(255) {
+                value.extend([AS_SEQUENCE, segment.len() as u8]);
+                for asn in segment {
                     match four_octets {
                         true => value.extend(asn.to_be_bytes()),
                         false => value.extend(u16::try_from(*asn).unwrap_or(AS_TRANS).to_be_bytes()),
@@ -671,97 +777,99 @@
             }
             value
         };
-        attribute(bytes, 0x40, 2, &segments(four_octets));
-        if let (true, IpAddr::V4(hop)) = (v4, self.next_hop) {
-            attribute(bytes, 0x40, 3, &hop.octets());
+        encode_attribute(bytes, flag::TRANSITIVE, attribute::AS_PATH, &segments(four_octets));
+        if let (true, IpAddr::V4(hop)) = (with_next_hop, self.next_hop) {
+            encode_attribute(bytes, flag::TRANSITIVE, attribute::NEXT_HOP, &hop.octets());
         }
         if let Some(med) = self.med {
-            attribute(bytes, 0x80, 4, &med.to_be_bytes());
+            encode_attribute(bytes, flag::OPTIONAL, attribute::MULTI_EXIT_DISC, &med.to_be_bytes());
         }
         if let Some(pref) = self.local_pref {
-            attribute(bytes, 0x40, 5, &pref.to_be_bytes());
+            encode_attribute(bytes, flag::TRANSITIVE, attribute::LOCAL_PREF, &pref.to_be_bytes());
         }
         if !self.communities.is_empty() {
             let value: Vec<u8> = self.communities.iter().flat_map(|c| c.to_be_bytes()).collect();
-            attribute(bytes, 0xC0, 8, &value);
+            encode_attribute(bytes, OPTIONAL_TRANSITIVE, attribute::COMMUNITIES, &value);
         }
-        // The whole path for those beyond who know four octets (RFC 6793 section 4.2.2).
-        if !four_octets && self.path.iter().any(|asn| *asn > u32::from(u16::MAX)) {
-            attribute(bytes, 0xC0, 17, &segments(true));
+        // AS4_PATH carries the full path to speakers behind a two-octet peer (RFC 6793 section 4.2.2).
+        if !four_octets && self.as_path.iter().any(|asn| *asn > u32::from(u16::MAX)) {
+            encode_attribute(bytes, OPTIONAL_TRANSITIVE, attribute::AS4_PATH, &segments(true));
         }
-        if !self.large.is_empty() {
-            let four = |c: &(u32, u32, u32)| {
+        if !self.large_communities.is_empty() {
+            let encode = |c: &LargeCommunity| {
                 [c.0, c.1, c.2].into_iter().flat_map(u32::to_be_bytes).collect::<Vec<_>>()
             };
-            attribute(bytes, 0xC0, 32, &self.large.iter().flat_map(four).collect::<Vec<u8>>());
+            let value: Vec<u8> = self.large_communities.iter().flat_map(encode).collect();
+            encode_attribute(bytes, OPTIONAL_TRANSITIVE, attribute::LARGE_COMMUNITIES, &value);
         }
     }
 }
 
-fn write_routes(
+/// Encodes one UPDATE with prefixes of one address family.
+fn encode_update(
     family: Family,
     withdrawn: &[IpNet],
     announced: &[IpNet],
     attributes: Option<&Attributes>,
     four_octets: bool,
 ) -> Vec<u8> {
-    let field = |routes: &[IpNet]| {
+    let encode_nlri = |routes: &[IpNet]| {
         let mut bytes = Vec::new();
-        routes.iter().for_each(|p| write_prefix(&mut bytes, p));
+        routes.iter().for_each(|p| encode_prefix(&mut bytes, p));
         bytes
     };
-    let mut values = Vec::new();
-    let v4 = family == Family::V4;
+    let mut encoded_attributes = Vec::new();
+    let is_ipv4 = family == Family::V4;
     if let Some(attributes) = attributes.filter(|_| !announced.is_empty()) {
-        if !v4 {
-            let mut reach = vec![0, 2, 1, 16];
+        if !is_ipv4 {
+            let mut reach = vec![0, 2, SAFI_UNICAST, 16];
             let hop = match attributes.next_hop {
                 IpAddr::V6(hop) => hop,
                 IpAddr::V4(hop) => hop.to_ipv6_mapped(),
             };
             reach.extend(hop.octets());
             reach.push(0);
-            reach.extend(field(announced));
-            attribute(&mut values, 0x80, 14, &reach);
+            reach.extend(encode_nlri(announced));
+            encode_attribute(&mut encoded_attributes, flag::OPTIONAL, attribute::MP_REACH_NLRI, &reach);
         }
-        attributes.write(&mut values, v4, four_octets);
-    } else if !v4 {
-        let mut unreach = vec![0, 2, 1];
-        unreach.extend(field(withdrawn));
-        attribute(&mut values, 0x80, 15, &unreach);
-    }
-    framed(2, |bytes| {
-        let gone = if v4 { field(withdrawn) } else { Vec::new() };
-        bytes.extend((gone.len() as u16).to_be_bytes());
-        bytes.extend(gone);
-        bytes.extend((values.len() as u16).to_be_bytes());
-        bytes.extend(values);
-        if v4 {
-            bytes.extend(field(announced));
+        attributes.encode(&mut encoded_attributes, is_ipv4, four_octets);
+    } else if !is_ipv4 {
+        let mut unreach = vec![0, 2, SAFI_UNICAST];
+        unreach.extend(encode_nlri(withdrawn));
+        encode_attribute(&mut encoded_attributes, flag::OPTIONAL, attribute::MP_UNREACH_NLRI, &unreach);
+    }
+    encode_message(kind::UPDATE, |bytes| {
+        let withdrawn = if is_ipv4 { encode_nlri(withdrawn) } else { Vec::new() };
+        bytes.extend((withdrawn.len() as u16).to_be_bytes());
+        bytes.extend(withdrawn);
+        bytes.extend((encoded_attributes.len() as u16).to_be_bytes());
+        bytes.extend(encoded_attributes);
+        if is_ipv4 {
+            bytes.extend(encode_nlri(announced));
         }
     })
 }
 
-/// The prefixes of an UPDATE as a stand-in or a test wants to see them: withdrawn, then announced.
-pub fn routes_of(message: &[u8]) -> Option<(Vec<IpNet>, Vec<IpNet>)> {
-    let mut rest = Cut(message.get(HEADER..)?);
+/// Decodes the withdrawn and the announced prefixes of an UPDATE, for tests and test peers.
+pub fn decode_prefixes(message: &[u8]) -> Option<(Vec<IpNet>, Vec<IpNet>)> {
+    let mut rest = Cursor(message.get(HEADER_LEN..)?);
     let (mut withdrawn, mut announced) = (Vec::new(), Vec::new());
-    let length = rest.pair()?;
-    prefixes(rest.take(usize::from(length))?, Family::V4, |net| withdrawn.push(net))?;
-    let length = rest.pair()?;
-    let mut field = Cut(rest.take(usize::from(length))?);
-    prefixes(rest.0, Family::V4, |net| announced.push(net))?;
-    while let Some(flags) = field.byte() {
-        let kind = field.byte()?;
-        let length = if flags & 0x10 != 0 { field.pair()? } else { u16::from(field.byte()?) };
+    let length = rest.u16()?;
+    decode_nlri(rest.take(usize::from(length))?, Family::V4, |net| withdrawn.push(net))?;
+    let length = rest.u16()?;
+    let mut field = Cursor(rest.take(usize::from(length))?);
+    decode_nlri(rest.0, Family::V4, |net| announced.push(net))?;
+    while let Some(flags) = field.u8() {
+        let kind = field.u8()?;
+        let length = if flags & flag::EXTENDED_LENGTH != 0 { field.u16()? } else { u16::from(field.u8()?) };
         let value = field.take(usize::from(length))?;
         match (kind, value) {
-            (14, [0, 2, 1, hop, rest @ ..]) => {
-                let rest = rest.get(usize::from(*hop) + 1..)?;
-                prefixes(rest, Family::V6, |net| announced.push(net))?;
+            (attribute::MP_REACH_NLRI, [0, 2, SAFI_UNICAST, hop_len, rest @ ..]) => {
+                let rest = rest.get(usize::from(*hop_len) + 1..)?;
+                decode_nlri(rest, Family::V6, |net| announced.push(net))?;
             }
-            (15, [0, 2, 1, rest @ ..]) => {
-                prefixes(rest, Family::V6, |net| withdrawn.push(net))?;
+            (attribute::MP_UNREACH_NLRI, [0, 2, SAFI_UNICAST, rest @ ..]) => {
+                decode_nlri(rest, Family::V6, |net| withdrawn.push(net))?;
             }
             _ => {}
         }
--- a/crates/bgp/src/rib.rs
+++ b/crates/bgp/src/rib.rs
@@ -1,7 +1,7 @@
-//! Adj-RIB-Out (RFC 4271 section 3.2): what a peer is to hold, and what it does.
+//! Adj-RIB-Out (RFC 4271 section 3.2): the routes wanted for a peer and those sent to it.
 //!
-//! Changes are kept by prefix and not in a queue: a route that changes ten times before the peer reads is sent once, and a
-//! peer that stops reading costs no more than the routes there are. [`Trie`] is a path-compressed binary trie; against a
+//! Pending changes are stored by prefix and not in a queue: a route that changes ten times before it can be sent is sent
+//! once, and the memory for a peer that stops reading is bounded by the number of routes. [`Trie`] is a path-compressed binary trie; against a
 //! `BTreeMap` it was measured in `benches/rib.rs`, figures in `docs/bgp.md`.
 
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 
 use crate::message::{Attributes, Update};
 
-/// Prefixes of both families to values. Every inner node that holds no value has two children.
+/// Map from prefixes of both address families to values. Every node without a value has two children.
 #[derive(Clone, Debug)]
 pub struct Trie<V> {
     nodes: Vec<Node<V>>,
-    spare: Vec<u32>,
+    free: Vec<u32>,
     /// The roots of IPv4 and of IPv6.
     roots: [u32; 2],
     count: usize,
@@ -23,15 +23,17 @@
 
 #[derive(Clone, Debug)]
 struct Node<V> {
-    /// Bits from the top, zeros after `len`.
+    /// Prefix bits from the most significant on; zero after `len`.
     bits: u128,
     len: u8,
     children: [u32; 2],
     value: Option<V>,
 }
 
-const NONE: u32 = u32::MAX;
+/// Index that stands for no node.
+const NO_NODE: u32 = u32::MAX;
 
+/// Family index, left-aligned address bits and length of a prefix.
 fn key(prefix: &IpNet) -> (usize, u128, u8) {
     match prefix.trunc() {
         IpNet::V4(net) => (0, u128::from(u32::from(net.addr())) << 96, net.prefix_len()),
@@ -39,7 +41,7 @@
     }
 }
 
-fn prefix(family: usize, bits: u128, len: u8) -> Option<IpNet> {
+fn to_prefix(family: usize, bits: u128, len: u8) -> Option<IpNet> {
     match family {
         0 => Ipv4Net::new(Ipv4Addr::from((bits >> 96) as u32), len).ok().map(IpNet::V4),
         _ => Ipv6Net::new(Ipv6Addr::from(bits), len).ok().map(IpNet::V6),
@@ -54,13 +56,14 @@
     if len == 0 { 0 } else { bits & (u128::MAX << (128 - u32::from(len))) }
 }
 
-fn common(a: u128, b: u128, most: u8) -> u8 {
-    ((a ^ b).leading_zeros() as u8).min(most)
+/// Length of the common prefix of two bit strings, at most `max_len`.
+fn common_len(a: u128, b: u128, max_len: u8) -> u8 {
+    ((a ^ b).leading_zeros() as u8).min(max_len)
 }
 
 impl<V> Default for Trie<V> {
     fn default() -> Self {
-        Self { nodes: Vec::new(), spare: Vec::new(), roots: [NONE; 2], count: 0 }
+        Self { nodes: Vec::new(), free: Vec::new(), roots: [NO_NODE; 2], count: 0 }
     }
 }
 
@@ -73,11 +76,11 @@
         self.count == 0
     }
 
-    fn node(&mut self, node: Node<V>) -> u32 {
-        match self.spare.pop() {
-            Some(at) => {
-                self.nodes[at as usize] = node;
-                at
+    fn add_node(&mut self, node: Node<V>) -> u32 {
+        match self.free.pop() {
+            Some(index) => {
+                self.nodes[index as usize] = node;
+                index
             }
             None => {
                 self.nodes.push(node);
@@ -86,95 +89,97 @@
         }
     }
 
-    /// Sets the value of a prefix; what it was.
-    pub fn insert(&mut self, at: &IpNet, value: V) -> Option<V> {
-        let (family, bits, len) = key(at);
-        let leaf = |value| Node { bits, len, children: [NONE; 2], value: Some(value) };
-        let (mut above, mut here) = (None, self.roots[family]);
-        let place = loop {
-            if here == NONE {
-                break self.node(leaf(value));
+    /// Sets the value of a prefix and returns the previous one.
+    pub fn insert(&mut self, prefix: &IpNet, value: V) -> Option<V> {
+        let (family, bits, len) = key(prefix);
+        let leaf = |value| Node { bits, len, children: [NO_NODE; 2], value: Some(value) };
+        let mut parent = None;
+        let mut current = self.roots[family];
+        let inserted = loop {
+            if current == NO_NODE {
+                break self.add_node(leaf(value));
             }
-            let Node { bits: there, len: there_len, .. } = self.nodes[here as usize];
-            let shared = common(bits, there, len.min(there_len));
-            if shared == there_len && shared == len {
-                let old = self.nodes[here as usize].value.replace(value);
+            let Node { bits: node_bits, len: node_len, .. } = self.nodes[current as usize];
+            let shared = common_len(bits, node_bits, len.min(node_len));
+            if shared == node_len && shared == len {
+                let old = self.nodes[current as usize].value.replace(value);
                 self.count += usize::from(old.is_none());
                 return old;
             }
-            if shared == there_len {
+            if shared == node_len {
                 let side = bit(bits, shared);
-                above = Some((here, side));
-                here = self.nodes[here as usize].children[side];
+                parent = Some((current, side));
+                current = self.nodes[current as usize].children[side];
                 continue;
             }
-            let mut children = [NONE; 2];
-            children[bit(there, shared)] = here;
+            let mut children = [NO_NODE; 2];
+            children[bit(node_bits, shared)] = current;
             if shared == len {
-                break self.node(Node { children, ..leaf(value) });
+                break self.add_node(Node { children, ..leaf(value) });
             }
-            children[bit(bits, shared)] = self.node(leaf(value));
-            break self.node(Node { bits: mask(bits, shared), len: shared, children, value: None });
+            children[bit(bits, shared)] = self.add_node(leaf(value));
+            break self.add_node(Node { bits: mask(bits, shared), len: shared, children, value: None });
         };
-        match above {
-            Some((node, side)) => self.nodes[node as usize].children[side] = place,
-            None => self.roots[family] = place,
+        match parent {
+            Some((node, side)) => self.nodes[node as usize].children[side] = inserted,
+            None => self.roots[family] = inserted,
         }
         self.count += 1;
         None
     }
 
-    fn find(&self, at: &IpNet) -> Option<u32> {
-        let (family, bits, len) = key(at);
-        let mut here = self.roots[family];
-        while here != NONE {
-            let node = &self.nodes[here as usize];
+    fn find(&self, prefix: &IpNet) -> Option<u32> {
+        let (family, bits, len) = key(prefix);
+        let mut current = self.roots[family];
+        while current != NO_NODE {
+            let node = &self.nodes[current as usize];
             if node.len > len || mask(bits, node.len) != node.bits {
                 return None;
             }
             if node.len == len {
-                return node.value.is_some().then_some(here);
+                return node.value.is_some().then_some(current);
             }
-            here = node.children[bit(bits, node.len)];
+            current = node.children[bit(bits, node.len)];
         }
         None
     }
 
-    pub fn get(&self, at: &IpNet) -> Option<&V> {
-        self.find(at).and_then(|node| self.nodes[node as usize].value.as_ref())
+    pub fn get(&self, prefix: &IpNet) -> Option<&V> {
+        self.find(prefix).and_then(|node| self.nodes[node as usize].value.as_ref())
     }
 
-    pub fn get_mut(&mut self, at: &IpNet) -> Option<&mut V> {
-        self.find(at).and_then(|node| self.nodes[node as usize].value.as_mut())
+    pub fn get_mut(&mut self, prefix: &IpNet) -> Option<&mut V> {
+        self.find(prefix).and_then(|node| self.nodes[node as usize].value.as_mut())
     }
 
-    /// The longest prefix that covers an address.
-    pub fn covering(&self, address: IpAddr) -> Option<(IpNet, &V)> {
-        let (family, bits, most) = key(&IpNet::from(address));
-        let (mut here, mut found) = (self.roots[family], None);
-        while here != NONE {
-            let node = &self.nodes[here as usize];
-            if node.len > most || mask(bits, node.len) != node.bits {
+    /// The longest prefix that contains an address.
+    pub fn longest_match(&self, address: IpAddr) -> Option<(IpNet, &V)> {
+        let (family, bits, max_len) = key(&IpNet::from(address));
+        let mut current = self.roots[family];
+        let mut found = None;
+        while current != NO_NODE {
+            let node = &self.nodes[current as usize];
+            if node.len > max_len || mask(bits, node.len) != node.bits {
                 break;
             }
             if let Some(value) = &node.value {
-                found = prefix(family, node.bits, node.len).map(|p| (p, value));
+                found = to_prefix(family, node.bits, node.len).map(|p| (p, value));
             }
-            if node.len == most {
+            if node.len == max_len {
                 break;
             }
-            here = node.children[bit(bits, node.len)];
+            current = node.children[bit(bits, node.len)];
         }
         found
     }
 
-    /// Takes a prefix out; what it was. Nodes that then serve nothing are used again.
-    pub fn remove(&mut self, at: &IpNet) -> Option<V> {
-        let (family, bits, len) = key(at);
-        let mut way: Vec<(u32, usize)> = Vec::new();
-        let mut here = self.roots[family];
+    /// Removes a prefix and returns its value. Nodes that are no longer needed are reused.
+    pub fn remove(&mut self, prefix: &IpNet) -> Option<V> {
+        let (family, bits, len) = key(prefix);
+        let mut path: Vec<(u32, usize)> = Vec::new();
+        let mut current = self.roots[family];
         loop {
-            let node = self.nodes.get(here as usize).filter(|_| here != NONE)?;
+            let node = self.nodes.get(current as usize).filter(|_| current != NO_NODE)?;
             if node.len > len || mask(bits, node.len) != node.bits {
                 return None;
             }
@@ -182,28 +187,28 @@
                 break;
             }
             let side = bit(bits, node.len);
-            way.push((here, side));
-            here = node.children[side];
+            path.push((current, side));
+            current = node.children[side];
         }
-        let old = self.nodes[here as usize].value.take()?;
+        let old = self.nodes[current as usize].value.take()?;
         self.count -= 1;
-        // A node without value stays only where it parts two ways.
+        // A node without a value is kept only if it has two children.
         loop {
-            let node = &self.nodes[here as usize];
-            let instead = match (node.value.is_some(), node.children) {
+            let node = &self.nodes[current as usize];
+            let replacement = match (node.value.is_some(), node.children) {
                 (true, _) => break,
-                (false, [NONE, NONE]) => NONE,
-                (false, [one, NONE]) | (false, [NONE, one]) => one,
+                (false, [NO_NODE, NO_NODE]) => NO_NODE,
+                (false, [one, NO_NODE]) | (false, [NO_NODE, one]) => one,
                 (false, _) => break,
             };
-            self.spare.push(here);
-            match way.pop() {
-                Some((above, side)) => {
-                    self.nodes[above as usize].children[side] = instead;
-                    here = above;
+            self.free.push(current);
+            match path.pop() {
+                Some((parent, side)) => {
+                    self.nodes[parent as usize].children[side] = replacement;
+                    current = parent;
                 }
                 None => {
-                    self.roots[family] = instead;
+                    self.roots[family] = replacement;
                     break;
                 }
             }
@@ -211,18 +216,18 @@
         Some(old)
     }
 
-    /// All prefixes in order: IPv4 first, a prefix before those that it covers.
+    /// All prefixes in order: IPv4 first, a prefix before those that it contains.
     pub fn iter(&self) -> impl Iterator<Item = (IpNet, &V)> {
         let mut stack: Vec<(usize, u32)> = [1, 0].into_iter().map(|f| (f, self.roots[f])).collect();
         std::iter::from_fn(move || {
-            while let Some((family, here)) = stack.pop() {
-                if here == NONE {
+            while let Some((family, current)) = stack.pop() {
+                if current == NO_NODE {
                     continue;
                 }
-                let node = &self.nodes[here as usize];
+                let node = &self.nodes[current as usize];
                 stack.extend([(family, node.children[1]), (family, node.children[0])]);
                 if let Some(value) = &node.value {
-                    return prefix(family, node.bits, node.len).map(|p| (p, value));
+                    return to_prefix(family, node.bits, node.len).map(|p| (p, value));
                 }
             }
             None
@@ -234,75 +239,75 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Route {
     wanted: Option<Attributes>,
-    held: Option<Attributes>,
-    /// It is to be told again, though it is held.
-    again: bool,
+    sent: Option<Attributes>,
+    /// The route has to be sent again even if it is unchanged.
+    resend: bool,
 }
 
-/// The routes of one peer.
+/// The Adj-RIB-Out of one peer.
 #[derive(Clone, Debug, Default)]
-pub struct Routes {
+pub struct AdjRibOut {
     routes: Trie<Route>,
-    /// Prefixes whose two sides differ.
-    changed: BTreeMap<IpNet, ()>,
+    /// Prefixes with a change to send.
+    pending: BTreeMap<IpNet, ()>,
 }
 
-impl Routes {
-    /// Says what a peer is to hold of a prefix; nothing, to have it withdrawn.
-    pub fn want(&mut self, at: IpNet, attributes: Option<Attributes>) {
-        let at = at.trunc();
-        if self.routes.get(&at).is_none() {
+impl AdjRibOut {
+    /// Sets the route wanted for a prefix; `None` withdraws it.
+    pub fn set(&mut self, prefix: IpNet, attributes: Option<Attributes>) {
+        let prefix = prefix.trunc();
+        if self.routes.get(&prefix).is_none() {
             if attributes.is_none() {
                 return;
             }
-            self.routes.insert(&at, Route::default());
+            self.routes.insert(&prefix, Route::default());
         }
-        let Some(route) = self.routes.get_mut(&at) else { return };
+        let Some(route) = self.routes.get_mut(&prefix) else { return };
         route.wanted = attributes;
-        route.again &= route.wanted.is_some();
-        let same = route.wanted == route.held && !route.again;
-        let unused = route.wanted.is_none() && route.held.is_none();
-        match same {
-            true => self.changed.remove(&at),
-            false => self.changed.insert(at, ()),
+        route.resend &= route.wanted.is_some();
+        let is_current = route.wanted == route.sent && !route.resend;
+        let is_unused = route.wanted.is_none() && route.sent.is_none();
+        match is_current {
+            true => self.pending.remove(&prefix),
+            false => self.pending.insert(prefix, ()),
         };
-        if unused {
-            self.routes.remove(&at);
+        if is_unused {
+            self.routes.remove(&prefix);
         }
     }
 
-    /// The peer has lost its session, and with it all routes; all that is wanted is to be told again.
-    pub fn lost(&mut self) {
+    /// The session has ended and the peer has dropped all routes: all wanted routes have to be sent again.
+    pub fn session_lost(&mut self) {
         let all: Vec<(IpNet, Option<Attributes>)> =
-            self.routes.iter().map(|(at, route)| (at, route.wanted.clone())).collect();
+            self.routes.iter().map(|(prefix, route)| (prefix, route.wanted.clone())).collect();
         *self = Self::default();
-        all.into_iter().for_each(|(at, wanted)| self.want(at, wanted));
+        all.into_iter().for_each(|(prefix, wanted)| self.set(prefix, wanted));
     }
 
-    /// The peer wants to be told again what it holds (RFC 2918).
-    pub fn again(&mut self, which: impl Fn(&IpNet) -> bool) {
-        let all: Vec<IpNet> = self.routes.iter().map(|r| r.0).filter(which).collect();
-        for at in all {
-            if let Some(route) = self.routes.get_mut(&at).filter(|r| r.wanted.is_some()) {
-                route.again = true;
-                self.changed.insert(at, ());
+    /// The peer has requested the selected routes again (RFC 2918).
+    pub fn resend(&mut self, selected: impl Fn(&IpNet) -> bool) {
+        let prefixes: Vec<IpNet> = self.routes.iter().map(|r| r.0).filter(selected).collect();
+        for prefix in prefixes {
+            if let Some(route) = self.routes.get_mut(&prefix).filter(|r| r.wanted.is_some()) {
+                route.resend = true;
+                self.pending.insert(prefix, ());
             }
         }
     }
 
-    /// What is to be sent now, withdrawals first, routes of the same attributes together; it counts as held from then on.
-    pub fn take(&mut self) -> Vec<Update> {
+    /// Takes the pending changes: withdrawals first, then the routes grouped by attributes. They count as sent from then on.
+    pub fn take_updates(&mut self) -> Vec<Update> {
         let mut withdrawn = Vec::new();
         let mut announced: BTreeMap<Attributes, Vec<IpNet>> = BTreeMap::new();
-        for (at, ()) in std::mem::take(&mut self.changed) {
-            let Some(route) = self.routes.get_mut(&at) else { continue };
-            route.held.clone_from(&route.wanted);
-            route.again = false;
+        for (prefix, ()) in std::mem::take(&mut self.pending) {
+            let Some(route) = self.routes.get_mut(&prefix) else { continue };
+            route.sent.clone_from(&route.wanted);
+            route.resend = false;
             match &route.wanted {
-                Some(attributes) => announced.entry(attributes.clone()).or_default().push(at),
+                Some(attributes) => announced.entry(attributes.clone()).or_default().push(prefix),
                 None => {
-                    withdrawn.push(at);
-                    self.routes.remove(&at);
+                    withdrawn.push(prefix);
+                    self.routes.remove(&prefix);
                 }
             }
         }
@@ -318,13 +323,12 @@
         updates
     }
 
-    /// Whether something is to be sent.
-    pub fn changed(&self) -> bool {
-        !self.changed.is_empty()
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Prefixes that the peer holds, as far as it was told.
-    pub fn held(&self) -> Vec<IpNet> {
-        self.routes.iter().filter(|(_, r)| r.held.is_some()).map(|(at, _)| at).collect()
+    /// Prefixes of the routes sent to the peer.
+    pub fn advertised(&self) -> Vec<IpNet> {
+        self.routes.iter().filter(|(_, r)| r.sent.is_some()).map(|(prefix, _)| prefix).collect()
     }
 }
--- a/crates/bgp/src/session.rs
+++ b/crates/bgp/src/session.rs
@@ -1,51 +1,54 @@
 //! The state machine of one peer (RFC 4271 section 8).
 //!
-//! [`Session::step`] takes an input and the time and returns effects; it reads no clock and owns no socket. The shell opens
-//! and closes connections, frames messages, and hands what it read.
+//! [`Session::step`] takes an input and the current time and returns effects; it reads no clock and owns no socket. The
+//! caller opens and closes connections, frames messages and passes on what it received.
 //!
-//! | state | connections | leaves by |
+//! | state | connections | left by |
 //! | --- | --- | --- |
-//! | Idle | none | start, or the end of the idle hold |
-//! | Connect | one being opened | it is up (OpenSent), it fails (Active) |
-//! | Active | none; one may come in | connect-retry timer (Connect), one comes in (OpenSent) |
-//! | OpenSent | one or two, our OPEN is out | the peer's OPEN (OpenConfirm) |
-//! | OpenConfirm | the peer's OPEN was good | its KEEPALIVE (Established) |
-//! | Established | one | a notification, silence, a fault, a stop |
+//! | Idle | none | start, or expiry of the idle hold timer |
+//! | Connect | one being opened | connected (OpenSent), failed (Active) |
+//! | Active | none; accepts one | ConnectRetryTimer (Connect), connection accepted (OpenSent) |
+//! | OpenSent | one or two, OPEN sent | the peer's OPEN (OpenConfirm) |
+//! | OpenConfirm | the peer's OPEN accepted | the peer's KEEPALIVE (Established) |
+//! | Established | one | NOTIFICATION, expiry of the hold timer, error, stop |
 //!
-//! Departures from the RFC: delayed open is not built (nothing here needs it); every fault goes through the idle hold, which
-//! doubles with each flap and comes down by one for each quiet time (section 8.1.1, DampPeerOscillations); a connection that
-//! comes in while Idle is refused unseen.
-
-use oorandom::Rand32;
+//! Deviations from the RFC: DelayOpen is not implemented, as nothing here needs it. Every error starts the idle hold timer,
+//! which doubles with each flap; the flap count falls by one for each minute that a session stays established (section
+//! 8.1.1, DampPeerOscillations). A connection accepted while Idle is refused without an OPEN.
 
 use std::net::Ipv4Addr;
 
 use ipnet::IpNet;
+use oorandom::Rand32;
 
-use crate::message::{Family, Message, Notification, Open, Refusal, Seen, code, keepalive, refresh};
+use crate::message::{
+    Family, Message, MessageError, Notification, ObservedRoute, Open, code, encode_keepalive,
+    encode_route_refresh,
+};
 
-/// What a session is set up with.
+/// Configuration of a session.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct SessionConfig {
     pub asn: u32,
-    pub id: Ipv4Addr,
+    /// BGP Identifier.
+    pub bgp_id: Ipv4Addr,
     pub peer_asn: u32,
-    /// Seconds that the peer may be silent; zero for ever, else three at least.
-    pub hold_s: u16,
+    /// Hold time in seconds: zero disables the hold timer, otherwise at least three.
+    pub hold_time_s: u16,
     pub families: Vec<Family>,
-    /// Whether connections are opened; else the peer has to.
+    /// Whether this side opens connections; otherwise it waits for the peer.
     pub connects: bool,
-    /// Milliseconds between attempts, before jitter.
-    pub retry_ms: f64,
-    /// Milliseconds of the first idle hold after a fault.
-    pub idle_ms: f64,
-    /// Routes that the peer may announce; beyond that it hears so and the session ends.
-    pub most_routes: u64,
+    /// ConnectRetryTime in milliseconds, before jitter.
+    pub connect_retry_ms: f64,
+    /// IdleHoldTime in milliseconds after a first error.
+    pub idle_hold_ms: f64,
+    /// Prefixes that the peer may announce; above this the session ends with Cease/1.
+    pub max_prefixes: u64,
 }
 
 /// Which side opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Way {
+pub enum Direction {
     Out,
     In,
 }
@@ -60,466 +63,481 @@
     Established,
 }
 
-/// What happened. Connections are named by who opened them: there is one each way at most.
+/// Events of the state machine. A connection is identified by the side that opened it: there is at most one in each
+/// direction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Events 1 and 3 of section 8.1.2.
+    /// Events 1 and 3 (section 8.1.2).
     Start,
-    /// Event 2: what is told to the peer.
+    /// Event 2, with the NOTIFICATION to send.
     Stop(Notification),
-    /// The operator has changed them. A session stays up unless who speaks with whom has changed; a new hold time counts
-    /// from the next OPEN on.
-    Terms(Terms),
+    /// The configuration has changed. An established session stays up unless the AS numbers, the BGP Identifier or the
+    /// address families differ; a new hold time applies from the next OPEN on.
+    Configure(SessionConfig),
     /// Events 16 and 17.
-    Connected(Way),
-    /// Event 18, before or after it was up; also a connection on which nothing can be written any more.
-    Closed(Way),
-    Heard(Way, Message),
-    /// Events 21, 22 and 28: what answers it.
-    Unreadable(Way, Refusal),
-    /// The peer is to tell all its routes again, where it understands that: more of them are watched now.
-    Ask,
-    /// Time has come to [`Session::due`].
+    Connected(Direction),
+    /// Event 18, also for a failed attempt to connect and for a connection that can no longer be written to.
+    Closed(Direction),
+    Received(Direction, Message),
+    /// Events 21, 22 and 28.
+    Malformed(Direction, MessageError),
+    /// Sends ROUTE-REFRESH to a peer that supports it, so that newly watched prefixes are reported.
+    RequestRefresh,
+    /// The time returned by [`Session::next_timer`] has come.
     Timer,
 }
 
-/// What the shell does, in this order.
+/// Actions for the caller, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Connect,
-    Send(Way, Vec<u8>),
-    /// After all that was sent on it is written, or at once if it can't be.
-    Close(Way),
-    /// The connection that has just come is not wanted; one that was there before, that way, stays.
-    Refuse(Way),
-    /// Routes may go out on this connection.
+    Send(Direction, Vec<u8>),
+    /// Closes the connection after everything sent on it has been written, or at once if that is not possible.
+    Close(Direction),
+    /// Closes the new connection; an earlier one in the same direction stays open.
+    Refuse(Direction),
+    /// The session is established: routes may be sent on this connection.
     Up {
-        way: Way,
+        direction: Direction,
         families: Vec<Family>,
         four_octets: bool,
     },
-    /// None may any more; the peer forgets all.
+    /// The session has ended, for the given reason; the peer drops all routes.
     Down(String),
-    /// The peer wants all routes of a family again.
-    Refresh(Family),
-    /// The peer holds a route of a watched prefix; or does no more.
-    Watched(IpNet, Option<Seen>),
+    /// The peer requests all routes of an address family again.
+    RefreshRequested(Family),
+    /// The peer announced a route to a watched prefix, or withdrew it.
+    WatchedRoute(IpNet, Option<ObservedRoute>),
 }
 
-/// An idle hold is doubled so often at most: from 5 s to over 5 minutes.
-const MOST_FLAPS: u32 = 6;
-/// A session that lived so long was no flap, and makes one good.
-const QUIET_MS: f64 = 60_000.0;
-/// Where an OPEN is awaited (section 8.2.2 suggests four minutes); a peer that is not a peer must not keep a place so long.
-const OPEN_MS: f64 = 30_000.0;
-/// Timers are shortened by up to this share (section 10).
+/// Maximum of the flap count. It limits the idle hold time to 16 times its first value: 5 s grows to 80 s.
+const MAX_FLAPS: u32 = 6;
+/// A session that stays established this long is not a flap; each such period also takes one flap off the count.
+const STABLE_MS: f64 = 60_000.0;
+/// Hold time while waiting for an OPEN. Section 8.2.2 suggests four minutes; a client that is not a BGP peer must not
+/// occupy the connection that long.
+const OPEN_HOLD_MS: f64 = 30_000.0;
+/// Timers are shortened by a random share of up to this value (section 10).
 const JITTER: f64 = 0.25;
 
 #[derive(Clone, Debug)]
-struct Link {
+struct Connection {
     state: State,
-    /// The peer's OPEN, once it came.
+    /// The peer's OPEN, once received.
     open: Option<Open>,
     hold_ms: f64,
-    /// Due times.
+    /// Expiry of the hold timer and of the keepalive timer.
     hold_at: f64,
     keepalive_at: f64,
 }
 
-/// One peer.
+/// State machine of the session with one peer.
 #[derive(Clone, Debug)]
 pub struct Session {
-    terms: Terms,
-    chance: Rand32,
+    config: SessionConfig,
+    rng: Rand32,
     now: f64,
-    /// Wanted up.
+    /// Between [`Input::Start`] and [`Input::Stop`].
     started: bool,
     connecting: bool,
-    links: [Option<Link>; 2],
+    connections: [Option<Connection>; 2],
     retry_at: f64,
-    idle_until: f64,
+    idle_hold_until: f64,
     flaps: u32,
-    up_since: f64,
-    heard_routes: u64,
+    established_at: f64,
+    received_prefixes: u64,
     last_error: Option<String>,
 }
 
 impl Session {
-    pub fn new(terms: Terms, seed: u64) -> Self {
+    pub fn new(config: SessionConfig, seed: u64) -> Self {
         Self {
-            terms,
-            chance: Rand32::new(seed),
+            config,
+            rng: Rand32::new(seed),
             now: 0.0,
             started: false,
             connecting: false,
-            links: [None, None],
+            connections: [None, None],
             retry_at: f64::INFINITY,
-            idle_until: 0.0,
+            idle_hold_until: 0.0,
             flaps: 0,
-            up_since: f64::INFINITY,
-            heard_routes: 0,
+            established_at: f64::INFINITY,
+            received_prefixes: 0,
             last_error: None,
         }
     }
 
     pub fn state(&self) -> State {
-        let best = self.links.iter().flatten().map(|l| l.state).max();
+        let best = self.connections.iter().flatten().map(|c| c.state).max();
         match best {
             Some(state) => state,
             None if self.connecting => State::Connect,
-            None if self.started && self.now >= self.idle_until => State::Active,
+            None if self.started && self.now >= self.idle_hold_until => State::Active,
             None => State::Idle,
         }
     }
 
-    /// Flaps that the idle hold still counts.
+    /// Current flap count, which determines the idle hold time.
     pub fn flaps(&self) -> u32 {
         self.flaps
     }
 
-    /// Routes that the peer has announced, less those that it withdrew.
-    pub fn heard_routes(&self) -> u64 {
-        self.heard_routes
+    /// Prefixes that the peer has announced minus those that it has withdrawn.
+    pub fn received_prefixes(&self) -> u64 {
+        self.received_prefixes
     }
 
     pub fn last_error(&self) -> Option<&str> {
         self.last_error.as_deref()
     }
 
-    /// When [`Input::Timer`] is due next.
-    pub fn due(&self) -> f64 {
-        let links = self.links.iter().flatten().map(|l| l.hold_at.min(l.keepalive_at));
-        let idle = self.started && self.links.iter().all(Option::is_none) && !self.connecting;
-        let begin = if idle && self.now < self.idle_until { self.idle_until } else { f64::INFINITY };
-        links.fold(self.retry_at.min(begin), f64::min)
+    /// Time of the next [`Input::Timer`], in milliseconds.
+    pub fn next_timer(&self) -> f64 {
+        let connections = self.connections.iter().flatten().map(|c| c.hold_at.min(c.keepalive_at));
+        let idle = self.started && self.connections.iter().all(Option::is_none) && !self.connecting;
+        let begin =
+            if idle && self.now < self.idle_hold_until { self.idle_hold_until } else { f64::INFINITY };
+        connections.fold(self.retry_at.min(begin), f64::min)
     }
 
-    /// Takes in what happened at `now`, in milliseconds of a clock that should not go back; if it does, it stands still.
+    /// Processes an input at time `now` in milliseconds. If `now` is before the time of an earlier input, that time is used.
     pub fn step(&mut self, now: f64, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         match input {
             Input::Start if !self.started => {
                 self.started = true;
-                self.begin(&mut out);
+                self.start_connecting(&mut effects);
             }
             Input::Start => {}
-            Input::Stop(told) => self.stop(told, &mut out),
-            Input::Terms(terms) => self.change(terms, &mut out),
-            Input::Connected(way) => self.connected(way, &mut out),
-            Input::Closed(way) => self.closed(way, &mut out),
-            Input::Heard(way, message) => self.heard(way, message, &mut out),
-            Input::Unreadable(way, refusal) => self.fault(way, refusal.0, &mut out),
-            Input::Ask => self.ask(&mut out),
-            Input::Timer => self.timer(&mut out),
+            Input::Stop(notification) => self.stop(notification, &mut effects),
+            Input::Configure(config) => self.configure(config, &mut effects),
+            Input::Connected(direction) => self.on_connected(direction, &mut effects),
+            Input::Closed(direction) => self.on_closed(direction, &mut effects),
+            Input::Received(direction, message) => self.on_message(direction, message, &mut effects),
+            Input::Malformed(direction, refusal) => self.fail(direction, refusal.0, &mut effects),
+            Input::RequestRefresh => self.request_refresh(&mut effects),
+            Input::Timer => self.on_timer(&mut effects),
         }
-        out
+        effects
     }
 
-    fn jittered(&mut self, ms: f64) -> f64 {
-        ms * (1.0 - JITTER * f64::from(self.chance.rand_float()))
+    fn with_jitter(&mut self, ms: f64) -> f64 {
+        ms * (1.0 - JITTER * f64::from(self.rng.rand_float()))
     }
 
-    /// Out of Idle: opens a connection, or waits for one.
-    fn begin(&mut self, out: &mut Vec<Effect>) {
-        if self.now < self.idle_until {
+    /// Leaves Idle: opens a connection or waits for one, unless the idle hold timer is running.
+    fn start_connecting(&mut self, effects: &mut Vec<Effect>) {
+        if self.now < self.idle_hold_until {
             return;
         }
-        let retry = self.jittered(self.terms.retry_ms);
-        self.retry_at = if self.terms.connects { self.now + retry } else { f64::INFINITY };
-        if self.terms.connects && !self.connecting {
+        let retry = self.with_jitter(self.config.connect_retry_ms);
+        self.retry_at = if self.config.connects { self.now + retry } else { f64::INFINITY };
+        if self.config.connects && !self.connecting {
             self.connecting = true;
-            out.push(Effect::Connect);
+            effects.push(Effect::Connect);
         }
     }
 
-    fn change(&mut self, terms: Terms, out: &mut Vec<Effect>) {
-        let before = std::mem::replace(&mut self.terms, terms);
-        let who = |terms: &Terms| (terms.asn, terms.id, terms.peer_asn, terms.families.clone());
+    fn configure(&mut self, config: SessionConfig, effects: &mut Vec<Effect>) {
+        let before = std::mem::replace(&mut self.config, config);
+        let identity =
+            |config: &SessionConfig| (config.asn, config.bgp_id, config.peer_asn, config.families.clone());
         let started = self.started;
-        if who(&before) != who(&self.terms) {
-            self.stop(Notification::new(code::CEASE, code::RECONFIGURED), out);
-            // What the old terms met is no sign of the new ones.
-            (self.flaps, self.idle_until) = (0, self.now);
-        } else if started && self.terms.connects && !before.connects && self.state() == State::Active {
+        if identity(&before) != identity(&self.config) {
+            self.stop(Notification::new(code::CEASE, code::OTHER_CONFIG_CHANGE), effects);
+            // Earlier errors say nothing about the new configuration.
+            self.flaps = 0;
+            self.idle_hold_until = self.now;
+        } else if started && self.config.connects && !before.connects && self.state() == State::Active {
             self.retry_at = self.now;
-            self.timer(out);
+            self.on_timer(effects);
         }
         if started && !self.started {
             self.started = true;
-            self.begin(out);
+            self.start_connecting(effects);
         }
     }
 
-    fn ask(&self, out: &mut Vec<Effect>) {
-        for way in [Way::Out, Way::In] {
-            let link = self.links[way as usize].as_ref().filter(|l| l.state == State::Established);
-            if let Some(open) = link.and_then(|l| l.open.as_ref()).filter(|o| o.refresh) {
-                let both = open.families.iter().filter(|f| self.terms.families.contains(f));
-                out.extend(both.map(|family| Effect::Send(way, refresh(*family))));
+    fn request_refresh(&self, effects: &mut Vec<Effect>) {
+        for direction in [Direction::Out, Direction::In] {
+            let connection =
+                self.connections[direction as usize].as_ref().filter(|c| c.state == State::Established);
+            if let Some(open) = connection.and_then(|c| c.open.as_ref()).filter(|o| o.route_refresh) {
+                let shared = open.families.iter().filter(|f| self.config.families.contains(f));
+                effects.extend(shared.map(|family| Effect::Send(direction, encode_route_refresh(*family))));
             }
         }
     }
 
-    fn stop(&mut self, told: Notification, out: &mut Vec<Effect>) {
+    fn stop(&mut self, notification: Notification, effects: &mut Vec<Effect>) {
         self.started = false;
         self.retry_at = f64::INFINITY;
-        // A connection that is still being opened is given up; its end is no news.
+        // Abandons an attempt to connect that is still pending.
         if std::mem::take(&mut self.connecting) {
-            out.push(Effect::Close(Way::Out));
+            effects.push(Effect::Close(Direction::Out));
         }
-        for way in [Way::Out, Way::In] {
-            if self.links[way as usize].is_some() {
-                self.part(way, Some(told.clone()), out);
+        for direction in [Direction::Out, Direction::In] {
+            if self.connections[direction as usize].is_some() {
+                self.close(direction, Some(notification.clone()), effects);
             }
         }
-        self.down("stopped".to_owned(), false, out);
+        self.end_session("stopped".to_owned(), false, effects);
     }
 
-    fn connected(&mut self, way: Way, out: &mut Vec<Effect>) {
-        let wanted = way == Way::In || std::mem::take(&mut self.connecting);
-        let held = self.links.iter().flatten().any(|l| l.state == State::Established);
-        let place = self.links[way as usize].is_some();
-        // While Idle, when one is up, or when one that way is there already, a further one is not wanted.
-        if !wanted || !self.started || self.now < self.idle_until || held || place {
-            out.push(Effect::Refuse(way));
+    fn on_connected(&mut self, direction: Direction, effects: &mut Vec<Effect>) {
+        let expected = direction == Direction::In || std::mem::take(&mut self.connecting);
+        let established = self.connections.iter().flatten().any(|c| c.state == State::Established);
+        let occupied = self.connections[direction as usize].is_some();
+        let idle = !self.started || self.now < self.idle_hold_until;
+        if !expected || idle || established || occupied {
+            effects.push(Effect::Refuse(direction));
             return;
         }
-        let terms = &self.terms;
+        let config = &self.config;
         let open = Open {
-            asn: terms.asn,
-            hold_s: terms.hold_s,
-            id: terms.id,
-            families: terms.families.clone(),
+            asn: config.asn,
+            hold_time_s: config.hold_time_s,
+            bgp_id: config.bgp_id,
+            families: config.families.clone(),
             four_octets: true,
-            refresh: true,
+            route_refresh: true,
         };
-        out.push(Effect::Send(way, open.write()));
-        self.links[way as usize] = Some(Link {
+        effects.push(Effect::Send(direction, open.encode()));
+        self.connections[direction as usize] = Some(Connection {
             state: State::OpenSent,
             open: None,
-            hold_ms: OPEN_MS,
-            hold_at: self.now + OPEN_MS,
+            hold_ms: OPEN_HOLD_MS,
+            hold_at: self.now + OPEN_HOLD_MS,
             keepalive_at: f64::INFINITY,
         });
         self.retry_at = f64::INFINITY;
     }
 
-    fn closed(&mut self, way: Way, out: &mut Vec<Effect>) {
-        if way == Way::Out && std::mem::take(&mut self.connecting) {
-            // The retry timer runs on; until then one may come in (Active).
-            if self.retry_at.is_infinite() && self.links.iter().all(Option::is_none) {
-                let retry = self.jittered(self.terms.retry_ms);
+    fn on_closed(&mut self, direction: Direction, effects: &mut Vec<Effect>) {
+        if direction == Direction::Out && std::mem::take(&mut self.connecting) {
+            // Active: accepts a connection until the ConnectRetryTimer expires.
+            if self.retry_at.is_infinite() && self.connections.iter().all(Option::is_none) {
+                let retry = self.with_jitter(self.config.connect_retry_ms);
                 self.retry_at = self.now + retry;
             }
             return;
         }
-        let Some(link) = self.links[way as usize].take() else { return };
-        if link.state == State::Established {
-            self.down("the connection was lost".to_owned(), true, out);
-        } else if self.links.iter().all(Option::is_none) {
-            // Section 8.2.2 goes to Active from OpenSent; here it rests first, like any fault.
+        let Some(connection) = self.connections[direction as usize].take() else { return };
+        if connection.state == State::Established {
+            self.end_session("the connection was lost".to_owned(), true, effects);
+        } else if self.connections.iter().all(Option::is_none) {
+            // Section 8.2.2 goes from OpenSent to Active; here the idle hold timer starts, as after any error.
             self.last_error = Some("the connection was lost before it was up".to_owned());
-            self.flap();
-            self.rest();
+            self.count_flap();
+            self.start_idle_hold();
         }
     }
 
-    fn heard(&mut self, way: Way, message: Message, out: &mut Vec<Effect>) {
-        let Some(link) = &self.links[way as usize] else { return };
-        let state = link.state;
+    fn on_message(&mut self, direction: Direction, message: Message, effects: &mut Vec<Effect>) {
+        let Some(connection) = &self.connections[direction as usize] else { return };
+        let state = connection.state;
         match (state, message) {
-            (_, Message::Notification(told)) => {
-                let quiet = told.code == code::CEASE && told.subcode == code::COLLISION;
-                self.links[way as usize] = None;
-                out.push(Effect::Close(way));
+            (_, Message::Notification(notification)) => {
+                let collision =
+                    notification.code == code::CEASE && notification.subcode == code::CONNECTION_COLLISION;
+                self.connections[direction as usize] = None;
+                effects.push(Effect::Close(direction));
                 if state == State::Established {
-                    self.down(format!("the peer said {told}"), true, out);
-                } else if !quiet && self.links.iter().all(Option::is_none) {
-                    self.last_error = Some(format!("the peer said {told}"));
-                    self.flap();
-                    self.rest();
+                    self.end_session(format!("the peer said {notification}"), true, effects);
+                } else if !collision && self.connections.iter().all(Option::is_none) {
+                    self.last_error = Some(format!("the peer said {notification}"));
+                    self.count_flap();
+                    self.start_idle_hold();
                 }
             }
-            (State::OpenSent, Message::Open(open)) => self.opened(way, open, out),
-            (State::OpenConfirm, Message::Keepalive) => self.established(way, out),
-            (State::Established, Message::Keepalive) => self.alive(way),
+            (State::OpenSent, Message::Open(open)) => self.on_open(direction, open, effects),
+            (State::OpenConfirm, Message::Keepalive) => self.establish(direction, effects),
+            (State::Established, Message::Keepalive) => self.restart_hold_timer(direction),
             (State::Established, Message::Update(routes)) => {
-                self.alive(way);
-                let kept = self.heard_routes.saturating_sub(u64::from(routes.withdrawn));
-                self.heard_routes = kept + u64::from(routes.announced);
-                out.extend(routes.watched.into_iter().map(|(at, seen)| Effect::Watched(at, seen)));
-                if self.heard_routes > self.terms.most_routes {
-                    self.fault(way, Notification::new(code::CEASE, code::MOST_PREFIXES), out);
+                self.restart_hold_timer(direction);
+                let remaining = self.received_prefixes.saturating_sub(u64::from(routes.withdrawn));
+                self.received_prefixes = remaining + u64::from(routes.announced);
+                effects.extend(
+                    routes.watched.into_iter().map(|(prefix, route)| Effect::WatchedRoute(prefix, route)),
+                );
+                if self.received_prefixes > self.config.max_prefixes {
+                    self.fail(direction, Notification::new(code::CEASE, code::MAX_PREFIXES_REACHED), effects);
                 }
             }
             (State::Established, Message::Refresh(family)) => {
-                self.alive(way);
-                out.push(Effect::Refresh(family));
+                self.restart_hold_timer(direction);
+                effects.push(Effect::RefreshRequested(family));
             }
-            (State::Established, Message::RefreshOther) => self.alive(way),
-            // Not expected in this state; the subcode tells which (RFC 6608).
+            (State::Established, Message::RefreshUnsupported) => self.restart_hold_timer(direction),
+            // Unexpected message: the subcode names the state (RFC 6608).
             (state, _) => {
                 let subcode = match state {
                     State::OpenSent => 1,
                     State::OpenConfirm => 2,
                     _ => 3,
                 };
-                self.fault(way, Notification::new(code::STATE, subcode), out);
+                self.fail(direction, Notification::new(code::FSM_ERROR, subcode), effects);
             }
         }
     }
 
-    fn opened(&mut self, way: Way, open: Open, out: &mut Vec<Effect>) {
-        if open.asn != self.terms.peer_asn {
-            return self.fault(way, Notification::new(code::OPEN, code::BAD_PEER_AS), out);
+    fn on_open(&mut self, direction: Direction, open: Open, effects: &mut Vec<Effect>) {
+        if open.asn != self.config.peer_asn {
+            return self.fail(direction, Notification::new(code::OPEN, code::BAD_PEER_AS), effects);
         }
-        // In one AS two speakers of one identifier can't be told apart (RFC 6286 section 2.2).
-        if open.id == self.terms.id && open.asn == self.terms.asn {
-            return self.fault(way, Notification::new(code::OPEN, code::BAD_ID), out);
+        // Within one AS, BGP Identifiers have to be unique (RFC 6286 section 2.2).
+        if open.bgp_id == self.config.bgp_id && open.asn == self.config.asn {
+            return self.fail(direction, Notification::new(code::OPEN, code::BAD_BGP_IDENTIFIER), effects);
         }
-        if !open.families.iter().any(|f| self.terms.families.contains(f)) {
-            return self.fault(way, Notification::new(code::OPEN, code::BAD_CAPABILITY), out);
+        if !open.families.iter().any(|f| self.config.families.contains(f)) {
+            return self.fail(
+                direction,
+                Notification::new(code::OPEN, code::UNSUPPORTED_CAPABILITY),
+                effects,
+            );
         }
-        // Collision (section 6.8): the connection that the higher identifier opened stays; of equal ones, the higher AS
-        // (RFC 6286 section 2.3).
-        let other = if way == Way::Out { Way::In } else { Way::Out };
-        let collides = self.links[other as usize].as_ref().is_some_and(|l| l.state >= State::OpenConfirm);
+        // Collision (section 6.8): the connection opened by the side with the higher identifier stays; with equal
+        // identifiers, the one of the higher AS (RFC 6286 section 2.3).
+        let other = if direction == Direction::Out { Direction::In } else { Direction::Out };
+        let collides =
+            self.connections[other as usize].as_ref().is_some_and(|c| c.state >= State::OpenConfirm);
         if collides {
-            let ours = (self.terms.id, self.terms.asn) > (open.id, open.asn);
-            let stays = if ours { Way::Out } else { Way::In };
-            let goes = if stays == way { other } else { way };
-            self.part(goes, Some(Notification::new(code::CEASE, code::COLLISION)), out);
-            if goes == way {
+            let keep_ours = (self.config.bgp_id, self.config.asn) > (open.bgp_id, open.asn);
+            let kept = if keep_ours { Direction::Out } else { Direction::In };
+            let closed = if kept == direction { other } else { direction };
+            self.close(closed, Some(Notification::new(code::CEASE, code::CONNECTION_COLLISION)), effects);
+            if closed == direction {
                 return;
             }
         }
-        let hold_ms = f64::from(self.terms.hold_s.min(open.hold_s)) * 1000.0;
-        let keepalive = self.keepalive_in(hold_ms);
+        let hold_ms = f64::from(self.config.hold_time_s.min(open.hold_time_s)) * 1000.0;
+        let keepalive = self.keepalive_interval(hold_ms);
         let now = self.now;
-        if let Some(link) = &mut self.links[way as usize] {
-            link.state = State::OpenConfirm;
-            link.hold_ms = hold_ms;
-            // With no hold time agreed on, an OPEN must still be followed by something.
-            link.hold_at = now + if hold_ms > 0.0 { hold_ms } else { OPEN_MS };
-            link.keepalive_at = now + keepalive;
-            link.open = Some(open);
-            out.push(Effect::Send(way, crate::message::keepalive()));
+        if let Some(connection) = &mut self.connections[direction as usize] {
+            connection.state = State::OpenConfirm;
+            connection.hold_ms = hold_ms;
+            // Even without a negotiated hold time, the KEEPALIVE that confirms the OPEN has to arrive in time.
+            connection.hold_at = now + if hold_ms > 0.0 { hold_ms } else { OPEN_HOLD_MS };
+            connection.keepalive_at = now + keepalive;
+            connection.open = Some(open);
+            effects.push(Effect::Send(direction, crate::message::encode_keepalive()));
         }
     }
 
-    /// A third of the hold time (section 4.4), jittered; never, where none was agreed on.
-    fn keepalive_in(&mut self, hold_ms: f64) -> f64 {
-        if hold_ms > 0.0 { self.jittered(hold_ms / 3.0) } else { f64::INFINITY }
+    /// A third of the hold time with jitter (section 4.4); infinite if the negotiated hold time is zero.
+    fn keepalive_interval(&mut self, hold_ms: f64) -> f64 {
+        if hold_ms > 0.0 { self.with_jitter(hold_ms / 3.0) } else { f64::INFINITY }
     }
 
-    fn established(&mut self, way: Way, out: &mut Vec<Effect>) {
-        let other = if way == Way::Out { Way::In } else { Way::Out };
-        if self.links[other as usize].is_some() {
-            self.part(other, Some(Notification::new(code::CEASE, code::COLLISION)), out);
+    fn establish(&mut self, direction: Direction, effects: &mut Vec<Effect>) {
+        let other = if direction == Direction::Out { Direction::In } else { Direction::Out };
+        if self.connections[other as usize].is_some() {
+            self.close(other, Some(Notification::new(code::CEASE, code::CONNECTION_COLLISION)), effects);
         }
         if std::mem::take(&mut self.connecting) {
-            out.push(Effect::Close(Way::Out));
+            effects.push(Effect::Close(Direction::Out));
         }
-        self.alive(way);
-        self.up_since = self.now;
-        self.heard_routes = 0;
-        let terms = &self.terms;
-        if let Some(link) = &mut self.links[way as usize] {
-            link.state = State::Established;
-            let open = link.open.as_ref();
-            let both = |f: &&Family| open.is_some_and(|o| o.families.contains(f));
-            let families = terms.families.iter().filter(both).copied().collect();
+        self.restart_hold_timer(direction);
+        self.established_at = self.now;
+        self.received_prefixes = 0;
+        let config = &self.config;
+        if let Some(connection) = &mut self.connections[direction as usize] {
+            connection.state = State::Established;
+            let open = connection.open.as_ref();
+            let supported = |f: &&Family| open.is_some_and(|o| o.families.contains(f));
+            let families = config.families.iter().filter(supported).copied().collect();
             let four_octets = open.is_some_and(|o| o.four_octets);
-            out.push(Effect::Up { way, families, four_octets });
+            effects.push(Effect::Up { direction, families, four_octets });
         }
     }
 
-    fn alive(&mut self, way: Way) {
+    fn restart_hold_timer(&mut self, direction: Direction) {
         let now = self.now;
-        if let Some(link) = &mut self.links[way as usize] {
-            link.hold_at = if link.hold_ms > 0.0 { now + link.hold_ms } else { f64::INFINITY };
+        if let Some(connection) = &mut self.connections[direction as usize] {
+            connection.hold_at =
+                if connection.hold_ms > 0.0 { now + connection.hold_ms } else { f64::INFINITY };
         }
     }
 
-    fn timer(&mut self, out: &mut Vec<Effect>) {
-        for way in [Way::Out, Way::In] {
-            let Some(link) = &self.links[way as usize] else { continue };
-            if link.hold_at <= self.now {
-                self.fault(way, Notification::new(code::HOLD, 0), out);
-            } else if link.keepalive_at <= self.now {
-                let hold_ms = link.hold_ms;
-                let next = self.now + self.keepalive_in(hold_ms);
-                self.links[way as usize].iter_mut().for_each(|l| l.keepalive_at = next);
-                out.push(Effect::Send(way, keepalive()));
+    fn on_timer(&mut self, effects: &mut Vec<Effect>) {
+        for direction in [Direction::Out, Direction::In] {
+            let Some(connection) = &self.connections[direction as usize] else { continue };
+            if connection.hold_at <= self.now {
+                self.fail(direction, Notification::new(code::HOLD_TIMER_EXPIRED, 0), effects);
+            } else if connection.keepalive_at <= self.now {
+                let hold_ms = connection.hold_ms;
+                let next = self.now + self.keepalive_interval(hold_ms);
+                self.connections[direction as usize].iter_mut().for_each(|c| c.keepalive_at = next);
+                effects.push(Effect::Send(direction, encode_keepalive()));
             }
         }
-        let none = self.links.iter().all(Option::is_none);
-        if self.started && none && self.now >= self.idle_until {
+        let none = self.connections.iter().all(Option::is_none);
+        if self.started && none && self.now >= self.idle_hold_until {
             if self.retry_at <= self.now {
-                // An attempt that takes longer than the timer is given up for another (event 9 in Connect).
+                // An attempt still pending when the ConnectRetryTimer expires is abandoned (event 9 in Connect).
                 if std::mem::take(&mut self.connecting) {
-                    out.push(Effect::Close(Way::Out));
+                    effects.push(Effect::Close(Direction::Out));
                 }
-                self.begin(out);
+                self.start_connecting(effects);
             } else if self.retry_at.is_infinite() && !self.connecting {
-                self.begin(out);
+                self.start_connecting(effects);
             }
         }
     }
 
-    /// Tells the peer what is wrong and ends the connection.
-    fn fault(&mut self, way: Way, told: Notification, out: &mut Vec<Effect>) {
-        let Some(link) = &self.links[way as usize] else { return };
-        let state = link.state;
-        let why = format!("we said {told}");
-        self.part(way, Some(told), out);
+    /// Sends a NOTIFICATION, closes the connection and starts the idle hold timer.
+    fn fail(&mut self, direction: Direction, notification: Notification, effects: &mut Vec<Effect>) {
+        let Some(connection) = &self.connections[direction as usize] else { return };
+        let state = connection.state;
+        let reason = format!("we said {notification}");
+        self.close(direction, Some(notification), effects);
         if state == State::Established {
-            self.down(why, true, out);
-        } else if self.links.iter().all(Option::is_none) {
-            self.last_error = Some(why);
-            self.flap();
-            self.rest();
+            self.end_session(reason, true, effects);
+        } else if self.connections.iter().all(Option::is_none) {
+            self.last_error = Some(reason);
+            self.count_flap();
+            self.start_idle_hold();
         }
     }
 
-    fn part(&mut self, way: Way, told: Option<Notification>, out: &mut Vec<Effect>) {
-        if self.links[way as usize].as_ref().is_some_and(|l| l.state < State::Established) {
-            self.links[way as usize] = None;
+    fn close(&mut self, direction: Direction, notification: Option<Notification>, effects: &mut Vec<Effect>) {
+        if self.connections[direction as usize].as_ref().is_some_and(|c| c.state < State::Established) {
+            self.connections[direction as usize] = None;
         }
-        out.extend(told.map(|told| Effect::Send(way, told.write())));
-        out.push(Effect::Close(way));
+        effects.extend(notification.map(|notification| Effect::Send(direction, notification.encode())));
+        effects.push(Effect::Close(direction));
     }
 
-    /// A session that was up is so no more.
-    fn down(&mut self, why: String, flapped: bool, out: &mut Vec<Effect>) {
-        let was_up = self.up_since.is_finite();
-        let lived = self.now - self.up_since;
-        self.links = [None, None];
-        self.up_since = f64::INFINITY;
-        self.heard_routes = 0;
-        if was_up {
-            out.push(Effect::Down(why.clone()));
+    /// Drops all connections and reports the end of an established session; `flapped` starts the idle hold timer.
+    fn end_session(&mut self, reason: String, flapped: bool, effects: &mut Vec<Effect>) {
+        let was_established = self.established_at.is_finite();
+        let duration = self.now - self.established_at;
+        self.connections = [None, None];
+        self.established_at = f64::INFINITY;
+        self.received_prefixes = 0;
+        if was_established {
+            effects.push(Effect::Down(reason.clone()));
         }
-        self.last_error = Some(why);
+        self.last_error = Some(reason);
         if flapped {
-            match lived >= QUIET_MS {
-                true => self.flaps = self.flaps.saturating_sub((lived / QUIET_MS) as u32),
-                false => self.flap(),
+            match duration >= STABLE_MS {
+                true => self.flaps = self.flaps.saturating_sub((duration / STABLE_MS) as u32),
+                false => self.count_flap(),
             }
-            self.rest();
+            self.start_idle_hold();
         }
     }
 
-    fn flap(&mut self) {
-        self.flaps = (self.flaps + 1).min(MOST_FLAPS);
+    fn count_flap(&mut self) {
+        self.flaps = (self.flaps + 1).min(MAX_FLAPS);
     }
 
-    /// The idle hold: the first and second fault cost the same, from the third on it doubles.
-    fn rest(&mut self) {
+    /// Starts the idle hold timer. Its duration is the same for the first two errors and doubles from the third on.
+    fn start_idle_hold(&mut self) {
         let doubled = self.flaps.saturating_sub(2);
-        let hold = self.terms.idle_ms * f64::from(1u32 << doubled.min(MOST_FLAPS));
-        self.idle_until = self.now + self.jittered(hold);
+        let hold = self.config.idle_hold_ms * f64::from(1u32 << doubled.min(MAX_FLAPS));
+        self.idle_hold_until = self.now + self.with_jitter(hold);
         self.retry_at = f64::INFINITY;
     }
 }
--- a/crates/bgp/src/show.rs
+++ b/crates/bgp/src/show.rs
@@ -1,13 +1,13 @@
-//! What `bgp show` prints.
+//! Text output of `bgp show`.
 
 use std::fmt::{self, Display, Formatter};
 
-use crate::speaker::{AddressShown, ChangeShown, PeerShown, Shown};
+use crate::speaker::{AddressStatus, PeerStatus, SpeakerStatus, StateChange};
 
-/// A time for people, from milliseconds.
-struct Time(f64);
+/// A duration in milliseconds, printed in a suitable unit.
+struct DurationMs(f64);
 
-impl Display for Time {
+impl Display for DurationMs {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let s = self.0 / 1000.0;
         match s {
@@ -19,53 +19,56 @@
     }
 }
 
-impl Display for PeerShown {
+impl Display for PeerStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {:?}, up {} times, {} flaps count", self.address, self.state, self.ups, self.flaps)?;
-        write!(f, "; it announces {} routes", self.heard_routes)?;
-        let told: Vec<String> = self.announced.iter().map(ToString::to_string).collect();
-        match told.is_empty() {
+        let Self { address, state, flaps, times_established, .. } = self;
+        write!(f, "{address} {state:?}, up {times_established} times, {flaps} flaps count")?;
+        write!(f, "; it announces {} routes", self.received_prefixes)?;
+        let advertised: Vec<String> = self.advertised.iter().map(ToString::to_string).collect();
+        match advertised.is_empty() {
             true => write!(f, "; it is told none")?,
-            false => write!(f, "; it is told {}", told.join(" "))?,
+            false => write!(f, "; it is told {}", advertised.join(" "))?,
         }
         self.last_error.as_ref().map_or(Ok(()), |error| write!(f, "; last error: {error}"))
     }
 }
 
-impl Display for AddressShown {
+impl Display for AddressStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {:?}: {:?}", self.prefix, self.stance, self.reason)?;
-        if let Some(ms) = self.for_ms {
-            write!(f, ", for {}", Time(ms))?;
+        write!(f, "{} {:?}: {:?}", self.prefix, self.state, self.reason)?;
+        if let Some(ms) = self.since_change_ms {
+            write!(f, ", for {}", DurationMs(ms))?;
         }
-        write!(f, "; somebody else announces it: {}", if self.others { "yes" } else { "not known" })
+        write!(f, "; somebody else announces it: {}", if self.other_announcer { "yes" } else { "not known" })
     }
 }
 
-impl Display for ChangeShown {
+impl Display for StateChange {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{} ago {} {:?}: {:?}", Time(self.ago_ms), self.prefix, self.stance, self.reason)
+        write!(f, "{} ago {} {:?}: {:?}", DurationMs(self.ago_ms), self.prefix, self.state, self.reason)
     }
 }
 
-impl Display for Shown {
+impl Display for SpeakerStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let lines = |f: &mut Formatter<'_>, title: &str, lines: Vec<String>| {
+        let section = |f: &mut Formatter<'_>, title: &str, lines: Vec<String>| {
             writeln!(f, "{title}{}", if lines.is_empty() { ": none" } else { "" })?;
             lines.iter().try_for_each(|line| writeln!(f, "  {line}"))
         };
-        lines(f, "peers", self.peers.iter().map(ToString::to_string).collect())?;
-        lines(f, "addresses", self.addresses.iter().map(ToString::to_string).collect())?;
-        let last = self.changes.iter().rev().map(ToString::to_string);
-        lines(f, "changes, the last first", last.collect())?;
+        section(f, "peers", self.peers.iter().map(ToString::to_string).collect())?;
+        section(f, "addresses", self.addresses.iter().map(ToString::to_string).collect())?;
+        let changes = self.changes.iter().rev().map(ToString::to_string);
+        section(f, "changes, the last first", changes.collect())?;
         let health = &self.health;
-        let usable: Vec<String> = health.usable.iter().map(|share| format!("{share:.2}")).collect();
-        writeln!(f, "health\n  {:?}{}", health.phase, if self.drains { ", drains" } else { "" })?;
-        writeln!(f, "  can serve by table type: {}", usable.join(" "))?;
-        writeln!(f, "  refused at the door: {:.2}", health.pressure)?;
-        writeln!(f, "  places for clients: {}", if health.places { "left" } else { "none left" })?;
-        writeln!(f, "  discovery last heard: {} ago", Time(health.list_age_ms))?;
-        let counts = self.counts.named().map(|(name, count)| format!("{name} {count}"));
-        lines(f, "counts", counts.to_vec())
+        let servable: Vec<String> =
+            health.servable_shares.iter().map(|share| format!("{share:.2}")).collect();
+        writeln!(f, "health\n  {:?}{}", health.phase, if self.is_draining { ", drains" } else { "" })?;
+        writeln!(f, "  can serve by table type: {}", servable.join(" "))?;
+        writeln!(f, "  refused at the door: {:.2}", health.rejected_share)?;
+        let capacity = if health.has_client_capacity { "left" } else { "none left" };
+        writeln!(f, "  places for clients: {capacity}")?;
+        writeln!(f, "  discovery last heard: {} ago", DurationMs(health.list_age_ms))?;
+        let counters = self.counters.named().map(|(name, count)| format!("{name} {count}"));
+        section(f, "counts", counters.to_vec())
     }
 }
--- a/crates/bgp/src/speaker.rs
+++ b/crates/bgp/src/speaker.rs
@@ -1,27 +1,29 @@
-//! All sessions of a mixer, its routes and its announcements, still without I/O: what the shell in `crates/speaker` runs.
+//! The sessions, routes and announcements of one mixer, without I/O; `crates/speaker` runs it on sockets.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
 use ipnet::IpNet;
 
-use crate::announce::{self, Announcer, Health, Reason, Stance, others};
-use crate::message::{Attributes, Family, GRACEFUL_SHUTDOWN, Notification, Seen, Watch, code};
-use crate::rib::Routes;
-use crate::session::{self, Session, State, Way};
+use crate::announce::{self, AddressState, Announcer, Health, Reason, RouteState, is_other_announcer};
+use crate::message::{
+    Attributes, Family, GRACEFUL_SHUTDOWN, LargeCommunity, Notification, ObservedRoute, WatchedPrefixes, code,
+};
+use crate::rib::AdjRibOut;
+use crate::session::{self, Direction, Session, State};
 
-/// One peer as the operator sets it.
+/// Configuration of one peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peer {
-    /// Where it is: no two peers are in one place.
+pub struct PeerConfig {
+    /// Address of the peer; unique among the peers.
     pub address: SocketAddr,
-    pub session: session::Terms,
-    /// What the peer is to send to; of each family that it may be told of.
+    pub session: session::SessionConfig,
+    /// Next hop for each address family; without one, routes of the family are not sent to the peer.
     pub next_hop_v4: Option<IpAddr>,
     pub next_hop_v6: Option<IpAddr>,
 }
 
-impl Peer {
+impl PeerConfig {
     fn next_hop(&self, family: Family) -> Option<IpAddr> {
         match family {
             Family::V4 => self.next_hop_v4,
@@ -30,130 +32,138 @@
     }
 }
 
-/// What routes carry.
+/// Path attributes of the announced routes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Carried {
+pub struct AttributeConfig {
     pub communities: Vec<u32>,
-    pub large: Vec<(u32, u32, u32)>,
-    /// MED of routes that are preferred, and of those that are not.
+    pub large_communities: Vec<LargeCommunity>,
+    /// MULTI_EXIT_DISC of announced and of depreferenced routes.
     pub med: u32,
     pub depreferenced_med: u32,
-    /// Towards peers of the same AS, in the same order.
+    /// LOCAL_PREF of announced and of depreferenced routes, sent to internal peers.
     pub local_pref: u32,
-    pub depreferenced_pref: u32,
-    /// How often the own AS stands in the path of a route that is not preferred, beyond once.
+    pub depreferenced_local_pref: u32,
+    /// Number of times the own AS is prepended to the path of depreferenced routes, in addition to the usual one.
     pub prepend: u32,
 }
 
-/// What is read at start, and again when the operator has changed it.
+/// Configuration of the speaker, given at start and again after each change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    pub peers: Vec<Peer>,
-    pub announce: announce::Terms,
-    pub carried: Carried,
+pub struct SpeakerConfig {
+    pub peers: Vec<PeerConfig>,
+    pub announce: announce::AnnounceConfig,
+    pub attributes: AttributeConfig,
 }
 
+/// Identifies a peer; not used again for a later peer.
+pub type PeerId = usize;
+
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Of a peer, by its number.
-    Session(usize, session::Input),
+    Session(PeerId, session::Input),
     Announce(announce::Input),
-    /// The operator has changed them: peers that stay keep their sessions, as far as [`session::Input::Terms`] can.
-    Terms(Box<Terms>),
-    /// Time has come to [`Speaker::due`].
+    /// The configuration has changed; sessions of peers that remain are kept as far as [`session::Input::Configure`] allows.
+    Configure(Box<SpeakerConfig>),
+    /// The time returned by [`Speaker::next_timer`] has come.
     Timer,
-    /// Sessions end with these words.
+    /// Ends all sessions with this shutdown communication.
     Stop(String),
 }
 
-/// What the shell does, in this order.
+/// Actions for the caller, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Connect(usize, SocketAddr),
-    Send(usize, Way, Vec<u8>),
-    Close(usize, Way),
-    Refuse(usize, Way),
-    /// From now on readers tell of these prefixes.
-    Watch(Watch),
-    /// No route leads here any more, as far as can be known.
-    MayStop,
-    /// For the log.
-    Note(String),
+    Connect(PeerId, SocketAddr),
+    Send(PeerId, Direction, Vec<u8>),
+    Close(PeerId, Direction),
+    Refuse(PeerId, Direction),
+    /// Prefixes to pass to the message decoder from now on.
+    Watch(WatchedPrefixes),
+    /// As far as can be known no route leads to this mixer any more.
+    DrainComplete,
+    /// A line for the log.
+    Log(String),
+}
+
+/// The connection over which a session is established, and what was negotiated.
+#[derive(Clone, Debug)]
+struct Established {
+    direction: Direction,
+    families: Vec<Family>,
+    four_octets: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    terms: Peer,
+struct PeerState {
+    config: PeerConfig,
     session: Session,
-    routes: Routes,
-    /// While established: over which connection, what, and how.
-    up: Option<(Way, Vec<Family>, bool)>,
-    ups: u32,
-    /// Addresses that it holds a route of which is another's.
-    others: BTreeSet<IpNet>,
+    routes: AdjRibOut,
+    established: Option<Established>,
+    times_established: u32,
+    /// Service addresses for which the peer has sent a route of another announcer.
+    other_announcers: BTreeSet<IpNet>,
 }
 
-/// How a peer stands, for people.
+/// State of a peer, for status output.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeerShown {
+pub struct PeerStatus {
     pub address: SocketAddr,
     pub state: State,
-    pub announced: Vec<IpNet>,
+    pub advertised: Vec<IpNet>,
     pub flaps: u32,
-    /// Times that it was established.
-    pub ups: u32,
-    /// Routes that it announces to the mixer, none of which is kept.
-    pub heard_routes: u64,
+    pub times_established: u32,
+    /// Prefixes that the peer announces to the mixer; none is stored.
+    pub received_prefixes: u64,
     pub last_error: Option<String>,
 }
 
-/// How an address stands, for people.
+/// State of a service address, for status output.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AddressShown {
+pub struct AddressStatus {
     pub prefix: IpNet,
-    pub stance: Stance,
+    pub state: RouteState,
     pub reason: Reason,
-    /// Somebody else is known to announce it.
-    pub others: bool,
-    /// Milliseconds since its stance last changed.
-    pub for_ms: Option<f64>,
+    /// Another announcer of the address is known.
+    pub other_announcer: bool,
+    /// Milliseconds since the last change of state.
+    pub since_change_ms: Option<f64>,
 }
 
-/// A change of stance that was.
+/// A past change of an address's state.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ChangeShown {
+pub struct StateChange {
     pub ago_ms: f64,
     pub prefix: IpNet,
-    pub stance: Stance,
+    pub state: RouteState,
     pub reason: Reason,
 }
 
-/// All that `bgp show` tells.
+/// Status of the speaker, as `bgp show` prints it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
-    pub peers: Vec<PeerShown>,
-    pub addresses: Vec<AddressShown>,
-    /// The last [`KEPT`], the oldest first.
-    pub changes: Vec<ChangeShown>,
+pub struct SpeakerStatus {
+    pub peers: Vec<PeerStatus>,
+    pub addresses: Vec<AddressStatus>,
+    /// The last [`MAX_RECENT_CHANGES`] changes, oldest first.
+    pub changes: Vec<StateChange>,
     pub health: Health,
-    pub drains: bool,
-    pub counts: Counts,
+    pub is_draining: bool,
+    pub counters: Counters,
 }
 
-/// What has happened since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub sessions_up: u64,
     pub sessions_lost: u64,
     pub messages_sent: u64,
     pub announced: u64,
     pub depreferenced: u64,
     pub withdrawn: u64,
-    pub refused: u64,
+    pub connections_refused: u64,
 }
 
-impl Counts {
-    /// Each with its name.
+impl Counters {
+    /// Each counter with its metric name.
     pub fn named(&self) -> [(&'static str, u64); 7] {
         [
             ("bgp_sessions_up", self.sessions_up),
@@ -162,307 +172,372 @@
             ("bgp_announced", self.announced),
             ("bgp_depreferenced", self.depreferenced),
             ("bgp_withdrawn", self.withdrawn),
-            ("bgp_connections_refused", self.refused),
+            ("bgp_connections_refused", self.connections_refused),
         ]
     }
 }
 
-/// Changes of stance that are kept to be shown.
-pub const KEPT: usize = 16;
+/// Number of past state changes kept for status output.
+pub const MAX_RECENT_CHANGES: usize = 16;
 
-/// The speaker.
+#[derive(Clone, Debug)]
+struct RecordedChange {
+    at: f64,
+    prefix: IpNet,
+    state: RouteState,
+    reason: Reason,
+}
+
+/// The BGP speaker of one mixer.
 #[derive(Clone, Debug)]
 pub struct Speaker {
-    carried: Carried,
+    attributes: AttributeConfig,
     announcer: Announcer,
-    /// By a number that no other peer gets later.
-    peers: BTreeMap<usize, Held>,
-    numbers: usize,
+    peers: BTreeMap<PeerId, PeerState>,
+    next_peer_id: PeerId,
     seed: u64,
     now: f64,
-    changes: VecDeque<(f64, IpNet, Stance, Reason)>,
-    counts: Counts,
+    changes: VecDeque<RecordedChange>,
+    counters: Counters,
 }
 
 impl Speaker {
-    /// Begins on the terms that the first [`Input::Terms`] brings; until then there is no peer.
-    pub fn new(terms: &Terms, seed: u64) -> Self {
+    /// Creates a speaker without peers; they are added by the first [`Input::Configure`].
+    pub fn new(config: &SpeakerConfig, seed: u64) -> Self {
         Self {
-            carried: terms.carried.clone(),
-            announcer: Announcer::new(terms.announce.clone()),
+            attributes: config.attributes.clone(),
+            announcer: Announcer::new(config.announce.clone()),
             peers: BTreeMap::new(),
-            numbers: 0,
+            next_peer_id: 0,
             seed,
             now: 0.0,
             changes: VecDeque::new(),
-            counts: Counts::default(),
+            counters: Counters::default(),
         }
     }
 
-    /// When [`Input::Timer`] is due next.
-    pub fn due(&self) -> f64 {
-        self.peers.values().map(|p| p.session.due()).fold(self.announcer.due(), f64::min)
+    /// Time of the next [`Input::Timer`], in milliseconds.
+    pub fn next_timer(&self) -> f64 {
+        self.peers.values().map(|p| p.session.next_timer()).fold(self.announcer.next_timer(), f64::min)
     }
 
-    /// The peer to whom a connection from this address belongs.
-    pub fn peer_at(&self, from: IpAddr) -> Option<usize> {
-        self.peers.iter().find(|(_, held)| held.terms.address.ip() == from).map(|(peer, _)| *peer)
+    /// The peer with this IP address.
+    pub fn peer_at(&self, ip: IpAddr) -> Option<PeerId> {
+        self.peers.iter().find(|(_, peer)| peer.config.address.ip() == ip).map(|(id, _)| *id)
     }
 
-    /// What is shown to people.
-    pub fn show(&self, now: f64) -> Shown {
-        let peer = |held: &Held| PeerShown {
-            address: held.terms.address,
-            state: held.session.state(),
-            announced: if held.up.is_some() { held.routes.held() } else { Vec::new() },
-            flaps: held.session.flaps(),
-            ups: held.ups,
-            heard_routes: held.session.heard_routes(),
-            last_error: held.session.last_error().map(str::to_owned),
+    pub fn status(&self, now: f64) -> SpeakerStatus {
+        let peer = |peer: &PeerState| PeerStatus {
+            address: peer.config.address,
+            state: peer.session.state(),
+            advertised: if peer.established.is_some() { peer.routes.advertised() } else { Vec::new() },
+            flaps: peer.session.flaps(),
+            times_established: peer.times_established,
+            received_prefixes: peer.session.received_prefixes(),
+            last_error: peer.session.last_error().map(str::to_owned),
         };
-        let address = |(prefix, stance, reason, others, changed): (_, _, _, _, Option<f64>)| AddressShown {
-            prefix,
-            stance,
-            reason,
-            others,
-            for_ms: changed.map(|at| now - at),
+        let address = |address: AddressState| AddressStatus {
+            prefix: address.prefix,
+            state: address.state,
+            reason: address.reason,
+            other_announcer: address.other_announcer,
+            since_change_ms: address.changed_at.map(|at| now - at),
         };
-        let change = |(at, prefix, stance, reason): &(f64, IpNet, Stance, Reason)| ChangeShown {
-            ago_ms: now - at,
-            prefix: *prefix,
-            stance: *stance,
-            reason: *reason,
+        let change = |change: &RecordedChange| StateChange {
+            ago_ms: now - change.at,
+            prefix: change.prefix,
+            state: change.state,
+            reason: change.reason,
         };
-        Shown {
+        SpeakerStatus {
             peers: self.peers.values().map(peer).collect(),
-            addresses: self.announcer.standings().map(address).collect(),
+            addresses: self.announcer.address_states().map(address).collect(),
             changes: self.changes.iter().map(change).collect(),
             health: self.announcer.health().clone(),
-            drains: self.announcer.drains(),
-            counts: self.counts,
+            is_draining: self.announcer.is_draining(),
+            counters: self.counters,
         }
     }
 
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
 
-    /// Takes in what happened at `now`, in milliseconds.
+    /// Processes an input at time `now` in milliseconds.
     pub fn step(&mut self, now: f64, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         match input {
-            Input::Session(peer, input) => self.session(now, peer, input, &mut out),
-            Input::Announce(input) => self.announce(now, input, &mut out),
-            Input::Terms(terms) => self.change(now, *terms, &mut out),
-            Input::Timer => {
-                let due = self.peers.iter().filter(|(_, held)| held.session.due() <= now);
-                for peer in due.map(|(peer, _)| *peer).collect::<Vec<_>>() {
-                    self.session(now, peer, session::Input::Timer, &mut out);
-                }
-                if self.announcer.due() <= now {
-                    self.announce(now, announce::Input::Timer, &mut out);
+            Input::Session(peer, input) => self.session(now, peer, input, &mut effects),
+            Input::Announce(input) => self.announce(now, input, &mut effects),
+            Input::Configure(config) => self.configure(now, *config, &mut effects),
+            Input::Timer => self.on_timer(now, &mut effects),
+            Input::Stop(text) => {
+                for peer in self.peer_ids() {
+                    let notification = Notification::shutdown(&text);
+                    self.session(now, peer, session::Input::Stop(notification), &mut effects);
                 }
             }
-            Input::Stop(words) => {
-                for peer in self.peers.keys().copied().collect::<Vec<_>>() {
-                    let told = Notification::shutdown(&words);
-                    self.session(now, peer, session::Input::Stop(told), &mut out);
-                }
+        }
+        let sent = effects.iter().filter(|e| matches!(e, Effect::Send(..))).count();
+        self.counters.messages_sent += sent as u64;
+        let refused = effects.iter().filter(|e| matches!(e, Effect::Refuse(..))).count();
+        self.counters.connections_refused += refused as u64;
+        effects
+    }
+
+    fn peer_ids(&self) -> Vec<PeerId> {
+        self.peers.keys().copied().collect()
+    }
+
+    fn on_timer(&mut self, now: f64, effects: &mut Vec<Effect>) {
+        let due = self.peers.iter().filter(|(_, peer)| peer.session.next_timer() <= now);
+        for peer in due.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.session(now, peer, session::Input::Timer, effects);
+        }
+        if self.announcer.next_timer() <= now {
+            self.announce(now, announce::Input::Timer, effects);
+        }
+    }
+
+    fn configure(&mut self, now: f64, config: SpeakerConfig, effects: &mut Vec<Effect>) {
+        let SpeakerConfig { peers, announce, attributes } = config;
+        self.remove_peers(now, &peers, effects);
+        let before: BTreeSet<IpNet> = self.announcer.address_states().map(|a| a.prefix).collect();
+        self.attributes = attributes;
+        let added = self.configure_peers(now, peers, effects);
+        let prefixes: Vec<IpNet> = announce.addresses.iter().map(|a| a.prefix).collect();
+        let own_asn = self.peers.values().next().map_or(0, |peer| peer.config.session.asn);
+        effects.push(Effect::Watch(WatchedPrefixes { prefixes: prefixes.clone(), own_asn }));
+        for peer in self.peers.values_mut() {
+            peer.other_announcers.retain(|prefix| prefixes.contains(prefix));
+        }
+        self.announce(now, announce::Input::Configure(announce), effects);
+        // Attributes and next hops may have changed; unchanged routes are not sent again.
+        for address in self.announcer.address_states().collect::<Vec<_>>() {
+            self.set_route(address.prefix, address.state);
+        }
+        for peer in added {
+            self.session(now, peer, session::Input::Start, effects);
+        }
+        self.send_all_updates(effects);
+        if prefixes.iter().any(|prefix| !before.contains(prefix)) {
+            // Routes to the new prefixes were ignored when the peers sent them, so they are requested again.
+            for peer in self.peer_ids() {
+                self.session(now, peer, session::Input::RequestRefresh, effects);
             }
         }
-        let sent = out.iter().filter(|e| matches!(e, Effect::Send(..))).count();
-        self.counts.messages_sent += sent as u64;
-        self.counts.refused += out.iter().filter(|e| matches!(e, Effect::Refuse(..))).count() as u64;
-        out
     }
 
-    fn change(&mut self, now: f64, terms: Terms, out: &mut Vec<Effect>) {
-        let Terms { peers, announce, carried } = terms;
-        let gone: Vec<usize> = self
+    /// Ends the sessions of peers that are no longer configured.
+    fn remove_peers(&mut self, now: f64, configured: &[PeerConfig], effects: &mut Vec<Effect>) {
+        let removed: Vec<PeerId> = self
             .peers
             .iter()
-            .filter(|(_, held)| peers.iter().all(|p| p.address != held.terms.address))
-            .map(|(peer, _)| *peer)
+            .filter(|(_, peer)| configured.iter().all(|p| p.address != peer.config.address))
+            .map(|(id, _)| *id)
             .collect();
-        for peer in gone {
-            let told = Notification::new(code::CEASE, code::PEER_REMOVED);
-            self.session(now, peer, session::Input::Stop(told), out);
+        for peer in removed {
+            let notification = Notification::new(code::CEASE, code::PEER_DECONFIGURED);
+            self.session(now, peer, session::Input::Stop(notification), effects);
             self.peers.remove(&peer);
         }
-        let before: BTreeSet<IpNet> = self.announcer.standings().map(|s| s.0).collect();
-        self.carried = carried;
-        let mut begun = Vec::new();
-        for terms in peers {
-            let held = self.peers.iter_mut().find(|(_, held)| held.terms.address == terms.address);
-            match held {
-                Some((peer, held)) => {
-                    let (peer, session) = (*peer, terms.session.clone());
-                    held.terms = terms;
-                    self.session(now, peer, session::Input::Terms(session), out);
+    }
+
+    /// Applies the configuration to existing peers and adds new ones. Returns the new ones, which are not started yet.
+    fn configure_peers(
+        &mut self,
+        now: f64,
+        configured: Vec<PeerConfig>,
+        effects: &mut Vec<Effect>,
+    ) -> Vec<PeerId> {
+        let mut added = Vec::new();
+        for config in configured {
+            let existing = self.peers.iter_mut().find(|(_, peer)| peer.config.address == config.address);
+            match existing {
+                Some((id, peer)) => {
+                    let id = *id;
+                    let session = config.session.clone();
+                    peer.config = config;
+                    self.session(now, id, session::Input::Configure(session), effects);
                 }
                 None => {
-                    let (peer, seed) = (self.numbers, self.seed.wrapping_add(self.numbers as u64));
-                    self.numbers += 1;
-                    let session = Session::new(terms.session.clone(), seed);
-                    let (routes, others) = (Routes::default(), BTreeSet::new());
-                    self.peers.insert(peer, Held { terms, session, routes, up: None, ups: 0, others });
-                    begun.push(peer);
+                    let id = self.next_peer_id;
+                    let seed = self.seed.wrapping_add(id as u64);
+                    self.next_peer_id += 1;
+                    let peer = PeerState {
+                        session: Session::new(config.session.clone(), seed),
+                        config,
+                        routes: AdjRibOut::default(),
+                        established: None,
+                        times_established: 0,
+                        other_announcers: BTreeSet::new(),
+                    };
+                    self.peers.insert(id, peer);
+                    added.push(id);
                 }
             }
         }
-        let named: Vec<IpNet> = announce.addresses.iter().map(|a| a.prefix).collect();
-        let asn = self.peers.values().next().map_or(0, |held| held.terms.session.asn);
-        out.push(Effect::Watch(Watch { prefixes: named.clone(), asn }));
-        for held in self.peers.values_mut() {
-            held.others.retain(|at| named.contains(at));
-        }
-        self.announce(now, announce::Input::Terms(announce), out);
-        // Attributes and next hops may be others now; routes that are as they were are not told again.
-        for (prefix, stance, ..) in self.announcer.standings().collect::<Vec<_>>() {
-            self.want(prefix, stance);
-        }
-        begun.into_iter().for_each(|peer| self.session(now, peer, session::Input::Start, out));
-        self.tell_all(out);
-        if named.iter().any(|at| !before.contains(at)) {
-            // Who else announces what is new here was passed over when it was told.
-            for peer in self.peers.keys().copied().collect::<Vec<_>>() {
-                self.session(now, peer, session::Input::Ask, out);
-            }
-        }
+        added
     }
 
-    fn session(&mut self, now: f64, peer: usize, input: session::Input, out: &mut Vec<Effect>) {
-        let Some(held) = self.peers.get_mut(&peer) else {
-            // It was taken out meanwhile.
-            if let session::Input::Connected(way) = input {
-                out.push(Effect::Refuse(peer, way));
+    fn session(&mut self, now: f64, id: PeerId, input: session::Input, effects: &mut Vec<Effect>) {
+        let Some(peer) = self.peers.get_mut(&id) else {
+            // The peer has been removed in the meantime.
+            if let session::Input::Connected(direction) = input {
+                effects.push(Effect::Refuse(id, direction));
             }
             return;
         };
-        let at = held.terms.address;
-        let (up_before, mut seen) = (held.up.is_some(), Vec::new());
-        for effect in held.session.step(now, input) {
+        let address = peer.config.address;
+        let was_established = peer.established.is_some();
+        let mut watched = Vec::new();
+        for effect in peer.session.step(now, input) {
             match effect {
-                session::Effect::Connect => out.push(Effect::Connect(peer, at)),
-                session::Effect::Send(way, bytes) => out.push(Effect::Send(peer, way, bytes)),
-                session::Effect::Close(way) => out.push(Effect::Close(peer, way)),
-                session::Effect::Refuse(way) => out.push(Effect::Refuse(peer, way)),
-                session::Effect::Up { way, families, four_octets } => {
-                    out.push(Effect::Note(format!("peer {at} is up, {families:?}")));
-                    held.up = Some((way, families, four_octets));
-                    held.ups += 1;
-                    self.counts.sessions_up += 1;
-                    // It has forgotten all that it was told before.
-                    held.routes.lost();
+                session::Effect::Connect => effects.push(Effect::Connect(id, address)),
+                session::Effect::Send(direction, bytes) => effects.push(Effect::Send(id, direction, bytes)),
+                session::Effect::Close(direction) => effects.push(Effect::Close(id, direction)),
+                session::Effect::Refuse(direction) => effects.push(Effect::Refuse(id, direction)),
+                session::Effect::Up { direction, families, four_octets } => {
+                    effects.push(Effect::Log(format!("peer {address} is up, {families:?}")));
+                    peer.established = Some(Established { direction, families, four_octets });
+                    peer.times_established += 1;
+                    self.counters.sessions_up += 1;
+                    // The peer has dropped the routes of an earlier session.
+                    peer.routes.session_lost();
+                }
+                session::Effect::Down(reason) => {
+                    effects.push(Effect::Log(format!("peer {address} is down: {reason}")));
+                    peer.established = None;
+                    self.counters.sessions_lost += 1;
+                    peer.routes.session_lost();
+                    let known = std::mem::take(&mut peer.other_announcers);
+                    watched.extend(known.into_iter().map(|prefix| (prefix, None)));
                 }
-                session::Effect::Down(why) => {
-                    out.push(Effect::Note(format!("peer {at} is down: {why}")));
-                    held.up = None;
-                    self.counts.sessions_lost += 1;
-                    held.routes.lost();
-                    seen.extend(std::mem::take(&mut held.others).into_iter().map(|prefix| (prefix, None)));
+                session::Effect::RefreshRequested(family) => {
+                    peer.routes.resend(|prefix| Family::of(prefix) == family);
                 }
-                session::Effect::Refresh(family) => held.routes.again(|at| Family::of(at) == family),
-                session::Effect::Watched(prefix, route) => seen.push((prefix, route)),
+                session::Effect::WatchedRoute(prefix, route) => watched.push((prefix, route)),
             }
         }
-        let up = held.up.is_some();
-        self.watched(now, peer, seen, out);
-        if up != up_before {
-            let up = self.peers.values().filter(|p| p.up.is_some()).count();
-            self.announce(now, announce::Input::Sessions(up), out);
+        let is_established = peer.established.is_some();
+        self.update_other_announcers(now, id, watched, effects);
+        if is_established != was_established {
+            let established = self.peers.values().filter(|p| p.established.is_some()).count();
+            self.announce(now, announce::Input::Sessions(established), effects);
         }
-        self.tell(peer, out);
+        self.send_updates(id, effects);
     }
 
-    /// Weighs what a peer holds of the addresses.
-    fn watched(&mut self, now: f64, peer: usize, seen: Vec<(IpNet, Option<Seen>)>, out: &mut Vec<Effect>) {
-        for (prefix, route) in seen {
-            if let Some(held) = self.peers.get_mut(&peer) {
-                let (id, hop) = (held.terms.session.id, held.terms.next_hop(Family::of(&prefix)));
-                match route.is_some_and(|seen| others(&seen, id, hop)) {
-                    true => held.others.insert(prefix),
-                    false => held.others.remove(&prefix),
+    /// Evaluates routes to service addresses that a peer has sent or withdrawn.
+    fn update_other_announcers(
+        &mut self,
+        now: f64,
+        id: PeerId,
+        routes: Vec<(IpNet, Option<ObservedRoute>)>,
+        effects: &mut Vec<Effect>,
+    ) {
+        for (prefix, route) in routes {
+            if let Some(peer) = self.peers.get_mut(&id) {
+                let bgp_id = peer.config.session.bgp_id;
+                let next_hop = peer.config.next_hop(Family::of(&prefix));
+                match route.is_some_and(|route| is_other_announcer(&route, bgp_id, next_hop)) {
+                    true => peer.other_announcers.insert(prefix),
+                    false => peer.other_announcers.remove(&prefix),
                 };
             }
-            let known = self.peers.values().any(|held| held.others.contains(&prefix));
-            let before = self.announcer.standings().any(|(at, _, _, others, _)| at == prefix && others);
-            if known != before {
-                self.announce(now, announce::Input::Others(prefix, known), out);
+            let known = self.peers.values().any(|peer| peer.other_announcers.contains(&prefix));
+            let is_known = |a: AddressState| a.prefix == prefix && a.other_announcer;
+            let known_before = self.announcer.address_states().any(is_known);
+            if known != known_before {
+                self.announce(now, announce::Input::OtherAnnouncer(prefix, known), effects);
             }
         }
     }
 
-    fn announce(&mut self, now: f64, input: announce::Input, out: &mut Vec<Effect>) {
-        let mut stops = false;
+    fn announce(&mut self, now: f64, input: announce::Input, effects: &mut Vec<Effect>) {
+        let mut drain_complete = false;
         for effect in self.announcer.step(now, input) {
             match effect {
-                announce::Effect::Stand { prefix, stance, reason } => {
-                    out.push(Effect::Note(format!("{prefix} is {stance:?}: {reason:?}")));
-                    self.want(prefix, stance);
-                    if self.changes.len() >= KEPT {
-                        self.changes.pop_front();
-                    }
-                    self.changes.push_back((self.now, prefix, stance, reason));
-                    *match stance {
-                        Stance::Announced => &mut self.counts.announced,
-                        Stance::Depreferenced => &mut self.counts.depreferenced,
-                        Stance::Withdrawn => &mut self.counts.withdrawn,
-                    } += 1;
+                announce::Effect::SetState { prefix, state, reason } => {
+                    effects.push(Effect::Log(format!("{prefix} is {state:?}: {reason:?}")));
+                    self.set_route(prefix, state);
+                    self.record_change(prefix, state, reason);
                 }
-                announce::Effect::MayStop => stops = true,
+                announce::Effect::DrainComplete => drain_complete = true,
             }
         }
-        self.tell_all(out);
-        out.extend(stops.then_some(Effect::MayStop));
+        self.send_all_updates(effects);
+        effects.extend(drain_complete.then_some(Effect::DrainComplete));
+    }
+
+    fn record_change(&mut self, prefix: IpNet, state: RouteState, reason: Reason) {
+        if self.changes.len() >= MAX_RECENT_CHANGES {
+            self.changes.pop_front();
+        }
+        self.changes.push_back(RecordedChange { at: self.now, prefix, state, reason });
+        let counter = match state {
+            RouteState::Announced => &mut self.counters.announced,
+            RouteState::Depreferenced => &mut self.counters.depreferenced,
+            RouteState::Withdrawn => &mut self.counters.withdrawn,
+        };
+        *counter += 1;
     }
 
-    /// What every peer is to hold of a prefix.
-    fn want(&mut self, prefix: IpNet, stance: Stance) {
-        for held in self.peers.values_mut() {
-            held.routes.want(prefix, attributes(&self.carried, &held.terms, &prefix, stance));
+    /// Sets the route that all peers should have for a prefix.
+    fn set_route(&mut self, prefix: IpNet, state: RouteState) {
+        for peer in self.peers.values_mut() {
+            peer.routes.set(prefix, attributes(&self.attributes, &peer.config, &prefix, state));
         }
     }
 
-    fn tell_all(&mut self, out: &mut Vec<Effect>) {
-        for peer in self.peers.keys().copied().collect::<Vec<_>>() {
-            self.tell(peer, out);
+    fn send_all_updates(&mut self, effects: &mut Vec<Effect>) {
+        for peer in self.peer_ids() {
+            self.send_updates(peer, effects);
         }
     }
 
-    /// Sends a peer what has changed for it.
-    fn tell(&mut self, peer: usize, out: &mut Vec<Effect>) {
-        let Some(held) = self.peers.get_mut(&peer) else { return };
-        let Some((way, families, four_octets)) = &held.up else { return };
-        for mut update in held.routes.take() {
-            update.announced.retain(|at| families.contains(&Family::of(at)));
-            update.withdrawn.retain(|at| families.contains(&Family::of(at)));
-            out.extend(update.write(*four_octets).into_iter().map(|bytes| Effect::Send(peer, *way, bytes)));
+    /// Sends a peer its pending route changes.
+    fn send_updates(&mut self, id: PeerId, effects: &mut Vec<Effect>) {
+        let Some(peer) = self.peers.get_mut(&id) else { return };
+        let Some(Established { direction, families, four_octets }) = &peer.established else { return };
+        for mut update in peer.routes.take_updates() {
+            update.announced.retain(|prefix| families.contains(&Family::of(prefix)));
+            update.withdrawn.retain(|prefix| families.contains(&Family::of(prefix)));
+            let messages = update.encode(*four_octets);
+            effects.extend(messages.into_iter().map(|bytes| Effect::Send(id, *direction, bytes)));
         }
     }
 }
 
-/// A route to a peer; none, if it is withdrawn or the peer can't be told where to send.
-fn attributes(carried: &Carried, peer: &Peer, prefix: &IpNet, stance: Stance) -> Option<Attributes> {
+/// Attributes of a route to a peer; `None` if it is withdrawn or no next hop is configured for its address family.
+fn attributes(
+    config: &AttributeConfig,
+    peer: &PeerConfig,
+    prefix: &IpNet,
+    state: RouteState,
+) -> Option<Attributes> {
     let next_hop = peer.next_hop(Family::of(prefix))?;
-    let last = match stance {
-        Stance::Withdrawn => return None,
-        Stance::Depreferenced => true,
-        Stance::Announced => false,
+    let depreferenced = match state {
+        RouteState::Withdrawn => return None,
+        RouteState::Depreferenced => true,
+        RouteState::Announced => false,
     };
-    let inside = peer.session.asn == peer.session.peer_asn;
-    let times = if inside { 0 } else { 1 + if last { carried.prepend as usize } else { 0 } };
-    let mut communities = carried.communities.clone();
-    communities.extend(last.then_some(GRACEFUL_SHUTDOWN));
+    let internal = peer.session.asn == peer.session.peer_asn;
+    let prepended = if depreferenced { config.prepend as usize } else { 0 };
+    let path_length = if internal { 0 } else { 1 + prepended };
+    let mut communities = config.communities.clone();
+    communities.extend(depreferenced.then_some(GRACEFUL_SHUTDOWN));
     communities.sort_unstable();
     communities.dedup();
+    let med = if depreferenced { config.depreferenced_med } else { config.med };
+    let local_pref = if depreferenced { config.depreferenced_local_pref } else { config.local_pref };
     Some(Attributes {
-        path: vec![peer.session.asn; times],
+        as_path: vec![peer.session.asn; path_length],
         next_hop,
-        med: Some(if last { carried.depreferenced_med } else { carried.med }),
-        local_pref: inside.then_some(if last { carried.depreferenced_pref } else { carried.local_pref }),
+        med: Some(med),
+        local_pref: internal.then_some(local_pref),
         communities,
-        large: carried.large.clone(),
+        large_communities: config.large_communities.clone(),
     })
 }
