--- a/crates/bgp/tests/fuzz.rs
+++ b/crates/bgp/tests/fuzz.rs
@@ -11,62 +11,63 @@
 
 use ipnet::IpNet;
 use oorandom::Rand32;
-use pewterwharf_bgp::announce::{self, Address, Health, Phase};
+use pewterwharf_bgp::announce::{self, Health, Phase, ServiceAddress};
 use pewterwharf_bgp::message::{
-    self, Attributes, Family, LONGEST, Message, Notification, Open, Update, Watch, routes_of,
+    self, Attributes, Family, MAX_MESSAGE_LEN, Message, Notification, Open, Update, WatchedPrefixes,
+    decode_prefixes,
 };
-use pewterwharf_bgp::session::{self, Way};
-use pewterwharf_bgp::speaker::{Carried, Effect, Input, Peer, Speaker, Terms};
+use pewterwharf_bgp::session::{self, Direction};
+use pewterwharf_bgp::speaker::{AttributeConfig, Effect, Input, PeerConfig, Speaker, SpeakerConfig};
 
 /// Mutants that CI runs.
 const IN_CI: u32 = 20_000;
 /// A stream is no longer than this.
-const STREAM: usize = 3 * LONGEST;
+const STREAM: usize = 3 * MAX_MESSAGE_LEN;
 
 fn net(text: &str) -> IpNet {
     text.parse().expect("a prefix")
 }
 
-fn terms() -> Terms {
-    let session = session::Terms {
+fn config() -> SpeakerConfig {
+    let session = session::SessionConfig {
         asn: 64_512,
-        id: Ipv4Addr::new(10, 0, 0, 1),
+        bgp_id: Ipv4Addr::new(10, 0, 0, 1),
         peer_asn: 64_513,
-        hold_s: 9,
+        hold_time_s: 9,
         families: vec![Family::V4, Family::V6],
         connects: true,
-        retry_ms: 1000.0,
-        idle_ms: 1000.0,
-        most_routes: 50,
+        connect_retry_ms: 1000.0,
+        idle_hold_ms: 1000.0,
+        max_prefixes: 50,
     };
     let hop = |text: &str| Some(text.parse().expect("an address"));
-    let address = |text: &str| Address { prefix: net(text), table_types: vec![], keep_last: true };
-    Terms {
-        peers: vec![Peer {
+    let address = |text: &str| ServiceAddress { prefix: net(text), table_types: vec![], keep_last: true };
+    SpeakerConfig {
+        peers: vec![PeerConfig {
             address: "192.0.2.254:179".parse().expect("an address"),
             session,
             next_hop_v4: hop("192.0.2.1"),
             next_hop_v6: hop("2001:db8::1"),
         }],
-        announce: announce::Terms {
+        announce: announce::AnnounceConfig {
             addresses: vec![address("198.51.100.1/32"), address("2001:db8:1::1/128")],
             up_share: 0.9,
             down_share: 0.5,
-            up_ms: 1.0,
-            down_ms: 1.0,
-            stale_ms: 1e9,
-            pressure: 0.5,
-            changes: 1000,
+            up_delay_ms: 1.0,
+            down_delay_ms: 1.0,
+            max_list_age_ms: 1e9,
+            max_rejected_share: 0.5,
+            max_changes_per_minute: 1000,
             depreferenced_ms: 1.0,
-            leave_ms: 1.0,
+            withdrawn_ms: 1.0,
         },
-        carried: Carried {
+        attributes: AttributeConfig {
             communities: vec![1],
-            large: vec![(1, 2, 3)],
+            large_communities: vec![(1, 2, 3)],
             med: 0,
             depreferenced_med: 1,
             local_pref: 100,
-            depreferenced_pref: 0,
+            depreferenced_local_pref: 0,
             prepend: 1,
         },
     }
@@ -75,17 +76,21 @@
 /// Runs one stream as a connection that the mixer opened, with scarcely enough searchers, and says what it did. What must
 /// hold whatever comes is asserted on the way.
 fn run(stream: &[u8]) -> String {
-    let mut speaker = Speaker::new(&terms(), 1);
+    let mut speaker = Speaker::new(&config(), 1);
     let mut did = String::new();
-    let mut watch = Watch::default();
+    let mut watch = WatchedPrefixes::default();
     let mut closed = false;
     let mut step = |speaker: &mut Speaker, now: f64, input: Input, did: &mut String| {
         for effect in speaker.step(now, input) {
             match effect {
                 Effect::Send(_, _, bytes) => {
                     assert!(!closed, "sent after the end");
-                    assert!(message::length(&bytes) == Ok(Some(bytes.len())), "what is sent is whole");
-                    let sent = message::read(&bytes, true, &Watch::default()).expect("it is well formed");
+                    assert!(
+                        message::message_length(&bytes) == Ok(Some(bytes.len())),
+                        "what is sent is whole"
+                    );
+                    let sent = message::decode(&bytes, true, &WatchedPrefixes::default())
+                        .expect("it is well formed");
                     match sent {
                         Message::Notification(told) => {
                             let _ = write!(did, " !{}/{}", told.code, told.subcode);
@@ -100,58 +105,60 @@
                 }
                 Effect::Close(..) | Effect::Refuse(..) => closed = true,
                 Effect::Watch(new) => watch = new,
-                Effect::Connect(..) | Effect::MayStop | Effect::Note(_) => {}
+                Effect::Connect(..) | Effect::DrainComplete | Effect::Log(_) => {}
             }
         }
         closed
     };
     let health = |share: f64| Health {
         phase: Phase::Ready,
-        usable: vec![share],
-        pressure: 0.0,
-        places: true,
+        servable_shares: vec![share],
+        rejected_share: 0.0,
+        has_client_capacity: true,
         list_age_ms: 0.0,
     };
-    step(&mut speaker, 0.0, Input::Terms(Box::new(terms())), &mut did);
+    step(&mut speaker, 0.0, Input::Configure(Box::new(config())), &mut did);
     step(&mut speaker, 0.0, Input::Announce(announce::Input::Health(health(1.0))), &mut did);
     step(&mut speaker, 2.0, Input::Timer, &mut did);
     step(&mut speaker, 2.0, Input::Announce(announce::Input::Health(health(0.3))), &mut did);
     step(&mut speaker, 4.0, Input::Timer, &mut did);
     let session = |input| Input::Session(0, input);
-    step(&mut speaker, 5.0, session(session::Input::Connected(Way::Out)), &mut did);
-    let watch =
-        Watch { prefixes: terms().announce.addresses.iter().map(|a| a.prefix).collect(), asn: 64_512 };
+    step(&mut speaker, 5.0, session(session::Input::Connected(Direction::Out)), &mut did);
+    let watch = WatchedPrefixes {
+        prefixes: config().announce.addresses.iter().map(|a| a.prefix).collect(),
+        own_asn: 64_512,
+    };
     let (mut rest, mut four_octets, mut now) = (stream, true, 5.0);
     loop {
-        let input = match message::length(rest) {
+        let input = match message::message_length(rest) {
             Ok(Some(length)) if rest.len() >= length => {
                 let (bytes, after) = rest.split_at(length);
                 rest = after;
-                let _ = routes_of(bytes);
-                match message::read(bytes, four_octets, &watch) {
+                let _ = decode_prefixes(bytes);
+                match message::decode(bytes, four_octets, &watch) {
                     Ok(message) => {
                         if let Message::Open(open) = &message {
                             four_octets = open.four_octets;
                         }
                         if let Message::Update(routes) = &message {
                             assert!(routes.watched.len() <= 2 * watch.prefixes.len(), "{routes:?}");
-                            assert!(u64::from(routes.announced + routes.withdrawn) <= LONGEST as u64);
+                            assert!(u64::from(routes.announced + routes.withdrawn) <= MAX_MESSAGE_LEN as u64);
                             let _ = write!(
                                 did,
                                 " <{}-{}x{}w{}",
                                 routes.announced.min(3),
                                 routes.withdrawn.min(3),
-                                routes.faulty.min(3),
+                                routes.faulty_attributes.min(3),
                                 routes.watched.len()
                             );
                         }
-                        session::Input::Heard(Way::Out, message)
+                        session::Input::Received(Direction::Out, message)
                     }
-                    Err(refusal) => session::Input::Unreadable(Way::Out, refusal),
+                    Err(refusal) => session::Input::Malformed(Direction::Out, refusal),
                 }
             }
             Ok(_) => break,
-            Err(refusal) => session::Input::Unreadable(Way::Out, refusal),
+            Err(refusal) => session::Input::Malformed(Direction::Out, refusal),
         };
         now += 10.0;
         if step(&mut speaker, now, session(input), &mut did) {
@@ -160,7 +167,7 @@
     }
     // The peer says nothing more: the session, if there is one, ends by its own clock, and all ends.
     for _ in 0..50 {
-        let due = speaker.due();
+        let due = speaker.next_timer();
         if !due.is_finite() || due > 60_000.0 {
             break;
         }
@@ -169,9 +176,9 @@
             break;
         }
     }
-    let shown = speaker.show(now);
-    assert!(shown.peers.len() == 1 && shown.changes.len() <= pewterwharf_bgp::speaker::KEPT);
-    let others = shown.addresses.iter().filter(|a| a.others).count();
+    let shown = speaker.status(now);
+    assert!(shown.peers.len() == 1 && shown.changes.len() <= pewterwharf_bgp::speaker::MAX_RECENT_CHANGES);
+    let others = shown.addresses.iter().filter(|a| a.other_announcer).count();
     let _ = write!(did, " {:?} others {others}", shown.peers[0].state);
     did
 }
@@ -180,36 +187,36 @@
 fn seeds() -> Vec<Vec<u8>> {
     let open = Open {
         asn: 64_513,
-        hold_s: 30,
-        id: Ipv4Addr::new(10, 0, 0, 9),
+        hold_time_s: 30,
+        bgp_id: Ipv4Addr::new(10, 0, 0, 9),
         families: vec![Family::V4, Family::V6],
         four_octets: true,
-        refresh: true,
+        route_refresh: true,
     };
     let update = |last: bool, v6: bool| {
         let attributes = Attributes {
-            path: vec![64_513, 7],
+            as_path: vec![64_513, 7],
             next_hop: if v6 { "2001:db8::9".parse() } else { "192.0.2.9".parse() }.expect("an address"),
             med: Some(1),
             local_pref: None,
             communities: if last { vec![message::GRACEFUL_SHUTDOWN] } else { vec![9] },
-            large: vec![(1, 1, 1)],
+            large_communities: vec![(1, 1, 1)],
         };
         let announced =
             if v6 { vec![net("2001:db8:1::1/128")] } else { vec![net("198.51.100.1/32"), net("10.0.0.0/8")] };
         let withdrawn = vec![net("198.51.100.1/32"), net("2001:db8:1::1/128")];
-        Update { withdrawn, announced, attributes: Some(attributes) }.write(true).concat()
+        Update { withdrawn, announced, attributes: Some(attributes) }.encode(true).concat()
     };
-    let up = [open.write(), message::keepalive()].concat();
+    let up = [open.encode(), message::encode_keepalive()].concat();
     let then = |more: &[u8]| [&up[..], more].concat();
     vec![
         up.clone(),
         then(&update(false, false)),
         then(&update(true, false)),
         then(&update(false, true)),
-        then(&message::refresh(Family::V6)),
-        then(&Notification::shutdown("bye").write()),
-        Open { four_octets: false, refresh: false, families: vec![Family::V4], ..open }.write(),
+        then(&message::encode_route_refresh(Family::V6)),
+        then(&Notification::shutdown("bye").encode()),
+        Open { four_octets: false, route_refresh: false, families: vec![Family::V4], ..open }.encode(),
     ]
 }
 
@@ -245,7 +252,7 @@
     let starts: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at..].starts_with(&[0xFF; 16])).collect();
     for (nth, start) in starts.iter().enumerate() {
         let end = starts.get(nth + 1).copied().unwrap_or(bytes.len());
-        if end - start >= 19 && end - start <= LONGEST {
+        if end - start >= 19 && end - start <= MAX_MESSAGE_LEN {
             bytes[start + 16..start + 18].copy_from_slice(&((end - start) as u16).to_be_bytes());
         }
     }
--- a/crates/bgp/tests/message.rs
+++ b/crates/bgp/tests/message.rs
@@ -4,15 +4,22 @@
 
 use ipnet::IpNet;
 use pewterwharf_bgp::message::{
-    self, Attributes, Family, HEADER, LONGEST, Message, Notification, Open, Refusal, Routes, Seen, Update,
-    Watch, routes_of,
+    self, Attributes, Family, HEADER_LEN, MAX_MESSAGE_LEN, Message, MessageError, Notification,
+    ObservedRoute, Open, Update, UpdateSummary, WatchedPrefixes, decode_prefixes,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 fn attributes(path: Vec<u32>, communities: Vec<u32>) -> Attributes {
     let next_hop = IpAddr::V4(Ipv4Addr::new(192, 0, 2, 1));
-    Attributes { path, next_hop, med: Some(50), local_pref: None, communities, large: vec![(64512, 1, 2)] }
+    Attributes {
+        as_path: path,
+        next_hop,
+        med: Some(50),
+        local_pref: None,
+        communities,
+        large_communities: vec![(64512, 1, 2)],
+    }
 }
 
 fn net() -> impl Strategy<Value = IpNet> {
@@ -30,8 +37,8 @@
     fn opens_read_back(asn in 1u32.., hold in prop_oneof![Just(0u16), 3u16..], id in 1u32.., v6: bool, refresh: bool) {
         let mut families = vec![Family::V4];
         families.extend(v6.then_some(Family::V6));
-        let open = Open { asn, hold_s: hold, id: id.into(), families, four_octets: true, refresh };
-        prop_assert_eq!(message::read(&open.write(), false, &Watch::default()), Ok(Message::Open(open)));
+        let open = Open { asn, hold_time_s: hold, bgp_id: id.into(), families, four_octets: true, route_refresh: refresh };
+        prop_assert_eq!(message::decode(&open.encode(), false, &WatchedPrefixes::default()), Ok(Message::Open(open)));
     }
 
     #[test]
@@ -48,12 +55,12 @@
             attributes: Some(attributes(path, vec![message::GRACEFUL_SHUTDOWN])),
         };
         let (mut gone, mut told) = (Vec::new(), Vec::new());
-        for bytes in update.write(four_octets) {
-            prop_assert!(bytes.len() <= LONGEST);
-            prop_assert_eq!(message::length(&bytes), Ok(Some(bytes.len())));
-            let (w, a) = routes_of(&bytes).expect("it can be read");
-            let counted = message::read(&bytes, four_octets, &Watch::default());
-            let routes = Routes { announced: a.len() as u32, withdrawn: w.len() as u32, ..Routes::default() };
+        for bytes in update.encode(four_octets) {
+            prop_assert!(bytes.len() <= MAX_MESSAGE_LEN);
+            prop_assert_eq!(message::message_length(&bytes), Ok(Some(bytes.len())));
+            let (w, a) = decode_prefixes(&bytes).expect("it can be read");
+            let counted = message::decode(&bytes, four_octets, &WatchedPrefixes::default());
+            let routes = UpdateSummary { announced: a.len() as u32, withdrawn: w.len() as u32, ..UpdateSummary::default() };
             prop_assert_eq!(counted, Ok(Message::Update(routes)));
             gone.extend(w);
             told.extend(a);
@@ -71,29 +78,29 @@
         turned in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
     ) {
         let mut framed = vec![0xFF; 16];
-        framed.extend(((HEADER + noise.len()) as u16).to_be_bytes());
+        framed.extend(((HEADER_LEN + noise.len()) as u16).to_be_bytes());
         framed.push(kind);
         framed.extend(&noise);
-        let _ = message::read(&framed, true, &Watch::default());
-        let _ = message::length(&noise);
+        let _ = message::decode(&framed, true, &WatchedPrefixes::default());
+        let _ = message::message_length(&noise);
         let announced = vec!["10.0.0.0/8".parse().expect("a prefix"), "2001:db8::/32".parse().expect("a prefix")];
         let update = Update { withdrawn: vec![], announced, attributes: Some(attributes(vec![1, 70_000], vec![3])) };
-        for mut bytes in update.write(true) {
+        for mut bytes in update.encode(true) {
             for (at, byte) in &turned {
                 let at = at.index(bytes.len());
                 bytes[at] = *byte;
             }
-            let _ = message::read(&bytes, true, &Watch::default());
-            let _ = routes_of(&bytes);
+            let _ = message::decode(&bytes, true, &WatchedPrefixes::default());
+            let _ = decode_prefixes(&bytes);
         }
     }
 }
 
 fn told(bytes: &[u8]) -> String {
-    match message::read(bytes, true, &Watch::default()) {
+    match message::decode(bytes, true, &WatchedPrefixes::default()) {
         Ok(Message::Update(routes)) => format!("{routes:?}"),
         Ok(message) => format!("{message:?}"),
-        Err(Refusal(told)) => format!("{told} {:?}", told.data),
+        Err(MessageError(told)) => format!("{told} {:?}", told.data),
     }
 }
 
@@ -101,14 +108,14 @@
 fn what_can_t_be_read_is_refused_with_the_code_that_the_rfc_names() {
     let open = Open {
         asn: 70_000,
-        hold_s: 90,
-        id: Ipv4Addr::new(10, 0, 0, 1),
+        hold_time_s: 90,
+        bgp_id: Ipv4Addr::new(10, 0, 0, 1),
         families: vec![Family::V4],
         four_octets: true,
-        refresh: true,
+        route_refresh: true,
     };
     let with = |at: usize, byte: u8| {
-        let mut bytes = open.write();
+        let mut bytes = open.encode();
         bytes[at] = byte;
         told(&bytes)
     };
@@ -116,15 +123,18 @@
     assert_eq!(with(18, 9), "1/3 bad message type [9]");
     assert_eq!(with(16, 99), "1/2 bad message length [99, 45]");
     assert_eq!(with(19, 3), "2/1 unsupported version [0, 4]");
-    let hold = Open { hold_s: 2, ..open.clone() };
-    assert_eq!(told(&hold.write()), "2/6 unacceptable hold time []");
-    let nobody = Open { id: Ipv4Addr::UNSPECIFIED, ..open.clone() };
-    assert_eq!(told(&nobody.write()), "2/3 bad BGP identifier []");
+    let hold = Open { hold_time_s: 2, ..open.clone() };
+    assert_eq!(told(&hold.encode()), "2/6 unacceptable hold time []");
+    let nobody = Open { bgp_id: Ipv4Addr::UNSPECIFIED, ..open.clone() };
+    assert_eq!(told(&nobody.encode()), "2/3 bad BGP identifier []");
     assert_eq!(with(29, 1), "2/4 unsupported optional parameter []");
     let bed = Notification::shutdown("off to bed");
-    assert_eq!(message::read(&bed.write(), true, &Watch::default()), Ok(Message::Notification(bed)));
+    assert_eq!(
+        message::decode(&bed.encode(), true, &WatchedPrefixes::default()),
+        Ok(Message::Notification(bed))
+    );
     let words = Notification::shutdown(&"é".repeat(200));
-    assert_eq!(words.words().map(str::len), Some(254));
+    assert_eq!(words.shutdown_text().map(str::len), Some(254));
     assert_eq!(Notification::shutdown("off to bed").to_string(), "6/2 administrative shutdown: off to bed");
 }
 
@@ -133,7 +143,7 @@
     // One prefix; ORIGIN, an empty AS_PATH, NEXT_HOP; each turned faulty in its own way.
     let update = |attributes: &[u8]| {
         let mut bytes = vec![0xFF; 16];
-        let length = (HEADER + 4 + attributes.len() + 2) as u16;
+        let length = (HEADER_LEN + 4 + attributes.len() + 2) as u16;
         bytes.extend(length.to_be_bytes());
         bytes.extend([2, 0, 0]);
         bytes.extend((attributes.len() as u16).to_be_bytes());
@@ -142,8 +152,8 @@
         told(&bytes)
     };
     let sound = [0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 10, 0, 0, 1];
-    let routes = |announced, withdrawn, faulty| {
-        format!("{:?}", Routes { announced, withdrawn, faulty, watched: Vec::new() })
+    let routes = |announced, withdrawn, faulty_attributes| {
+        format!("{:?}", UpdateSummary { announced, withdrawn, faulty_attributes, watched: Vec::new() })
     };
     assert_eq!(update(&sound), routes(1, 0, 0));
     assert_eq!(update(&sound[..7]), routes(0, 1, 1), "no next hop");
@@ -166,11 +176,12 @@
 #[test]
 fn watched_prefixes_are_told_of_and_no_others() {
     let net = |text: &str| -> IpNet { text.parse().expect("a prefix") };
-    let watch = Watch { prefixes: vec![net("198.51.100.1/32"), net("2001:db8::1/128")], asn: 64_512 };
+    let watch =
+        WatchedPrefixes { prefixes: vec![net("198.51.100.1/32"), net("2001:db8::1/128")], own_asn: 64_512 };
     let read = |update: &Update| {
         let mut watched = Vec::new();
-        for bytes in update.write(true) {
-            match message::read(&bytes, true, &watch) {
+        for bytes in update.encode(true) {
+            match message::decode(&bytes, true, &watch) {
                 Ok(Message::Update(routes)) => watched.extend(routes.watched),
                 other => panic!("{other:?}"),
             }
@@ -183,8 +194,15 @@
         attributes: Some(attributes(vec![1, 64_512], vec![message::GRACEFUL_SHUTDOWN])),
     };
     let hop = update.attributes.as_ref().map(|a| a.next_hop);
-    let seen = Seen { next_hop: hop, originator: None, own_as: true, last: true };
+    let seen =
+        ObservedRoute { next_hop: hop, originator_id: None, own_as_in_path: true, graceful_shutdown: true };
     assert_eq!(read(&update), [(net("198.51.100.1/32"), Some(seen)), (net("2001:db8::1/128"), None)]);
     update.attributes = Some(attributes(vec![1, 2], vec![]));
-    assert_eq!(read(&update)[0], (net("198.51.100.1/32"), Some(Seen { own_as: false, last: false, ..seen })));
+    assert_eq!(
+        read(&update)[0],
+        (
+            net("198.51.100.1/32"),
+            Some(ObservedRoute { own_as_in_path: false, graceful_shutdown: false, ..seen })
+        )
+    );
 }
--- a/crates/bgp/tests/rib.rs
+++ b/crates/bgp/tests/rib.rs
@@ -1,11 +1,11 @@
-//! Routes out: the trie against a plain map, and what a peer is told.
+//! AdjRibOut out: the trie against a plain map, and what a peer is told.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
 use ipnet::IpNet;
 use pewterwharf_bgp::message::Attributes;
-use pewterwharf_bgp::rib::{Routes, Trie};
+use pewterwharf_bgp::rib::{AdjRibOut, Trie};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -21,12 +21,12 @@
 fn with(med: u32) -> Attributes {
     let next_hop = IpAddr::V4(Ipv4Addr::LOCALHOST);
     Attributes {
-        path: vec![1],
+        as_path: vec![1],
         next_hop,
         med: Some(med),
         local_pref: None,
         communities: vec![],
-        large: vec![],
+        large_communities: vec![],
     }
 }
 
@@ -47,7 +47,7 @@
             all.sort();
             prop_assert_eq!(&all, &map.iter().map(|(at, v)| (*at, *v)).collect::<Vec<_>>());
             let plain = map.iter().filter(|(p, _)| p.contains(&at.addr())).max_by_key(|(p, _)| p.prefix_len());
-            prop_assert_eq!(trie.covering(at.addr()), plain.map(|(p, v)| (*p, v)));
+            prop_assert_eq!(trie.longest_match(at.addr()), plain.map(|(p, v)| (*p, v)));
         }
     }
 
@@ -56,19 +56,19 @@
     fn a_peer_holds_what_is_wanted(
         steps in proptest::collection::vec((net(), proptest::option::of(0u32..3), 0u8..12), 1..80),
     ) {
-        let (mut routes, mut wanted, mut peer) = (Routes::default(), BTreeMap::new(), BTreeMap::new());
-        let take = |routes: &mut Routes, peer: &mut BTreeMap<IpNet, Attributes>| {
-            for update in routes.take() {
+        let (mut routes, mut wanted, mut peer) = (AdjRibOut::default(), BTreeMap::new(), BTreeMap::new());
+        let take = |routes: &mut AdjRibOut, peer: &mut BTreeMap<IpNet, Attributes>| {
+            for update in routes.take_updates() {
                 update.withdrawn.iter().for_each(|at| assert!(peer.remove(at).is_some(), "{at} was not held"));
                 let attributes = update.attributes.clone();
                 update.announced.iter().for_each(|at| {
                     peer.insert(*at, attributes.clone().expect("they have some"));
                 });
             }
-            assert!(!routes.changed() && routes.take().is_empty());
+            assert!(!routes.has_pending() && routes.take_updates().is_empty());
         };
         for (at, med, then) in steps {
-            routes.want(at, med.map(with));
+            routes.set(at, med.map(with));
             match med {
                 Some(med) => drop(wanted.insert(at, with(med))),
                 None => drop(wanted.remove(&at)),
@@ -76,16 +76,16 @@
             match then {
                 0..=2 => take(&mut routes, &mut peer),
                 3 => {
-                    routes.lost();
+                    routes.session_lost();
                     peer.clear();
                 }
-                4 => routes.again(|_| true),
+                4 => routes.resend(|_| true),
                 _ => {}
             }
         }
         take(&mut routes, &mut peer);
         prop_assert_eq!(&peer, &wanted);
-        let mut held = routes.held();
+        let mut held = routes.advertised();
         held.sort();
         prop_assert_eq!(held, wanted.into_keys().collect::<Vec<_>>());
     }
--- a/crates/cli/src/bgp.rs
+++ b/crates/cli/src/bgp.rs
@@ -17,7 +17,7 @@
 pub fn show(question: &str, asked: &Show, settings: &Settings) -> Result<bool> {
     let path = asked.console.as_ref().or(settings.console.as_ref());
     let path = path.context("no console: name it by --console, or by (console ...) in --settings")?;
-    match pewterwharf_console::ask(path, question).with_context(|| format!("asking {}", path.display()))? {
+    match pewterwharf_console::query(path, question).with_context(|| format!("asking {}", path.display()))? {
         Ok(text) => print!("{text}"),
         Err(why) => bail!("the mixer refuses: {why}"),
     }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -6,7 +6,7 @@
 use pewterwharf_expect::Suite;
 use pewterwharf_expect::read::Draft;
 use pewterwharf_fleet::Fleet;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::{self, List};
 use serde_json::Value;
 use tracing::{info, warn};
@@ -36,9 +36,9 @@
     // A mixer's whole file, or its settings alone.
     let settings = configuration.get_mut("settings").map_or(Value::Null, Value::take);
     let settings = if settings.is_null() { configuration } else { settings };
-    let terms = Terms::of_json(&settings).with_context(|| format!("in {}", terms_path.display()))?;
+    let terms = MixerConfig::from_json(&settings).with_context(|| format!("in {}", terms_path.display()))?;
     let list_path = list.map_or_else(|| folder.join(&draft.about.list), Path::to_owned);
-    let list = list::list(&json(&list_path)?).with_context(|| format!("in {}", list_path.display()))?;
+    let list = list::parse_list(&json(&list_path)?).with_context(|| format!("in {}", list_path.display()))?;
     let fleet = Fleet::new(terms, &list).with_context(|| format!("in {}", list_path.display()))?;
     for reason in fleet.passed_over() {
         warn!(list = %list_path.display(), "an entry was passed over: {reason}");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,7 +17,7 @@
 
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand};
-use pewterwharf_settings::{LogForm, Settings};
+use pewterwharf_settings::{LogFormat, Settings};
 use tracing::level_filters::LevelFilter;
 
 #[derive(Parser)]
@@ -95,9 +95,9 @@
 fn log(settings: &Settings) {
     let level = settings.log.level.parse().unwrap_or(LevelFilter::WARN);
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(level);
-    match settings.log.form {
-        LogForm::Text => lines.with_target(false).init(),
-        LogForm::Json => lines.json().init(),
+    match settings.log.format {
+        LogFormat::Text => lines.with_target(false).init(),
+        LogFormat::Json => lines.json().init(),
     }
 }
 
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -13,7 +13,7 @@
 use pewterwharf_settings::Settings;
 use pewterwharf_standins::bgp::{Manner as PeerManner, Peer};
 use pewterwharf_standins::{self as standins, Lists, Manner};
-use pewterwharf_terms::Start;
+use pewterwharf_terms::StartupConfig;
 use serde_json::json;
 use signal_hook::consts::SIGTERM;
 use signal_hook::low_level::raise;
@@ -191,7 +191,7 @@
     let signals = signals::signals()?;
     // A port that is free now; the mixer takes it a moment later.
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let start = Start::read(&start(discovery_at, listen), |_| None)?;
+    let start = StartupConfig::read(&start(discovery_at, listen), |_| None)?;
     // The decision module stays in the thread that opens it.
     let again = Again {
         start: |_| bail!("a trial has no file to read again"),
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,11 +1,10 @@
-//! Questions to a running mixer, over a Unix socket that the operator's file names.
+//! Console of a running mixer: a Unix socket, named in the operator's settings file, that answers requests about its state.
 //!
-//! One line is asked, of [`LONGEST`] bytes at most; the answer begins with a line `ok` or `refused`, and its text goes on to
-//! the end of the connection. One question is answered at a time, by a thread of its own, and none takes longer than
-//! [`PATIENCE`] each way: whoever asks slowly holds up others who ask, and never a scan.
+//! A request is one line of at most [`MAX_REQUEST_BYTES`]. The response starts with a line `ok` or `refused`; its text
+//! extends to the end of the connection. A thread of its own serves one request at a time, with a limit of [`TIMEOUT`] for
+//! reading and for writing: a slow client delays other clients of the console, but never a scan.
 //!
-//! The socket is its owner's alone (mode 0600). One that a dead process left behind is replaced, one at which somebody
-//! answers is not.
+//! Only its owner may use the socket (mode 0600). The socket file of a dead process is replaced, one in use is not.
 
 use std::io::{self, Error, ErrorKind, Read, Write};
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
@@ -19,59 +18,62 @@
 
 use tracing::debug;
 
-/// Longest question, in bytes, its end included.
-pub const LONGEST: usize = 256;
-/// Longest answer that [`ask`] takes, in bytes.
-pub const LONGEST_ANSWER: usize = 1 << 20;
-/// A question, and an answer, take no longer.
-pub const PATIENCE: Duration = Duration::from_secs(5);
-/// Stack of the thread.
-const STACK: usize = 128 * 1024;
+/// Maximum length of a request in bytes, including the newline.
+pub const MAX_REQUEST_BYTES: usize = 256;
+/// Maximum length in bytes of a response that [`query`] reads.
+pub const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// Timeout for reading a request and for writing a response.
+pub const TIMEOUT: Duration = Duration::from_secs(5);
+/// Stack size of the console thread.
+const STACK_BYTES: usize = 128 * 1024;
+/// Delay after a failed accept, which usually means that no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is said to a question: the answer, or why there is none.
-pub type Said = Result<String, String>;
+/// Response to a request: its text, or the reason for refusing it.
+pub type Reply = Result<String, String>;
 
-/// A socket that is listened at, for as long as this is held.
+/// A listening console; dropping it closes and removes the socket.
 pub struct Console {
     path: PathBuf,
-    ends: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Console {
-    /// Answers at `path` until it is dropped.
+    /// Serves requests at `path` until the console is dropped.
     ///
     /// # Errors
-    /// If the socket can't be had: somebody answers there, it is no socket, or its directory can't be written.
-    pub fn open(path: &Path, answer: impl FnMut(&str) -> Said + Send + 'static) -> io::Result<Self> {
+    /// If the socket cannot be created: another process answers there, the file is not a socket, or the directory is not
+    /// writable.
+    pub fn open(path: &Path, answer: impl FnMut(&str) -> Reply + Send + 'static) -> io::Result<Self> {
         let listener = bind(path)?;
-        let ends = Arc::new(AtomicBool::new(false));
-        let told = ends.clone();
-        let run = move || serve(&listener, &told, answer);
-        Builder::new().name("console".to_owned()).stack_size(STACK).spawn(run)?;
-        Ok(Self { path: path.to_owned(), ends })
+        let stopped = Arc::new(AtomicBool::new(false));
+        let thread_stopped = stopped.clone();
+        let run = move || serve(&listener, &thread_stopped, answer);
+        Builder::new().name("console".to_owned()).stack_size(STACK_BYTES).spawn(run)?;
+        Ok(Self { path: path.to_owned(), stopped })
     }
 }
 
 impl Drop for Console {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Release);
-        // Wakes the thread, which then sees that it has to end. It is not waited for: it may be in the midst of a question
-        // to the very thread that drops this.
-        let _ = UnixStream::connect(&self.path); // or it is gone
-        let _ = fs::remove_file(&self.path); // or somebody has
+        self.stopped.store(true, Ordering::Release);
+        // Wakes the thread so that it ends. It is not joined, as it may be waiting for a response from the very thread
+        // that drops the console.
+        let _ = UnixStream::connect(&self.path); // fails if the socket file is gone
+        let _ = fs::remove_file(&self.path); // fails if it was removed already
     }
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
     let listener = match UnixListener::bind(path) {
         Err(error) if error.kind() == ErrorKind::AddrInUse => {
-            // At a file that is no socket nobody answers either, and it is not ours to remove.
+            // A file that is not a socket refuses connections as well, but must not be removed.
             if !fs::symlink_metadata(path)?.file_type().is_socket() {
                 return Err(Error::new(ErrorKind::AlreadyExists, "a file is there that is no socket"));
             }
             match UnixStream::connect(path) {
                 Ok(_) => return Err(Error::new(ErrorKind::AddrInUse, "somebody answers there")),
-                // Nobody listens: it was left behind.
+                // No process listens: the socket file is stale.
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => fs::remove_file(path)?,
                 Err(error) => return Err(error),
             }
@@ -83,61 +85,63 @@
     Ok(listener)
 }
 
-fn serve(listener: &UnixListener, ends: &AtomicBool, mut answer: impl FnMut(&str) -> Said) {
+fn serve(listener: &UnixListener, stopped: &AtomicBool, mut answer: impl FnMut(&str) -> Reply) {
     for stream in listener.incoming() {
-        if ends.load(Ordering::Acquire) {
+        if stopped.load(Ordering::Acquire) {
             return;
         }
         match stream {
             Ok(stream) => {
-                if let Err(error) = one(&stream, &mut answer) {
-                    debug!("a question at the console: {error}");
+                if let Err(error) = serve_request(&stream, &mut answer) {
+                    debug!("console request failed: {error}");
                 }
             }
-            Err(_) => thread::sleep(Duration::from_millis(50)), // no descriptor may be left; another comes free
+            Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
         }
     }
 }
 
-fn one(mut stream: &UnixStream, answer: &mut impl FnMut(&str) -> Said) -> io::Result<()> {
-    stream.set_write_timeout(Some(PATIENCE))?;
-    let (mut question, mut piece) = (Vec::new(), [0; LONGEST]);
-    let begun = Instant::now();
-    while !question.contains(&b'\n') {
-        // The whole question has its time, however many pieces it comes in.
-        let left = PATIENCE.saturating_sub(begun.elapsed()).max(Duration::from_millis(1));
-        stream.set_read_timeout(Some(left))?;
-        let count = stream.read(&mut piece)?;
-        if count == 0 || question.len() + count > LONGEST || begun.elapsed() >= PATIENCE {
-            return Err(Error::new(ErrorKind::InvalidData, "it is no line, too long or too slow"));
+fn serve_request(mut stream: &UnixStream, answer: &mut impl FnMut(&str) -> Reply) -> io::Result<()> {
+    stream.set_write_timeout(Some(TIMEOUT))?;
+    let mut request = Vec::new();
+    let mut chunk = [0; MAX_REQUEST_BYTES];
+    let started = Instant::now();
+    while !request.contains(&b'\n') {
+        // The timeout applies to the whole request, however many reads it takes.
+        let remaining = TIMEOUT.saturating_sub(started.elapsed()).max(Duration::from_millis(1));
+        stream.set_read_timeout(Some(remaining))?;
+        let count = stream.read(&mut chunk)?;
+        if count == 0 || request.len() + count > MAX_REQUEST_BYTES || started.elapsed() >= TIMEOUT {
+            let message = "the request is not a line, is too long or took too long";
+            return Err(Error::new(ErrorKind::InvalidData, message));
         }
-        question.extend_from_slice(&piece[..count]);
+        request.extend_from_slice(&chunk[..count]);
     }
-    let said = match std::str::from_utf8(&question) {
+    let reply = match std::str::from_utf8(&request) {
         Ok(text) => answer(text.lines().next().unwrap_or_default().trim()),
         Err(_) => Err("the question is not UTF-8".to_owned()),
     };
-    let (word, text) = match said {
+    let (status, text) = match reply {
         Ok(text) => ("ok", text),
-        Err(why) => ("refused", why),
+        Err(reason) => ("refused", reason),
     };
-    stream.write_all(format!("{word}\n{text}").as_bytes())
+    stream.write_all(format!("{status}\n{text}").as_bytes())
 }
 
-/// Asks whoever answers at `path`.
+/// Sends a request to the console at `path` and returns the response.
 ///
 /// # Errors
-/// If nobody does, in time, or what is said can't be read.
-pub fn ask(path: &Path, question: &str) -> io::Result<Said> {
+/// If the console cannot be reached, does not respond in time, or the response is malformed.
+pub fn query(path: &Path, request: &str) -> io::Result<Reply> {
     let mut stream = UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    stream.write_all(format!("{question}\n").as_bytes())?;
-    let mut said = String::new();
-    (&stream).take(LONGEST_ANSWER as u64).read_to_string(&mut said)?;
-    match said.split_once('\n') {
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
+    stream.write_all(format!("{request}\n").as_bytes())?;
+    let mut response = String::new();
+    (&stream).take(MAX_RESPONSE_BYTES as u64).read_to_string(&mut response)?;
+    match response.split_once('\n') {
         Some(("ok", text)) => Ok(Ok(text.to_owned())),
-        Some(("refused", why)) => Ok(Err(why.to_owned())),
+        Some(("refused", reason)) => Ok(Err(reason.to_owned())),
         _ => Err(Error::new(ErrorKind::InvalidData, "no answer")),
     }
 }
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -182,7 +182,7 @@
 
     /// What it sees of its fleet.
     pub fn fleet(&self) -> Option<Value> {
-        let said = pewterwharf_console::ask(&self.console, "fleet show --json").ok()?.ok()?;
+        let said = pewterwharf_console::query(&self.console, "fleet show --json").ok()?.ok()?;
         serde_json::from_str(&said).ok()
     }
 
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use pewterwharf_settings::form::{At, Fault, Kind, Node, read, unexpected};
+use pewterwharf_settings::sexpr::{Node, NodeKind, ParseError, Position, parse, unexpected_name};
 
 /// Mixers and searchers that one drill may have: each mixer is a process, each pair of mixers two gates.
 const MOST_MIXERS: u32 = 16;
@@ -125,25 +125,25 @@
     ///
     /// # Errors
     /// The place of the first word that can't be read, and what was expected there.
-    pub fn read(text: &str) -> Result<Vec<Self>, Fault> {
-        let nodes = read(text)?;
+    pub fn read(text: &str) -> Result<Vec<Self>, ParseError> {
+        let nodes = parse(text)?;
         if nodes.is_empty() {
             let what = "found nothing, expected (drill \"TITLE\" (mixers N) ...)".to_owned();
-            return Err(Fault { at: At { line: 1, column: 1 }, what });
+            return Err(ParseError { position: Position { line: 1, column: 1 }, message: what });
         }
         nodes.iter().map(Self::one).collect()
     }
 
-    fn one(node: &Node) -> Result<Self, Fault> {
-        let (word, rest) = node.call("(drill \"TITLE\" (mixers N) ...)")?;
+    fn one(node: &Node) -> Result<Self, ParseError> {
+        let (word, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
         if word != "drill" {
-            return Err(unexpected(node, word, &["drill"]));
+            return Err(unexpected_name(node, word, &["drill"]));
         }
         let Some((title, rest)) = rest.split_first() else {
-            return Err(node.fault("found (drill), expected a title in quotes"));
+            return Err(node.error("found (drill), expected a title in quotes"));
         };
         let mut script = Self {
-            title: title.text("a title")?.to_owned(),
+            title: title.string("a title")?.to_owned(),
             mixers: 3,
             searchers: 4,
             load: 20,
@@ -153,17 +153,17 @@
         };
         // The numbers first, wherever they stand: names of mixers are held against them.
         for node in rest {
-            match node.call("(mixers N), (at TIME DEED) or (expect ...)")? {
-                ("mixers", [n]) => script.mixers = n.count("mixers", 1, MOST_MIXERS)? as usize,
-                ("searchers", [n]) => script.searchers = n.count("searchers", 1, MOST_SEARCHERS)? as usize,
-                ("load", [n]) => script.load = n.count("load", 0, MOST_LOAD)?,
-                ("forget", [time]) => script.forget_ms = Some(time.time_ms("a time")?),
+            match node.head_and_args("(mixers N), (at TIME DEED) or (expect ...)")? {
+                ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MOST_MIXERS)? as usize,
+                ("searchers", [n]) => script.searchers = n.integer("searchers", 1, MOST_SEARCHERS)? as usize,
+                ("load", [n]) => script.load = n.integer("load", 0, MOST_LOAD)?,
+                ("forget", [time]) => script.forget_ms = Some(time.duration_ms("a time")?),
                 ("at" | "expect", _) => {}
                 (key @ ("mixers" | "searchers" | "load" | "forget"), values) => {
-                    return Err(node.fault(format!("{key} has {} values, expected one", values.len())));
+                    return Err(node.error(format!("{key} has {} values, expected one", values.len())));
                 }
                 (other, _) => {
-                    return Err(unexpected(
+                    return Err(unexpected_name(
                         node,
                         other,
                         &["mixers", "searchers", "load", "forget", "at", "expect"],
@@ -172,14 +172,14 @@
             }
         }
         for node in rest {
-            match node.call("")? {
+            match node.head_and_args("")? {
                 ("at", [time, deed]) => {
-                    let at_ms = time.time_ms("a time")?;
+                    let at_ms = time.duration_ms("a time")?;
                     script.steps.push(Step { at_ms, deed: script.deed(deed)? });
                 }
-                ("at", _) => return Err(node.fault("expected (at TIME DEED)")),
+                ("at", _) => return Err(node.error("expected (at TIME DEED)")),
                 ("expect", [what]) => script.expects.push(script.expect(what)?),
-                ("expect", _) => return Err(node.fault("expected (expect (WHAT ...))")),
+                ("expect", _) => return Err(node.error("expected (expect (WHAT ...))")),
                 _ => {}
             }
         }
@@ -188,32 +188,32 @@
         Ok(script)
     }
 
-    fn named(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, Fault> {
-        let word = node.word(what)?;
+    fn named(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, ParseError> {
+        let word = node.symbol(what)?;
         let number = word.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
         match number {
             Some(n) if (1..=count).contains(&n) => Ok(n - 1),
-            _ => Err(node.fault(format!("found {word}, expected {what}, {letter}1 to {letter}{count}"))),
+            _ => Err(node.error(format!("found {word}, expected {what}, {letter}1 to {letter}{count}"))),
         }
     }
 
-    fn mixer(&self, node: &Node) -> Result<usize, Fault> {
+    fn mixer(&self, node: &Node) -> Result<usize, ParseError> {
         Self::named(node, 'm', self.mixers, "a mixer")
     }
 
-    fn searcher(&self, node: &Node) -> Result<usize, Fault> {
+    fn searcher(&self, node: &Node) -> Result<usize, ParseError> {
         Self::named(node, 's', self.searchers, "a searcher")
     }
 
     /// `A B`, which is both ways, or `(from A) (to B)`.
-    fn ways(&self, whole: &Node, nodes: &[Node]) -> Result<Ways, Fault> {
+    fn ways(&self, whole: &Node, nodes: &[Node]) -> Result<Ways, ParseError> {
         let [a, b] = nodes else {
-            return Err(whole.fault("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
+            return Err(whole.error("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
         };
-        if let (Kind::List(_), Kind::List(_)) = (&a.kind, &b.kind) {
-            let end = |node: &Node, word: &str| match node.call(&format!("({word} MIXER)"))? {
+        if let (NodeKind::List(_), NodeKind::List(_)) = (&a.kind, &b.kind) {
+            let end = |node: &Node, word: &str| match node.head_and_args(&format!("({word} MIXER)"))? {
                 (found, [mixer]) if found == word => self.mixer(mixer),
-                (other, _) => Err(unexpected(node, other, &[word])),
+                (other, _) => Err(unexpected_name(node, other, &[word])),
             };
             return Ok(vec![(end(a, "from")?, end(b, "to")?)]);
         }
@@ -221,22 +221,24 @@
         Ok(vec![(a, b), (b, a)])
     }
 
-    fn deed(&self, node: &Node) -> Result<Deed, Fault> {
-        let (word, args) = node.call("a deed, as (kill m2)")?;
+    fn deed(&self, node: &Node) -> Result<Deed, ParseError> {
+        let (word, args) = node.head_and_args("a deed, as (kill m2)")?;
         let count = |n: usize| match args.len() {
             found if found == n => Ok(()),
-            found => Err(node.fault(format!("{word} has {found} values, expected {n}"))),
+            found => Err(node.error(format!("{word} has {found} values, expected {n}"))),
         };
         let mixers = || args.iter().map(|a| self.mixer(a)).collect::<Result<Vec<_>, _>>();
         match word {
             "partition" => {
                 let group = |g: &Node| match &g.kind {
-                    Kind::List(names) => names.iter().map(|n| self.mixer(n)).collect::<Result<Vec<_>, _>>(),
-                    _ => Err(g.fault(format!("found {}, expected a group, as (m1 m2)", g.found()))),
+                    NodeKind::List(names) => {
+                        names.iter().map(|n| self.mixer(n)).collect::<Result<Vec<_>, _>>()
+                    }
+                    _ => Err(g.error(format!("found {}, expected a group, as (m1 m2)", g.describe()))),
                 };
                 let groups = args.iter().map(group).collect::<Result<Vec<_>, _>>()?;
                 if groups.is_empty() {
-                    return Err(node.fault("partition has no group, expected as (partition (m1 m2) (m3))"));
+                    return Err(node.error("partition has no group, expected as (partition (m1 m2) (m3))"));
                 }
                 Ok(Deed::Partition(groups))
             }
@@ -248,33 +250,34 @@
             "delay" => match args {
                 [a, b, time] => {
                     let ways = self.ways(node, &[a.clone(), b.clone()])?;
-                    Ok(Deed::Delay(ways, time.time_ms("a delay")?))
+                    Ok(Deed::Delay(ways, time.duration_ms("a delay")?))
                 }
-                _ => Err(node.fault("expected two mixers and a time, as (delay m1 m2 200ms)")),
+                _ => Err(node.error("expected two mixers and a time, as (delay m1 m2 200ms)")),
             },
             "slow" => match args {
-                [a, b, rate] => {
-                    Ok(Deed::Slow(self.ways(node, &[a.clone(), b.clone()])?, rate.figure("bytes a second")?))
-                }
-                _ => Err(node.fault("expected two mixers and bytes a second, as (slow m1 m2 10000)")),
+                [a, b, rate] => Ok(Deed::Slow(
+                    self.ways(node, &[a.clone(), b.clone()])?,
+                    rate.positive_number("bytes a second")?,
+                )),
+                _ => Err(node.error("expected two mixers and bytes a second, as (slow m1 m2 10000)")),
             },
             "heal" if args.is_empty() => Ok(Deed::Heal(None)),
             "heal" => Ok(Deed::Heal(Some(self.ways(node, args)?))),
             "stall" => match args {
-                [mixer, time] => Ok(Deed::Stall(self.mixer(mixer)?, time.time_ms("a time")?)),
-                _ => Err(node.fault("expected a mixer and a time, as (stall m2 3s)")),
+                [mixer, time] => Ok(Deed::Stall(self.mixer(mixer)?, time.duration_ms("a time")?)),
+                _ => Err(node.error("expected a mixer and a time, as (stall m2 3s)")),
             },
             "start" => match args {
                 [mixer] => Ok(Deed::Start(self.mixer(mixer)?, Kept::Kept)),
                 [mixer, how] => {
-                    let kept = match how.word("fresh or kept")? {
+                    let kept = match how.symbol("fresh or kept")? {
                         "fresh" => Kept::Fresh,
                         "kept" => Kept::Kept,
-                        other => return Err(unexpected(how, other, &["fresh", "kept"])),
+                        other => return Err(unexpected_name(how, other, &["fresh", "kept"])),
                     };
                     Ok(Deed::Start(self.mixer(mixer)?, kept))
                 }
-                _ => Err(node.fault("expected a mixer, as (start m4) or (start m4 fresh)")),
+                _ => Err(node.error("expected a mixer, as (start m4) or (start m4 fresh)")),
             },
             "kill" => count(1).and_then(|()| Ok(Deed::Kill(self.mixer(&args[0])?))),
             "term" => count(1).and_then(|()| Ok(Deed::Term(self.mixer(&args[0])?))),
@@ -285,41 +288,41 @@
             "drain" => count(1).and_then(|()| Ok(Deed::Drain(self.searcher(&args[0])?))),
             "clock" => match args {
                 [mixer, how, time] => {
-                    let by = time.time_ms("a time")?;
-                    match how.word("ahead or behind")? {
+                    let by = time.duration_ms("a time")?;
+                    match how.symbol("ahead or behind")? {
                         "ahead" => Ok(Deed::Clock(self.mixer(mixer)?, by)),
                         "behind" => Ok(Deed::Clock(self.mixer(mixer)?, -by)),
-                        other => Err(unexpected(how, other, &["ahead", "behind"])),
+                        other => Err(unexpected_name(how, other, &["ahead", "behind"])),
                     }
                 }
-                _ => Err(node.fault("expected a mixer, ahead or behind, and a time, as (clock m2 ahead 1h)")),
+                _ => Err(node.error("expected a mixer, ahead or behind, and a time, as (clock m2 ahead 1h)")),
             },
             "lose-discovery" => Ok(Deed::LoseDiscovery(mixers()?)),
             "find-discovery" => Ok(Deed::FindDiscovery(mixers()?)),
-            other => Err(unexpected(node, other, &DEEDS)),
+            other => Err(unexpected_name(node, other, &DEEDS)),
         }
     }
 
-    fn expect(&self, node: &Node) -> Result<Expect, Fault> {
-        let (word, args) = node.call("what is expected, as (agree (within 10s))")?;
+    fn expect(&self, node: &Node) -> Result<Expect, ParseError> {
+        let (word, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
         let within = |rest: &[Node]| match rest {
             [] => Ok(WITHIN_MS),
-            [one] => match one.call("(within TIME)")? {
-                ("within", [time]) => time.time_ms("a time"),
-                (other, _) => Err(unexpected(one, other, &["within"])),
+            [one] => match one.head_and_args("(within TIME)")? {
+                ("within", [time]) => time.duration_ms("a time"),
+                (other, _) => Err(unexpected_name(one, other, &["within"])),
             },
-            [_, more, ..] => Err(more.fault(format!("found {}, expected nothing more", more.found()))),
+            [_, more, ..] => Err(more.error(format!("found {}, expected nothing more", more.describe()))),
         };
         match (word, args) {
             ("agree", rest) => Ok(Expect::Agree { within_ms: within(rest)? }),
             ("members", [count, rest @ ..]) => {
-                let count = count.count("members", 1, self.mixers as u32)? as usize;
+                let count = count.integer("members", 1, self.mixers as u32)? as usize;
                 Ok(Expect::Members { count, within_ms: within(rest)? })
             }
             ("answered", [share]) => {
-                let found = share.figure("a share")?;
+                let found = share.positive_number("a share")?;
                 if found > 1.0 {
-                    return Err(share.fault(format!("found {found}, expected a share up to 1")));
+                    return Err(share.error(format!("found {found}, expected a share up to 1")));
                 }
                 Ok(Expect::Answered { share: found })
             }
@@ -328,9 +331,9 @@
                 Ok(Expect::Aside { mixer: self.mixer(mixer)?, within_ms: within(rest)? })
             }
             (word, _) if EXPECTS.contains(&word) => {
-                Err(node.fault(format!("{word} has {} values, which do not fit it", args.len())))
+                Err(node.error(format!("{word} has {} values, which do not fit it", args.len())))
             }
-            (other, _) => Err(unexpected(node, other, &EXPECTS)),
+            (other, _) => Err(unexpected_name(node, other, &EXPECTS)),
         }
     }
 }
--- a/crates/expect/benches/verdicts.rs
+++ b/crates/expect/benches/verdicts.rs
@@ -11,7 +11,7 @@
 use pewterwharf_expect::plain;
 use pewterwharf_expect::read::Draft;
 use pewterwharf_fleet::Fleet;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::{self, List};
 use serde_json::json;
 
@@ -35,8 +35,8 @@
     };
     let entries: Vec<_> = (0..searchers).map(entry).collect();
     let list: List =
-        list::list(&json!({"index": 1, "snapshot": true, "endpoints": entries})).expect("a list");
-    let mut fleet = Fleet::new(Terms::of_json(&settings).expect("terms"), &list).expect("a fleet");
+        list::parse_list(&json!({"index": 1, "snapshot": true, "endpoints": entries})).expect("a list");
+    let mut fleet = Fleet::new(MixerConfig::from_json(&settings).expect("terms"), &list).expect("a fleet");
     for n in 0..59 {
         let from = n * slices / 59;
         fleet.own(&format!("c{n}"), from..=((n + 2) * slices / 59).min(slices - 1)).expect("slices");
--- a/crates/expect/src/explore/arena.rs
+++ b/crates/expect/src/explore/arena.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use pewterwharf_fleet::{Condition, Fleet};
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 
 use crate::scene::Group;
 
@@ -48,7 +48,7 @@
 /// The small fleet, the scans, and what may happen.
 #[derive(Clone, Debug)]
 pub struct Arena {
-    pub terms: Terms,
+    pub terms: MixerConfig,
     pub places: Vec<Place>,
     pub plans: Vec<Plan>,
     pub allow: Allow,
@@ -78,7 +78,7 @@
         let shape = |class: usize| {
             let mut places = Vec::new();
             hold(fleet, scene, order, holding.of_class(class), &mut places);
-            alike(&places, fleet.terms().berth.zone, halls_count)
+            alike(&places, fleet.terms().placement.zone, halls_count)
         };
         let takes = |class: usize| {
             let held = holding.of_class(class);
--- a/crates/expect/src/explore/world.rs
+++ b/crates/expect/src/explore/world.rs
@@ -393,7 +393,7 @@
 
     fn scan(&mut self, nth: usize) {
         let plan = &self.arena.plans[nth];
-        let terms = &self.arena.terms.types[plan.table_type];
+        let terms = &self.arena.terms.table_types[plan.table_type];
         let (now, number) = (self.now, nth as u32 + 1);
         let gone_at = now + terms.query_timeout_ms;
         let mut events = vec![Event::Scan {
@@ -477,7 +477,8 @@
 
     /// Ticks until the mixer does something, a time-out is due, or long enough.
     fn wait(&mut self) {
-        let longest = self.arena.terms.types.iter().map(|t| t.query_timeout_ms).fold(f64::INFINITY, f64::min);
+        let longest =
+            self.arena.terms.table_types.iter().map(|t| t.query_timeout_ms).fold(f64::INFINITY, f64::min);
         let limit = self.now + WAIT * longest;
         loop {
             let timeout = self.flights.values().map(|f| f.until).fold(f64::INFINITY, f64::min);
@@ -523,7 +524,7 @@
             }
             Action::Cancel { part, dispatch } => {
                 let leg = leg_of(part, dispatch);
-                if self.arena.terms.permits.cancel
+                if self.arena.terms.permissions.cancel
                     && let Some(event) = self.end(leg, Ending::Cancelled)
                 {
                     self.line(&format!("    gives up part {}.{} dispatch {}", leg.0, leg.1, leg.2));
@@ -562,7 +563,7 @@
                 .breach(Rule::NoScanLost, format!("a part of scan {nth}, which nobody asked, is sent"));
         };
         let dispatch = scan.parts[index].sent.len() as u8;
-        let terms = &self.arena.terms.types[self.arena.plans[scan.plan].table_type];
+        let terms = &self.arena.terms.table_types[self.arena.plans[scan.plan].table_type];
         let (done, taken_at, table_type) = (scan.done, scan.taken_at, self.arena.plans[scan.plan].table_type);
         let earlier = scan.parts[index].sent.clone();
         scan.parts[index].sent.push((now, None));
@@ -607,7 +608,7 @@
 
     /// Rule 2, and the number of dispatches that a part may have.
     fn repeat(&mut self, which: &str, name: &str, earlier: &[Sent], repeat: Repeat, taken_at: f64) {
-        let permits = &self.arena.terms.permits;
+        let permits = &self.arena.terms.permissions;
         if earlier.len() >= permits.dispatches as usize {
             let what = format!("{which} gets dispatch {} of {}", earlier.len() + 1, permits.dispatches);
             self.breach(Rule::NoEffectTwice, what);
@@ -633,7 +634,7 @@
     /// Rule 4: in any fall window, one part, or this mixer's equal share of the multiple of what it can do.
     fn spare(&mut self, which: &str, place: usize) {
         let (now, guards) = (self.now, &self.arena.terms.guards);
-        let work = WORK * self.arena.terms.types[self.arena.plans[0].table_type].target_ms;
+        let work = WORK * self.arena.terms.table_types[self.arena.plans[0].table_type].target_ms;
         let state = &mut self.places[place];
         // What the list does not tell, a mixer can't spare; it is held to what it was told.
         let age = now - state.listed_since;
@@ -645,7 +646,7 @@
         }
         state.cold_work.push_back((now, work));
         let able = guards.cold_from + (1.0 - guards.cold_from) * age / guards.warm_ms;
-        let mixers = f64::from(self.arena.terms.berth.mixers.max(1));
+        let mixers = f64::from(self.arena.terms.placement.mixers.max(1));
         let share = guards.tip_multiple * able * guards.fall_ms / mixers;
         let (parts, sum) = (state.cold_work.len(), state.cold_work.iter().map(|w| w.1).sum::<f64>());
         if parts > 1 && sum > share {
@@ -679,7 +680,7 @@
         let nth = (scan / 100 - 1) as usize;
         let Some(open) = &self.scans[nth] else { return self.answered(scan, Final::Completed, Some(whole)) };
         let plan = &self.arena.plans[open.plan];
-        let terms = &self.arena.terms.types[plan.table_type];
+        let terms = &self.arena.terms.table_types[plan.table_type];
         let is_in = |p: &Part| p.sent.iter().any(|s| s.1 == Some(Ending::Ok));
         let weights = open.parts.iter().zip(&plan.parts).filter(|(p, _)| is_in(p)).map(|(_, w)| w.1);
         let have = weights.fold(0.0, |sum, weight| sum + weight);
@@ -700,7 +701,7 @@
     fn throttle(&mut self, scan: u64) {
         let nth = (scan / 100 - 1) as usize;
         if let Some(open) = &self.scans[nth] {
-            let repeat = self.arena.terms.types[self.arena.plans[open.plan].table_type].repeat;
+            let repeat = self.arena.terms.table_types[self.arena.plans[open.plan].table_type].repeat;
             let may_have_run = |s: &Sent| s.1.is_none_or(|ending| !ending.never_ran());
             if repeat == Repeat::NonReplayable && open.parts.iter().any(|p| p.sent.iter().any(may_have_run)) {
                 let what = format!("scan {nth} is throttled though a part of it may have run");
@@ -760,7 +761,7 @@
             Move::Scan(nth) => {
                 let plan = &self.arena.plans[nth];
                 let slices: Vec<String> = plan.parts.iter().map(|p| p.0.to_string()).collect();
-                let table_type = &self.arena.terms.type_names[plan.table_type];
+                let table_type = &self.arena.terms.table_type_names[plan.table_type];
                 format!("scan {nth} arrives: {table_type}, slices {}", slices.join(" and "))
             }
             Move::Ends(scan, part, dispatch, how) => {
--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 
 use pewterwharf_fleet::{Condition, Fleet};
-use pewterwharf_settings::form::{self, Fault, Kind, Node, unexpected};
+use pewterwharf_settings::sexpr::{self, Node, NodeKind, ParseError, unexpected_name};
 
 use crate::claim::{Claim, Deed, Final, Happening, Local, Pace, Reach, Watch, Whom};
 
@@ -19,7 +19,7 @@
     pub terms: String,
     pub list: String,
     /// Customers and the slices that their scans read.
-    pub slices: Vec<(String, RangeInclusive<u32>, form::At)>,
+    pub slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
     pub pace: Option<Pace>,
 }
 
@@ -44,30 +44,31 @@
     ///
     /// # Errors
     /// The place that can't be read, and what was expected there.
-    pub fn read(text: &str) -> Result<Self, Fault> {
+    pub fn read(text: &str) -> Result<Self, ParseError> {
         let (mut about, mut expects) = (None, Vec::new());
-        let nodes = form::read(text)?;
+        let nodes = sexpr::parse(text)?;
         if nodes.len() > MOST {
-            return Err(nodes[MOST].fault(format!("over {MOST} forms")));
+            return Err(nodes[MOST].error(format!("over {MOST} forms")));
         }
         for node in nodes {
-            let (head, rest) = node.call("(fleet ...) or (expect \"name\" ...)")?;
+            let (head, rest) = node.head_and_args("(fleet ...) or (expect \"name\" ...)")?;
             match (head, rest) {
                 ("fleet", rest) if about.is_none() => about = Some(read_about(&node, rest)?),
-                ("fleet", _) => return Err(node.fault("a second (fleet ...)")),
+                ("fleet", _) => return Err(node.error("a second (fleet ...)")),
                 ("expect", [name, claim]) => {
-                    let name = name.text("the name of an expectation")?.to_owned();
+                    let name = name.string("the name of an expectation")?.to_owned();
                     if expects.iter().any(|(other, _)| *other == name) {
-                        return Err(node.fault(format!("a second expectation is called \"{name}\"")));
+                        return Err(node.error(format!("a second expectation is called \"{name}\"")));
                     }
                     expects.push((name, claim.clone()));
                 }
-                ("expect", _) => return Err(node.fault("expected (expect \"name\" CLAIM), with one claim")),
-                (other, _) => return Err(unexpected(&node, other, &["fleet", "expect"])),
+                ("expect", _) => return Err(node.error("expected (expect \"name\" CLAIM), with one claim")),
+                (other, _) => return Err(unexpected_name(&node, other, &["fleet", "expect"])),
             }
         }
-        let nowhere = form::At { line: 1, column: 1 };
-        let about = about.ok_or(Fault { at: nowhere, what: "expected a form (fleet ...)".to_owned() })?;
+        let nowhere = sexpr::Position { line: 1, column: 1 };
+        let about = about
+            .ok_or(ParseError { position: nowhere, message: "expected a form (fleet ...)".to_owned() })?;
         Ok(Self { about, expects })
     }
 
@@ -75,10 +76,10 @@
     ///
     /// # Errors
     /// The place of a customer or slice that the fleet does not have.
-    pub fn own(&self, fleet: &mut Fleet) -> Result<(), Fault> {
+    pub fn own(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
         for (customer, slices, at) in &self.about.slices {
             let done = fleet.own(customer, slices.clone());
-            done.map_err(|error| Fault { at: *at, what: error.to_string() })?;
+            done.map_err(|error| ParseError { position: *at, message: error.to_string() })?;
         }
         Ok(())
     }
@@ -87,61 +88,61 @@
     ///
     /// # Errors
     /// The place of a word that does not belong there, or of a name that the fleet does not have.
-    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expect>, Fault> {
+    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expect>, ParseError> {
         let reader = Reader { fleet };
         let read = |(name, node): &(String, Node)| {
             let claim = reader.claim(node, Within::default())?;
-            Ok(Expect { name: name.clone(), line: node.at.line, claim })
+            Ok(Expect { name: name.clone(), line: node.position.line, claim })
         };
         self.expects.iter().map(read).collect()
     }
 }
 
-fn read_about(whole: &Node, rest: &[Node]) -> Result<About, Fault> {
+fn read_about(whole: &Node, rest: &[Node]) -> Result<About, ParseError> {
     let (mut about, mut told) = (About::default(), Vec::new());
     for node in rest {
-        let (key, values) = node.call("a part of the fleet, as (terms \"mixer.json\")")?;
+        let (key, values) = node.head_and_args("a part of the fleet, as (terms \"mixer.json\")")?;
         if key != "slices" && told.contains(&key) {
-            return Err(node.fault(format!("{key} is given twice")));
+            return Err(node.error(format!("{key} is given twice")));
         }
         told.push(key);
         match (key, values) {
-            ("terms", [path]) => about.terms = path.text("the path of a mixer's configuration")?.to_owned(),
-            ("list", [path]) => about.list = path.text("the path of a searcher list")?.to_owned(),
+            ("terms", [path]) => about.terms = path.string("the path of a mixer's configuration")?.to_owned(),
+            ("list", [path]) => about.list = path.string("the path of a searcher list")?.to_owned(),
             ("slices", [customer, from, to]) => {
                 let range = range(from, to)?;
-                let customer = customer.text("a customer's name")?.to_owned();
-                about.slices.push((customer, range, node.at));
+                let customer = customer.string("a customer's name")?.to_owned();
+                about.slices.push((customer, range, node.position));
             }
             ("pace", [changes, every]) => about.pace = Some(pace(changes, every)?),
             ("terms" | "list" | "slices" | "pace", values) => {
-                return Err(node.fault(format!("{key} has {} values, which do not fit it", values.len())));
+                return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
             }
-            (other, _) => return Err(unexpected(node, other, &["terms", "list", "slices", "pace"])),
+            (other, _) => return Err(unexpected_name(node, other, &["terms", "list", "slices", "pace"])),
         }
     }
     match (about.terms.is_empty(), about.list.is_empty()) {
-        (true, _) => Err(whole.fault("expected (terms \"PATH\") in (fleet ...)")),
-        (_, true) => Err(whole.fault("expected (list \"PATH\") in (fleet ...)")),
+        (true, _) => Err(whole.error("expected (terms \"PATH\") in (fleet ...)")),
+        (_, true) => Err(whole.error("expected (list \"PATH\") in (fleet ...)")),
         _ => Ok(about),
     }
 }
 
 /// `(pace (changes 1) (every 2s))`
-fn pace(changes: &Node, every: &Node) -> Result<Pace, Fault> {
-    match (changes.call("(changes N)")?, every.call("(every TIME)")?) {
+fn pace(changes: &Node, every: &Node) -> Result<Pace, ParseError> {
+    match (changes.head_and_args("(changes N)")?, every.head_and_args("(every TIME)")?) {
         (("changes", [changes]), ("every", [every])) => Ok(Pace {
-            changes: changes.count("changes", 1, MOST_LOST)?,
-            every_ms: every.time_ms("the time in which they may happen")?,
+            changes: changes.integer("changes", 1, MOST_LOST)?,
+            every_ms: every.duration_ms("the time in which they may happen")?,
         }),
-        _ => Err(changes.fault("expected (changes N) (every TIME)")),
+        _ => Err(changes.error("expected (changes N) (every TIME)")),
     }
 }
 
-fn range(from: &Node, to: &Node) -> Result<RangeInclusive<u32>, Fault> {
-    let range = from.count("first slice", 0, u32::MAX - 1)?..=to.count("last slice", 0, u32::MAX - 1)?;
+fn range(from: &Node, to: &Node) -> Result<RangeInclusive<u32>, ParseError> {
+    let range = from.integer("first slice", 0, u32::MAX - 1)?..=to.integer("last slice", 0, u32::MAX - 1)?;
     if range.is_empty() {
-        return Err(to.fault(format!("found {}, expected a slice from {} on", range.end(), range.start())));
+        return Err(to.error(format!("found {}, expected a slice from {} on", range.end(), range.start())));
     }
     Ok(range)
 }
@@ -172,16 +173,16 @@
 ];
 
 /// `found` looked up in the fleet, a fault at its place if it is not there.
-fn named<T>(node: &Node, found: Result<T, impl std::fmt::Display>) -> Result<T, Fault> {
-    found.map_err(|error| node.fault(error.to_string()))
+fn named<T>(node: &Node, found: Result<T, impl std::fmt::Display>) -> Result<T, ParseError> {
+    found.map_err(|error| node.error(error.to_string()))
 }
 
 impl Reader<'_> {
-    fn claim(&self, node: &Node, within: Within) -> Result<Claim, Fault> {
-        let (head, rest) = node.call("a claim, as (for-all-slices ...)")?;
-        let many = |within: Within| -> Result<Vec<Claim>, Fault> {
+    fn claim(&self, node: &Node, within: Within) -> Result<Claim, ParseError> {
+        let (head, rest) = node.head_and_args("a claim, as (for-all-slices ...)")?;
+        let many = |within: Within| -> Result<Vec<Claim>, ParseError> {
             if rest.is_empty() {
-                return Err(node.fault(format!("expected a claim in ({head})")));
+                return Err(node.error(format!("expected a claim in ({head})")));
             }
             rest.iter().map(|claim| self.claim(claim, within)).collect()
         };
@@ -200,54 +201,54 @@
             }
             ("while-list-younger", [age, rest @ .., claim]) => {
                 if within.younger {
-                    return Err(node.fault("while-list-younger stands in another"));
+                    return Err(node.error("while-list-younger stands in another"));
                 }
                 if within.turned {
-                    return Err(node.fault("while-list-younger can't stand under some or not"));
+                    return Err(node.error("while-list-younger can't stand under some or not"));
                 }
                 let changes = match rest {
                     [] => None,
-                    [changes] => match changes.call("(changes N)")? {
-                        ("changes", [n]) => Some(n.count("changes", 0, MOST_LOST)?),
+                    [changes] => match changes.head_and_args("(changes N)")? {
+                        ("changes", [n]) => Some(n.integer("changes", 0, MOST_LOST)?),
                         _ => {
                             return Err(
-                                changes.fault(format!("found {}, expected (changes N)", changes.found()))
+                                changes.error(format!("found {}, expected (changes N)", changes.describe()))
                             );
                         }
                     },
-                    [_, more, ..] => return Err(more.fault("expected one claim")),
+                    [_, more, ..] => return Err(more.error("expected one claim")),
                 };
                 let claim = Box::new(self.claim(claim, Within { younger: true, ..within })?);
-                Claim::Younger { ms: age.time_ms("the list's age")?, changes, claim }
+                Claim::Younger { ms: age.duration_ms("the list's age")?, changes, claim }
             }
             ("load-per-searcher-at-most", [times]) => {
-                Claim::LoadAtMost(times.figure("times the average load")?)
+                Claim::LoadAtMost(times.positive_number("times the average load")?)
             }
             ("slices-per-searcher-at-most", [n]) => {
-                Claim::SlicesAtMost(n.count("slices", 1, u32::MAX - 1)?)
+                Claim::SlicesAtMost(n.integer("slices", 1, u32::MAX - 1)?)
             }
             ("never" | "always", [watch]) => {
                 if within.turned {
-                    return Err(node.fault(format!("{head} can't stand under some or not")));
+                    return Err(node.error(format!("{head} can't stand under some or not")));
                 }
                 Claim::Behaves(self.watch(watch, head == "always")?)
             }
             (head, rest) if CLAIMS.contains(&head) => {
-                return Err(node.fault(format!("{head} has {} parts, which do not fit it", rest.len())));
+                return Err(node.error(format!("{head} has {} parts, which do not fit it", rest.len())));
             }
-            (other, _) => return Err(unexpected(node, other, &CLAIMS)),
+            (other, _) => return Err(unexpected_name(node, other, &CLAIMS)),
         })
     }
 
-    fn slices(&self, node: &Node, rest: &[Node]) -> Result<Claim, Fault> {
+    fn slices(&self, node: &Node, rest: &[Node]) -> Result<Claim, ParseError> {
         let (mut of, mut only, mut what) = (None, None, Vec::new());
         for part in rest {
-            match part.call("(reachable ...)")? {
+            match part.head_and_args("(reachable ...)")? {
                 ("of", [customer]) => {
-                    let name = customer.text("a customer's name")?;
+                    let name = customer.string("a customer's name")?;
                     let index = named(customer, self.fleet.customer(name))?;
                     if !self.fleet.owned().iter().any(|o| o.customer == index) {
-                        return Err(customer.fault(format!("(fleet ...) states no slices of \"{name}\"")));
+                        return Err(customer.error(format!("(fleet ...) states no slices of \"{name}\"")));
                     }
                     of = Some(index);
                 }
@@ -255,7 +256,7 @@
                     let range = range(from, to)?;
                     if *range.end() >= self.fleet.slices() {
                         let count = self.fleet.slices();
-                        return Err(to.fault(format!("slice {} is not among the {count}", range.end())));
+                        return Err(to.error(format!("slice {} is not among the {count}", range.end())));
                     }
                     only = Some(range);
                 }
@@ -263,18 +264,18 @@
             }
         }
         match what.len() {
-            0 => Err(node.fault("expected (reachable ...) in (for-all-slices ...)")),
+            0 => Err(node.error("expected (reachable ...) in (for-all-slices ...)")),
             1 => Ok(Claim::ForAllSlices { of, only, what: what.remove(0) }),
             _ => Ok(Claim::ForAllSlices { of, only, what: Local::All(what) }),
         }
     }
 
-    fn local(&self, node: &Node) -> Result<Local, Fault> {
+    fn local(&self, node: &Node) -> Result<Local, ParseError> {
         const WORDS: [&str; 6] = ["reachable", "all", "some", "not", "of", "slices"];
-        let (head, rest) = node.call("(reachable ...)")?;
-        let many = || -> Result<Vec<Local>, Fault> {
+        let (head, rest) = node.head_and_args("(reachable ...)")?;
+        let many = || -> Result<Vec<Local>, ParseError> {
             if rest.is_empty() {
-                return Err(node.fault(format!("expected (reachable ...) in ({head})")));
+                return Err(node.error(format!("expected (reachable ...) in ({head})")));
             }
             rest.iter().map(|l| self.local(l)).collect()
         };
@@ -283,28 +284,30 @@
             ("some", _) => Local::Some(many()?),
             ("not", [local]) => Local::Not(Box::new(self.local(local)?)),
             ("reachable", rest) => Local::Reachable(self.reach(rest)?),
-            (other, _) => return Err(unexpected(node, other, &WORDS)),
+            (other, _) => return Err(unexpected_name(node, other, &WORDS)),
         })
     }
 
-    fn reach(&self, rest: &[Node]) -> Result<Reach, Fault> {
+    fn reach(&self, rest: &[Node]) -> Result<Reach, ParseError> {
         let mut reach = Reach { searchers: 1, halls: 1, sets: 1, hall: None };
         for part in rest {
-            let (head, values) = part.call("a measure, as (halls 2)")?;
+            let (head, values) = part.head_and_args("a measure, as (halls 2)")?;
             match (head, values) {
-                ("searchers", [n]) => reach.searchers = n.count("searchers", 1, u32::MAX - 1)?,
-                ("halls", [n]) => reach.halls = n.count("halls", 1, u32::MAX - 1)?,
-                ("sets", [n]) => reach.sets = n.count("sets", 1, u32::MAX - 1)?,
+                ("searchers", [n]) => reach.searchers = n.integer("searchers", 1, u32::MAX - 1)?,
+                ("halls", [n]) => reach.halls = n.integer("halls", 1, u32::MAX - 1)?,
+                ("sets", [n]) => reach.sets = n.integer("sets", 1, u32::MAX - 1)?,
                 ("in", [hall]) => {
-                    reach.hall = Some(named(hall, self.fleet.hall(hall.text("a hall's name")?))?)
+                    reach.hall = Some(named(hall, self.fleet.hall(hall.string("a hall's name")?))?)
+                }
+                (other, _) => {
+                    return Err(unexpected_name(part, other, &["searchers", "halls", "sets", "in"]));
                 }
-                (other, _) => return Err(unexpected(part, other, &["searchers", "halls", "sets", "in"])),
             }
         }
         Ok(reach)
     }
 
-    fn happening(&self, node: &Node) -> Result<Happening, Fault> {
+    fn happening(&self, node: &Node) -> Result<Happening, ParseError> {
         const WORDS: [&str; 12] = [
             "lose-hall",
             "lose-set",
@@ -319,61 +322,63 @@
             "restart-searchers",
             "restart-searcher",
         ];
-        let (head, rest) = node.call("a failure, as (lose-hall any)")?;
+        let (head, rest) = node.head_and_args("a failure, as (lose-hall any)")?;
         let (verb, whom) = head.split_once('-').unwrap_or((head, ""));
         let what = match verb {
             "lose" => Condition::Gone,
             "drain" => Condition::Draining,
             "restart" => Condition::Cold,
-            _ => return Err(unexpected(node, head, &WORDS)),
+            _ => return Err(unexpected_name(node, head, &WORDS)),
         };
         let [value] = rest else {
-            return Err(node.fault(format!("{head} has {} values, expected one", rest.len())));
+            return Err(node.error(format!("{head} has {} values, expected one", rest.len())));
         };
-        let any = matches!(&value.kind, Kind::Word(word) if word == "any");
+        let any = matches!(&value.kind, NodeKind::Symbol(word) if word == "any");
         let whom = match whom {
             "hall" if any => Whom::Hall(None),
-            "hall" => Whom::Hall(Some(named(value, self.fleet.hall(value.text("any, or a hall's name")?))?)),
+            "hall" => {
+                Whom::Hall(Some(named(value, self.fleet.hall(value.string("any, or a hall's name")?))?))
+            }
             "set" if any => Whom::Set(None),
-            "set" => Whom::Set(Some(value.count(
+            "set" => Whom::Set(Some(value.integer(
                 "any, or a set",
                 0,
                 self.fleet.sets().saturating_sub(1) as u32,
             )?)),
-            "searchers" => Whom::Searchers(value.count("searchers", 1, MOST_LOST)?),
+            "searchers" => Whom::Searchers(value.integer("searchers", 1, MOST_LOST)?),
             "searcher" if any => Whom::Searchers(1),
             "searcher" => {
-                let name = value.text("any, or a searcher's name")?;
+                let name = value.string("any, or a searcher's name")?;
                 Whom::Searcher(named(value, self.fleet.searcher(name))? as u32)
             }
-            _ => return Err(unexpected(node, head, &WORDS)),
+            _ => return Err(unexpected_name(node, head, &WORDS)),
         };
         Ok(Happening { what, whom })
     }
 
-    fn watch(&self, node: &Node, always: bool) -> Result<Watch, Fault> {
-        let (head, rest) = node.call("(sent ...) or (answered ...)")?;
+    fn watch(&self, node: &Node, always: bool) -> Result<Watch, ParseError> {
+        let (head, rest) = node.head_and_args("(sent ...) or (answered ...)")?;
         let (mut table_type, mut to, mut hall) = (None, Vec::new(), None);
         let (mut again, mut beside, mut kinds, mut whole) = (false, false, Vec::new(), None);
         let sent = match head {
             "sent" => true,
             "answered" => false,
-            other => return Err(unexpected(node, other, &["sent", "answered"])),
+            other => return Err(unexpected_name(node, other, &["sent", "answered"])),
         };
         for part in rest {
-            match (part.call("a condition, as (table-type \"standings\")")?, sent) {
+            match (part.head_and_args("a condition, as (table-type \"standings\")")?, sent) {
                 (("table-type", [name]), _) => {
-                    table_type = Some(named(name, self.fleet.table_type(name.text("a table type")?))?);
+                    table_type = Some(named(name, self.fleet.table_type(name.string("a table type")?))?);
                 }
                 (("to", conditions), true) if !conditions.is_empty() => {
                     for condition in conditions {
-                        to.push(match condition.word("up, cold, draining or gone")? {
+                        to.push(match condition.symbol("up, cold, draining or gone")? {
                             "up" => Condition::Up,
                             "cold" => Condition::Cold,
                             "draining" => Condition::Draining,
                             "gone" => Condition::Gone,
                             other => {
-                                return Err(unexpected(
+                                return Err(unexpected_name(
                                     condition,
                                     other,
                                     &["up", "cold", "draining", "gone"],
@@ -383,18 +388,18 @@
                     }
                 }
                 (("in", [name]), true) => {
-                    hall = Some(named(name, self.fleet.hall(name.text("a hall's name")?))?)
+                    hall = Some(named(name, self.fleet.hall(name.string("a hall's name")?))?)
                 }
                 (("again", []), true) => again = true,
                 (("beside", []), true) => beside = true,
                 (("as", words), false) if !words.is_empty() => {
                     for word in words {
-                        kinds.push(match word.word("completed, throttled or abandoned")? {
+                        kinds.push(match word.symbol("completed, throttled or abandoned")? {
                             "completed" => Final::Completed,
                             "throttled" => Final::Throttled,
                             "abandoned" => Final::Abandoned,
                             other => {
-                                return Err(unexpected(
+                                return Err(unexpected_name(
                                     word,
                                     other,
                                     &["completed", "throttled", "abandoned"],
@@ -406,10 +411,10 @@
                 (("whole", []), false) => whole = Some(true),
                 (("not-whole", []), false) => whole = Some(false),
                 ((other, _), true) => {
-                    return Err(unexpected(part, other, &["table-type", "to", "in", "again", "beside"]));
+                    return Err(unexpected_name(part, other, &["table-type", "to", "in", "again", "beside"]));
                 }
                 ((other, _), false) => {
-                    return Err(unexpected(part, other, &["table-type", "as", "whole", "not-whole"]));
+                    return Err(unexpected_name(part, other, &["table-type", "as", "whole", "not-whole"]));
                 }
             }
         }
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use pewterwharf_fleet::Fleet;
-use pewterwharf_settings::form::Fault;
+use pewterwharf_settings::sexpr::ParseError;
 
 use crate::claim::{Claim, Deed, Happening, Pace, Watch, Whom};
 use crate::explore::arena::alike;
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     /// The place of what can't be read or does not exist.
-    pub fn new(draft: &Draft, mut fleet: Fleet) -> Result<Self, Fault> {
+    pub fn new(draft: &Draft, mut fleet: Fleet) -> Result<Self, ParseError> {
         draft.own(&mut fleet)?;
         let expects = draft.settle(&fleet)?;
         Ok(Self { fleet, pace: draft.about.pace.unwrap_or_default(), expects })
@@ -334,7 +334,7 @@
                 for (watch, scene, befell, allow) in asked {
                     let types = match watch.table_type {
                         Some(table_type) => table_type..table_type + 1,
-                        None => 0..self.fleet.terms().types.len(),
+                        None => 0..self.fleet.terms().table_types.len(),
                     };
                     for table_type in types {
                         let named = matches!(watch.deed, Deed::Sent { hall: Some(_), .. });
@@ -356,7 +356,7 @@
             }
         }
         let kinds = Kinds::of(&self.fleet, 0.0, 0.0);
-        for table_type in 0..self.fleet.terms().types.len() {
+        for table_type in 0..self.fleet.terms().table_types.len() {
             let (fleet, scene, order) = (&self.fleet, &kinds.scene, &kinds.order);
             for arena in Arena::of(fleet, scene, order, table_type, RULES_MEET, false, terms.seed) {
                 jobs.push(Job { arena, watches: Vec::new(), whose: Vec::new(), befell: Vec::new() });
@@ -443,7 +443,7 @@
 
 /// Arenas that the module can't tell apart have the same key.
 fn key(arena: &Arena, halls_count: bool) -> String {
-    let places = alike(&arena.places, arena.terms.berth.zone, halls_count);
+    let places = alike(&arena.places, arena.terms.placement.zone, halls_count);
     let types: Vec<_> = arena.plans.iter().map(|p| (p.table_type, p.parts.len())).collect();
     format!("{places:?} {types:?} {:?} {halls_count}", arena.allow)
 }
--- a/crates/expect/tests/common/mod.rs
+++ b/crates/expect/tests/common/mod.rs
@@ -28,8 +28,8 @@
     })
 }
 
-pub fn terms(cells: u32, reach: u32, slices: u32) -> pewterwharf_terms::Terms {
-    pewterwharf_terms::Terms::of_json(&settings(cells, reach, slices)).expect("they are whole")
+pub fn terms(cells: u32, reach: u32, slices: u32) -> pewterwharf_terms::MixerConfig {
+    pewterwharf_terms::MixerConfig::from_json(&settings(cells, reach, slices)).expect("they are whole")
 }
 
 /// Of each searcher: hall, set, status, age in milliseconds.
@@ -41,7 +41,7 @@
                    "group": set, "status": status, "since_ms": 0, "age_ms": age})
         })
         .collect();
-    list::list(&json!({"index": 1, "snapshot": true, "endpoints": entries})).expect("a list")
+    list::parse_list(&json!({"index": 1, "snapshot": true, "endpoints": entries})).expect("a list")
 }
 
 /// Two sets of three, each in three halls, each holding every other of four slices.
--- a/crates/fleet/src/holding.rs
+++ b/crates/fleet/src/holding.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::{Result, ensure};
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 
 use crate::MOST_SLICES;
 
@@ -25,10 +25,10 @@
     ///
     /// # Errors
     /// If the terms state more slices than are told apart.
-    pub fn of(terms: &Terms) -> Result<Self> {
+    pub fn of(terms: &MixerConfig) -> Result<Self> {
         let layout = &terms.layout;
         // Where no number of slices is stated, they repeat with the sets.
-        let slices = if terms.shards == u32::MAX { layout.cells } else { terms.shards };
+        let slices = if terms.shard_count == u32::MAX { layout.cells } else { terms.shard_count };
         ensure!(slices <= MOST_SLICES, "{slices} slices are over {MOST_SLICES}");
         let reach = layout.reach.min(layout.cells);
         let sets = |slice: u32| (0..reach).map(|j| (slice % layout.cells + j) % layout.cells).collect();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! The one model of a fleet, for all packages that ask questions of it without sending anything.
 //!
-//! A [`Fleet`] is built from what a mixer is told at its start ([`Terms`]) and a list in discovery's form
+//! A [`Fleet`] is built from what a mixer is told at its start ([`MixerConfig`]) and a list in discovery's form
 //! ([`List`]). It never changes: a question under a failure lays a [`Standing`] over it. Words:
 //!
 //! - **hall**: where a searcher stands (`zone` on the wire).
@@ -16,7 +16,7 @@
 mod standing;
 
 pub use holding::{Class, Holding};
-pub use pewterwharf_settings::near;
+pub use pewterwharf_settings::nearest_name;
 pub use standing::{Condition, Standing};
 
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 use anyhow::{Context, Result, bail, ensure};
 use fixedbitset::FixedBitSet;
 use pewterwharf::interface::Life;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::List;
 
 /// Most searchers that a fleet may have: ten times the largest that the bounds below were measured with.
@@ -56,7 +56,7 @@
 /// A fleet as it is listed, with indexes over it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    terms: Terms,
+    terms: MixerConfig,
     halls: Vec<String>,
     searchers: Vec<Searcher>,
     by_name: BTreeMap<String, usize>,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
-    pub fn new(terms: Terms, list: &List) -> Result<Self> {
+    pub fn new(terms: MixerConfig, list: &List) -> Result<Self> {
         ensure!(list.entries.len() <= MOST_SEARCHERS, "the list names over {MOST_SEARCHERS} searchers");
         let mut fleet = Self {
             halls: terms.zones.clone(),
@@ -175,7 +175,7 @@
         Ok(fleet)
     }
 
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &MixerConfig {
         &self.terms
     }
 
@@ -267,7 +267,7 @@
     /// # Errors
     /// Names the nearest table type there is.
     pub fn table_type(&self, name: &str) -> Result<usize> {
-        find("table type", name, &self.terms.type_names)
+        find("table type", name, &self.terms.table_type_names)
     }
 
     /// # Errors
@@ -288,7 +288,7 @@
 }
 
 fn unknown<'a>(what: &str, name: &str, among: impl Iterator<Item = &'a str>) -> String {
-    match near(name, among) {
+    match nearest_name(name, among) {
         Some(other) => format!("no {what} is called \"{name}\"; did you mean \"{other}\"?"),
         None => format!("no {what} is called \"{name}\""),
     }
--- a/crates/mixer/src/announcing.rs
+++ b/crates/mixer/src/announcing.rs
@@ -7,14 +7,16 @@
 use std::sync::atomic::Ordering;
 
 use anyhow::{Context, Result};
-use pewterwharf_bgp::announce::{Address, Health, Phase as Announced, Terms as AnnounceTerms, served};
+use pewterwharf_bgp::announce::{
+    AnnounceConfig, Health, Phase as AnnouncerPhase, ServiceAddress, servable_share,
+};
 use pewterwharf_bgp::message::Family;
 use pewterwharf_bgp::session;
-use pewterwharf_bgp::speaker::{Carried, Peer, Terms};
-use pewterwharf_console::{Console, Said};
+use pewterwharf_bgp::speaker::{AttributeConfig, PeerConfig, SpeakerConfig};
+use pewterwharf_console::{Console, Reply};
 use pewterwharf_mesh::Way;
-use pewterwharf_settings::{Bgp, BgpPeer, Settings, near};
-use pewterwharf_speaker::{Show, Speaker};
+use pewterwharf_settings::{BgpPeer, BgpSettings, Settings, nearest_name};
+use pewterwharf_speaker::{Speaker, StatusHandle};
 use tracing::warn;
 
 use crate::discovery::Watches;
@@ -58,21 +60,21 @@
     Over,
 }
 
-fn peer(bgp: &Bgp, peer: &BgpPeer) -> Peer {
-    let session = session::Terms {
+fn peer(bgp: &BgpSettings, peer: &BgpPeer) -> PeerConfig {
+    let session = session::SessionConfig {
         asn: bgp.asn,
-        id: bgp.id,
+        bgp_id: bgp.id,
         peer_asn: peer.asn,
-        hold_s: peer.hold_s,
+        hold_time_s: peer.hold_time_s,
         families: vec![Family::V4, Family::V6],
         connects: !peer.passive,
-        retry_ms: peer.retry_ms,
-        idle_ms: peer.rest_ms,
-        most_routes: u64::from(peer.routes),
+        connect_retry_ms: peer.connect_retry_ms,
+        idle_hold_ms: peer.idle_hold_ms,
+        max_prefixes: u64::from(peer.max_routes),
     };
     let hop = |wanted: bool| Some(peer.next_hop).filter(|_| wanted);
     let v4 = matches!(peer.next_hop, IpAddr::V4(_));
-    Peer { address: peer.address, session, next_hop_v4: hop(v4), next_hop_v6: hop(!v4) }
+    PeerConfig { address: peer.address, session, next_hop_v4: hop(v4), next_hop_v6: hop(!v4) }
 }
 
 /// The places of table types among those that the platform names.
@@ -80,7 +82,7 @@
     let place = |name: &String| {
         let found = type_names.iter().position(|t| t == name);
         found.ok_or_else(|| {
-            let hint = near(name, type_names.iter().map(String::as_str));
+            let hint = nearest_name(name, type_names.iter().map(String::as_str));
             let hint = hint.map(|other| format!("; did you mean {other}?")).unwrap_or_default();
             format!("bgp announce table-types: {name} is no table type of this mixer{hint}")
         })
@@ -88,33 +90,33 @@
     named.iter().map(place).collect()
 }
 
-fn terms(bgp: &Bgp, type_names: &[String]) -> Result<Terms, String> {
+fn terms(bgp: &BgpSettings, type_names: &[String]) -> Result<SpeakerConfig, String> {
     let mut addresses = Vec::new();
     for a in &bgp.addresses {
         let table_types = places(&a.table_types, type_names)?;
-        addresses.push(Address { prefix: a.prefix, table_types, keep_last: a.keep_last });
+        addresses.push(ServiceAddress { prefix: a.prefix, table_types, keep_last: a.keep_last });
     }
-    Ok(Terms {
+    Ok(SpeakerConfig {
         peers: bgp.peers.iter().map(|p| peer(bgp, p)).collect(),
-        announce: AnnounceTerms {
+        announce: AnnounceConfig {
             addresses,
-            up_share: bgp.up.0,
-            down_share: bgp.down.0,
-            up_ms: bgp.up.1,
-            down_ms: bgp.down.1,
-            stale_ms: bgp.stale_ms,
-            pressure: bgp.pressure,
-            changes: bgp.changes,
-            depreferenced_ms: bgp.drain.0,
-            leave_ms: bgp.drain.1,
+            up_share: bgp.up.share,
+            down_share: bgp.down.share,
+            up_delay_ms: bgp.up.after_ms,
+            down_delay_ms: bgp.down.after_ms,
+            max_list_age_ms: bgp.stale_ms,
+            max_rejected_share: bgp.pressure,
+            max_changes_per_minute: bgp.changes,
+            depreferenced_ms: bgp.drain.depreferenced_ms,
+            withdrawn_ms: bgp.drain.withdrawn_ms,
         },
-        carried: Carried {
+        attributes: AttributeConfig {
             communities: bgp.communities.clone(),
-            large: bgp.large.clone(),
-            med: bgp.med.0,
-            depreferenced_med: bgp.med.1,
-            local_pref: bgp.local_pref.0,
-            depreferenced_pref: bgp.local_pref.1,
+            large_communities: bgp.large_communities.clone(),
+            med: bgp.med.preferred,
+            depreferenced_med: bgp.med.depreferenced,
+            local_pref: bgp.local_pref.preferred,
+            depreferenced_local_pref: bgp.local_pref.depreferenced,
             prepend: bgp.prepend,
         },
     })
@@ -123,11 +125,11 @@
 /// What is said at the console.
 fn answer(
     question: &str,
-    show: Option<&Show>,
+    show: Option<&StatusHandle>,
     type_names: &[String],
     messages: &MessageSender,
     fleet: Option<&Way>,
-) -> Said {
+) -> Reply {
     let shown = || {
         let fleet = fleet.ok_or("fleet is not set in the operator's file")?;
         fleet.show().ok_or_else(|| "the links between mixers do not answer".to_owned())
@@ -136,7 +138,7 @@
         ("fleet show", _) => Ok(shown()?.to_string()),
         ("fleet show --json", _) => Ok(shown()?.json() + "\n"),
         ("bgp show", Some(show)) => {
-            let shown = show.ask().ok_or("the speaker does not answer")?;
+            let shown = show.status().ok_or("the speaker does not answer")?;
             Ok(format!("{shown}table types, in the order above\n  {}\n", type_names.join(" ")))
         }
         ("bgp show", None) => Err("bgp is not set in the operator's file".to_owned()),
@@ -146,9 +148,9 @@
 }
 
 impl On {
-    fn start(bgp: &Bgp, terms: Terms, seed: u64, messages: &MessageSender) -> Result<Self> {
+    fn start(bgp: &BgpSettings, terms: SpeakerConfig, seed: u64, messages: &MessageSender) -> Result<Self> {
         let speaker = Speaker::start(terms, bgp.listen, seed).context("bgp")?;
-        let (may_stop, messages) = (speaker.may_stop().clone(), messages.clone());
+        let (may_stop, messages) = (speaker.drain_complete().clone(), messages.clone());
         spawn("routes left", STACK, move || {
             if may_stop.recv().is_ok() {
                 messages.may_stop();
@@ -160,10 +162,10 @@
     fn report(&mut self, now: f64, watches: &Watches, reducer: &Reducer) {
         self.report_at = now + REPORT_MS;
         let phase = match reducer.phase() {
-            Phase::Opening => Announced::Opening,
-            Phase::Ready => Announced::Ready,
-            Phase::Draining { .. } => Announced::Draining,
-            Phase::Closed => Announced::Closed,
+            Phase::Opening => AnnouncerPhase::Opening,
+            Phase::Ready => AnnouncerPhase::Ready,
+            Phase::Draining { .. } => AnnouncerPhase::Draining,
+            Phase::Closed => AnnouncerPhase::Closed,
         };
         let counters = reducer.counters();
         let (taken, throttled) = (counters.scans_taken - self.seen.0, counters.scans_throttled - self.seen.1);
@@ -173,11 +175,14 @@
         }
         let usable = reducer.usable();
         let said = watches.said.load(Ordering::Acquire);
-        self.speaker.health(Health {
+        self.speaker.report_health(Health {
             phase,
-            usable: reducer.needs().map(|(need, floor)| served(usable, need, floor)).collect(),
-            pressure: self.pressure,
-            places: reducer.places_left(),
+            servable_shares: reducer
+                .needs()
+                .map(|(need, floor)| servable_share(usable, need, floor))
+                .collect(),
+            rejected_share: self.pressure,
+            has_client_capacity: reducer.places_left(),
             // Before the first word there is a list from before the start, of an age that nobody knows.
             list_age_ms: if said == 0 { f64::INFINITY } else { (now - said as f64).max(0.0) },
         });
@@ -215,7 +220,8 @@
         self.console = None; // its socket may be wanted again
         self.console_at.clone_from(&settings.console);
         if let Some(path) = &settings.console {
-            let (show, names) = (self.on.as_ref().map(|on| on.speaker.shows()), self.type_names.clone());
+            let (show, names) =
+                (self.on.as_ref().map(|on| on.speaker.status_handle()), self.type_names.clone());
             let (messages, fleet) = (messages.clone(), self.fleet.clone());
             let answer =
                 move |question: &str| answer(question, show.as_ref(), &names, &messages, fleet.as_ref());
@@ -240,7 +246,7 @@
                 if bgp.listen != on.listen {
                     warn!("bgp listen has changed: it counts from the next start");
                 }
-                on.speaker.change(terms);
+                on.speaker.configure(terms);
             }
             (on @ None, Some((bgp, terms))) => {
                 *on = Some(On::start(bgp, terms, self.seed, messages).map_err(|error| format!("{error:#}"))?);
@@ -248,7 +254,7 @@
             (on @ Some(_), None) => {
                 if let Some(on) = on.take() {
                     // Last words take their time, and scans go on meanwhile.
-                    let end = move || on.speaker.end("bgp was taken out of the operator's file");
+                    let end = move || on.speaker.shutdown("bgp was taken out of the operator's file");
                     spawn("bgp end", STACK, end).map_err(|error| error.to_string())?;
                 }
             }
@@ -283,7 +289,7 @@
                 self.stop = Stop::Leaving;
                 on.speaker.drain();
             }
-            (Stop::Leaving, Some(on)) => on.speaker.hurry(),
+            (Stop::Leaving, Some(on)) => on.speaker.drain_now(),
             (Stop::Over, _) => {}
         }
         self.stop == Stop::Over
@@ -303,7 +309,7 @@
     /// Counts of the announcements, a line each; nothing, where there are none.
     pub fn counts(&self) -> String {
         let mut text = String::new();
-        for (name, count) in self.on.iter().flat_map(|on| on.speaker.counts().named()) {
+        for (name, count) in self.on.iter().flat_map(|on| on.speaker.counters().named()) {
             let _ = writeln!(text, "{name} {count}"); // a String takes it
         }
         text
@@ -311,6 +317,6 @@
 
     /// Ends all sessions.
     pub fn end(self) {
-        self.on.into_iter().for_each(|on| on.speaker.end("the mixer has drained"));
+        self.on.into_iter().for_each(|on| on.speaker.shutdown("the mixer has drained"));
     }
 }
--- a/crates/mixer/src/copies.rs
+++ b/crates/mixer/src/copies.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result, ensure};
 use pewterwharf_mesh::{Mesh, Own, Say, Terms, Way};
 use pewterwharf_replica::Advice;
-use pewterwharf_settings::{Fleet, Settings};
-use pewterwharf_terms::Start;
+use pewterwharf_settings::{FleetSettings, Settings};
+use pewterwharf_terms::StartupConfig;
 use tracing::{info, warn};
 
 use crate::inputs::Input;
@@ -35,7 +35,7 @@
 /// This mixer among the others, where it is.
 pub struct Copies {
     on: Option<On>,
-    section: Option<Fleet>,
+    section: Option<FleetSettings>,
 }
 
 struct On {
@@ -48,14 +48,14 @@
     used: Vec<usize>,
 }
 
-fn terms(fleet: &Fleet, seed: u64) -> Terms {
+fn terms(fleet: &FleetSettings, seed: u64) -> Terms {
     Terms {
         fleet: fleet.name.clone(),
-        me: fleet.me.clone(),
+        me: fleet.own_name.clone(),
         listen: fleet.listen,
         peers: fleet.peers.iter().map(|p| (p.name.clone(), p.address)).collect(),
         seed,
-        forget_ms: fleet.forget_ms,
+        forget_ms: fleet.tombstone_ttl_ms,
     }
 }
 
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
-    pub fn open(settings: &Settings, start: &mut Start, messages: &MessageSender) -> Result<Self> {
+    pub fn open(settings: &Settings, start: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
         let Some(fleet) = &settings.fleet else { return Ok(Self { on: None, section: None }) };
         let terms = terms(fleet, start.seed);
         let left = start.sockets.saturating_sub(terms.descriptors());
@@ -80,7 +80,7 @@
             messages.send(Input::Heard(advice.into_iter().map(Advice::event).collect()));
         };
         let mesh = Mesh::start(terms, hear).with_context(|| format!("fleet listen {}", fleet.listen))?;
-        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.at());
+        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.own_name, fleet.name, mesh.at());
         let on = On {
             mesh,
             said: BTreeMap::new(),
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -12,7 +12,7 @@
 use mio::{Events, Interest, Poll, Token};
 use tracing::{debug, warn};
 
-pub use pewterwharf_terms::list::{Entry, List, list};
+pub use pewterwharf_terms::list::{Entry, List, parse_list};
 
 use crate::buffer::{Buffer, Room};
 use crate::http::{self, Body};
@@ -172,7 +172,7 @@
     }
 
     fn heard(&mut self, text: &[u8]) -> Result<()> {
-        let read = serde_json::from_slice(text).context("not JSON").and_then(|value| list(&value));
+        let read = serde_json::from_slice(text).context("not JSON").and_then(|value| parse_list(&value));
         let list = read.inspect_err(|error| warn!("discovery sent a line that can't be read: {error:#}"))?;
         self.index = Some(list.index);
         self.told += 1;
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use pewterwharf::interface::Event;
-use pewterwharf_terms::Change;
+use pewterwharf_terms::ConfigChange;
 use pewterwharf_terms::list::List;
 
 use crate::frame::Frame;
@@ -79,7 +79,7 @@
         list: List,
     },
     /// The configuration was read anew; why it can't be used.
-    Reloaded(Result<Change, String>),
+    Reloaded(Result<ConfigChange, String>),
     WatchLost,
     /// The process stood still for a while.
     StoodStill,
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -7,7 +7,7 @@
 use pewterwharf_mixer::service::Service;
 use pewterwharf_mixer::signals::{self, Again};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::{Change, Start};
+use pewterwharf_terms::{ConfigChange, StartupConfig};
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
@@ -29,16 +29,16 @@
     Settings::read(&text).map_err(|fault| anyhow!("{path}:{fault}"))
 }
 
-fn again(start: &Start) -> Result<Change> {
+fn again(start: &StartupConfig) -> Result<ConfigChange> {
     let (path, text) = file()?;
-    start.again(&text, said).with_context(|| format!("in {path}"))
+    start.reload(&text, said).with_context(|| format!("in {path}"))
 }
 
 fn run() -> Result<()> {
     let signals = signals::signals()?;
     let (path, text) = file()?;
-    let mut start = Start::read(&text, said).with_context(|| format!("in {path}"))?;
-    start.hold_to(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
+    let mut start = StartupConfig::read(&text, said).with_context(|| format!("in {path}"))?;
+    start.apply_descriptor_limit(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
     Service::open(start, &settings()?, signals, Again { start: again, settings })?.run()
 }
 
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -16,7 +16,7 @@
 use pewterwharf::interface::{Action, Decide, Ending, Event, Life};
 use pewterwharf::logic::Mixer;
 use pewterwharf::report::{Beliefs, Known};
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
 
@@ -39,7 +39,7 @@
 
 pub struct Reducer {
     module: Mixer,
-    terms: Terms,
+    terms: MixerConfig,
     phase: Phase,
     clients_cap: usize,
     links_cap: usize,
@@ -73,14 +73,14 @@
 }
 
 impl Reducer {
-    pub fn new(terms: Terms, seed: u64, sockets: usize) -> Self {
+    pub fn new(terms: MixerConfig, seed: u64, sockets: usize) -> Self {
         let half = sockets.saturating_sub(OTHERS + CHANGING) / 2;
         let mut terms = terms;
-        for kind in &mut terms.types {
+        for kind in &mut terms.table_types {
             // How a second step travels on sockets is not stated, so none is opened.
             kind.second_step = false;
         }
-        let names = terms.type_names.iter().cloned();
+        let names = terms.table_type_names.iter().cloned();
         let by_type = names.map(|name| ByType { name, ..ByType::default() }).collect();
         Self {
             module: terms.open(seed),
@@ -149,12 +149,12 @@
 
     /// Of each table type, the weight of parts that makes a whole answer, and the least for any.
     pub fn needs(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.terms.types.iter().map(|t| (t.need, t.floor))
+        self.terms.table_types.iter().map(|t| (t.need, t.floor))
     }
 
     /// The names of table types, in the same order.
     pub fn type_names(&self) -> &[String] {
-        &self.terms.type_names
+        &self.terms.table_type_names
     }
 
     /// When it wants to be called at the latest.
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -32,7 +32,7 @@
         }
         self.attempts
             .insert(attempt_id, Attempt { name, link: 0, call: 0, srv, sent_at: now, until, frame: None });
-        if u32::from(attempt_id.1) >= self.terms.permits.dispatches {
+        if u32::from(attempt_id.1) >= self.terms.permissions.dispatches {
             self.refuse_send(now, attempt_id, SendRefusal::AttemptsUsedUp);
             return None;
         }
@@ -63,7 +63,7 @@
         let links = self.links_to(srv);
         let fits = |id: &&u64| {
             self.links.get(id).is_some_and(|link| {
-                link.calls.len() < self.terms.calls_per_link
+                link.calls.len() < self.terms.max_calls_per_connection
                     // An answer to an earlier dispatch of a part must not be taken for this one's.
                     && !names.iter().any(|name| link.out.get(*name).is_some_and(|o| *o != Awaits::Copy))
             })
@@ -99,7 +99,7 @@
     /// Stops waiting for a dispatch, and tells its searcher where that may be done.
     pub(super) fn give_up(&mut self, now: f64, attempt_id: AttemptId, ending: Ending) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
-        if attempt.frame.is_some() && self.terms.permits.cancel {
+        if attempt.frame.is_some() && self.terms.permissions.cancel {
             let (link, name) = (attempt.link, attempt.name.clone());
             self.enqueue(link, Queued::GiveUp(name));
         }
@@ -164,13 +164,18 @@
                     if let Some(part) = self.parts.get_mut(&attempt_id.0).filter(|_| ending == Ending::Ok) {
                         part.value.get_or_insert(value);
                     }
-                    self.end_reported(now, attempt_id, ending, busy.filter(|_| self.terms.busy_at.is_some()));
+                    self.end_reported(
+                        now,
+                        attempt_id,
+                        ending,
+                        busy.filter(|_| self.terms.load_share_index.is_some()),
+                    );
                 }
                 Some(_) => self.counters.answers_stale += 1,
                 None => self.bad_frame(now, id, &format!("an answer for {name}, which never went out on it")),
             },
             // Where probes are not allowed, their answers tell nothing.
-            Frame::Probe(None) if self.terms.permits.probe => {
+            Frame::Probe(None) if self.terms.permissions.probe => {
                 self.bad_frame(now, id, "a probe's answer of unknown words");
             }
             Frame::Probe(verdict) => {
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -184,7 +184,7 @@
     /// The indices of the names that a scan gives.
     fn known(&self, ask: &ScanAsk) -> Result<(usize, usize), (u16, String)> {
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let table_type = index(&self.terms.type_names, &ask.table_type)
+        let table_type = index(&self.terms.table_type_names, &ask.table_type)
             .ok_or_else(|| (404, format!("no table type {:?}", ask.table_type)))?;
         let customer = match &ask.customer {
             _ if self.terms.customers.is_empty() => 0,
@@ -192,7 +192,7 @@
             Some(name) => index(&self.terms.customer_names, name)
                 .ok_or_else(|| (400, format!("no customer {name:?}")))?,
         };
-        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shards) {
+        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shard_count) {
             return Err((400, format!("no shard {}", part.shard)));
         }
         // Nothing but its name tells an answer's part.
@@ -224,17 +224,17 @@
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"closing\n");
+            return self.answer(now, conn, 503, self.terms.permissions.back_in_ms, b"closing\n");
         }
-        if !rules::may_take_query(open, ask.parts.len(), self.terms.open_cap) {
+        if !rules::may_take_query(open, ask.parts.len(), self.terms.max_open) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"full\n");
+            return self.answer(now, conn, 503, self.terms.permissions.back_in_ms, b"full\n");
         }
         let id = self.id();
         self.scan_number = self.scan_number.wrapping_add(1);
-        let terms = &self.terms.types[table_type];
+        let terms = &self.terms.table_types[table_type];
         let (number, gone_at) = (
             self.scan_number,
             rules::query_deadline(now, ask.wait_ms, terms.query_timeout_ms, self.ends_at()),
@@ -243,7 +243,7 @@
         let work_ms = work.map(|w| w.iter().sum());
         let retry = ask.retry;
         self.events.push(Event::Scan { id, number, table_type, customer, gone_at, work_ms, retry });
-        let repeat_until = match self.terms.types[table_type].repeat {
+        let repeat_until = match self.terms.table_types[table_type].repeat {
             Repeat::Replayable => f64::INFINITY,
             Repeat::Keyed { window_ms } => now + window_ms,
             Repeat::NonReplayable => f64::NEG_INFINITY,
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -47,7 +47,7 @@
                     Phase::Draining { listen_until: now, listening: true, until: now + rules::LINGER_MS };
             }
             Phase::Opening | Phase::Ready => {
-                let longest = self.terms.types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
+                let longest = self.terms.table_types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
                 let (listen_until, until) = rules::drain_times(now, longest);
                 self.enter(Phase::Draining { listen_until, listening: true, until });
                 self.add_due(listen_until, Due::Drained);
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -191,7 +191,7 @@
             part,
             attempt_id.1,
             attempt.until,
-            self.terms.permits.dispatches,
+            self.terms.permissions.dispatches,
             searcher,
             link,
             now,
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -131,14 +131,14 @@
             self.close_link(id, LinkCloseReason::Moved);
         } else if !link.watched {
             link.watched = true;
-            self.add_due(now + IDLE * self.terms.idle_ms, Due::Idle(id));
+            self.add_due(now + IDLE * self.terms.idle_close_ms, Due::Idle(id));
         }
     }
 
     pub(super) fn close_idle(&mut self, now: f64, id: u64) {
         let Some(link) = self.links.get_mut(&id) else { return };
         link.watched = false;
-        let until = link.idle_since + IDLE * self.terms.idle_ms;
+        let until = link.idle_since + IDLE * self.terms.idle_close_ms;
         if link.idle() && now >= until {
             self.close_link(id, LinkCloseReason::Idle);
         } else if link.idle() {
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use pewterwharf::interface::{Ending, Event, Life, ListKind, Listed};
-use pewterwharf_terms::Change;
+use pewterwharf_terms::ConfigChange;
 use pewterwharf_terms::list::{Entry, List};
 use tracing::info;
 
@@ -57,7 +57,7 @@
     }
 
     /// A new configuration moves the watch; what else it changes counts from the next start.
-    pub(super) fn reloaded(&mut self, now: f64, change: Result<Change, String>) {
+    pub(super) fn reloaded(&mut self, now: f64, change: Result<ConfigChange, String>) {
         let change = match change {
             Ok(change) => change,
             Err(why) => {
@@ -67,8 +67,8 @@
         };
         self.counters.reloads += 1;
         info!("the configuration was read anew, discovery is at {}", change.discovery);
-        if !change.at_restart.is_empty() {
-            let keys = change.at_restart.join(", ");
+        if !change.needs_restart.is_empty() {
+            let keys = change.needs_restart.join(", ");
             self.warn(now, &format!("{keys} changed in the configuration: they count from the next start"));
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, Result};
 use crossbeam_channel::{Receiver, bounded};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::Start;
+use pewterwharf_terms::StartupConfig;
 use signal_hook::iterator::Signals;
 use tracing::{debug, info, warn};
 
@@ -74,25 +74,30 @@
 
 impl Service {
     /// Opens what it needs; the signals it goes by must be caught before, so that none ends it meanwhile.
-    pub fn open(mut start: Start, settings: &Settings, mut signals: Signals, again: Again) -> Result<Self> {
+    pub fn open(
+        mut start: StartupConfig,
+        settings: &Settings,
+        mut signals: Signals,
+        again: Again,
+    ) -> Result<Self> {
         let clock = Clock::start();
         let (to, received) = bounded(WAITING);
         let messages = MessageSender { to, clock };
-        let connect = Duration::from_secs_f64(start.terms.connect_timeout_ms.max(1.0) / 1000.0);
-        if start.terms.types.iter().any(|t| t.second_step) {
+        let connect = Duration::from_secs_f64(start.config.connect_timeout_ms.max(1.0) / 1000.0);
+        if start.config.table_types.iter().any(|t| t.second_step) {
             warn!("table types with a second step are answered from the first: the protocol states no other");
         }
         let copies = Copies::open(settings, &mut start, &messages)?;
-        let mut reducer = Reducer::new(start.terms.clone(), start.seed, start.sockets);
+        let mut reducer = Reducer::new(start.config.clone(), start.seed, start.sockets);
         // Without a list of ours the first that the watch tells is whole; else it is asked for.
         let mut index = Some(0);
-        match discovery::list(&start.known) {
+        match discovery::parse_list(&start.cached_list) {
             Ok(list) if list.entries.is_empty() => index = Some(list.index),
             Ok(list) => {
                 index = None;
                 reducer.cached(clock.now(), list);
             }
-            Err(error) if !start.known.is_null() => warn!("known can't be read: {error:#}"),
+            Err(error) if !start.cached_list.is_null() => warn!("known can't be read: {error:#}"),
             Err(_) => {}
         }
         reducer.watches(start.discovery);
@@ -105,7 +110,7 @@
         spawn("discovery", STACK, move || first.run(&counted, &told))?;
         let (listener, missed) = listen(start.listen.into(), &mut signals)?;
         let (at, places) = (local(&listener)?, reducer.client_places());
-        let (ours, room) = (Room::of(start.memory / BUFFERS), Room::of(start.memory / BUFFERS));
+        let (ours, room) = (Room::of(start.memory_bytes / BUFFERS), Room::of(start.memory_bytes / BUFFERS));
         let clients =
             Clients::open(listener, places, ours, messages.clone()).context("connections of clients")?;
         let orders = clients.orders();
@@ -122,7 +127,7 @@
             }
         })?;
         info!("{} listens on {at}", start.name);
-        let rests = Room::of(start.memory / BUFFERS);
+        let rests = Room::of(start.memory_bytes / BUFFERS);
         let hearing = Hearing::new(signals, missed, start, again, messages.clone());
         spawn("signals", STACK, move || hearing.run())?;
         let (clients, links, met) = (HashMap::new(), HashMap::new(), Vec::new());
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Error, Result};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::{Change, Start};
+use pewterwharf_terms::{ConfigChange, StartupConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy)]
 pub struct Again {
     /// The platform's, of a mixer that was started on this one.
-    pub start: fn(&Start) -> Result<Change>,
+    pub start: fn(&StartupConfig) -> Result<ConfigChange>,
     /// The operator's own.
     pub settings: fn() -> Result<Settings>,
 }
@@ -46,7 +46,7 @@
     signals: Signals,
     /// Those that have come and were not heard yet.
     waiting: VecDeque<i32>,
-    start: Start,
+    start: StartupConfig,
     again: Again,
     messages: MessageSender,
 }
@@ -56,7 +56,7 @@
     pub fn new(
         signals: Signals,
         missed: Vec<i32>,
-        start: Start,
+        start: StartupConfig,
         again: Again,
         messages: MessageSender,
     ) -> Self {
--- a/crates/mixer/tests/codecs.rs
+++ b/crates/mixer/tests/codecs.rs
@@ -7,7 +7,7 @@
 use pewterwharf_mixer::frame::{self, Frame, Piece};
 use pewterwharf_mixer::http::Progress;
 use pewterwharf_mixer::{discovery, http};
-use pewterwharf_terms::Start;
+use pewterwharf_terms::StartupConfig;
 use serde_json::json;
 
 const BODY: &str = r#"{"parts":[{"id":3,"w":0.5,"hint":9000},{"id":9,"w":0.5}],"expr":"c41e77d0"}"#;
@@ -160,7 +160,7 @@
         with("status", json!("removed")),
         with("since_ms", json!(1.5e12))
     ]);
-    let read = |value| discovery::list(&value).map_err(|error| error.to_string());
+    let read = |value| discovery::parse_list(&value).map_err(|error| error.to_string());
     let none = read(json!({"index": 41, "endpoints": []}));
     let read = read(json!({"index": 41, "snapshot": true, "endpoints": entries}));
     assert_snapshot!(format!("{read:#?}\n{none:?}"));
@@ -171,11 +171,13 @@
     let text = include_str!("../../../examples/mixer.json");
     let of = |text: &str, listen: &'static str| {
         let said = |name: &str| (name == "ROUTER_LISTEN").then(|| listen.to_owned());
-        match Start::read(text, said) {
+        match StartupConfig::read(text, said) {
             Ok(mut start) => {
-                start.hold_to("Limit  Soft Limit  Hard Limit\nMax open files   512    4096    files\n");
-                let Start { name, listen, sockets, terms, .. } = start;
-                format!("{name} on {listen} with {sockets} sockets: {:?}", terms.type_names)
+                start.apply_descriptor_limit(
+                    "Limit  Soft Limit  Hard Limit\nMax open files   512    4096    files\n",
+                );
+                let StartupConfig { name, listen, sockets, config, .. } = start;
+                format!("{name} on {listen} with {sockets} sockets: {:?}", config.table_type_names)
             }
             Err(error) => format!("{error:#}"),
         }
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 use std::time::Instant;
 
-use pewterwharf_console::ask;
+use pewterwharf_console::query;
 use pewterwharf_standins::bgp::{Manner as PeerManner, Peer};
 use pewterwharf_standins::{self as standins, Manner};
 use serde_json::Value;
@@ -395,19 +395,19 @@
     let file = File::new("bgp-hup", &(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
     let mixer = start_with(EXAMPLE, Some(&file.0), &[Manner::Answers]);
     peer.until("announce 198.51.100.1/32, path of 1");
-    let shown = ask(&console.0, "bgp show").expect("it answers").expect("it is set");
+    let shown = query(&console.0, "bgp show").expect("it answers").expect("it is set");
     for line in
         ["Established, up 1 times", "198.51.100.1/32 Announced: Serves", "can serve by table type: 1.00 1.00"]
     {
         assert!(shown.contains(line), "{line:?} is not in {shown}");
     }
-    let said = ask(&console.0, "bgp hide").expect("it answers");
+    let said = query(&console.0, "bgp hide").expect("it answers");
     assert_eq!(
         said,
         Err("\"bgp hide\" is not known here; known are bgp show, beliefs, fleet show".to_owned())
     );
 
-    let beliefs = ask(&console.0, "beliefs").expect("it answers").expect("it is known");
+    let beliefs = query(&console.0, "beliefs").expect("it answers").expect("it is known");
     assert!(beliefs.contains("ready 1, marked 0"), "{beliefs}");
 
     // A faulty file changes nothing, whatever is wrong with it.
@@ -445,7 +445,7 @@
     let mut client = TcpStream::connect(mixer.addr).expect("the mixer accepts");
     client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
     assert!(answer(&client).starts_with("HTTP/1.1 200"));
-    assert!(ask(&console.0, "bgp show").is_err(), "the console went with its key");
+    assert!(query(&console.0, "bgp show").is_err(), "the console went with its key");
     // And put in again.
     file.write(&(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
     mixer.signal("HUP");
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -9,7 +9,7 @@
 use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
 use pewterwharf_mixer::inputs::{Effect, Input, Phase};
 use pewterwharf_mixer::reducer::Reducer;
-use pewterwharf_terms::{Change, Terms};
+use pewterwharf_terms::{ConfigChange, MixerConfig};
 use serde_json::json;
 
 const START: f64 = 1_700_000_000_000.0;
@@ -62,7 +62,7 @@
     }
 
     fn on(settings: &serde_json::Value, searchers: u8, sockets: usize) -> Self {
-        let terms = Terms::of_json(settings).expect("good settings");
+        let terms = MixerConfig::from_json(settings).expect("good settings");
         let mut rig = Self { reducer: Reducer::new(terms, 7, sockets), now: START, trace: String::new() };
         rig.list(true, (1..=searchers).map(|n| entry(n, Life::Ready, 0.0)).collect());
         rig.tell(Input::ClientOpen { conn: 1 });
@@ -530,7 +530,7 @@
 
 #[test]
 fn a_restarted_mixer_goes_by_the_list_it_held_once_the_watch_was_silent_until_it_is_told_another() {
-    let terms = Terms::of_json(&settings()).expect("good settings");
+    let terms = MixerConfig::from_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
     let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
     rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
@@ -549,7 +549,7 @@
 
 #[test]
 fn a_restarted_mixer_sends_nothing_by_an_old_list_that_the_agent_has_newer_word_on() {
-    let terms = Terms::of_json(&settings()).expect("good settings");
+    let terms = MixerConfig::from_json(&settings()).expect("good settings");
     let mut rig = Rig { reducer: Reducer::new(terms, 7, 256), now: START, trace: String::new() };
     let known = vec![entry(1, Life::Ready, 0.0), entry(2, Life::Ready, 0.0)];
     rig.reducer.cached(START, List { index: 1, whole: true, entries: known, bad: Vec::new() });
@@ -584,7 +584,7 @@
 fn a_place_that_has_not_heard_of_a_drain_takes_it_not_back_until_it_speaks_of_it_again() {
     let mut rig = Rig::new(1);
     let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), 80);
-    rig.tell(Input::Reloaded(Ok(Change { discovery, at_restart: Vec::new() })));
+    rig.tell(Input::Reloaded(Ok(ConfigChange { discovery, needs_restart: Vec::new() })));
     // The old place tells it while the watch is moving; the new one's list was made before.
     rig.watch(0, false, vec![entry(1, Life::Draining, 0.0)]);
     rig.watch(1, true, vec![entry(1, Life::Ready, 0.0)]);
@@ -608,7 +608,7 @@
     let mut rig = Rig::new(1);
     let moved = |port| {
         let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), port);
-        Input::Reloaded(Ok(Change { discovery, at_restart: vec!["settings"] }))
+        Input::Reloaded(Ok(ConfigChange { discovery, needs_restart: vec!["settings"] }))
     };
     rig.tell(moved(1));
     rig.tell(moved(1)); // nothing new
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -10,7 +10,7 @@
 use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
 use pewterwharf_mixer::inputs::{Effect, Input, Phase};
 use pewterwharf_mixer::reducer::Reducer;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use serde_json::{Value, json};
 
 const START: f64 = 1_700_000_000_000.0;
@@ -100,7 +100,7 @@
 /// One day: what is still to happen, and the truth that the mixer is held against.
 struct Day {
     seed: Rand64,
-    terms: Terms,
+    terms: MixerConfig,
     reducer: Reducer,
     now: f64,
     to_come: BTreeMap<(u64, u64), Input>,
@@ -207,7 +207,7 @@
 
     fn written(&mut self, link: u64, bytes: &[u8]) {
         let text = String::from_utf8_lossy(&bytes[4..]).into_owned();
-        let permits = self.terms.permits.clone();
+        let permits = self.terms.permissions.clone();
         match text.as_bytes()[0] {
             b'K' => assert!(permits.cancel, "a part is given up where that is not allowed"),
             b'I' => assert!(permits.probe, "a probe where none is allowed"),
@@ -233,7 +233,7 @@
             let id = name.split('.').next().unwrap_or_default();
             let asked = self.asked.get(id).unwrap_or_else(|| panic!("{name} was never asked for"));
             assert!(!asked.over, "{name} is sent for a scan that is over");
-            let kind = &self.terms.types[asked.kind];
+            let kind = &self.terms.table_types[asked.kind];
             let sent = self.sent.entry(name.clone()).or_default();
             let may_have_run = sent.0.iter().filter(|s| !s.2).map(|s| s.0).reduce(f64::min);
             match kind.repeat {
@@ -281,7 +281,7 @@
         asked.over = true;
         self.answers += 1;
         assert!(self.now <= asked.by + 1.0, "{id} is answered after its time");
-        let (text, kind) = (String::from_utf8_lossy(bytes), &self.terms.types[asked.kind]);
+        let (text, kind) = (String::from_utf8_lossy(bytes), &self.terms.table_types[asked.kind]);
         let names: Vec<String> = (0..asked.parts).map(|n| format!("{id}.{n}")).collect();
         let open = |name: &String| self.sent.get(name).is_some_and(|s| s.0.iter().any(|d| !d.2));
         if text.starts_with("HTTP/1.1 200") {
@@ -322,7 +322,7 @@
     fn play(number: u128) -> usize {
         let mut seed = Rand64::new(number);
         let settings = settings(&mut seed);
-        let terms = Terms::of_json(&settings).unwrap_or_else(|why| panic!("{why:#}: {settings}"));
+        let terms = MixerConfig::from_json(&settings).unwrap_or_else(|why| panic!("{why:#}: {settings}"));
         let reducer = Reducer::new(terms.clone(), seed.rand_u64(), 400);
         let mut day = Self {
             lives: vec![Life::Ready; seed.rand_range(1..6) as usize],
@@ -378,11 +378,11 @@
     }
 
     fn ask(&mut self, conn: u64) {
-        let kind = self.seed.rand_range(0..self.terms.types.len() as u64) as usize;
+        let kind = self.seed.rand_range(0..self.terms.table_types.len() as u64) as usize;
         let parts = self.seed.rand_range(1..u64::from(SHARDS) + 1) as u32;
         let wait_ms = within(&mut self.seed, 20.0, 4000.0).floor();
         let id = format!("q{conn}");
-        let by = self.now + wait_ms.min(self.terms.types[kind].query_timeout_ms);
+        let by = self.now + wait_ms.min(self.terms.table_types[kind].query_timeout_ms);
         self.asked.insert(id.clone(), Asked { kind, parts, by, over: false });
         self.by_conn.insert(conn, id.clone());
         let weight = 1.0 / f64::from(parts);
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -10,7 +10,7 @@
 use pewterwharf_mixer::http::{Ask, ScanAsk, request};
 use pewterwharf_mixer::inputs::{Effect, Input};
 use pewterwharf_mixer::reducer::Reducer;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use serde_json::json;
 
 const START: f64 = 1_700_000_000_000.0;
@@ -38,7 +38,7 @@
         "rules": {"cold_from": 0.2, "warm_after_ms": 10_000.0, "tip_multiple": 2.0, "fall_ms": 1000.0},
         "peers_total": 1, "zone": 0, "zones": ["hall"],
     });
-    let mut mixer = Reducer::new(Terms::of_json(&settings).expect("good settings"), 7, 256);
+    let mut mixer = Reducer::new(MixerConfig::from_json(&settings).expect("good settings"), 7, 256);
     let searcher = Entry {
         name: "s1".to_owned(),
         addr: std::net::SocketAddrV4::new([10, 0, 0, 1].into(), 80),
--- a/crates/settings/src/bgp.rs
+++ b/crates/settings/src/bgp.rs
@@ -1,39 +1,61 @@
-//! The section `bgp`: announcements of service addresses.
+//! The section `bgp` of the settings file: announcements of service addresses over BGP.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use ipnet::IpNet;
 
-use crate::form::{Fault, Node, unexpected};
 use crate::keys::{once, pair, parsed, share};
+use crate::sexpr::{Node, ParseError, unexpected_name};
 
-/// Announcements of service addresses.
+/// A threshold for the servable share, and how long the share has to be beyond it before the change applies.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Threshold {
+    pub share: f64,
+    pub after_ms: f64,
+}
+
+/// Phases of a drain: depreferenced, then withdrawn.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct DrainPhases {
+    pub depreferenced_ms: f64,
+    pub withdrawn_ms: f64,
+}
+
+/// Attribute value of announced and of depreferenced routes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ByPreference {
+    pub preferred: u32,
+    pub depreferenced: u32,
+}
+
+/// The section `bgp`. Fields have the names of their keys unless noted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bgp {
+pub struct BgpSettings {
+    /// Key `as`.
     pub asn: u32,
-    /// Identifier, and where the file names it.
+    /// BGP Identifier.
     pub id: Ipv4Addr,
-    /// Counts at a start only.
+    /// Read at start only.
     pub listen: Option<SocketAddr>,
     pub peers: Vec<BgpPeer>,
     pub addresses: Vec<BgpAddress>,
-    /// Shares of what is needed that can be served, and the milliseconds that better and worse have to last.
-    pub up: (f64, f64),
-    pub down: (f64, f64),
-    /// Milliseconds without a word from discovery that depreference.
+    /// Announced from this servable share on.
+    pub up: Threshold,
+    /// Withdrawn below this servable share.
+    pub down: Threshold,
+    /// Milliseconds without a message from discovery after which addresses are depreferenced.
     pub stale_ms: f64,
-    /// Share of scans refused at the door that depreferences.
+    /// Share of scans rejected at admission from which on addresses are depreferenced.
     pub pressure: f64,
-    /// Changes in a minute, beyond which nothing gets better.
+    /// Changes per minute, above which no address improves.
     pub changes: u32,
-    /// Milliseconds of a drain: depreferenced, then withdrawn.
-    pub drain: (f64, f64),
+    pub drain: DrainPhases,
     pub communities: Vec<u32>,
-    pub large: Vec<(u32, u32, u32)>,
-    /// Of routes that are preferred, and of those that are not.
-    pub med: (u32, u32),
-    pub local_pref: (u32, u32),
-    /// How often the own AS stands in the path beyond once, where a route is not preferred.
+    /// Global Administrator and two Local Data Parts of each (RFC 8092).
+    pub large_communities: Vec<(u32, u32, u32)>,
+    pub med: ByPreference,
+    pub local_pref: ByPreference,
+    /// Number of times the own AS is prepended to the path of depreferenced routes, in addition to the usual one.
     pub prepend: u32,
 }
 
@@ -41,22 +63,24 @@
 pub struct BgpPeer {
     pub address: SocketAddr,
     pub asn: u32,
-    pub hold_s: u16,
+    /// Key `hold`.
+    pub hold_time_s: u16,
     pub next_hop: IpAddr,
-    /// The peer opens connections, the mixer does not.
+    /// Only the peer opens connections.
     pub passive: bool,
-    /// Milliseconds between attempts to connect, and of the first rest after a fault.
-    pub retry_ms: f64,
-    pub rest_ms: f64,
-    /// Routes that the peer may announce; none is kept.
-    pub routes: u32,
+    /// Time between attempts to connect; key `retry`.
+    pub connect_retry_ms: f64,
+    /// Idle hold time after a first error; key `rest`.
+    pub idle_hold_ms: f64,
+    /// Routes that the peer may announce; key `routes`.
+    pub max_routes: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct BgpAddress {
     pub prefix: IpNet,
     pub keep_last: bool,
-    /// Names of table types, with the place of each; all, if none is named.
+    /// Names of table types; empty for all.
     pub table_types: Vec<String>,
 }
 
@@ -79,138 +103,162 @@
     "prepend",
 ];
 
-/// Communities that a route may carry: beyond, its attributes would crowd out prefixes.
-const MOST_COMMUNITIES: usize = 32;
-/// Peers and addresses that one mixer may have.
-const MOST: usize = 64;
+/// Maximum number of communities of a route. With more, its attributes would leave little room for prefixes in a message.
+const MAX_COMMUNITIES: usize = 32;
+/// Maximum number of peers, and of addresses.
+const MAX_ENTRIES: usize = 64;
 
-impl Bgp {
-    pub(crate) fn read(whole: &Node, keys: &[Node]) -> Result<Self, Fault> {
-        let (mut asn, mut id, mut seen) = (None, None, Vec::new());
+impl BgpSettings {
+    pub(crate) fn read(section: &Node, keys: &[Node]) -> Result<Self, ParseError> {
+        let mut asn = None;
+        let mut id = None;
+        let mut seen = Vec::new();
         let mut bgp = Self {
             asn: 0,
             id: Ipv4Addr::UNSPECIFIED,
             listen: None,
             peers: Vec::new(),
             addresses: Vec::new(),
-            up: (0.9, 5000.0),
-            down: (0.5, 1000.0),
+            up: Threshold { share: 0.9, after_ms: 5000.0 },
+            down: Threshold { share: 0.5, after_ms: 1000.0 },
             stale_ms: 30_000.0,
             pressure: 0.5,
             changes: 6,
-            drain: (2000.0, 5000.0),
+            drain: DrainPhases { depreferenced_ms: 2000.0, withdrawn_ms: 5000.0 },
             communities: Vec::new(),
-            large: Vec::new(),
-            med: (0, 1000),
-            local_pref: (100, 0),
+            large_communities: Vec::new(),
+            med: ByPreference { preferred: 0, depreferenced: 1000 },
+            local_pref: ByPreference { preferred: 100, depreferenced: 0 },
             prepend: 2,
         };
         for node in keys {
-            let (key, values) = node.call("a key of bgp, as (as 64512)")?;
+            let (key, values) = node.head_and_args("a key of bgp, as (as 64512)")?;
             if !matches!(key, "peer" | "announce") {
                 once(&mut seen, node, format!("bgp {key}"))?;
             }
-            let two = |name: &str, a: &Node, b: &Node| -> Result<(u32, u32), Fault> {
-                Ok((a.count(name, 0, u32::MAX)?, b.count(name, 0, u32::MAX)?))
-            };
             match (key, values) {
-                ("as", [value]) => asn = Some(value.count("bgp as", 1, u32::MAX - 1)?),
+                ("as", [value]) => asn = Some(value.integer("bgp as", 1, u32::MAX - 1)?),
                 ("id", [value]) => id = Some(parsed(value, "bgp id, an IPv4 address")?),
                 ("listen", [value]) => bgp.listen = Some(parsed(value, "bgp listen, an address and port")?),
-                ("peer", values) => bgp.peer(node, BgpPeer::read(node, values)?)?,
-                ("announce", [prefix, rest @ ..]) => bgp.address(prefix, BgpAddress::read(prefix, rest)?)?,
-                ("up", [at, ms]) => bgp.up = (share(at, "bgp up")?, ms.time_ms("bgp up")?),
-                ("down", [at, ms]) => bgp.down = (share(at, "bgp down")?, ms.time_ms("bgp down")?),
-                ("stale", [ms]) => bgp.stale_ms = ms.time_ms("bgp stale")?,
-                ("pressure", [at]) => bgp.pressure = share(at, "bgp pressure")?,
-                ("changes", [n]) => bgp.changes = n.count("bgp changes", 1, 1000)?,
-                ("drain", [last, leave]) => {
-                    bgp.drain = (last.time_ms("bgp drain")?, leave.time_ms("bgp drain")?);
+                ("peer", values) => bgp.add_peer(node, BgpPeer::read(node, values)?)?,
+                ("announce", [prefix, options @ ..]) => {
+                    bgp.add_address(prefix, BgpAddress::read(prefix, options)?)?;
+                }
+                ("up", [share, after]) => bgp.up = threshold("bgp up", share, after)?,
+                ("down", [share, after]) => bgp.down = threshold("bgp down", share, after)?,
+                ("stale", [age]) => bgp.stale_ms = age.duration_ms("bgp stale")?,
+                ("pressure", [value]) => bgp.pressure = share(value, "bgp pressure")?,
+                ("changes", [count]) => bgp.changes = count.integer("bgp changes", 1, 1000)?,
+                ("drain", [depreferenced, withdrawn]) => {
+                    bgp.drain = DrainPhases {
+                        depreferenced_ms: depreferenced.duration_ms("bgp drain")?,
+                        withdrawn_ms: withdrawn.duration_ms("bgp drain")?,
+                    };
                 }
-                ("communities", values) if values.len() <= MOST_COMMUNITIES => {
+                ("communities", values) if values.len() <= MAX_COMMUNITIES => {
                     bgp.communities = values.iter().map(community).collect::<Result<_, _>>()?;
                 }
-                ("large-communities", values) if values.len() <= MOST_COMMUNITIES => {
-                    bgp.large = values.iter().map(large).collect::<Result<_, _>>()?;
+                ("large-communities", values) if values.len() <= MAX_COMMUNITIES => {
+                    bgp.large_communities = values.iter().map(large_community).collect::<Result<_, _>>()?;
                 }
-                ("med", [at, last]) => bgp.med = two("bgp med", at, last)?,
-                ("local-pref", [at, last]) => bgp.local_pref = two("bgp local-pref", at, last)?,
-                ("prepend", [n]) => bgp.prepend = n.count("bgp prepend", 0, 16)?,
+                ("med", [preferred, depreferenced]) => {
+                    bgp.med = by_preference("bgp med", preferred, depreferenced)?;
+                }
+                ("local-pref", [preferred, depreferenced]) => {
+                    bgp.local_pref = by_preference("bgp local-pref", preferred, depreferenced)?;
+                }
+                ("prepend", [count]) => bgp.prepend = count.integer("bgp prepend", 0, 16)?,
                 (key, values) if KEYS.contains(&key) => {
-                    return Err(node.fault(format!("{key} has {} values, which do not fit it", values.len())));
+                    return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
                 }
-                (other, _) => return Err(unexpected(node, other, &KEYS)),
+                (other, _) => return Err(unexpected_name(node, other, &KEYS)),
             }
         }
-        bgp.asn = asn.ok_or_else(|| whole.fault("expected (as NUMBER) in (bgp ...)"))?;
-        bgp.id = id.ok_or_else(|| whole.fault("expected (id \"ADDRESS\") in (bgp ...)"))?;
-        if bgp.down.0 > bgp.up.0 {
-            return Err(whole.fault("bgp down is a larger share than up"));
+        bgp.asn = asn.ok_or_else(|| section.error("expected (as NUMBER) in (bgp ...)"))?;
+        bgp.id = id.ok_or_else(|| section.error("expected (id \"ADDRESS\") in (bgp ...)"))?;
+        if bgp.down.share > bgp.up.share {
+            return Err(section.error("bgp down is a larger share than up"));
         }
         if bgp.listen.is_none() && bgp.peers.iter().any(|p| p.passive) {
-            return Err(whole.fault("a peer is passive, and bgp listen is not set"));
+            return Err(section.error("a peer is passive, and bgp listen is not set"));
         }
-        // Kept in order, as codecs write them.
+        // The codec expects them in ascending order.
         bgp.communities.sort_unstable();
-        bgp.large.sort_unstable();
+        bgp.large_communities.sort_unstable();
         Ok(bgp)
     }
 
-    fn peer(&mut self, node: &Node, peer: BgpPeer) -> Result<(), Fault> {
+    fn add_peer(&mut self, node: &Node, peer: BgpPeer) -> Result<(), ParseError> {
         if self.peers.iter().any(|p| p.address == peer.address) {
-            return Err(node.fault(format!("peer {} is given twice", peer.address)));
+            return Err(node.error(format!("peer {} is given twice", peer.address)));
         }
-        if self.peers.len() >= MOST {
-            return Err(node.fault(format!("over {MOST} peers")));
+        if self.peers.len() >= MAX_ENTRIES {
+            return Err(node.error(format!("over {MAX_ENTRIES} peers")));
         }
         self.peers.push(peer);
         Ok(())
     }
 
-    fn address(&mut self, node: &Node, address: BgpAddress) -> Result<(), Fault> {
+    fn add_address(&mut self, node: &Node, address: BgpAddress) -> Result<(), ParseError> {
         if self.addresses.iter().any(|a| a.prefix == address.prefix) {
-            return Err(node.fault(format!("{} is announced twice", address.prefix)));
+            return Err(node.error(format!("{} is announced twice", address.prefix)));
         }
-        if self.addresses.len() >= MOST {
-            return Err(node.fault(format!("over {MOST} addresses")));
+        if self.addresses.len() >= MAX_ENTRIES {
+            return Err(node.error(format!("over {MAX_ENTRIES} addresses")));
         }
         self.addresses.push(address);
         Ok(())
     }
 }
 
-/// Numbers parted by colons, all of so many bits.
-fn numbers<const N: usize>(node: &Node, expected: &str, most: u32) -> Result<[u32; N], Fault> {
-    let text = node.text(expected)?;
-    let read = || -> Option<[u32; N]> {
+fn threshold(name: &str, share_node: &Node, after: &Node) -> Result<Threshold, ParseError> {
+    Ok(Threshold { share: share(share_node, name)?, after_ms: after.duration_ms(name)? })
+}
+
+fn by_preference(name: &str, preferred: &Node, depreferenced: &Node) -> Result<ByPreference, ParseError> {
+    Ok(ByPreference {
+        preferred: preferred.integer(name, 0, u32::MAX)?,
+        depreferenced: depreferenced.integer(name, 0, u32::MAX)?,
+    })
+}
+
+/// `N` numbers separated by colons, each at most `max`.
+fn numbers<const N: usize>(node: &Node, expected: &str, max: u32) -> Result<[u32; N], ParseError> {
+    let text = node.string(expected)?;
+    let parse = || -> Option<[u32; N]> {
         let numbers: Option<Vec<u32>> = text.split(':').map(|n| n.parse().ok()).collect();
         let numbers: [u32; N] = numbers?.try_into().ok()?;
-        numbers.iter().all(|n| *n <= most).then_some(numbers)
+        numbers.iter().all(|n| *n <= max).then_some(numbers)
     };
-    read().ok_or_else(|| node.fault(format!("found \"{text}\", expected {expected}")))
+    parse().ok_or_else(|| node.error(format!("found \"{text}\", expected {expected}")))
 }
 
-/// RFC 1997; the AS stands in the upper half.
-fn community(node: &Node) -> Result<u32, Fault> {
+/// A community (RFC 1997) with the AS number in its upper half.
+fn community(node: &Node) -> Result<u32, ParseError> {
     let [asn, value] = numbers(node, "a community, as 64512:1", u32::from(u16::MAX))?;
     Ok(asn << 16 | value)
 }
 
-/// RFC 8092.
-fn large(node: &Node) -> Result<(u32, u32, u32), Fault> {
-    let [a, b, c] = numbers(node, "a large community, as 64512:1:2", u32::MAX)?;
-    Ok((a, b, c))
+/// A large community (RFC 8092).
+fn large_community(node: &Node) -> Result<(u32, u32, u32), ParseError> {
+    let [administrator, data1, data2] = numbers(node, "a large community, as 64512:1:2", u32::MAX)?;
+    Ok((administrator, data1, data2))
 }
 
 impl BgpPeer {
-    fn read(whole: &Node, keys: &[Node]) -> Result<Self, Fault> {
+    fn read(section: &Node, keys: &[Node]) -> Result<Self, ParseError> {
         const KEYS: [&str; 8] = ["address", "as", "hold", "next-hop", "passive", "retry", "rest", "routes"];
-        let (mut address, mut asn, mut next_hop) = (None, None, None);
-        let (mut hold_s, mut passive, mut retry_ms, mut rest_ms, mut routes) =
-            (9, false, 5000.0, 5000.0, 10_000);
+        let mut address = None;
+        let mut asn = None;
+        let mut next_hop = None;
+        let mut hold_time_s = 9;
+        let mut passive = false;
+        let mut connect_retry_ms = 5000.0;
+        let mut idle_hold_ms = 5000.0;
+        let mut max_routes = 10_000;
         let mut seen = Vec::new();
         for node in keys {
-            if let Ok(("passive", [])) = node.call("") {
+            if let Ok(("passive", [])) = node.head_and_args("") {
                 once(&mut seen, node, "peer passive".to_owned())?;
                 passive = true;
                 continue;
@@ -219,53 +267,55 @@
             once(&mut seen, node, format!("peer {key}"))?;
             match key {
                 "address" => address = Some(parsed(value, "peer address, an address and port")?),
-                "as" => asn = Some(value.count("peer as", 1, u32::MAX - 1)?),
+                "as" => asn = Some(value.integer("peer as", 1, u32::MAX - 1)?),
                 "hold" => {
-                    let hold = value.time_ms("peer hold")? / 1000.0;
+                    let hold = value.duration_ms("peer hold")? / 1000.0;
                     if !(3.0..=65_535.0).contains(&hold) || hold.fract() != 0.0 {
-                        return Err(value.fault("expected peer hold, whole seconds from 3s on"));
+                        return Err(value.error("expected peer hold, whole seconds from 3s on"));
                     }
-                    hold_s = hold as u16;
+                    hold_time_s = hold as u16;
                 }
                 "next-hop" => next_hop = Some(parsed(value, "peer next-hop, an address")?),
-                "retry" => retry_ms = value.time_ms("peer retry")?,
-                "rest" => rest_ms = value.time_ms("peer rest")?,
-                "routes" => routes = value.count("peer routes", 0, u32::MAX)?,
-                other => return Err(unexpected(node, other, &KEYS)),
+                "retry" => connect_retry_ms = value.duration_ms("peer retry")?,
+                "rest" => idle_hold_ms = value.duration_ms("peer rest")?,
+                "routes" => max_routes = value.integer("peer routes", 0, u32::MAX)?,
+                other => return Err(unexpected_name(node, other, &KEYS)),
             }
         }
-        let lacks = |key: &str| whole.fault(format!("expected ({key} ...) in (peer ...)"));
+        let missing = |key: &str| section.error(format!("expected ({key} ...) in (peer ...)"));
         Ok(Self {
-            address: address.ok_or_else(|| lacks("address"))?,
-            asn: asn.ok_or_else(|| lacks("as"))?,
-            hold_s,
-            next_hop: next_hop.ok_or_else(|| lacks("next-hop"))?,
+            address: address.ok_or_else(|| missing("address"))?,
+            asn: asn.ok_or_else(|| missing("as"))?,
+            hold_time_s,
+            next_hop: next_hop.ok_or_else(|| missing("next-hop"))?,
             passive,
-            retry_ms,
-            rest_ms,
-            routes,
+            connect_retry_ms,
+            idle_hold_ms,
+            max_routes,
         })
     }
 }
 
 impl BgpAddress {
-    fn read(prefix: &Node, rest: &[Node]) -> Result<Self, Fault> {
+    fn read(prefix: &Node, options: &[Node]) -> Result<Self, ParseError> {
         const EXPECTED: &str = "a prefix, as 198.51.100.1/32";
         let net: IpNet = parsed(prefix, EXPECTED)?;
-        let (mut keep_last, mut table_types, mut seen) = (false, Vec::new(), Vec::new());
-        for node in rest {
-            let (key, values) = node.call("(keep-last) or (table-types NAME...)")?;
+        let mut keep_last = false;
+        let mut table_types = Vec::new();
+        let mut seen = Vec::new();
+        for node in options {
+            let (key, values) = node.head_and_args("(keep-last) or (table-types NAME...)")?;
             once(&mut seen, node, format!("announce {key}"))?;
             match (key, values) {
                 ("keep-last", []) => keep_last = true,
                 ("table-types", [_, ..]) => {
                     for value in values {
-                        let name = value.text("the name of a table type")?.to_owned();
+                        let name = value.string("the name of a table type")?.to_owned();
                         once(&mut table_types, value, name)?;
                     }
                 }
-                ("table-types", []) => return Err(node.fault("table-types names none")),
-                (other, _) => return Err(unexpected(node, other, &["keep-last", "table-types"])),
+                ("table-types", []) => return Err(node.error("table-types names none")),
+                (other, _) => return Err(unexpected_name(node, other, &["keep-last", "table-types"])),
             }
         }
         Ok(Self { prefix: net.trunc(), keep_last, table_types })
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,24 +1,24 @@
-//! The section `fleet`: the mixers that know each other.
+//! The section `fleet` of the settings file: the mixers that exchange state with each other.
 
 use std::net::SocketAddr;
 
-use crate::form::{Fault, Node, unexpected};
 use crate::keys::{once, parsed};
+use crate::sexpr::{Node, ParseError, unexpected_name};
 
-/// The mixers that know each other, as one of them is told.
+/// The section `fleet`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
-    /// Mixers of another fleet are refused, whatever their addresses.
+pub struct FleetSettings {
+    /// Name of the fleet. Connections from mixers of another fleet are rejected, whatever their addresses.
     pub name: String,
-    /// This mixer's name in it.
-    pub me: String,
-    /// Where it listens for the others: an address on a network of the mixers' own.
+    /// This mixer's name in the fleet.
+    pub own_name: String,
+    /// Address on which this mixer listens for others; it should belong to a network used by mixers only.
     pub listen: SocketAddr,
-    /// 1 to 4,096.
+    /// The other mixers: 1 to 4,096.
     pub peers: Vec<FleetPeer>,
-    /// For so long it is kept in mind that something was deleted, in milliseconds: 1 s to 1 h. Whoever is away for longer
-    /// takes all anew.
-    pub forget_ms: f64,
+    /// How long tombstones of deleted records are kept, in milliseconds: 1 s to 1 h. A mixer that is disconnected for longer
+    /// fetches the full state. Key `forget`.
+    pub tombstone_ttl_ms: f64,
 }
 
 /// Another mixer.
@@ -29,52 +29,56 @@
 }
 
 const KEYS: [&str; 4] = ["name", "me", "peer", "forget"];
-/// Well past the time in which word reaches everybody who is up.
-const FORGET_MS: f64 = 60_000.0;
-/// Under the first, a deletion is forgotten before a slow way has carried it; over the second it only costs memory.
-const FORGET: (f64, f64) = (1000.0, 3_600_000.0);
-/// Peers that a file may name.
-const MOST: usize = 4096;
-/// Longest name, in bytes.
-const LONGEST: usize = 32;
+/// Well above the time in which a change reaches all mixers that are up.
+const DEFAULT_TOMBSTONE_TTL_MS: f64 = 60_000.0;
+/// Below the minimum, a tombstone expires before a slow path has delivered it; above the maximum it only costs memory.
+const MIN_TOMBSTONE_TTL_MS: f64 = 1000.0;
+const MAX_TOMBSTONE_TTL_MS: f64 = 3_600_000.0;
+/// Maximum number of peers.
+const MAX_PEERS: usize = 4096;
+/// Maximum length of a name in bytes.
+const MAX_NAME_BYTES: usize = 32;
 
-/// A name: letters, digits, and what often parts them, so that it stands in a line without quotes.
-fn name(node: &Node, expected: &str) -> Result<String, Fault> {
-    let text = node.text(expected)?;
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if text.is_empty() || text.len() > LONGEST || !text.chars().all(fits) {
-        let wanted = format!("1 to {LONGEST} letters, digits, -, _ or .");
-        return Err(node.fault(format!("found \"{text}\", expected {expected}: {wanted}")));
+/// A name of letters, digits and common separators, so that it needs no quotes in a line of output.
+fn name(node: &Node, expected: &str) -> Result<String, ParseError> {
+    let text = node.string(expected)?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(is_allowed) {
+        let wanted = format!("1 to {MAX_NAME_BYTES} letters, digits, -, _ or .");
+        return Err(node.error(format!("found \"{text}\", expected {expected}: {wanted}")));
     }
     Ok(text.to_owned())
 }
 
-impl Fleet {
-    pub(crate) fn read(whole: &Node, keys: &[Node]) -> Result<Self, Fault> {
-        let (mut called, mut me, mut peers, mut seen) = (None, None, Vec::<FleetPeer>::new(), Vec::new());
-        let mut forget_ms = FORGET_MS;
+impl FleetSettings {
+    pub(crate) fn read(section: &Node, keys: &[Node]) -> Result<Self, ParseError> {
+        let mut fleet_name = None;
+        let mut own = None;
+        let mut peers: Vec<FleetPeer> = Vec::new();
+        let mut seen = Vec::new();
+        let mut tombstone_ttl_ms = DEFAULT_TOMBSTONE_TTL_MS;
         for node in keys {
-            let (key, values) = node.call("a key of fleet, as (name \"praha\")")?;
+            let (key, values) = node.head_and_args("a key of fleet, as (name \"praha\")")?;
             if key != "peer" {
                 once(&mut seen, node, format!("fleet {key}"))?;
             }
             match (key, values) {
-                ("name", [value]) => called = Some(name(value, "the fleet's name")?),
-                ("me", [own, listen]) => {
-                    let own = name(own, "this mixer's name")?;
-                    match listen.call("(listen \"ADDRESS:PORT\")")? {
-                        ("listen", [at]) => {
-                            me = Some((own, parsed(at, "fleet listen, an address and port")?));
+                ("name", [value]) => fleet_name = Some(name(value, "the fleet's name")?),
+                ("me", [own_name, listen]) => {
+                    let own_name = name(own_name, "this mixer's name")?;
+                    match listen.head_and_args("(listen \"ADDRESS:PORT\")")? {
+                        ("listen", [address]) => {
+                            own = Some((own_name, parsed(address, "fleet listen, an address and port")?));
                         }
-                        (other, _) => return Err(unexpected(listen, other, &["listen"])),
+                        (other, _) => return Err(unexpected_name(listen, other, &["listen"])),
                     }
                 }
                 ("forget", [time]) => {
-                    forget_ms = time.time_ms("fleet forget")?;
-                    if !(FORGET.0..=FORGET.1).contains(&forget_ms) {
-                        return Err(
-                            node.fault(format!("found {forget_ms}ms, expected fleet forget from 1s to 1h"))
-                        );
+                    tombstone_ttl_ms = time.duration_ms("fleet forget")?;
+                    if !(MIN_TOMBSTONE_TTL_MS..=MAX_TOMBSTONE_TTL_MS).contains(&tombstone_ttl_ms) {
+                        return Err(node.error(format!(
+                            "found {tombstone_ttl_ms}ms, expected fleet forget from 1s to 1h"
+                        )));
                     }
                 }
                 ("peer", [peer, address]) => {
@@ -83,35 +87,36 @@
                         address: parsed(address, "fleet peer, an address and port")?,
                     };
                     if peers.iter().any(|p| p.name == peer.name) {
-                        return Err(node.fault(format!("peer {} is given twice", peer.name)));
+                        return Err(node.error(format!("peer {} is given twice", peer.name)));
                     }
                     if peers.iter().any(|p| p.address == peer.address) {
-                        return Err(node.fault(format!("two peers have the address {}", peer.address)));
+                        return Err(node.error(format!("two peers have the address {}", peer.address)));
                     }
                     if peer.address.port() == 0 || peer.address.ip().is_unspecified() {
-                        return Err(node.fault(format!("nobody can be reached at {}", peer.address)));
+                        return Err(node.error(format!("nobody can be reached at {}", peer.address)));
                     }
-                    if peers.len() == MOST {
-                        return Err(node.fault(format!("over {MOST} peers")));
+                    if peers.len() == MAX_PEERS {
+                        return Err(node.error(format!("over {MAX_PEERS} peers")));
                     }
                     peers.push(peer);
                 }
                 (key, values) if KEYS.contains(&key) => {
-                    return Err(node.fault(format!("{key} has {} values, which do not fit it", values.len())));
+                    return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
                 }
-                (other, _) => return Err(unexpected(node, other, &KEYS)),
+                (other, _) => return Err(unexpected_name(node, other, &KEYS)),
             }
         }
-        let name = called.ok_or_else(|| whole.fault("expected (name \"NAME\") in (fleet ...)"))?;
-        let (me, listen) =
-            me.ok_or_else(|| whole.fault("expected (me \"NAME\" (listen \"ADDRESS:PORT\")) in (fleet ...)"))?;
-        // One file may serve all mixers but for the line `me`: the own name among the peers is none.
-        peers.retain(|p| p.name != me);
+        let name = fleet_name.ok_or_else(|| section.error("expected (name \"NAME\") in (fleet ...)"))?;
+        let (own_name, listen) = own.ok_or_else(|| {
+            section.error("expected (me \"NAME\" (listen \"ADDRESS:PORT\")) in (fleet ...)")
+        })?;
+        // The same list of peers may be used in the files of all mixers, so this mixer's own entry is ignored.
+        peers.retain(|p| p.name != own_name);
         if peers.is_empty() {
             return Err(
-                whole.fault("expected a (peer \"NAME\" \"ADDRESS:PORT\") beside this mixer in (fleet ...)")
+                section.error("expected a (peer \"NAME\" \"ADDRESS:PORT\") beside this mixer in (fleet ...)")
             );
         }
-        Ok(Self { name, me, listen, peers, forget_ms })
+        Ok(Self { name, own_name, listen, peers, tombstone_ttl_ms })
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,18 +1,17 @@
-//! What operators write themselves: the one reader of S-expressions, and the one place where the operator's own
-//! file is checked.
+//! Settings written by operators: a reader for S-expressions, and the checked settings file.
 //!
-//! [`form`] turns text into a bounded tree with lines and columns; the language of expectations is read through it
-//! as well. [`Settings`] is the operator's file under `deploy/`. What the platform tells a mixer stays JSON and is
-//! read by `pewterwharf-terms`. Nothing here does I/O.
+//! [`sexpr`] parses text into a bounded tree with source positions; the expectation language uses it as well.
+//! [`Settings`] is the operator's file, with an example in `deploy/`. The configuration that the platform gives a mixer is
+//! JSON and is read by `pewterwharf-terms`. Nothing in this package does I/O.
 
 mod bgp;
 mod fleet;
-pub mod form;
 mod keys;
 mod names;
 mod settings;
+pub mod sexpr;
 
-pub use bgp::{Bgp, BgpAddress, BgpPeer};
-pub use fleet::{Fleet, FleetPeer};
-pub use names::near;
-pub use settings::{Explore, Log, LogForm, Settings};
+pub use bgp::{BgpAddress, BgpPeer, BgpSettings, ByPreference, DrainPhases, Threshold};
+pub use fleet::{FleetPeer, FleetSettings};
+pub use names::nearest_name;
+pub use settings::{Explore, Log, LogFormat, Settings};
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,54 +1,60 @@
-//! What operators write, and what they are told where it can't be read.
+//! Parsing of the settings file, and its error messages.
 
-use pewterwharf_settings::Settings;
-use pewterwharf_settings::form::{self, Kind};
+use pewterwharf_settings::sexpr::{self, NodeKind};
+use pewterwharf_settings::{DrainPhases, Settings, Threshold};
 
-fn told(text: &str) -> String {
-    Settings::read(text).map_or_else(|fault| fault.to_string(), |settings| format!("{settings:?}"))
+/// The error message for a text, or its settings.
+fn outcome(text: &str) -> String {
+    Settings::read(text).map_or_else(|error| error.to_string(), |settings| format!("{settings:?}"))
 }
 
 #[test]
-fn the_file_under_deploy_is_read_and_states_the_defaults() {
+fn example_file_states_the_defaults() {
     let text = include_str!("../../../deploy/pewterwharf.lisp");
     assert_eq!(Settings::read(text), Ok(Settings::default()));
 }
 
 #[test]
-fn a_fault_names_the_key_and_its_place() {
+fn errors_name_key_and_position() {
     assert_eq!(
-        told("(log\n  (level wran))"),
+        outcome("(log\n  (level wran))"),
         "2:10: found wran, expected one of error, warn, info, debug, trace; did you mean warn?"
     );
     assert_eq!(
-        told("(explore (departures 9))"),
+        outcome("(explore (departures 9))"),
         "1:22: found 9, expected explore departures, a whole number from 0 to 8"
     );
     assert_eq!(
-        told("(explore (departure 2))"),
+        outcome("(explore (departure 2))"),
         "1:10: found departure, expected one of departures, states, threads; did you mean departures?"
     );
-    assert_eq!(told("(log) (log)"), "1:7: log is given twice");
-    assert_eq!(told("(log (level info debug))"), "1:6: level has 2 values, expected one");
-    assert_eq!(told("log"), "1:1: found log, expected a section, as (log ...)");
-    assert_eq!(told("(log (level info)"), "1:17: EOF while parsing a list");
+    assert_eq!(outcome("(log) (log)"), "1:7: log is given twice");
+    assert_eq!(outcome("(log (level info debug))"), "1:6: level has 2 values, expected one");
+    assert_eq!(outcome("log"), "1:1: found log, expected a section, as (log ...)");
+    assert_eq!(outcome("(log (level info)"), "1:17: EOF while parsing a list");
 }
 
 #[test]
-fn announcements_are_off_unless_set_and_faults_name_their_key() {
+fn bgp_section() {
     assert_eq!(Settings::read("").map(|s| s.bgp), Ok(None));
     let whole = r#"(bgp (as 4200000000) (id "10.0.0.1") (up 0.8 4s) (drain 1s 2s)
         (peer (address "127.0.0.2:179") (as 64513) (hold 3s) (next-hop "192.0.2.1"))
         (announce "198.51.100.1/32" (keep-last)) (announce "2001:db8::1/128"))"#;
-    let bgp = Settings::read(whole).expect("it reads").bgp.expect("it is on");
+    let bgp = Settings::read(whole).expect("valid settings").bgp.expect("a bgp section");
     assert_eq!(
         (bgp.asn, bgp.up, bgp.drain, bgp.peers.len()),
-        (4_200_000_000, (0.8, 4000.0), (1000.0, 2000.0), 1)
+        (
+            4_200_000_000,
+            Threshold { share: 0.8, after_ms: 4000.0 },
+            DrainPhases { depreferenced_ms: 1000.0, withdrawn_ms: 2000.0 },
+            1
+        )
     );
     assert_eq!(
         bgp.addresses.iter().map(|a| (a.prefix.prefix_len(), a.keep_last)).collect::<Vec<_>>(),
         [(32, true), (128, false)]
     );
-    let faults = [
+    let errors = [
         ("(bgp (as 1))", "1:1: expected (id \"ADDRESS\") in (bgp ...)"),
         ("(bgp (id \"ten\"))", "1:10: found \"ten\", expected bgp id, an IPv4 address"),
         ("(bgp (up 1.5 1s))", "1:10: found 1.5, expected bgp up, a share up to 1"),
@@ -80,45 +86,45 @@
         ("(bgp (med 1))", "1:6: med has 1 values, which do not fit it"),
         ("(console)", "1:1: console has 0 values, expected one"),
     ];
-    for (text, fault) in faults {
-        assert_eq!(told(text), fault);
+    for (text, error) in errors {
+        assert_eq!(outcome(text), error);
     }
 }
 
 #[test]
-fn brackets_without_end_are_refused_before_they_cost_anything() {
+fn limits_on_depth_list_length_and_size() {
     let nested = "(".repeat(100_000);
-    assert_eq!(told(&nested), "1:65: brackets nested over 64 deep");
+    assert_eq!(outcome(&nested), "1:65: brackets nested over 64 deep");
     let wide = format!("({})", "a ".repeat(50_000));
-    assert_eq!(told(&wide), "1:20002: a list of over 10000 words");
-    assert_eq!(told(&"x".repeat((1 << 20) + 1)), "1:1: 1048577 bytes are over the 1048576 that are read");
+    assert_eq!(outcome(&wide), "1:20002: a list of over 10000 words");
+    assert_eq!(outcome(&"x".repeat((1 << 20) + 1)), "1:1: 1048577 bytes are over the 1048576 that are read");
     assert_eq!(
-        told(&format!("; {}\n\"{}\"", nested, "(".repeat(99))),
+        outcome(&format!("; {}\n\"{}\"", nested, "(".repeat(99))),
         format!("2:1: found \"{}\", expected a section, as (log ...)", "(".repeat(99))
     );
 }
 
 #[test]
-fn a_number_and_the_letters_written_to_it_are_a_measure() {
-    let read = form::read("(a 6s 6 s 1.5m)").expect("it is well formed");
-    let Kind::List(nodes) = &read[0].kind else { panic!("no list") };
-    let kinds: Vec<String> = nodes.iter().map(|n| n.found()).collect();
+fn number_followed_by_unit_is_a_quantity() {
+    let parsed = sexpr::parse("(a 6s 6 s 1.5m)").expect("well-formed text");
+    let NodeKind::List(nodes) = &parsed[0].kind else { panic!("no list") };
+    let kinds: Vec<String> = nodes.iter().map(|n| n.describe()).collect();
     assert_eq!(kinds, ["a", "6s", "6", "s", "1.5m"]);
-    assert_eq!(nodes[1].time_ms("a time"), Ok(6000.0));
-    assert_eq!(nodes[4].time_ms("a time"), Ok(90_000.0));
+    assert_eq!(nodes[1].duration_ms("a time"), Ok(6000.0));
+    assert_eq!(nodes[4].duration_ms("a time"), Ok(90_000.0));
 }
 
 #[test]
-fn a_fleet_is_off_unless_set_and_its_faults_name_their_key() {
+fn fleet_section() {
     assert_eq!(Settings::read("").map(|s| s.fleet), Ok(None));
     let whole = r#"(fleet (name "praha") (me "m1" (listen "127.0.0.1:9001"))
         (peer "m1" "127.0.0.1:9001") (peer "m2" "127.0.0.2:9001"))"#;
-    let fleet = Settings::read(whole).expect("it is whole").fleet.expect("it is there");
-    assert_eq!((fleet.name.as_str(), fleet.me.as_str()), ("praha", "m1"));
+    let fleet = Settings::read(whole).expect("valid settings").fleet.expect("a fleet section");
+    assert_eq!((fleet.name.as_str(), fleet.own_name.as_str()), ("praha", "m1"));
     assert_eq!(
         fleet.peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(),
         ["m2"],
-        "the own name is no peer"
+        "the mixer's own entry is not a peer"
     );
     let me = r#"(fleet (name "p") (me "m1" (listen "127.0.0.1:1")) "#;
     let cases = [
@@ -153,16 +159,16 @@
             "1:1: expected a (peer \"NAME\" \"ADDRESS:PORT\") beside this mixer in (fleet ...)",
         ),
     ];
-    for (text, fault) in cases {
-        assert_eq!(told(&text), fault);
+    for (text, error) in cases {
+        assert_eq!(outcome(&text), error);
     }
 }
 
 #[test]
-fn a_fleet_may_have_well_over_a_thousand_mixers() {
+fn fleet_of_two_thousand_mixers() {
     let peers: String =
         (0..2000).map(|n| format!(" (peer \"mixer-{n}\" \"127.0.0.1:{}\")", 10_000 + n)).collect();
     let text = format!("(fleet (name \"f\") (me \"m\" (listen \"127.0.0.1:9\")){peers})");
-    let settings = Settings::read(&text).map_err(|fault| fault.to_string());
+    let settings = Settings::read(&text).map_err(|error| error.to_string());
     assert_eq!(settings.map(|s| s.fleet.map(|f| f.peers.len())), Ok(Some(2000)));
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use pewterwharf::interface::{Decide, Event, Listed};
 use pewterwharf::logic::Mixer;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 
 use crate::codec::{Batch, Knock, Record, Reply};
 
@@ -46,8 +46,8 @@
     fn record(&mut self, mixer: u32, record: Record, heard: &mut BTreeMap<u32, Vec<Event>>) -> Result<()> {
         let event = match record {
             Record::Create { seed, settings } => {
-                let terms = Terms::of_text(&settings).context("settings")?;
-                self.mixers.insert(mixer, (terms.open(seed), terms.busy_at));
+                let terms = MixerConfig::from_text(&settings).context("settings")?;
+                self.mixers.insert(mixer, (terms.open(seed), terms.load_share_index));
                 heard.insert(mixer, Vec::new());
                 return Ok(());
             }
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simhost/tests/codec.rs
@@ -4,7 +4,7 @@
 use pewterwharf::interface::Action;
 use pewterwharf_simhost::codec::{Reply, read_batch};
 use pewterwharf_simhost::host::Host;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 
 const AT: &str = "0c03000000";
 const KNOCK: &str = "03c4913a5d37a204000000000000640ad2557c3bf0910000000020e6c0400000000000002840\
@@ -93,7 +93,7 @@
 
 #[test]
 fn settings_are_read_or_turned_away() {
-    let open = |text: &str| match Terms::of_text(text) {
+    let open = |text: &str| match MixerConfig::from_text(text) {
         Ok(_) => "opened".to_owned(),
         Err(error) => format!("{error:#}"),
     };
