--- a/crates/speaker/src/lib.rs
+++ b/crates/speaker/src/lib.rs
@@ -1,10 +1,10 @@
-//! The shell of the BGP speaker: threads on std::net around `pewterwharf_bgp::speaker`.
+//! Runs the BGP speaker of `pewterwharf_bgp::speaker` on sockets and threads.
 //!
-//! One thread holds the core and decides; each connection has a thread that reads and one that writes, and an attempt to
-//! connect has one of its own. No thread but the core's waits on another: a peer that does not read fills its writer's
-//! bounded queue, and its connection is then ended.
+//! One thread owns the state machine and takes all decisions. Each connection has a reader and a writer thread, and each
+//! attempt to connect has a thread of its own. Only the state machine's thread waits for other threads. A peer that does
+//! not read fills the bounded queue of its writer, and its connection is then closed.
 //!
-//! Memory in sum: for each connection, one message being read (4,096 bytes) and [`WAITING`] messages to write.
+//! Memory per connection is bounded by one message being read (4,096 bytes) and [`WRITE_QUEUE_LEN`] messages to write.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -16,412 +16,443 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pewterwharf_bgp::announce::{self, Health};
-use pewterwharf_bgp::message::{self, LONGEST, Message, Refusal, Watch};
-use pewterwharf_bgp::session::{self, Way};
-pub use pewterwharf_bgp::speaker::{Counts, Shown, Terms};
-use pewterwharf_bgp::speaker::{Effect, Input, Speaker as Core};
+use pewterwharf_bgp::message::{self, MAX_MESSAGE_LEN, Message as BgpMessage, MessageError, WatchedPrefixes};
+use pewterwharf_bgp::session::{self, Direction};
+pub use pewterwharf_bgp::speaker::{Counters, SpeakerConfig, SpeakerStatus};
+use pewterwharf_bgp::speaker::{Effect, Input, PeerId, Speaker as Core};
 use tracing::{debug, info};
 
-/// Stack of each thread.
-const STACK: usize = 128 * 1024;
-/// Messages that may wait to be written on one connection.
-const WAITING: usize = 64;
-/// Inputs that may wait for the core.
-const INPUTS: usize = 256;
-/// An attempt to connect, and one write, take no longer.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// After the last message a connection is half-closed, and what still comes is discarded for so long or until the peer closes:
-/// a receive window that is shut for good would leave a peer that still sends hanging.
-const DISCARD: Duration = Duration::from_secs(2);
-/// How long the last words of sessions may take to leave at the end.
-const GOODBYE: Duration = Duration::from_secs(2);
-
-/// A mixer's speaker, running.
+/// Stack size of each thread.
+const STACK_BYTES: usize = 128 * 1024;
+/// Messages that can be queued for writing on one connection.
+const WRITE_QUEUE_LEN: usize = 64;
+/// Messages that can be queued for the state machine.
+const INPUT_QUEUE_LEN: usize = 256;
+/// Timeout of an attempt to connect and of one write.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
+/// After the last message a connection is half-closed, and received data is discarded until the peer closes or for this
+/// long. With a receive window that stays closed, a peer that is still sending would hang.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for the last messages of all sessions to be written at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failed accept, which usually means that no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest wait for a message, in milliseconds; it keeps the conversion to a `Duration` in range.
+const MAX_WAIT_MS: f64 = 1e9;
+
+/// Handle of a running speaker; dropping it shuts the speaker down.
 pub struct Speaker {
-    to: Sender<Told>,
-    may_stop: Receiver<()>,
+    messages: Sender<Message>,
+    drain_complete: Receiver<()>,
     core: Option<JoinHandle<()>>,
-    listens: Option<SocketAddr>,
-    counts: Arc<Mutex<Counts>>,
+    local_addr: Option<SocketAddr>,
+    counters: Arc<Mutex<Counters>>,
 }
 
-/// A way to ask a speaker how it stands, for another thread than the speaker's owner.
+/// Handle to query the status of a speaker, for other threads than the speaker's owner.
 #[derive(Clone)]
-pub struct Show(Sender<Told>);
+pub struct StatusHandle(Sender<Message>);
 
-impl Show {
-    /// Peers and addresses as they stand; none once it has ended.
-    pub fn ask(&self) -> Option<Shown> {
-        let (to, shown) = bounded(1);
-        self.0.send_timeout(Told::Show(to), PATIENCE).ok()?;
-        shown.recv_timeout(PATIENCE).ok()
+impl StatusHandle {
+    /// Current status; `None` after shutdown.
+    pub fn status(&self) -> Option<SpeakerStatus> {
+        let (reply, status) = bounded(1);
+        self.0.send_timeout(Message::Status(reply), IO_TIMEOUT).ok()?;
+        status.recv_timeout(IO_TIMEOUT).ok()
     }
 }
 
-enum Told {
-    Core(Input),
-    /// A connection that came.
-    Came(TcpStream),
-    /// One that was asked for.
-    Up(usize, TcpStream),
-    /// From a connection, by its number.
-    Heard(u64, Result<Message, Refusal>),
-    Ended(u64),
-    NotConnected(usize),
-    Show(Sender<Shown>),
-    End(String),
+/// Identifies a connection.
+type ConnectionId = u64;
+
+/// Message to the thread of the state machine.
+enum Message {
+    Input(Input),
+    /// A connection opened by a peer.
+    Accepted(TcpStream),
+    /// A connection opened by this side.
+    Connected(PeerId, TcpStream),
+    Received(ConnectionId, Result<BgpMessage, MessageError>),
+    Closed(ConnectionId),
+    ConnectFailed(PeerId),
+    Status(Sender<SpeakerStatus>),
+    /// Ends all sessions with this shutdown communication.
+    Shutdown(String),
 }
 
-/// The way to the core.
+/// Sends messages to the thread of the state machine.
 #[derive(Clone)]
-struct Tell(Sender<Told>);
+struct MessageSender(Sender<Message>);
 
-impl Tell {
-    fn say(&self, told: Told) -> bool {
-        self.0.send(told).is_ok()
+impl MessageSender {
+    /// Returns whether the state machine still runs.
+    fn send(&self, message: Message) -> bool {
+        self.0.send(message).is_ok()
     }
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
-    Builder::new().name(name.to_owned()).stack_size(STACK).spawn(run)
+    Builder::new().name(name.to_owned()).stack_size(STACK_BYTES).spawn(run)
 }
 
 impl Speaker {
-    /// Starts all sessions; with `listen`, peers may open connections too and are known by their address.
+    /// Starts all sessions. With `listen`, peers may open connections as well and are identified by their IP address.
     ///
     /// # Errors
-    /// If the listener or a thread can't be had.
-    pub fn start(terms: Terms, listen: Option<SocketAddr>, seed: u64) -> io::Result<Self> {
-        let (to, heard) = bounded(INPUTS);
-        let (stops, may_stop) = bounded(1);
-        let tell = Tell(to.clone());
+    /// If the listener or a thread cannot be created.
+    pub fn start(config: SpeakerConfig, listen: Option<SocketAddr>, seed: u64) -> io::Result<Self> {
+        let (messages, received) = bounded(INPUT_QUEUE_LEN);
+        let (drained, drain_complete) = bounded(1);
+        let sender = MessageSender(messages.clone());
         let listener = listen.map(TcpListener::bind).transpose()?;
-        let listens = listener.as_ref().map(TcpListener::local_addr).transpose()?;
+        let local_addr = listener.as_ref().map(TcpListener::local_addr).transpose()?;
         if let Some(listener) = listener {
-            let tell = tell.clone();
-            spawn("bgp accept", move || accept(&listener, &tell))?;
+            let sender = sender.clone();
+            spawn("bgp accept", move || accept(&listener, &sender))?;
         }
-        let counts = Arc::new(Mutex::new(Counts::default()));
-        let mut shell = Shell {
-            core: Core::new(&terms, seed),
-            begun: Instant::now(),
+        let counters = Arc::new(Mutex::new(Counters::default()));
+        let mut runner = Runner {
+            core: Core::new(&config, seed),
+            started: Instant::now(),
             watch: Arc::default(),
-            counts: counts.clone(),
-            tell,
-            heard,
-            stops,
-            links: HashMap::new(),
+            counters: counters.clone(),
+            sender,
+            received,
+            drained,
+            connections: HashMap::new(),
             current: HashMap::new(),
-            next: 0,
+            next_connection: 0,
         };
         let core = spawn("bgp", move || {
-            shell.step(Input::Terms(Box::new(terms)));
-            shell.run();
+            runner.step(Input::Configure(Box::new(config)));
+            runner.run();
         })?;
-        Ok(Self { to, may_stop, core: Some(core), listens, counts })
+        Ok(Self { messages, drain_complete, core: Some(core), local_addr, counters })
     }
 
-    /// Where peers may connect.
-    pub fn listens(&self) -> Option<SocketAddr> {
-        self.listens
+    /// Address on which peers may connect.
+    pub fn local_addr(&self) -> Option<SocketAddr> {
+        self.local_addr
     }
 
-    fn say(&self, input: announce::Input) {
-        let _ = self.to.send(Told::Core(Input::Announce(input))); // or it has ended
+    fn announce(&self, input: announce::Input) {
+        let _ = self.messages.send(Message::Input(Input::Announce(input))); // fails only after the end
     }
 
-    pub fn health(&self, health: Health) {
-        self.say(announce::Input::Health(health));
+    pub fn report_health(&self, health: Health) {
+        self.announce(announce::Input::Health(health));
     }
 
-    /// Begins the drain; [`Speaker::may_stop`] tells when scans may stop being taken.
+    /// Starts the drain; [`Speaker::drain_complete`] signals when the mixer may stop accepting scans.
     pub fn drain(&self) {
-        self.say(announce::Input::Drain);
+        self.announce(announce::Input::Drain);
     }
 
-    /// Cuts the waits of a drain short.
-    pub fn hurry(&self) {
-        self.say(announce::Input::Hurry);
+    /// Skips the waiting times of a drain.
+    pub fn drain_now(&self) {
+        self.announce(announce::Input::DrainNow);
     }
 
-    /// Hears once that no route leads here any more.
-    pub fn may_stop(&self) -> &Receiver<()> {
-        &self.may_stop
+    /// Receives one message when no route leads to this mixer any more.
+    pub fn drain_complete(&self) -> &Receiver<()> {
+        &self.drain_complete
     }
 
-    /// Goes by these from now on. Sessions of peers that stay go on wherever BGP allows it.
-    pub fn change(&self, terms: Terms) {
-        let _ = self.to.send(Told::Core(Input::Terms(Box::new(terms)))); // or it has ended
+    /// Applies a new configuration. Sessions of peers that remain are kept wherever BGP allows it.
+    pub fn configure(&self, config: SpeakerConfig) {
+        let _ = self.messages.send(Message::Input(Input::Configure(Box::new(config)))); // fails only after the end
     }
 
-    /// For whoever wants to ask it how it stands.
-    pub fn shows(&self) -> Show {
-        Show(self.to.clone())
+    pub fn status_handle(&self) -> StatusHandle {
+        StatusHandle(self.messages.clone())
     }
 
-    /// Peers and addresses as they stand; none once it has ended.
-    pub fn show(&self) -> Option<Shown> {
-        self.shows().ask()
+    /// Current status; `None` after shutdown.
+    pub fn status(&self) -> Option<SpeakerStatus> {
+        self.status_handle().status()
     }
 
-    /// What has happened since the start.
-    pub fn counts(&self) -> Counts {
-        *self.counts.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn counters(&self) -> Counters {
+        *self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends all sessions with these words, and its threads.
-    pub fn end(mut self, words: &str) {
-        self.finish(words);
+    /// Ends all sessions with this shutdown communication, and all threads.
+    pub fn shutdown(mut self, text: &str) {
+        self.stop(text);
     }
 
-    fn finish(&mut self, words: &str) {
+    fn stop(&mut self, text: &str) {
         if let Some(core) = self.core.take() {
-            let _ = self.to.send(Told::End(words.to_owned())); // or it has ended
-            let _ = core.join(); // its panic was printed
-            // A listener's thread waits for one more connection.
-            self.listens.and_then(|at| TcpStream::connect_timeout(&at, PATIENCE).ok());
+            let _ = self.messages.send(Message::Shutdown(text.to_owned())); // fails only after the end
+            let _ = core.join(); // a panic has been printed by the panic hook
+            // Wakes the listener thread, which then finds that the state machine has ended.
+            self.local_addr.and_then(|at| TcpStream::connect_timeout(&at, IO_TIMEOUT).ok());
         }
     }
 }
 
 impl Drop for Speaker {
     fn drop(&mut self) {
-        self.finish("");
+        self.stop("");
     }
 }
 
-fn accept(listener: &TcpListener, tell: &Tell) {
+fn accept(listener: &TcpListener, sender: &MessageSender) {
     for stream in listener.incoming() {
         let Ok(stream) = stream else {
-            thread::sleep(Duration::from_millis(50)); // no descriptor may be left; another comes free
+            thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
-        if !tell.say(Told::Came(stream)) {
+        if !sender.send(Message::Accepted(stream)) {
             return;
         }
     }
 }
 
-struct Link {
-    peer: usize,
-    way: Way,
+struct Connection {
+    peer: PeerId,
+    direction: Direction,
     stream: Arc<TcpStream>,
-    /// What is to be written; dropped, the writer closes after the last.
+    /// Queue of the writer; when it is dropped, the writer closes the connection after the last message.
     write: Option<Sender<Vec<u8>>>,
-    /// Disconnected once the last is written.
+    /// Disconnected once the last message is written.
     written: Receiver<()>,
 }
 
-struct Shell {
+/// Runs the state machine and carries out its effects.
+struct Runner {
     core: Core,
-    begun: Instant,
-    /// What readers tell of.
-    watch: Arc<Mutex<Arc<Watch>>>,
-    counts: Arc<Mutex<Counts>>,
-    tell: Tell,
-    heard: Receiver<Told>,
-    stops: Sender<()>,
-    links: HashMap<u64, Link>,
-    /// The connection that the core means by a peer and a way.
-    current: HashMap<(usize, Way), u64>,
-    next: u64,
+    started: Instant,
+    /// Prefixes whose routes the readers report.
+    watch: Arc<Mutex<Arc<WatchedPrefixes>>>,
+    counters: Arc<Mutex<Counters>>,
+    sender: MessageSender,
+    received: Receiver<Message>,
+    drained: Sender<()>,
+    connections: HashMap<ConnectionId, Connection>,
+    /// The connection that the state machine refers to by a peer and a direction.
+    current: HashMap<(PeerId, Direction), ConnectionId>,
+    next_connection: ConnectionId,
 }
 
-impl Shell {
-    fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+impl Runner {
+    fn now_ms(&self) -> f64 {
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
     fn run(&mut self) {
         loop {
-            let wait = (self.core.due() - self.now()).clamp(0.0, 1e9);
-            match self.heard.recv_timeout(Duration::from_secs_f64(wait / 1e3)) {
-                Ok(Told::End(words)) => return self.goodbye(words),
-                Ok(told) => self.hear(told),
+            let wait_ms = (self.core.next_timer() - self.now_ms()).clamp(0.0, MAX_WAIT_MS);
+            match self.received.recv_timeout(Duration::from_secs_f64(wait_ms / 1e3)) {
+                Ok(Message::Shutdown(text)) => return self.shutdown(text),
+                Ok(message) => self.handle(message),
                 Err(_) => self.step(Input::Timer),
             }
         }
     }
 
-    fn hear(&mut self, told: Told) {
-        match told {
-            Told::Core(input) => self.step(input),
-            Told::Came(stream) => {
-                let from = stream.peer_addr().map(|at| at.ip());
-                match from.as_ref().ok().and_then(|from| self.core.peer_at(*from)) {
-                    Some(peer) => self.up(peer, Way::In, stream),
-                    None => debug!("a connection from {from:?}, who is no peer"),
+    fn handle(&mut self, message: Message) {
+        match message {
+            Message::Input(input) => self.step(input),
+            Message::Accepted(stream) => {
+                let ip = stream.peer_addr().map(|address| address.ip());
+                match ip.as_ref().ok().and_then(|ip| self.core.peer_at(*ip)) {
+                    Some(peer) => self.connected(peer, Direction::In, stream),
+                    None => debug!("closing a connection from {ip:?}, which is not a configured peer"),
                 }
             }
-            Told::Up(peer, stream) => self.up(peer, Way::Out, stream),
-            Told::Heard(number, read) => {
-                let Some(link) = self.links.get(&number) else { return };
-                let (peer, way) = (link.peer, link.way);
-                if self.current.get(&(peer, way)) == Some(&number) {
-                    let input = match read {
-                        Ok(message) => session::Input::Heard(way, message),
-                        Err(refusal) => session::Input::Unreadable(way, refusal),
-                    };
-                    self.step(Input::Session(peer, input));
-                }
-            }
-            Told::Ended(number) => {
-                let Some(link) = self.links.remove(&number) else { return };
-                let key = (link.peer, link.way);
-                if self.current.get(&key) == Some(&number) {
-                    self.current.remove(&key);
-                    self.step(Input::Session(link.peer, session::Input::Closed(link.way)));
-                }
+            Message::Connected(peer, stream) => self.connected(peer, Direction::Out, stream),
+            Message::Received(id, decoded) => self.received(id, decoded),
+            Message::Closed(id) => self.closed(id),
+            Message::ConnectFailed(peer) => {
+                self.step(Input::Session(peer, session::Input::Closed(Direction::Out)));
             }
-            Told::NotConnected(peer) => self.step(Input::Session(peer, session::Input::Closed(Way::Out))),
-            Told::Show(to) => {
-                let _ = to.send(self.core.show(self.now())); // or nobody waits any more
+            Message::Status(reply) => {
+                let _ = reply.send(self.core.status(self.now_ms())); // the requester may have timed out
             }
-            Told::End(_) => {}
+            Message::Shutdown(_) => {}
+        }
+    }
+
+    fn received(&mut self, id: ConnectionId, decoded: Result<BgpMessage, MessageError>) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let peer = connection.peer;
+        let direction = connection.direction;
+        if self.current.get(&(peer, direction)) == Some(&id) {
+            let input = match decoded {
+                Ok(message) => session::Input::Received(direction, message),
+                Err(error) => session::Input::Malformed(direction, error),
+            };
+            self.step(Input::Session(peer, input));
+        }
+    }
+
+    fn closed(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        let key = (connection.peer, connection.direction);
+        if self.current.get(&key) == Some(&id) {
+            self.current.remove(&key);
+            self.step(Input::Session(connection.peer, session::Input::Closed(connection.direction)));
         }
     }
 
-    fn up(&mut self, peer: usize, way: Way, stream: TcpStream) {
-        let number = self.next;
-        self.next += 1;
-        let Ok(link) = self.link(number, peer, way, stream) else {
-            return self.step(Input::Session(peer, session::Input::Closed(way)));
+    fn connected(&mut self, peer: PeerId, direction: Direction, stream: TcpStream) {
+        let id = self.next_connection;
+        self.next_connection += 1;
+        let Ok(connection) = self.open(id, peer, direction, stream) else {
+            return self.step(Input::Session(peer, session::Input::Closed(direction)));
         };
-        self.links.insert(number, link);
-        let before = self.current.insert((peer, way), number);
-        let effects = self.core.step(self.now(), Input::Session(peer, session::Input::Connected(way)));
-        if effects.contains(&Effect::Refuse(peer, way)) {
-            // The one before stays the core's.
+        self.connections.insert(id, connection);
+        let before = self.current.insert((peer, direction), id);
+        let effects =
+            self.core.step(self.now_ms(), Input::Session(peer, session::Input::Connected(direction)));
+        if effects.contains(&Effect::Refuse(peer, direction)) {
+            // The state machine keeps referring to the earlier connection.
             match before {
-                Some(before) => drop(self.current.insert((peer, way), before)),
-                None => drop(self.current.remove(&(peer, way))),
+                Some(before) => drop(self.current.insert((peer, direction), before)),
+                None => drop(self.current.remove(&(peer, direction))),
             }
-            if let Some(link) = self.links.get_mut(&number) {
-                link.write = None;
-                // Nothing was said on it that the peer must be let read.
-                let _ = link.stream.shutdown(Shutdown::Both); // or the peer has reset it
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.write = None;
+                // Nothing was sent on it that the peer needs time to read.
+                let _ = connection.stream.shutdown(Shutdown::Both); // fails if the peer has reset it
             }
         }
         effects.into_iter().for_each(|effect| self.carry_out(effect));
-        self.count();
+        self.publish_counters();
     }
 
-    fn link(&self, number: u64, peer: usize, way: Way, stream: TcpStream) -> io::Result<Link> {
+    /// Starts the reader and the writer of a connection.
+    fn open(
+        &self,
+        id: ConnectionId,
+        peer: PeerId,
+        direction: Direction,
+        stream: TcpStream,
+    ) -> io::Result<Connection> {
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(PATIENCE))?;
+        stream.set_write_timeout(Some(IO_TIMEOUT))?;
         let stream = Arc::new(stream);
-        let (write, messages) = bounded::<Vec<u8>>(WAITING);
+        let (write, messages) = bounded::<Vec<u8>>(WRITE_QUEUE_LEN);
+        // The two channels carry no messages: they are disconnected when the writer, or the reader, has finished.
         let (writing, written) = bounded::<()>(0);
-        let (reading, is_read) = bounded::<()>(0);
-        let closing = Arc::new(Closing::default());
-        let (reads, writes) = (stream.clone(), stream.clone());
-        let (read_tell, write_tell) = (self.tell.clone(), self.tell.clone());
-        let (read_closing, watch) = (closing.clone(), self.watch.clone());
+        let (reading, read_done) = bounded::<()>(0);
+        let half_close = Arc::new(HalfClose::default());
+        let write_stream = stream.clone();
+        let write_sender = self.sender.clone();
+        let write_half_close = half_close.clone();
+        let read_stream = stream.clone();
+        let read_sender = self.sender.clone();
+        let watch = self.watch.clone();
         spawn("bgp write", move || {
-            write_all(&writes, &messages);
-            closing.begin(&writes);
+            write_all(&write_stream, &messages);
+            write_half_close.start(&write_stream);
             drop(writing);
-            write_tell.say(Told::Ended(number));
-            let _ = is_read.recv_timeout(DISCARD); // disconnected once the reader has ended
-            let _ = writes.shutdown(Shutdown::Both); // wakes the reader of a peer that does not close
+            write_sender.send(Message::Closed(id));
+            let _ = read_done.recv_timeout(DRAIN_TIMEOUT); // disconnected once the reader has finished
+            let _ = write_stream.shutdown(Shutdown::Both); // wakes the reader of a peer that does not close
         })?;
         spawn("bgp read", move || {
-            read(&reads, number, &read_closing, &watch, &read_tell);
+            read_messages(&read_stream, id, &half_close, &watch, &read_sender);
             drop(reading);
-            let _ = reads.shutdown(Shutdown::Both); // wakes the writer
-            read_tell.say(Told::Ended(number));
+            let _ = read_stream.shutdown(Shutdown::Both); // wakes the writer
+            read_sender.send(Message::Closed(id));
         })?;
-        Ok(Link { peer, way, stream, write: Some(write), written })
+        Ok(Connection { peer, direction, stream, write: Some(write), written })
     }
 
     fn step(&mut self, input: Input) {
-        let effects = self.core.step(self.now(), input);
+        let effects = self.core.step(self.now_ms(), input);
         effects.into_iter().for_each(|effect| self.carry_out(effect));
-        self.count();
+        self.publish_counters();
     }
 
-    fn count(&self) {
-        *self.counts.lock().unwrap_or_else(PoisonError::into_inner) = *self.core.counts();
+    fn publish_counters(&self) {
+        *self.counters.lock().unwrap_or_else(PoisonError::into_inner) = *self.core.counters();
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Connect(peer, address) => {
-                let tell = self.tell.clone();
-                let attempt = move || {
-                    let told = match TcpStream::connect_timeout(&address, PATIENCE) {
-                        Ok(stream) => Told::Up(peer, stream),
-                        Err(error) => {
-                            debug!("no connection to {address}: {error}");
-                            Told::NotConnected(peer)
-                        }
-                    };
-                    tell.say(told);
-                };
-                if let Err(error) = spawn("bgp connect", attempt) {
-                    debug!("no thread to connect: {error}");
-                }
-            }
-            Effect::Send(peer, way, bytes) => {
-                let number = self.current.get(&(peer, way));
-                let Some(link) = number.and_then(|n| self.links.get_mut(n)) else { return };
-                let full = link.write.as_ref().is_some_and(|write| write.try_send(bytes).is_err());
-                if full {
-                    // It does not read: the connection ends, and the writer says so.
-                    debug!("peer {peer} does not read");
-                    let _ = link.stream.shutdown(Shutdown::Write); // or it was
-                }
-            }
-            Effect::Close(peer, way) => {
-                if let Some(number) = self.current.remove(&(peer, way))
-                    && let Some(link) = self.links.get_mut(&number)
+            Effect::Connect(peer, address) => self.connect(peer, address),
+            Effect::Send(peer, direction, bytes) => self.send(peer, direction, bytes),
+            Effect::Close(peer, direction) => {
+                if let Some(id) = self.current.remove(&(peer, direction))
+                    && let Some(connection) = self.connections.get_mut(&id)
                 {
-                    link.write = None;
+                    connection.write = None;
                 }
             }
             Effect::Refuse(..) => {}
             Effect::Watch(watch) => {
                 *self.watch.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(watch);
             }
-            Effect::MayStop => drop(self.stops.try_send(())),
-            Effect::Note(line) => info!("{line}"),
+            Effect::DrainComplete => drop(self.drained.try_send(())),
+            Effect::Log(line) => info!("{line}"),
+        }
+    }
+
+    fn connect(&self, peer: PeerId, address: SocketAddr) {
+        let sender = self.sender.clone();
+        let attempt = move || {
+            let result = match TcpStream::connect_timeout(&address, IO_TIMEOUT) {
+                Ok(stream) => Message::Connected(peer, stream),
+                Err(error) => {
+                    debug!("failed to connect to peer {address}: {error}");
+                    Message::ConnectFailed(peer)
+                }
+            };
+            sender.send(result);
+        };
+        if let Err(error) = spawn("bgp connect", attempt) {
+            debug!("failed to start a thread to connect to peer {address}: {error}");
+        }
+    }
+
+    fn send(&mut self, peer: PeerId, direction: Direction, bytes: Vec<u8>) {
+        let id = self.current.get(&(peer, direction));
+        let Some(connection) = id.and_then(|id| self.connections.get_mut(id)) else { return };
+        let full = connection.write.as_ref().is_some_and(|write| write.try_send(bytes).is_err());
+        if full {
+            // The peer does not read: the failing writer reports the connection as closed.
+            debug!("the write queue of peer {peer} is full; closing its connection");
+            let _ = connection.stream.shutdown(Shutdown::Write); // fails if it is shut down already
         }
     }
 
-    /// Ends the sessions, and waits for their last words to leave, not for long.
-    fn goodbye(&mut self, words: String) {
-        self.step(Input::Stop(words));
-        let until = Instant::now() + GOODBYE;
-        for link in self.links.values_mut() {
-            link.write = None;
-            let _ = link.written.recv_deadline(until); // nothing is ever sent on it
-            let _ = link.stream.shutdown(Shutdown::Write); // wakes a writer whose peer does not read
+    /// Ends all sessions and waits a limited time for their last messages to be written.
+    fn shutdown(&mut self, text: String) {
+        self.step(Input::Stop(text));
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        for connection in self.connections.values_mut() {
+            connection.write = None;
+            let _ = connection.written.recv_deadline(deadline); // disconnected once all is written
+            let _ = connection.stream.shutdown(Shutdown::Write); // wakes a writer whose peer does not read
         }
     }
 }
 
-/// Since when a connection is half-closed by this side.
+/// Time at which this side half-closed a connection.
 #[derive(Default)]
-struct Closing(OnceLock<Instant>);
+struct HalfClose(OnceLock<Instant>);
 
-impl Closing {
-    /// Shuts the sending side: the peer reads all that was written, and then the end.
-    fn begin(&self, stream: &TcpStream) {
-        let _ = self.0.set(Instant::now()); // it is set here only
-        let _ = stream.shutdown(Shutdown::Write); // or the peer has reset it
+impl HalfClose {
+    /// Shuts down the sending side: the peer reads everything written before, then end of file.
+    fn start(&self, stream: &TcpStream) {
+        let _ = self.0.set(Instant::now()); // set only here
+        let _ = stream.shutdown(Shutdown::Write); // fails if the peer has reset the connection
     }
 
-    fn begun(&self) -> bool {
+    fn has_started(&self) -> bool {
         self.0.get().is_some()
     }
 
-    /// Whether what still comes has been discarded for long enough.
-    fn over(&self) -> bool {
-        self.0.get().is_some_and(|since| since.elapsed() >= DISCARD)
+    /// Whether received data has been discarded for [`DRAIN_TIMEOUT`].
+    fn has_expired(&self) -> bool {
+        self.0.get().is_some_and(|since| since.elapsed() >= DRAIN_TIMEOUT)
     }
 }
 
-/// Writes messages until there are no more, or one can't be written.
+/// Writes messages until the queue is closed or a write fails.
 fn write_all(mut stream: &TcpStream, messages: &Receiver<Vec<u8>>) {
     for bytes in messages {
         if stream.write_all(&bytes).is_err() {
@@ -430,12 +461,12 @@
     }
 }
 
-/// Reads and discards until the peer closes, or for long enough. The window stays open meanwhile: a peer that is in the midst
-/// of sending comes to its end and reads why.
-fn discard(mut stream: &TcpStream, closing: &Closing) {
-    let mut piece = [0; 2048];
-    while !closing.over() {
-        match stream.read(&mut piece) {
+/// Reads and discards data until the peer closes or the half-close expires. This keeps the receive window open, so that a
+/// peer that is still sending can finish and read the NOTIFICATION.
+fn discard(mut stream: &TcpStream, half_close: &HalfClose) {
+    let mut chunk = [0; 2048];
+    while !half_close.has_expired() {
+        match stream.read(&mut chunk) {
             Ok(0) => return,
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -444,39 +475,45 @@
     }
 }
 
-/// Reads messages until the connection ends or one can't be read.
-fn read(mut stream: &TcpStream, number: u64, closing: &Closing, watch: &Mutex<Arc<Watch>>, tell: &Tell) {
-    let mut buffer = Vec::with_capacity(LONGEST);
-    let mut piece = [0; 2048];
-    // Whether numbers of AS have four octets: as the peer's OPEN says, for we always know them.
+/// Reads messages until the connection ends or one cannot be decoded.
+fn read_messages(
+    mut stream: &TcpStream,
+    id: ConnectionId,
+    half_close: &HalfClose,
+    watch: &Mutex<Arc<WatchedPrefixes>>,
+    sender: &MessageSender,
+) {
+    let mut buffer = Vec::with_capacity(MAX_MESSAGE_LEN);
+    let mut chunk = [0; 2048];
+    // This side always supports four-octet AS numbers, so the peer's OPEN decides.
     let mut four_octets = true;
     loop {
         loop {
-            let told = match message::length(&buffer) {
+            let decoded = match message::message_length(&buffer) {
                 Ok(Some(length)) if buffer.len() >= length => {
                     let watch = watch.lock().unwrap_or_else(PoisonError::into_inner).clone();
-                    let read = message::read(&buffer[..length], four_octets, &watch);
-                    if let Ok(Message::Open(open)) = &read {
+                    let decoded = message::decode(&buffer[..length], four_octets, &watch);
+                    if let Ok(BgpMessage::Open(open)) = &decoded {
                         four_octets = open.four_octets;
                     }
                     buffer.drain(..length);
-                    read
+                    decoded
                 }
                 Ok(_) => break,
-                Err(refusal) => Err(refusal),
+                Err(error) => Err(error),
             };
-            let bad = told.is_err();
-            if !tell.say(Told::Heard(number, told)) {
+            let is_malformed = decoded.is_err();
+            if !sender.send(Message::Received(id, decoded)) {
                 return;
             }
-            // A connection with a message that can't be read is ended by the writer, once the peer has been told why.
-            if bad || closing.begun() {
-                return discard(stream, closing);
+            // After a malformed message the writer closes the connection once the NOTIFICATION is written.
+            if is_malformed || half_close.has_started() {
+                return discard(stream, half_close);
             }
         }
-        match stream.read(&mut piece) {
+        match stream.read(&mut chunk) {
             Ok(0) => return,
-            Ok(count) => buffer.extend_from_slice(&piece[..count]),
+            Ok(count) => buffer.extend_from_slice(&chunk[..count]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return,
         }
--- a/crates/speaker/tests/loopback.rs
+++ b/crates/speaker/tests/loopback.rs
@@ -3,68 +3,74 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use pewterwharf_bgp::announce::{self, Address, Health, Phase};
+use pewterwharf_bgp::announce::{self, Health, Phase, ServiceAddress};
 use pewterwharf_bgp::message::Family;
 use pewterwharf_bgp::session::{self, State};
-use pewterwharf_bgp::speaker::{Carried, Peer as PeerTerms, Terms};
-use pewterwharf_speaker::{Shown, Speaker};
+use pewterwharf_bgp::speaker::{AttributeConfig, PeerConfig, SpeakerConfig};
+use pewterwharf_speaker::{Speaker, SpeakerStatus};
 use pewterwharf_standins::bgp::{self as standin, Manner, Peer, Wire};
 
 /// For what has to come: nothing waits this long but on a machine that stands still. Five seconds once were too few on two
 /// cores, where other tests looked without a pause.
 const CEILING: Duration = Duration::from_secs(60);
 
-fn terms(address: SocketAddr) -> Terms {
-    let session = session::Terms {
+fn terms(address: SocketAddr) -> SpeakerConfig {
+    let session = session::SessionConfig {
         asn: 4_200_000_000,
-        id: Ipv4Addr::new(10, 0, 0, 1),
+        bgp_id: Ipv4Addr::new(10, 0, 0, 1),
         peer_asn: 64_513,
-        hold_s: 9,
+        hold_time_s: 9,
         families: vec![Family::V4, Family::V6],
         connects: true,
-        retry_ms: 100.0,
-        idle_ms: 20.0,
-        most_routes: 5000,
+        connect_retry_ms: 100.0,
+        idle_hold_ms: 20.0,
+        max_prefixes: 5000,
     };
-    let peer = PeerTerms {
+    let peer = PeerConfig {
         address,
         session,
         next_hop_v4: Some(IpAddr::V4(Ipv4Addr::new(192, 0, 2, 1))),
         next_hop_v6: Some(IpAddr::V6(Ipv6Addr::new(0x2001, 0xdb8, 0, 0, 0, 0, 0, 1))),
     };
-    let any = |prefix: &str| Address {
+    let any = |prefix: &str| ServiceAddress {
         prefix: prefix.parse().expect("a prefix"),
         table_types: vec![],
         keep_last: false,
     };
-    Terms {
+    SpeakerConfig {
         peers: vec![peer],
-        announce: announce::Terms {
+        announce: announce::AnnounceConfig {
             addresses: vec![any("198.51.100.1/32"), any("2001:db8:1::1/128")],
             up_share: 0.9,
             down_share: 0.5,
-            up_ms: 20.0,
-            down_ms: 20.0,
-            stale_ms: 30_000.0,
-            pressure: 0.5,
-            changes: 100,
+            up_delay_ms: 20.0,
+            down_delay_ms: 20.0,
+            max_list_age_ms: 30_000.0,
+            max_rejected_share: 0.5,
+            max_changes_per_minute: 100,
             depreferenced_ms: 60.0,
-            leave_ms: 60.0,
+            withdrawn_ms: 60.0,
         },
-        carried: Carried {
+        attributes: AttributeConfig {
             communities: vec![0xFBF5_0001],
-            large: vec![(4_200_000_000, 1, 2)],
+            large_communities: vec![(4_200_000_000, 1, 2)],
             med: 10,
             depreferenced_med: 1000,
             local_pref: 100,
-            depreferenced_pref: 0,
+            depreferenced_local_pref: 0,
             prepend: 2,
         },
     }
 }
 
 fn health(share: f64) -> Health {
-    Health { phase: Phase::Ready, usable: vec![share], pressure: 0.0, places: true, list_age_ms: 0.0 }
+    Health {
+        phase: Phase::Ready,
+        servable_shares: vec![share],
+        rejected_share: 0.0,
+        has_client_capacity: true,
+        list_age_ms: 0.0,
+    }
 }
 
 fn start(peer: &Peer) -> Speaker {
@@ -72,7 +78,7 @@
 }
 
 fn state(speaker: &Speaker) -> State {
-    speaker.show().expect("it runs").peers[0].state
+    speaker.status().expect("it runs").peers[0].state
 }
 
 #[test]
@@ -81,7 +87,7 @@
     let speaker = start(&peer);
     let (_, before) = peer.until("up");
     assert_eq!(before, ["open 4200000000 hold 9"]);
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     assert_eq!(peer.next().what, "announce 198.51.100.1/32, path of 1");
     assert_eq!(peer.next().what, "announce 2001:db8:1::1/128, path of 1");
     speaker.drain();
@@ -90,12 +96,12 @@
     let withdrawn = [peer.next(), peer.next()];
     assert_eq!(withdrawn[0].what, "withdraw 198.51.100.1/32");
     assert_eq!(withdrawn[1].what, "withdraw 2001:db8:1::1/128");
-    speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
+    speaker.drain_complete().recv_timeout(CEILING).expect("scans may stop");
     let stopped = Instant::now();
     // By the peer's own times.
     assert!(withdrawn.iter().all(|w| w.at < stopped), "{withdrawn:?} and stopped at {stopped:?}");
     assert!(peer.rest().is_empty());
-    speaker.end("mending");
+    speaker.shutdown("mending");
     let (told, _) = peer.until("notification");
     assert!(told.what.contains("AdministrativeShutdown"), "{}", told.what);
     peer.until("closed");
@@ -105,12 +111,12 @@
 fn what_can_no_longer_be_served_is_withdrawn_and_comes_back() {
     let peer = Peer::start(&[Manner::Speaks]);
     let speaker = start(&peer);
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     peer.until("announce 2001:db8:1::1/128");
-    speaker.health(health(0.0));
+    speaker.report_health(health(0.0));
     peer.until("withdraw 2001:db8:1::1/128");
-    speaker.health(health(0.7));
-    speaker.health(health(1.0));
+    speaker.report_health(health(0.7));
+    speaker.report_health(health(1.0));
     let (_, before) = peer.until("announce 2001:db8:1::1/128");
     assert_eq!(before, ["announce 198.51.100.1/32, path of 1"]);
 }
@@ -119,15 +125,15 @@
 fn a_session_that_flaps_is_up_again_and_told_all_routes() {
     let peer = Peer::start(&[Manner::Flaps, Manner::Flaps, Manner::Flaps, Manner::Speaks]);
     let speaker = start(&peer);
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     for _ in 0..3 {
         peer.until("closed");
     }
     peer.until("announce 198.51.100.1/32, path of 1");
     peer.until("announce 2001:db8:1::1/128, path of 1");
-    let Shown { peers, addresses, counts, .. } = speaker.show().expect("it runs");
-    assert_eq!((counts.sessions_up, counts.sessions_lost), (4, 3));
-    assert_eq!((peers[0].ups, peers[0].flaps, peers[0].announced.len()), (4, 3, 2));
+    let SpeakerStatus { peers, addresses, counters, .. } = speaker.status().expect("it runs");
+    assert_eq!((counters.sessions_up, counters.sessions_lost), (4, 3));
+    assert_eq!((peers[0].times_established, peers[0].flaps, peers[0].advertised.len()), (4, 3, 2));
     assert!(addresses.iter().all(|a| a.reason == announce::Reason::Serves), "{addresses:?}");
 }
 
@@ -142,19 +148,19 @@
     for (manner, reason, code) in cases {
         let peer = Peer::start(&[manner, Manner::Speaks]);
         let mut terms = terms(peer.address);
-        terms.peers[0].session.hold_s = 3;
+        terms.peers[0].session.hold_time_s = 3;
         let speaker = Speaker::start(terms, None, 7).expect("it starts");
-        speaker.health(health(1.0));
+        speaker.report_health(health(1.0));
         // A peer that still sends may have its connection reset before it reads why; and what the next connection brings may be
         // heard before the end of the first.
         let (_, before) = peer.until("closed");
         let told = before.iter().any(|what| what.starts_with("notification") && what.contains(reason));
-        let error = speaker.show().expect("it runs").peers[0].last_error.clone().unwrap_or_default();
+        let error = speaker.status().expect("it runs").peers[0].last_error.clone().unwrap_or_default();
         assert!(told || error.contains(code), "{manner:?}: {before:?} and {error}");
         let since = Instant::now();
         let again = || {
-            let show = speaker.show().expect("it runs");
-            state(&speaker) == State::Established && !show.peers[0].announced.is_empty()
+            let show = speaker.status().expect("it runs");
+            state(&speaker) == State::Established && !show.peers[0].advertised.is_empty()
         };
         while !again() {
             assert!(since.elapsed() < CEILING, "{manner:?}: not tried again");
@@ -171,17 +177,17 @@
     let peer = Peer::start(&[Manner::Deaf]);
     let mut terms = terms(peer.address);
     terms.announce.depreferenced_ms = 5.0;
-    terms.announce.leave_ms = 5.0;
+    terms.announce.withdrawn_ms = 5.0;
     let speaker = Speaker::start(terms, None, 7).expect("it starts");
     peer.until("up");
-    speaker.health(health(1.0));
-    while speaker.show().expect("it runs").peers[0].announced.len() < 2 {
+    speaker.report_health(health(1.0));
+    while speaker.status().expect("it runs").peers[0].advertised.len() < 2 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let begun = Instant::now();
     speaker.drain();
-    speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
-    speaker.end("off");
+    speaker.drain_complete().recv_timeout(CEILING).expect("scans may stop");
+    speaker.shutdown("off");
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
 }
 
@@ -189,9 +195,9 @@
 fn with_no_peer_there_a_drain_waits_for_nobody() {
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let speaker = Speaker::start(terms(nobody), None, 7).expect("it starts");
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     speaker.drain();
-    speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
+    speaker.drain_complete().recv_timeout(CEILING).expect("scans may stop");
     assert_ne!(state(&speaker), State::Established);
 }
 
@@ -211,10 +217,10 @@
             (terms.peers[0].session.asn, terms.peers[0].session.peer_asn) = (64_512, 64_512);
         }
         let speaker = Speaker::start(terms, None, 7).expect("it starts");
-        speaker.health(health(1.0));
+        speaker.report_health(health(1.0));
         peer.until("closed");
         loop {
-            let shown = speaker.show().expect("it runs").peers[0].clone();
+            let shown = speaker.status().expect("it runs").peers[0].clone();
             if let Some(error) = shown.last_error {
                 assert!(error.starts_with(reason), "{manner:?}: {error}");
                 break;
@@ -237,13 +243,13 @@
     ] {
         let peer = Peer::start(&[manner]);
         let speaker = start(&peer);
-        speaker.health(health(1.0));
+        speaker.report_health(health(1.0));
         while state(&speaker) != reached {
             std::thread::sleep(Duration::from_millis(1));
         }
         speaker.drain();
-        speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
-        speaker.end("off");
+        speaker.drain_complete().recv_timeout(CEILING).expect("scans may stop");
+        speaker.shutdown("off");
         let (told, before) = peer.until("notification");
         assert!(told.what.contains("AdministrativeShutdown"), "{reached:?}: {}", told.what);
         assert!(
@@ -264,11 +270,11 @@
             let address = listener.local_addr().expect("an address");
             let any = "127.0.0.1:0".parse().expect("an address");
             let speaker = Speaker::start(terms(address), Some(any), 7).expect("it starts");
-            speaker.health(health(1.0));
+            speaker.report_health(health(1.0));
             let (stream, _) = listener.accept().expect("the mixer connects");
             let mut out = Wire::new(stream);
             assert_eq!(out.words(), "open 4200000000 hold 9");
-            let at = speaker.listens().expect("it listens");
+            let at = speaker.local_addr().expect("it listens");
             let mut came = Wire::new(TcpStream::connect(at).expect("the mixer listens"));
             assert_eq!(came.words(), "open 4200000000 hold 9");
             let id = Ipv4Addr::new(10, 0, 0, peer_id);
@@ -297,31 +303,31 @@
     terms.announce.addresses.truncate(1);
     terms.announce.addresses[0].keep_last = true;
     let speaker = Speaker::start(terms.clone(), None, 7).expect("it starts");
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     peer.until("announce 198.51.100.1/32, path of 1");
-    speaker.health(health(0.3));
+    speaker.report_health(health(0.3));
     peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
     let (address, other) = (Ipv4Addr::new(198, 51, 100, 1), Ipv4Addr::new(192, 0, 2, 2));
     // One more last resort, and then one's own route come back: neither is a reason to go.
     peer.say(&standin::route(address, other, true));
     peer.say(&standin::route(address, Ipv4Addr::new(192, 0, 2, 1), false));
     peer.say(&standin::route(Ipv4Addr::new(198, 51, 100, 2), other, false));
-    while speaker.show().expect("it runs").peers[0].heard_routes < 3 {
+    while speaker.status().expect("it runs").peers[0].received_prefixes < 3 {
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert!(!speaker.show().expect("it runs").addresses[0].others);
+    assert!(!speaker.status().expect("it runs").addresses[0].other_announcer);
     peer.say(&standin::route(address, other, false));
     peer.until("withdraw 198.51.100.1/32");
     peer.say(&standin::gone(address));
     peer.until("announce 198.51.100.1/32, path of 3, depreferenced");
     // Named anew, an address is asked for: the peer may have told of it before.
     let mut more = terms.clone();
-    more.announce.addresses.push(Address {
+    more.announce.addresses.push(ServiceAddress {
         prefix: "198.51.100.7/32".parse().expect("a prefix"),
         table_types: vec![],
         keep_last: true,
     });
-    speaker.change(more);
+    speaker.configure(more);
     peer.until("refresh");
 }
 
@@ -331,33 +337,36 @@
     let (peer, second) = (Peer::start(&[Manner::Speaks]), Peer::start(&[Manner::Speaks]));
     let before = terms(peer.address);
     let speaker = Speaker::start(before.clone(), None, 7).expect("it starts");
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     peer.until("announce 2001:db8:1::1/128");
     let mut new = before.clone();
     new.announce.addresses.remove(1);
-    new.announce.addresses.push(Address {
+    new.announce.addresses.push(ServiceAddress {
         prefix: "198.51.100.7/32".parse().expect("a prefix"),
         table_types: vec![],
         keep_last: false,
     });
-    new.peers[0].session.hold_s = 30;
+    new.peers[0].session.hold_time_s = 30;
     new.peers.push(terms(second.address).peers.remove(0));
-    speaker.change(new.clone());
+    speaker.configure(new.clone());
     peer.until("withdraw 2001:db8:1::1/128");
     peer.until("announce 198.51.100.7/32");
     second.until("up");
     second.until("announce 198.51.100.7/32");
     // A new next hop: all is told again, and nothing is withdrawn.
     new.peers[0].next_hop_v4 = Some(IpAddr::V4(Ipv4Addr::new(192, 0, 2, 77)));
-    speaker.change(new.clone());
+    speaker.configure(new.clone());
     let (_, told) = peer.until("announce 198.51.100.7/32");
     assert_eq!(told.last().map(String::as_str), Some("announce 198.51.100.1/32, path of 1"));
     new.peers.remove(1);
-    speaker.change(new);
+    speaker.configure(new);
     let (gone, _) = second.until("notification");
     assert!(gone.what.contains("PeerDeConfigured"), "{}", gone.what);
-    let shown = speaker.show().expect("it runs");
-    assert_eq!((shown.peers.len(), shown.peers[0].ups, shown.peers[0].state), (1, 1, State::Established));
+    let shown = speaker.status().expect("it runs");
+    assert_eq!(
+        (shown.peers.len(), shown.peers[0].times_established, shown.peers[0].state),
+        (1, 1, State::Established)
+    );
 }
 
 /// A peer shuts its window while more and more is to be told. Its connection ends once the queue for it is full; another
@@ -368,33 +377,33 @@
     let mut terms = terms(peer.address);
     terms.peers.push(self::terms(deaf.address).peers.remove(0));
     terms.announce.addresses = (0..64)
-        .map(|nth| Address {
+        .map(|nth| ServiceAddress {
             prefix: format!("2001:db8:2::{nth:x}/128").parse().expect("a prefix"),
             table_types: vec![],
             keep_last: false,
         })
         .collect();
     let speaker = Speaker::start(terms.clone(), None, 7).expect("it starts");
-    speaker.health(health(1.0));
+    speaker.report_health(health(1.0));
     deaf.until("up");
     peer.until("announce 2001:db8:2::3f/128");
-    let lost = |speaker: &Speaker| speaker.show().expect("it runs").counts.sessions_lost;
+    let lost = |speaker: &Speaker| speaker.status().expect("it runs").counters.sessions_lost;
     let mut rounds = 0;
     while lost(&speaker) == 0 {
         // A new MED: every route is told again, in one message to each peer.
-        terms.carried.med += 1;
-        speaker.change(terms.clone());
+        terms.attributes.med += 1;
+        speaker.configure(terms.clone());
         peer.until("announce 2001:db8:2::3f/128");
         rounds += 1;
         assert!(rounds < 100_000, "it is never let go");
     }
-    let shown = speaker.show().expect("it runs");
-    assert_eq!(shown.peers.iter().map(|p| p.ups).collect::<Vec<_>>(), [1, 1]);
+    let shown = speaker.status().expect("it runs");
+    assert_eq!(shown.peers.iter().map(|p| p.times_established).collect::<Vec<_>>(), [1, 1]);
     assert_eq!(shown.peers[0].state, State::Established);
     speaker.drain();
     peer.until("announce 2001:db8:2::3f/128, path of 3, depreferenced");
     peer.until("withdraw 2001:db8:2::3f");
-    speaker.may_stop().recv_timeout(CEILING).expect("scans may stop");
+    speaker.drain_complete().recv_timeout(CEILING).expect("scans may stop");
 }
 
 /// More routes than the buffers of a connection hold: a peer whose window stays shut waits for as long as its system lets it.
@@ -408,7 +417,7 @@
     for (nth, peer) in peers.iter().enumerate() {
         let (_, before) = peer.until("closed");
         let told = before.iter().any(|what| what.contains("MaximumNumberOfPrefixesReached"));
-        let error = speaker.show().expect("it runs").peers[nth].last_error.clone().unwrap_or_default();
+        let error = speaker.status().expect("it runs").peers[nth].last_error.clone().unwrap_or_default();
         assert!(told || error.contains("6/1"), "peer {nth}: {before:?} and {error}");
     }
 }
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,10 +1,10 @@
-//! The one place where configuration is read, checked and given defaults. The simulator's text and a mixer's
-//! JSON flatten to the same keys, so one code reads the settings of both.
+//! Reads and checks the configuration of a mixer and applies defaults. The simulator's text and a mixer's JSON are flattened
+//! to the same keys, so both are read by the same code.
 
 pub mod list;
 mod start;
 
-pub use start::{Change, Start};
+pub use start::{ConfigChange, StartupConfig};
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -14,13 +14,13 @@
 use pewterwharf::logic::Mixer;
 use serde_json::Value;
 
-/// Settings as `path=value` pairs.
+/// Configuration values by key path, such as `services.0.name`.
 #[derive(Default)]
-struct Lines(HashMap<String, String>);
+struct FlatConfig(HashMap<String, String>);
 
-impl Lines {
-    /// The simulator's form: a pair a line.
-    fn of_text(text: &str) -> Result<Self> {
+impl FlatConfig {
+    /// Reads the simulator's format: one `path=value` per line.
+    fn from_text(text: &str) -> Result<Self> {
         let pairs = text.lines().filter(|line| !line.trim().is_empty());
         let pairs = pairs.map(|line| {
             let (key, value) = line.split_once('=').with_context(|| format!("no '=' in {line}"))?;
@@ -29,26 +29,26 @@
         Ok(Self(pairs.collect::<Result<_>>()?))
     }
 
-    /// A mixer's form: nested JSON.
-    fn of_json(value: &Value) -> Self {
-        let mut lines = Self::default();
-        lines.flatten("", value);
-        lines
+    /// Reads a mixer's format: nested JSON.
+    fn from_json(value: &Value) -> Self {
+        let mut values = Self::default();
+        values.flatten("", value);
+        values
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
-        let at = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+        let child = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
         match value {
             Value::Null => {}
-            Value::Object(map) => map.iter().for_each(|(key, inner)| self.flatten(&at(key), inner)),
+            Value::Object(map) => map.iter().for_each(|(key, inner)| self.flatten(&child(key), inner)),
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(at("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(i, item)| self.flatten(&at(&i.to_string()), item));
+                self.0.insert(child("count"), items.len().to_string());
+                items.iter().enumerate().for_each(|(i, item)| self.flatten(&child(&i.to_string()), item));
             }
             Value::Array(items) => {
-                let words: Vec<String> =
+                let texts: Vec<String> =
                     items.iter().map(|item| plain(item).replace([' ', ','], "_")).collect();
-                self.0.insert(path.to_owned(), words.join(","));
+                self.0.insert(path.to_owned(), texts.join(","));
             }
             other => {
                 self.0.insert(path.to_owned(), plain(other));
@@ -56,7 +56,7 @@
         }
     }
 
-    fn maybe<T: FromStr>(&self, key: &str) -> Result<Option<T>> {
+    fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>> {
         let Some(text) = self.0.get(key) else { return Ok(None) };
         match text.parse() {
             Ok(value) => Ok(Some(value)),
@@ -64,209 +64,225 @@
         }
     }
 
-    fn must<T: FromStr>(&self, key: &str) -> Result<T> {
-        self.maybe(key)?.with_context(|| format!("{key} is missing"))
+    fn required<T: FromStr>(&self, key: &str) -> Result<T> {
+        self.optional(key)?.with_context(|| format!("{key} is missing"))
     }
 
-    fn number(&self, key: &str) -> Result<Option<f64>> {
-        match self.maybe::<f64>(key)? {
+    fn optional_number(&self, key: &str) -> Result<Option<f64>> {
+        match self.optional::<f64>(key)? {
             Some(value) if !value.is_finite() => bail!("{key}={value} can't be read"),
             other => Ok(other),
         }
     }
 
-    fn figure(&self, key: &str) -> Result<f64> {
-        self.number(key)?.with_context(|| format!("{key} is missing"))
+    fn required_number(&self, key: &str) -> Result<f64> {
+        self.optional_number(key)?.with_context(|| format!("{key} is missing"))
     }
 
-    /// The `i`th of a list of plain values, where the list is there.
-    fn nth(&self, key: &str, i: usize) -> Result<Option<f64>> {
+    /// The `i`th number of a comma-separated list; `None` if the key is absent.
+    fn nth_number(&self, key: &str, i: usize) -> Result<Option<f64>> {
         let Some(text) = self.0.get(key) else { return Ok(None) };
-        let word = text.split(',').nth(i).with_context(|| format!("{key} has no value {i}"))?;
-        let value: f64 = word.parse().ok().with_context(|| format!("{key}={text} can't be read"))?;
+        let item = text.split(',').nth(i).with_context(|| format!("{key} has no value {i}"))?;
+        let value: f64 = item.parse().ok().with_context(|| format!("{key}={text} can't be read"))?;
         Ok(Some(value))
     }
 
-    /// As [`Lines::nth`], of a share of one.
-    fn share(&self, key: &str, i: usize) -> Result<Option<f64>> {
-        let share = self.nth(key, i)?;
+    /// Like [`FlatConfig::nth_number`], for a share from 0 to 1.
+    fn nth_share(&self, key: &str, i: usize) -> Result<Option<f64>> {
+        let share = self.nth_number(key, i)?;
         ensure!(share.is_none_or(|s| (0.0..=1.0).contains(&s)), "{key} is not within 0 to 1 at {i}");
         Ok(share)
     }
 
-    /// A key that takes one of a few words; the first where it is absent.
-    fn one_of(&self, key: &str, words: &[&'static str]) -> Result<&'static str> {
-        let Some(text) = self.0.get(key) else { return Ok(words[0]) };
-        let word = words.iter().find(|word| *word == text);
-        word.copied().with_context(|| format!("{key}={text} is none of {}", words.join(", ")))
+    /// A key with a fixed set of values; the first is the default.
+    fn one_of(&self, key: &str, allowed: &[&'static str]) -> Result<&'static str> {
+        let Some(text) = self.0.get(key) else { return Ok(allowed[0]) };
+        let value = allowed.iter().find(|value| *value == text);
+        value.copied().with_context(|| format!("{key}={text} is none of {}", allowed.join(", ")))
     }
 
-    fn words(&self, key: &str) -> Vec<String> {
+    /// The items of a comma-separated list.
+    fn items(&self, key: &str) -> Vec<String> {
         self.0.get(key).map(|text| text.split(',').map(str::to_owned).collect()).unwrap_or_default()
     }
 }
 
+/// Text of a scalar, without quotes.
 fn plain(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// What a mixer goes by: the module's terms, the names that stand for its indices, the bounds of its links.
+/// Configuration of a mixer: the settings of the decision module, the names behind its indices, and limits on connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    pub types: Vec<TableType>,
-    pub type_names: Vec<String>,
+pub struct MixerConfig {
+    pub table_types: Vec<TableType>,
+    pub table_type_names: Vec<String>,
     pub customers: Vec<Customer>,
     pub customer_names: Vec<String>,
     pub layout: Layout,
-    pub shards: u32,
+    pub shard_count: u32,
     pub guards: Guards,
-    pub permits: Permits,
-    pub berth: Berth,
+    pub permissions: Permits,
+    pub placement: Berth,
     pub zones: Vec<String>,
-    /// Scans and parts that a mixer may hold.
-    pub open_cap: usize,
-    /// Calls that a connection to a searcher carries at once.
-    pub calls_per_link: usize,
+    /// Maximum number of scans and parts that are open at once.
+    pub max_open: usize,
+    /// Maximum number of concurrent calls on one connection to a searcher.
+    pub max_calls_per_connection: usize,
     pub connect_timeout_ms: f64,
-    /// From when on the other side may have closed an idle connection.
-    pub idle_ms: f64,
-    /// Where in a load report the busy share of the cores stands, if answers bring it.
-    pub busy_at: Option<usize>,
+    /// Idle time after which the other side may have closed a connection.
+    pub idle_close_ms: f64,
+    /// Index of the CPU load share in a load report, if answers contain it.
+    pub load_share_index: Option<usize>,
 }
 
-impl Terms {
-    pub fn of_text(text: &str) -> Result<Self> {
-        Self::read(&Lines::of_text(text)?)
+impl MixerConfig {
+    /// Reads the simulator's format: one `path=value` per line.
+    ///
+    /// # Errors
+    /// Names the missing or invalid key.
+    pub fn from_text(text: &str) -> Result<Self> {
+        Self::read(&FlatConfig::from_text(text)?)
     }
 
-    pub fn of_json(settings: &Value) -> Result<Self> {
-        Self::read(&Lines::of_json(settings))
+    /// Reads the value of the key `settings` of a mixer's configuration file.
+    ///
+    /// # Errors
+    /// Names the missing or invalid key.
+    pub fn from_json(settings: &Value) -> Result<Self> {
+        Self::read(&FlatConfig::from_json(settings))
     }
 
-    /// Starts a module on these terms.
+    /// Creates a decision module with this configuration.
     pub fn open(&self, seed: u64) -> Mixer {
         Mixer::open(
             seed,
-            self.types.clone(),
+            self.table_types.clone(),
             self.customers.clone(),
             self.layout.clone(),
             self.guards.clone(),
-            self.permits.clone(),
-            self.berth.clone(),
+            self.permissions.clone(),
+            self.placement.clone(),
         )
     }
 
-    /// Keys that are not known are passed over.
-    fn read(lines: &Lines) -> Result<Self> {
-        let asks = lines.one_of("discovery", &["push", "ask"])? == "ask";
-        let via = lines.one_of("report.via", &["none", "answers", "probe"])?;
-        lines.one_of("weight_source", &["none", "nominal", "rough", "live"])?;
-        lines.one_of("worth_by", &["request", "work"])?;
-        let probe: bool = lines.must("permissions.probing")?;
-        ensure!(probe || via != "probe", "report.via=probe can't go with permissions.probing=false");
-        let ask_within_ms = lines.number("rules.ask_within_ms")?;
+    /// Unknown keys are ignored.
+    fn read(values: &FlatConfig) -> Result<Self> {
+        let asks_discovery = values.one_of("discovery", &["push", "ask"])? == "ask";
+        let report_via = values.one_of("report.via", &["none", "answers", "probe"])?;
+        values.one_of("weight_source", &["none", "nominal", "rough", "live"])?;
+        values.one_of("worth_by", &["request", "work"])?;
+        let probe: bool = values.required("permissions.probing")?;
+        ensure!(probe || report_via != "probe", "report.via=probe can't go with permissions.probing=false");
+        let ask_within_ms = values.optional_number("rules.ask_within_ms")?;
         ensure!(ask_within_ms.is_none_or(|ms| ms > 0.0), "rules.ask_within_ms is not above 0");
-        ensure!(!asks || ask_within_ms.is_some(), "rules.ask_within_ms is missing, and discovery=ask");
-        let kinds: usize = lines.must("services.count")?;
-        let types = (0..kinds).map(|i| table_type(lines, i)).collect::<Result<_>>()?;
-        let name = |list: &str, i: usize| lines.0.get(&format!("{list}.{i}.name")).cloned();
-        let type_names = (0..kinds).map(|i| name("services", i).unwrap_or_default()).collect();
-        let count = lines.maybe("customers.count")?.unwrap_or(0);
-        let customers = (0..count).map(|i| customer(lines, i)).collect::<Result<_>>()?;
-        let customer_names = (0..count).map(|i| name("customers", i).unwrap_or_default()).collect();
+        ensure!(
+            !asks_discovery || ask_within_ms.is_some(),
+            "rules.ask_within_ms is missing, and discovery=ask"
+        );
+        let type_count: usize = values.required("services.count")?;
+        let table_types = (0..type_count).map(|i| table_type(values, i)).collect::<Result<_>>()?;
+        let name = |list: &str, i: usize| values.0.get(&format!("{list}.{i}.name")).cloned();
+        let table_type_names = (0..type_count).map(|i| name("services", i).unwrap_or_default()).collect();
+        let customer_count = values.optional("customers.count")?.unwrap_or(0);
+        let customers = (0..customer_count).map(|i| customer(values, i)).collect::<Result<_>>()?;
+        let customer_names = (0..customer_count).map(|i| name("customers", i).unwrap_or_default()).collect();
         let layout = Layout {
-            cells: lines.must("family_info.positions")?,
-            reach: lines.must("family_info.in_a_row")?,
-            parts_per_call: lines.maybe("family_info.bundle_max")?.unwrap_or(1),
-            call_work_ms: lines.number("family_info.overhead_ms")?.unwrap_or(0.0),
+            cells: values.required("family_info.positions")?,
+            reach: values.required("family_info.in_a_row")?,
+            parts_per_call: values.optional("family_info.bundle_max")?.unwrap_or(1),
+            call_work_ms: values.optional_number("family_info.overhead_ms")?.unwrap_or(0.0),
         };
         if layout.cells == 0 {
             bail!("family_info.positions=0 can't be read");
         }
-        let permits = Permits {
-            cancel: lines.must("permissions.cancel")?,
+        let permissions = Permits {
+            cancel: values.required("permissions.cancel")?,
             probe,
-            second_copies: lines.must("permissions.parallel_tries")?,
-            dispatches: lines.must("permissions.max_attempts")?,
-            back_in_ms: match lines.must("permissions.retry_after")? {
-                true => lines.number("permissions.max_retry_after_ms")?,
+            second_copies: values.required("permissions.parallel_tries")?,
+            dispatches: values.required("permissions.max_attempts")?,
+            back_in_ms: match values.required("permissions.retry_after")? {
+                true => values.optional_number("permissions.max_retry_after_ms")?,
                 false => None,
             },
-            ask_within_ms: ask_within_ms.filter(|_| asks),
+            ask_within_ms: ask_within_ms.filter(|_| asks_discovery),
         };
-        let berth = Berth { mixers: lines.must("peers_total")?, zone: lines.must("zone")? };
+        let placement = Berth { mixers: values.required("peers_total")?, zone: values.required("zone")? };
         Ok(Self {
-            types,
-            type_names,
+            table_types,
+            table_type_names,
             customers,
             customer_names,
             layout,
-            shards: lines.maybe("family_info.ranges")?.unwrap_or(u32::MAX),
-            guards: guards(lines)?,
-            permits,
-            berth,
-            zones: lines.words("zones"),
-            busy_at: match via {
-                "answers" => lines.words("report.names").iter().position(|n| n == "load_share"),
+            shard_count: values.optional("family_info.ranges")?.unwrap_or(u32::MAX),
+            guards: guards(values)?,
+            permissions,
+            placement,
+            zones: values.items("zones"),
+            load_share_index: match report_via {
+                "answers" => values.items("report.names").iter().position(|n| n == "load_share"),
                 _ => None,
             },
-            open_cap: lines.maybe("permissions.open_cap")?.unwrap_or(usize::MAX),
-            calls_per_link: lines.maybe("permissions.multiplex")?.unwrap_or(1),
-            connect_timeout_ms: lines.number("permissions.connect_timeout_ms")?.unwrap_or(250.0),
-            idle_ms: lines.number("permissions.idle_close_ms")?.unwrap_or(15_000.0),
+            max_open: values.optional("permissions.open_cap")?.unwrap_or(usize::MAX),
+            max_calls_per_connection: values.optional("permissions.multiplex")?.unwrap_or(1),
+            connect_timeout_ms: values.optional_number("permissions.connect_timeout_ms")?.unwrap_or(250.0),
+            idle_close_ms: values.optional_number("permissions.idle_close_ms")?.unwrap_or(15_000.0),
         })
     }
 }
 
-fn table_type(lines: &Lines, i: usize) -> Result<TableType> {
+/// Tolerance for shares that are rounded in the configuration.
+const ROUNDING: f64 = 1e-4;
+
+fn table_type(values: &FlatConfig, i: usize) -> Result<TableType> {
     let key = |name: &str| format!("services.{i}.{name}");
-    let repeat = match lines.must::<String>(&key("idempotency"))?.as_str() {
+    let repeat = match values.required::<String>(&key("idempotency"))?.as_str() {
         "pure" => Repeat::Replayable,
-        "token" => Repeat::Keyed { window_ms: lines.figure(&key("key_ttl_ms"))? },
+        "token" => Repeat::Keyed { window_ms: values.required_number(&key("key_ttl_ms"))? },
         "side_effect" => Repeat::NonReplayable,
         other => bail!("{}={other} can't be read", key("idempotency")),
     };
-    let need = lines.share("family_info.class_need", i)?.unwrap_or(1.0);
-    let floor = lines.share("family_info.floor_by_class", i)?.unwrap_or(need);
+    let need = values.nth_share("family_info.class_need", i)?.unwrap_or(1.0);
+    let floor = values.nth_share("family_info.floor_by_class", i)?.unwrap_or(need);
     ensure!(
-        floor <= need + 1e-4, // both come rounded
+        floor <= need + ROUNDING,
         "family_info.floor_by_class={floor} is above family_info.class_need={need} for table type {i}"
     );
     Ok(TableType {
-        target_ms: lines.figure(&key("slo_ms"))?,
-        query_timeout_ms: lines.figure(&key("hard_limit_ms"))?,
-        benefit: lines.figure(&key("points"))?,
-        late_share: lines.number(&key("late_worth"))?.unwrap_or(0.0),
-        target_stretch: lines.number(&key("aim_stretch"))?.unwrap_or(0.0),
+        target_ms: values.required_number(&key("slo_ms"))?,
+        query_timeout_ms: values.required_number(&key("hard_limit_ms"))?,
+        benefit: values.required_number(&key("points"))?,
+        late_share: values.optional_number(&key("late_worth"))?.unwrap_or(0.0),
+        target_stretch: values.optional_number(&key("aim_stretch"))?.unwrap_or(0.0),
         repeat,
         need,
         floor,
-        partial_share: lines.share("family_info.partial_earns", i)?.unwrap_or(0.0),
-        second_step: lines.nth("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
+        partial_share: values.nth_share("family_info.partial_earns", i)?.unwrap_or(0.0),
+        second_step: values.nth_number("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
     })
 }
 
-fn customer(lines: &Lines, i: usize) -> Result<Customer> {
+fn customer(values: &FlatConfig, i: usize) -> Result<Customer> {
     Ok(Customer {
-        scans_per_s: lines.figure(&format!("customers.{i}.quota_per_s"))?,
-        over_share: lines.number("over_share_worth")?.unwrap_or(1.0),
+        scans_per_s: values.required_number(&format!("customers.{i}.quota_per_s"))?,
+        over_share: values.optional_number("over_share_worth")?.unwrap_or(1.0),
     })
 }
 
-fn guards(lines: &Lines) -> Result<Guards> {
-    let budget = match lines.number("rules.repeat_ratio")? {
+fn guards(values: &FlatConfig) -> Result<Guards> {
+    let budget = match values.optional_number("rules.repeat_ratio")? {
         Some(share) => Some(Budget {
-            free: lines.number("rules.free_resends")?.unwrap_or(0.0),
+            free: values.optional_number("rules.free_resends")?.unwrap_or(0.0),
             share,
-            window_ms: lines.figure("rules.extra_window_ms")?,
+            window_ms: values.required_number("rules.extra_window_ms")?,
         }),
         None => None,
     };
     Ok(Guards {
-        cold_from: lines.figure("rules.cold_from")?,
-        warm_ms: lines.figure("rules.warm_after_ms")?,
-        tip_multiple: lines.figure("rules.tip_multiple")?,
-        fall_ms: lines.figure("rules.fall_ms")?,
+        cold_from: values.required_number("rules.cold_from")?,
+        warm_ms: values.required_number("rules.warm_after_ms")?,
+        tip_multiple: values.required_number("rules.tip_multiple")?,
+        fall_ms: values.required_number("rules.fall_ms")?,
         budget,
     })
 }
--- a/crates/terms/src/list.rs
+++ b/crates/terms/src/list.rs
@@ -1,4 +1,4 @@
-//! The searcher list in discovery's form, as it comes over the watch, stands in `known` or is kept in a file.
+//! The searcher list in the format of discovery: as received over a watch, given under the key `known`, or read from a file.
 
 use std::net::SocketAddrV4;
 
@@ -13,24 +13,30 @@
     pub addr: SocketAddrV4,
     pub zone: String,
     pub cell: u32,
+    /// Start of the searcher's process in milliseconds since 1970; zero if unknown.
     pub since: f64,
     pub life: Life,
-    /// Milliseconds that this word was old when the list was written; zero where the list does not say.
+    /// Age of this entry in milliseconds when the list was written; zero if the list does not state it.
     pub age_ms: f64,
 }
 
-/// The whole list, or what has changed in it.
+/// A complete list, or changes to an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
+    /// Version of the list.
     pub index: u64,
+    /// The list is complete, not a set of changes.
     pub whole: bool,
     pub entries: Vec<Entry>,
-    /// Why an entry was passed over.
+    /// Errors of the entries that were skipped.
     pub bad: Vec<String>,
 }
 
-/// Reads a list; an entry that can't be read does not take the others with it.
-pub fn list(value: &Value) -> Result<List> {
+/// Parses a list. Invalid entries are skipped and reported in [`List::bad`].
+///
+/// # Errors
+/// If a field of the list itself is missing.
+pub fn parse_list(value: &Value) -> Result<List> {
     let entries = value["endpoints"].as_array().context("endpoints is missing")?;
     let mut list = List {
         index: value["index"].as_u64().context("index is missing")?,
@@ -39,7 +45,7 @@
         bad: Vec::new(),
     };
     for entry in entries {
-        match read(entry) {
+        match parse_entry(entry) {
             Ok(entry) => list.entries.push(entry),
             Err(error) => list.bad.push(format!("{error:#} in {entry}")),
         }
@@ -47,9 +53,9 @@
     Ok(list)
 }
 
-fn read(entry: &Value) -> Result<Entry> {
-    let word = |key: &str| entry[key].as_str().with_context(|| format!("{key} is missing"));
-    let life = match word("status")? {
+fn parse_entry(entry: &Value) -> Result<Entry> {
+    let text = |key: &str| entry[key].as_str().with_context(|| format!("{key} is missing"));
+    let life = match text("status")? {
         "up" => Life::Ready,
         "draining" => Life::Draining,
         "removed" => Life::Gone,
@@ -57,8 +63,8 @@
     };
     let since = entry["since_ms"].as_f64().unwrap_or(0.0);
     Ok(Entry {
-        name: word("name")?.to_owned(),
-        addr: word("address")?.parse().context("address can't be read")?,
+        name: text("name")?.to_owned(),
+        addr: text("address")?.parse().context("address can't be read")?,
         zone: entry["zone"].as_str().unwrap_or_default().to_owned(),
         cell: entry["group"].as_u64().and_then(|g| u32::try_from(g).ok()).context("group can't be read")?,
         since: if since > 0.0 { since } else { 0.0 },
--- a/crates/terms/src/start.rs
+++ b/crates/terms/src/start.rs
@@ -1,104 +1,117 @@
-//! What a mixer on sockets is told at its start: the file named by `ROUTER_CONFIG`.
+//! Startup configuration of a mixer: the file named by `ROUTER_CONFIG`.
 
 use std::net::SocketAddrV4;
 
 use anyhow::{Context, Result, ensure};
 use serde_json::Value;
 
-use crate::{Lines, Terms};
+use crate::{FlatConfig, MixerConfig};
 
-/// Keys of the file and the variables that go before them.
-const NAME: (&str, &str) = ("name", "ROUTER_NAME");
-const LISTEN: (&str, &str) = ("listen", "ROUTER_LISTEN");
-const DISCOVERY: (&str, &str) = ("discovery", "ROUTER_DISCOVERY");
+/// An environment variable that overrides a key of the file.
+struct Override {
+    key: &'static str,
+    variable: &'static str,
+}
+
+const NAME: Override = Override { key: "name", variable: "ROUTER_NAME" };
+const LISTEN: Override = Override { key: "listen", variable: "ROUTER_LISTEN" };
+const DISCOVERY: Override = Override { key: "discovery", variable: "ROUTER_DISCOVERY" };
 
-/// A mixer's name, addresses, limits and terms.
+/// A mixer's name, addresses, resource limits and settings.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddrV4,
     pub discovery: SocketAddrV4,
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory in bytes that the process may take.
-    pub memory: usize,
-    /// What the system allows of them.
-    allowed: usize,
-    /// The searcher list as last held, in discovery's form.
-    pub known: Value,
-    pub terms: Terms,
+    /// Memory limit in bytes.
+    pub memory_bytes: usize,
+    /// Limit of the operating system on file descriptors.
+    descriptor_limit: usize,
+    /// The last known searcher list in the format of discovery; key `known`.
+    pub cached_list: Value,
+    pub config: MixerConfig,
 }
 
-/// What a new file changes in a mixer that runs.
+/// Changes to a running mixer from a reloaded file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct ConfigChange {
     pub discovery: SocketAddrV4,
-    /// Keys that have changed and count from the next start only.
-    pub at_restart: Vec<&'static str>,
+    /// Changed keys that take effect at the next start only.
+    pub needs_restart: Vec<&'static str>,
 }
 
-impl Start {
-    /// Where no limit on sockets is stated: what a process is commonly given.
-    const SOCKETS: usize = 1024;
-    /// Where no limit on memory is stated: the least that a mixer is given.
-    const MEMORY_MB: f64 = 32.0;
-    /// Fewer leave no room for clients, searchers and discovery together.
-    const FEWEST: usize = 32;
+impl StartupConfig {
+    /// Default of `limits.sockets`: the usual limit of a process.
+    const DEFAULT_SOCKETS: usize = 1024;
+    /// Default of `limits.memory_mb`: the smallest limit that mixers are deployed with.
+    const DEFAULT_MEMORY_MB: f64 = 32.0;
+    /// With fewer sockets there is no room for clients, searchers and discovery together.
+    const MIN_SOCKETS: usize = 32;
+    const BYTES_PER_MB: f64 = 1048576.0;
 
-    /// Holds the number of descriptors to what the system allows, by its page of a process's limits.
-    pub fn hold_to(&mut self, limits: &str) {
+    /// Caps the number of sockets at the soft limit of the operating system, given the text of `/proc/self/limits`.
+    pub fn apply_descriptor_limit(&mut self, limits: &str) {
         let files = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
-        let soft = files.and_then(|figures| figures.split_whitespace().next()?.parse().ok());
-        self.allowed = soft.unwrap_or(usize::MAX);
-        self.sockets = self.sockets.min(self.allowed);
+        let soft = files.and_then(|columns| columns.split_whitespace().next()?.parse().ok());
+        self.descriptor_limit = soft.unwrap_or(usize::MAX);
+        self.sockets = self.sockets.min(self.descriptor_limit);
     }
 
-    /// Reads the file's text; `said` looks up a variable of the environment, which goes before the file.
-    pub fn read(text: &str, said: impl Fn(&str) -> Option<String>) -> Result<Self> {
-        Self::parse(text, said, &[NAME, LISTEN, DISCOVERY])
+    /// Parses the text of the file. `env` looks up an environment variable; variables take precedence over the file.
+    ///
+    /// # Errors
+    /// Names the missing or invalid key.
+    pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self> {
+        Self::parse(text, env, &[NAME, LISTEN, DISCOVERY])
     }
 
-    /// Reads the text that has replaced the file's, as strictly as at the start. Its own address of discovery
-    /// counts: the environment's is that of the start.
-    pub fn again(&self, text: &str, said: impl Fn(&str) -> Option<String>) -> Result<Change> {
-        let new = Self::parse(text, said, &[NAME, LISTEN])?;
+    /// Parses a new text of the file as strictly as at start. The address of discovery is taken from the file: the one in
+    /// the environment applies at start only.
+    ///
+    /// # Errors
+    /// Names the missing or invalid key.
+    pub fn reload(&self, text: &str, env: impl Fn(&str) -> Option<String>) -> Result<ConfigChange> {
+        let new = Self::parse(text, env, &[NAME, LISTEN])?;
         let changed = [
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
-            ("limits.sockets", new.sockets.min(self.allowed) != self.sockets),
-            ("limits.memory_mb", new.memory != self.memory),
-            ("settings", new.terms != self.terms),
+            ("limits.sockets", new.sockets.min(self.descriptor_limit) != self.sockets),
+            ("limits.memory_mb", new.memory_bytes != self.memory_bytes),
+            ("settings", new.config != self.config),
         ];
-        let at_restart = changed.into_iter().filter(|key| key.1).map(|key| key.0).collect();
-        Ok(Change { discovery: new.discovery, at_restart })
+        let needs_restart = changed.into_iter().filter(|key| key.1).map(|key| key.0).collect();
+        Ok(ConfigChange { discovery: new.discovery, needs_restart })
     }
 
-    fn parse(text: &str, said: impl Fn(&str) -> Option<String>, variables: &[(&str, &str)]) -> Result<Self> {
-        let mut all: Value = serde_json::from_str(text).context("the file is not JSON")?;
-        let known = all.as_object_mut().context("the file holds no object")?.remove("known");
-        let settings = all.as_object_mut().and_then(|map| map.remove("settings"));
-        let mut lines = Lines::of_json(&all);
-        for (key, variable) in variables {
-            if let Some(value) = said(variable).filter(|v| !v.is_empty()) {
-                lines.0.insert((*key).to_owned(), value);
+    fn parse(text: &str, env: impl Fn(&str) -> Option<String>, overrides: &[Override]) -> Result<Self> {
+        let mut file: Value = serde_json::from_str(text).context("the file is not JSON")?;
+        let cached_list = file.as_object_mut().context("the file holds no object")?.remove("known");
+        let settings = file.as_object_mut().and_then(|map| map.remove("settings"));
+        let mut values = FlatConfig::from_json(&file);
+        for Override { key, variable } in overrides {
+            if let Some(value) = env(variable).filter(|v| !v.is_empty()) {
+                values.0.insert((*key).to_owned(), value);
             }
         }
-        let seed: String = lines.must("seed")?;
-        let sockets = lines.maybe("limits.sockets")?.unwrap_or(Self::SOCKETS);
-        ensure!(sockets >= Self::FEWEST, "limits.sockets={sockets} is under {}", Self::FEWEST);
+        let seed: String = values.required("seed")?;
+        let sockets = values.optional("limits.sockets")?.unwrap_or(Self::DEFAULT_SOCKETS);
+        ensure!(sockets >= Self::MIN_SOCKETS, "limits.sockets={sockets} is under {}", Self::MIN_SOCKETS);
         Ok(Self {
-            name: lines.must("name")?,
-            listen: lines.must("listen")?,
-            discovery: lines.must("discovery")?,
+            name: values.required("name")?,
+            listen: values.required("listen")?,
+            discovery: values.required("discovery")?,
             seed: u64::from_str_radix(&seed, 16)
                 .ok()
                 .with_context(|| format!("seed={seed} can't be read"))?,
             sockets,
-            memory: (lines.number("limits.memory_mb")?.unwrap_or(Self::MEMORY_MB) * 1048576.0) as usize,
-            allowed: usize::MAX,
-            known: known.unwrap_or_default(),
-            terms: Terms::of_json(&settings.context("settings is missing")?).context("settings")?,
+            memory_bytes: (values.optional_number("limits.memory_mb")?.unwrap_or(Self::DEFAULT_MEMORY_MB)
+                * Self::BYTES_PER_MB) as usize,
+            descriptor_limit: usize::MAX,
+            cached_list: cached_list.unwrap_or_default(),
+            config: MixerConfig::from_json(&settings.context("settings is missing")?).context("settings")?,
         })
     }
 }
--- a/crates/terms/tests/terms.rs
+++ b/crates/terms/tests/terms.rs
@@ -1,10 +1,10 @@
-//! The simulator's text and a mixer's JSON give the same terms.
+//! Reading a mixer's configuration from the simulator's text and from JSON.
 
-use pewterwharf_terms::{Start, Terms};
+use pewterwharf_terms::{MixerConfig, StartupConfig};
 use serde_json::json;
 
 #[test]
-fn text_and_json_are_read_alike() {
+fn text_and_json_give_the_same_config() {
     let text = "services.count=1\nservices.0.name=look_up\nservices.0.slo_ms=800.0\n\
         services.0.hard_limit_ms=1500.0\nservices.0.points=1.0\nservices.0.idempotency=token\n\
         services.0.key_ttl_ms=5000.0\ncustomers.count=2\ncustomers.0.name=a\ncustomers.0.quota_per_s=3.5\n\
@@ -25,13 +25,16 @@
         "peers_total": 3, "zone": 1, "zones": ["north hall", "south"], "new": null,
         "rules": {"cold_from": 0.16, "warm_after_ms": 17000.0, "tip_multiple": 4.0, "fall_ms": 1000.0},
     });
-    let terms = Terms::of_text(text).expect("good settings");
-    assert_eq!(format!("{terms:#?}"), format!("{:#?}", Terms::of_json(&json).expect("good settings")));
-    assert_eq!((terms.layout.cells, terms.zones.len(), terms.customers.len()), (3, 2, 2));
+    let config = MixerConfig::from_text(text).expect("good settings");
+    assert_eq!(
+        format!("{config:#?}"),
+        format!("{:#?}", MixerConfig::from_json(&json).expect("good settings"))
+    );
+    assert_eq!((config.layout.cells, config.zones.len(), config.customers.len()), (3, 2, 2));
 }
 
-/// Settings of the new shape: no probes, a list that is asked for, a least share under the whole, reports in answers.
-fn moved() -> serde_json::Value {
+/// Settings in the newer format: no probes, polled discovery, an answer floor below the need, and load reports in answers.
+fn newer_settings() -> serde_json::Value {
     json!({
         "discovery": "ask", "weight_source": "rough", "worth_by": "work",
         "services": [{"name": "totals", "slo_ms": 2000.0, "hard_limit_ms": 4000.0, "points": 3.0,
@@ -48,28 +51,34 @@
 }
 
 #[test]
-fn the_new_shape_is_read_and_the_old_one_keeps_its_defaults() {
-    let terms = Terms::of_json(&moved()).expect("good settings");
-    let permits = &terms.permits;
-    assert_eq!((permits.probe, permits.ask_within_ms, permits.back_in_ms), (false, Some(10_000.0), None));
-    assert_eq!((terms.types[0].need, terms.types[0].floor, terms.busy_at), (1.0, 0.8, Some(1)));
-    let mut old = moved();
-    old["permissions"]["probing"] = json!(true);
+fn newer_format_and_defaults_of_the_older_one() {
+    let config = MixerConfig::from_json(&newer_settings()).expect("good settings");
+    let permissions = &config.permissions;
+    assert_eq!(
+        (permissions.probe, permissions.ask_within_ms, permissions.back_in_ms),
+        (false, Some(10_000.0), None)
+    );
+    assert_eq!(
+        (config.table_types[0].need, config.table_types[0].floor, config.load_share_index),
+        (1.0, 0.8, Some(1))
+    );
+    let mut older = newer_settings();
+    older["permissions"]["probing"] = json!(true);
     for key in ["discovery", "report", "weight_source", "worth_by"] {
-        old.as_object_mut().expect("an object").remove(key);
+        older.as_object_mut().expect("an object").remove(key);
     }
-    let terms = Terms::of_json(&old).expect("good settings");
-    assert_eq!((terms.permits.ask_within_ms, terms.busy_at), (None, None));
+    let config = MixerConfig::from_json(&older).expect("good settings");
+    assert_eq!((config.permissions.ask_within_ms, config.load_share_index), (None, None));
 }
 
 #[test]
-fn settings_that_mix_the_shapes_are_refused_by_their_key() {
+fn contradictory_settings_are_rejected_with_their_key() {
     let refused = |path: &str, value: serde_json::Value| {
-        let mut settings = moved();
+        let mut settings = newer_settings();
         *settings.pointer_mut(path).expect("a key") = value;
-        Terms::of_json(&settings).expect_err("refused").to_string()
+        MixerConfig::from_json(&settings).expect_err("refused").to_string()
     };
-    let words = [
+    let errors = [
         refused("/report/via", json!("probe")),
         refused("/report/via", json!("post")),
         refused("/discovery", json!("poll")),
@@ -97,22 +106,22 @@
         "worth_by",
         "permissions.probing",
     ];
-    for (said, key) in words.iter().zip(keys) {
-        assert!(said.contains(key), "{said:?} does not name {key}");
+    for (error, key) in errors.iter().zip(keys) {
+        assert!(error.contains(key), "{error:?} does not name {key}");
     }
 }
 
 #[test]
-fn a_file_that_mixes_the_shapes_changes_nothing_at_a_hang_up() {
+fn reload_rejects_contradictory_settings() {
     let file = |settings: serde_json::Value| {
         json!({"name": "m", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1f", "settings": settings})
             .to_string()
     };
-    let start = Start::read(&file(moved()), |_| None).expect("a good file");
-    let mut mixed = moved();
+    let start = StartupConfig::read(&file(newer_settings()), |_| None).expect("a good file");
+    let mut mixed = newer_settings();
     mixed["report"]["via"] = json!("probe");
-    let said = format!("{:#}", start.again(&file(mixed), |_| None).expect_err("refused"));
-    assert!(said.contains("report.via=probe can't go with permissions.probing=false"), "{said}");
-    let change = start.again(&file(moved()), |_| None).expect("a good file");
-    assert!(change.at_restart.is_empty());
+    let error = format!("{:#}", start.reload(&file(mixed), |_| None).expect_err("refused"));
+    assert!(error.contains("report.via=probe can't go with permissions.probing=false"), "{error}");
+    let change = start.reload(&file(newer_settings()), |_| None).expect("a good file");
+    assert!(change.needs_restart.is_empty());
 }
