--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -78,7 +78,7 @@
     /// The place of a customer or slice that the fleet does not have.
     pub fn own(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
         for (customer, slices, at) in &self.about.slices {
-            let done = fleet.own(customer, slices.clone());
+            let done = fleet.add_customer_slices(customer, slices.clone());
             done.map_err(|error| ParseError { position: *at, message: error.to_string() })?;
         }
         Ok(())
@@ -247,7 +247,7 @@
                 ("of", [customer]) => {
                     let name = customer.string("a customer's name")?;
                     let index = named(customer, self.fleet.customer(name))?;
-                    if !self.fleet.owned().iter().any(|o| o.customer == index) {
+                    if !self.fleet.customer_slices().iter().any(|o| o.customer == index) {
                         return Err(customer.error(format!("(fleet ...) states no slices of \"{name}\"")));
                     }
                     of = Some(index);
--- a/crates/mixer/src/announcing.rs
+++ b/crates/mixer/src/announcing.rs
@@ -14,7 +14,7 @@
 use pewterwharf_bgp::session;
 use pewterwharf_bgp::speaker::{AttributeConfig, PeerConfig, SpeakerConfig};
 use pewterwharf_console::{Console, Reply};
-use pewterwharf_mesh::Way;
+use pewterwharf_mesh::MeshHandle;
 use pewterwharf_settings::{BgpPeer, BgpSettings, Settings, nearest_name};
 use pewterwharf_speaker::{Speaker, StatusHandle};
 use tracing::warn;
@@ -37,7 +37,7 @@
     type_names: Vec<String>,
     console: Option<Console>,
     console_at: Option<PathBuf>,
-    fleet: Option<Way>,
+    fleet: Option<MeshHandle>,
 }
 
 /// A speaker that runs.
@@ -128,15 +128,15 @@
     show: Option<&StatusHandle>,
     type_names: &[String],
     messages: &MessageSender,
-    fleet: Option<&Way>,
+    fleet: Option<&MeshHandle>,
 ) -> Reply {
     let shown = || {
         let fleet = fleet.ok_or("fleet is not set in the operator's file")?;
-        fleet.show().ok_or_else(|| "the links between mixers do not answer".to_owned())
+        fleet.status().ok_or_else(|| "the links between mixers do not answer".to_owned())
     };
     match (question, show) {
         ("fleet show", _) => Ok(shown()?.to_string()),
-        ("fleet show --json", _) => Ok(shown()?.json() + "\n"),
+        ("fleet show --json", _) => Ok(shown()?.to_json() + "\n"),
         ("bgp show", Some(show)) => {
             let shown = show.status().ok_or("the speaker does not answer")?;
             Ok(format!("{shown}table types, in the order above\n  {}\n", type_names.join(" ")))
@@ -197,7 +197,7 @@
         type_names: &[String],
         seed: u64,
         messages: &MessageSender,
-        fleet: Option<Way>,
+        fleet: Option<MeshHandle>,
     ) -> Result<Self> {
         let mut announcing = Self {
             on: None,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -10,7 +10,9 @@
 use std::str::FromStr;
 
 use anyhow::{Context, Result, bail, ensure};
-use pewterwharf::interface::{Berth, Budget, Customer, Guards, Layout, Permits, Repeat, TableType};
+use pewterwharf::interface::{
+    Customer, Idempotency, Layout, Permissions, Placement, RetryBudget, SafetyLimits, TableType,
+};
 use pewterwharf::logic::Mixer;
 use serde_json::Value;
 
@@ -121,9 +123,9 @@
     pub customer_names: Vec<String>,
     pub layout: Layout,
     pub shard_count: u32,
-    pub guards: Guards,
-    pub permissions: Permits,
-    pub placement: Berth,
+    pub guards: SafetyLimits,
+    pub permissions: Permissions,
+    pub placement: Placement,
     pub zones: Vec<String>,
     /// Maximum number of scans and parts that are open at once.
     pub max_open: usize,
@@ -155,7 +157,7 @@
 
     /// Creates a decision module with this configuration.
     pub fn open(&self, seed: u64) -> Mixer {
-        Mixer::open(
+        Mixer::new(
             seed,
             self.table_types.clone(),
             self.customers.clone(),
@@ -189,25 +191,25 @@
         let customer_names = (0..customer_count).map(|i| name("customers", i).unwrap_or_default()).collect();
         let layout = Layout {
             cells: values.required("family_info.positions")?,
-            reach: values.required("family_info.in_a_row")?,
+            cells_per_shard: values.required("family_info.in_a_row")?,
             parts_per_call: values.optional("family_info.bundle_max")?.unwrap_or(1),
             call_work_ms: values.optional_number("family_info.overhead_ms")?.unwrap_or(0.0),
         };
         if layout.cells == 0 {
             bail!("family_info.positions=0 can't be read");
         }
-        let permissions = Permits {
+        let permissions = Permissions {
             cancel: values.required("permissions.cancel")?,
             probe,
-            second_copies: values.required("permissions.parallel_tries")?,
-            dispatches: values.required("permissions.max_attempts")?,
-            back_in_ms: match values.required("permissions.retry_after")? {
+            hedge: values.required("permissions.parallel_tries")?,
+            max_dispatches: values.required("permissions.max_attempts")?,
+            retry_after_ms: match values.required("permissions.retry_after")? {
                 true => values.optional_number("permissions.max_retry_after_ms")?,
                 false => None,
             },
-            ask_within_ms: ask_within_ms.filter(|_| asks_discovery),
+            resubscribe_within_ms: ask_within_ms.filter(|_| asks_discovery),
         };
-        let placement = Berth { mixers: values.required("peers_total")?, zone: values.required("zone")? };
+        let placement = Placement { mixers: values.required("peers_total")?, zone: values.required("zone")? };
         Ok(Self {
             table_types,
             table_type_names,
@@ -236,53 +238,53 @@
 
 fn table_type(values: &FlatConfig, i: usize) -> Result<TableType> {
     let key = |name: &str| format!("services.{i}.{name}");
-    let repeat = match values.required::<String>(&key("idempotency"))?.as_str() {
-        "pure" => Repeat::Replayable,
-        "token" => Repeat::Keyed { window_ms: values.required_number(&key("key_ttl_ms"))? },
-        "side_effect" => Repeat::NonReplayable,
+    let idempotency = match values.required::<String>(&key("idempotency"))?.as_str() {
+        "pure" => Idempotency::Replayable,
+        "token" => Idempotency::Keyed { window_ms: values.required_number(&key("key_ttl_ms"))? },
+        "side_effect" => Idempotency::NonReplayable,
         other => bail!("{}={other} can't be read", key("idempotency")),
     };
-    let need = values.nth_share("family_info.class_need", i)?.unwrap_or(1.0);
-    let floor = values.nth_share("family_info.floor_by_class", i)?.unwrap_or(need);
+    let required_weight = values.nth_share("family_info.class_need", i)?.unwrap_or(1.0);
+    let minimum_weight = values.nth_share("family_info.floor_by_class", i)?.unwrap_or(required_weight);
     ensure!(
-        floor <= need + ROUNDING,
-        "family_info.floor_by_class={floor} is above family_info.class_need={need} for table type {i}"
+        minimum_weight <= required_weight + ROUNDING,
+        "family_info.floor_by_class={minimum_weight} is above family_info.class_need={required_weight} for table type {i}"
     );
     Ok(TableType {
         target_ms: values.required_number(&key("slo_ms"))?,
         query_timeout_ms: values.required_number(&key("hard_limit_ms"))?,
         benefit: values.required_number(&key("points"))?,
-        late_share: values.optional_number(&key("late_worth"))?.unwrap_or(0.0),
-        target_stretch: values.optional_number(&key("aim_stretch"))?.unwrap_or(0.0),
-        repeat,
-        need,
-        floor,
-        partial_share: values.nth_share("family_info.partial_earns", i)?.unwrap_or(0.0),
-        second_step: values.nth_number("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
+        late_benefit_share: values.optional_number(&key("late_worth"))?.unwrap_or(0.0),
+        target_ms_per_work_ms: values.optional_number(&key("aim_stretch"))?.unwrap_or(0.0),
+        idempotency,
+        required_weight,
+        minimum_weight,
+        partial_benefit_share: values.nth_share("family_info.partial_earns", i)?.unwrap_or(0.0),
+        has_second_step: values.nth_number("family_info.class_fetch", i)?.unwrap_or(0.0) > 0.0,
     })
 }
 
 fn customer(values: &FlatConfig, i: usize) -> Result<Customer> {
     Ok(Customer {
         scans_per_s: values.required_number(&format!("customers.{i}.quota_per_s"))?,
-        over_share: values.optional_number("over_share_worth")?.unwrap_or(1.0),
+        over_quota_benefit_share: values.optional_number("over_share_worth")?.unwrap_or(1.0),
     })
 }
 
-fn guards(values: &FlatConfig) -> Result<Guards> {
-    let budget = match values.optional_number("rules.repeat_ratio")? {
-        Some(share) => Some(Budget {
+fn guards(values: &FlatConfig) -> Result<SafetyLimits> {
+    let retry_budget = match values.optional_number("rules.repeat_ratio")? {
+        Some(share) => Some(RetryBudget {
             free: values.optional_number("rules.free_resends")?.unwrap_or(0.0),
             share,
             window_ms: values.required_number("rules.extra_window_ms")?,
         }),
         None => None,
     };
-    Ok(Guards {
-        cold_from: values.required_number("rules.cold_from")?,
-        warm_ms: values.required_number("rules.warm_after_ms")?,
-        tip_multiple: values.required_number("rules.tip_multiple")?,
-        fall_ms: values.required_number("rules.fall_ms")?,
-        budget,
+    Ok(SafetyLimits {
+        cold_capacity_share: values.required_number("rules.cold_from")?,
+        warm_up_ms: values.required_number("rules.warm_after_ms")?,
+        overload_multiple: values.required_number("rules.tip_multiple")?,
+        overload_window_ms: values.required_number("rules.fall_ms")?,
+        retry_budget,
     })
 }
--- a/crates/terms/src/list.rs
+++ b/crates/terms/src/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use anyhow::{Context, Result, bail};
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use serde_json::Value;
 
 /// One searcher as discovery describes it.
@@ -15,7 +15,7 @@
     pub cell: u32,
     /// Start of the searcher's process in milliseconds since 1970; zero if unknown.
     pub since: f64,
-    pub life: Life,
+    pub life: SearcherStatus,
     /// Age of this entry in milliseconds when the list was written; zero if the list does not state it.
     pub age_ms: f64,
 }
@@ -56,9 +56,9 @@
 fn parse_entry(entry: &Value) -> Result<Entry> {
     let text = |key: &str| entry[key].as_str().with_context(|| format!("{key} is missing"));
     let life = match text("status")? {
-        "up" => Life::Ready,
-        "draining" => Life::Draining,
-        "removed" => Life::Gone,
+        "up" => SearcherStatus::Ready,
+        "draining" => SearcherStatus::Draining,
+        "removed" => SearcherStatus::Gone,
         other => bail!("status {other} is unknown"),
     };
     let since = entry["since_ms"].as_f64().unwrap_or(0.0);
--- a/crates/terms/tests/terms.rs
+++ b/crates/terms/tests/terms.rs
@@ -55,11 +55,15 @@
     let config = MixerConfig::from_json(&newer_settings()).expect("good settings");
     let permissions = &config.permissions;
     assert_eq!(
-        (permissions.probe, permissions.ask_within_ms, permissions.back_in_ms),
+        (permissions.probe, permissions.resubscribe_within_ms, permissions.retry_after_ms),
         (false, Some(10_000.0), None)
     );
     assert_eq!(
-        (config.table_types[0].need, config.table_types[0].floor, config.load_share_index),
+        (
+            config.table_types[0].required_weight,
+            config.table_types[0].minimum_weight,
+            config.load_share_index
+        ),
         (1.0, 0.8, Some(1))
     );
     let mut older = newer_settings();
@@ -68,7 +72,7 @@
         older.as_object_mut().expect("an object").remove(key);
     }
     let config = MixerConfig::from_json(&older).expect("good settings");
-    assert_eq!((config.permissions.ask_within_ms, config.load_share_index), (None, None));
+    assert_eq!((config.permissions.resubscribe_within_ms, config.load_share_index), (None, None));
 }
 
 #[test]
