--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use pewterwharf::interface::Event;
-use pewterwharf_terms::Change;
+use pewterwharf_terms::ConfigChange;
 use pewterwharf_terms::list::List;
 
 use crate::frame::Frame;
@@ -83,7 +83,7 @@
         list: List,
     },
     /// The configuration was read again, or the reason why it is unusable.
-    ConfigReloaded(Result<Change, String>),
+    ConfigReloaded(Result<ConfigChange, String>),
     WatchLost,
     /// The whole process did not run for a while.
     ProcessPaused,
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -191,7 +191,7 @@
             part,
             attempt_id.1,
             attempt.until,
-            self.terms.permits.max_dispatches,
+            self.terms.permissions.max_dispatches,
             searcher,
             link,
             now,
