--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -1,59 +1,63 @@
-//! What travels on a link.
+//! Frames on a link.
 
 use std::fmt;
 
-use pewterwharf_peers::{FORMAT, Hello, Incarnation, Refusal};
-use pewterwharf_replica::Word;
+use pewterwharf_peers::{FORMAT, Hello, Incarnation, LinkRejection};
+use pewterwharf_replica::ReplicaMessage;
 use serde::{Deserialize, Serialize};
 
-/// Longest frame, in bytes, without its length.
-pub const LONGEST: usize = 32 * 1024;
+/// Longest body of a frame.
+pub const MAX_FRAME_BYTES: usize = 32 * 1024;
+/// Length and checksum.
+const HEADER_BYTES: usize = 8;
 
-/// One word on a link; the first is the hello, whose form is the same in all formats up to its number.
+/// The body of a frame. The first one on a link is the hello, which has the same layout in all formats up to and including
+/// its format number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     Hello(Hello),
-    /// Why the link is refused: on its way back, and the last.
-    Refused(Refusal),
-    /// The one that speaks leaves the fleet.
+    /// Why the link is rejected. Sent in the reverse direction, as the last frame.
+    Rejected(LinkRejection),
+    /// The sender leaves the fleet.
     Bye(Incarnation),
-    /// A word of membership.
+    /// A membership message.
     Swim(Vec<u8>),
-    Copy(Word),
+    Replica(ReplicaMessage),
 }
 
-/// Why bytes are no frame.
+/// Why bytes can't be decoded as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// It says that it is longer than any.
-    Long(usize),
-    /// A hello of another format, whatever follows its number.
-    Format(u16),
-    /// Its bytes are not those that were sent.
-    Sum,
-    /// It is of no length, or not what its length says, or no word that is known.
+pub enum FrameError {
+    /// The length exceeds [`MAX_FRAME_BYTES`].
+    TooLong(usize),
+    /// A hello with another format number.
+    FormatMismatch(u16),
+    ChecksumMismatch,
+    /// The length is zero, does not match the content, or the content is unknown.
     Malformed,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Long(length) => write!(f, "a frame of {length} bytes, {LONGEST} is the longest"),
-            Self::Format(theirs) => write!(f, "a hello of format {theirs}"),
-            Self::Sum => f.write_str("a frame that was changed on its way"),
-            Self::Malformed => f.write_str("a frame that can't be read"),
+            Self::TooLong(length) => {
+                write!(f, "frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
+            }
+            Self::FormatMismatch(theirs) => write!(f, "hello in format {theirs}"),
+            Self::ChecksumMismatch => f.write_str("frame checksum does not match"),
+            Self::Malformed => f.write_str("malformed frame"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for FrameError {}
 
 impl Frame {
-    /// With its length and its sum. Guards against bytes that change on the way and still read as a word: the start of a
-    /// mixer in a hello with one bit turned made a mixer stand aside for a process that never was.
-    pub fn bytes(&self) -> Vec<u8> {
-        let mut bytes = vec![0; 8];
-        // A vector takes whatever it is given.
+    /// Encodes the frame with its length and checksum. The checksum guards against corruption that still decodes: a single
+    /// flipped bit in the incarnation of a hello once made a mixer give way to a process that never existed.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut bytes = vec![0; HEADER_BYTES];
+        // Serialization into a vector can't fail.
         let body = postcard::to_allocvec(self).unwrap_or_default();
         bytes.extend_from_slice(&body);
         bytes[..4].copy_from_slice(&(body.len() as u32).to_le_bytes());
@@ -61,37 +65,39 @@
         bytes
     }
 
-    /// The first frame of what has come, and how many bytes it took; none, while it is not whole.
+    /// Decodes the first frame and returns it with the number of bytes it took, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// If it can't become one.
-    pub fn read(bytes: &[u8]) -> Result<Option<(Self, usize)>, Unreadable> {
+    /// If the bytes can't become a frame.
+    pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, FrameError> {
         let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > LONGEST {
-            return Err(Unreadable::Long(length));
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(length));
         }
         if length == 0 {
-            return Err(Unreadable::Malformed);
+            return Err(FrameError::Malformed);
         }
-        let Some((sum, rest)) = rest.split_first_chunk::<4>() else { return Ok(None) };
+        let Some((checksum, rest)) = rest.split_first_chunk::<4>() else { return Ok(None) };
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        if crc32fast::hash(body) != u32::from_le_bytes(*sum) {
-            return Err(Unreadable::Sum);
+        if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
+            return Err(FrameError::ChecksumMismatch);
         }
         match postcard::take_from_bytes(body) {
-            Ok((frame, [])) => Ok(Some((frame, 8 + length))),
-            Ok((Self::Hello(hello), _)) if hello.format != FORMAT => Err(Unreadable::Format(hello.format)),
-            // Of a hello the number of the format comes first, whatever a later format makes of the rest.
+            Ok((frame, [])) => Ok(Some((frame, HEADER_BYTES + length))),
+            Ok((Self::Hello(hello), _)) if hello.format != FORMAT => {
+                Err(FrameError::FormatMismatch(hello.format))
+            }
+            // The format number comes first in a hello, so it can be read whatever a later format adds.
             _ => match postcard::take_from_bytes::<(u32, u16)>(body) {
-                Ok(((0, format), _)) if format != FORMAT => Err(Unreadable::Format(format)),
-                _ => Err(Unreadable::Malformed),
+                Ok(((0, format), _)) if format != FORMAT => Err(FrameError::FormatMismatch(format)),
+                _ => Err(FrameError::Malformed),
             },
         }
     }
 
-    /// Whether it may be left out where there is no room: rounds make up for it.
-    pub fn soft(&self) -> bool {
-        !matches!(self, Self::Hello(_) | Self::Refused(_) | Self::Bye(_))
+    /// Whether the frame may be dropped if there is no room for it: a later gossip round makes up for it.
+    pub fn is_droppable(&self) -> bool {
+        !matches!(self, Self::Hello(_) | Self::Rejected(_) | Self::Bye(_))
     }
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,24 +1,24 @@
 //! Links between the mixers of a fleet.
 //!
-//! [`Node`] joins the cores (`peers`, `replica`) without I/O: what has come and the time go in, words for links and advice for
-//! the decision module come out; the tests play many of them on a seeded network. [`Mesh`] is the thin shell: one thread,
-//! `mio`, TCP.
+//! [`Node`] combines the `peers` and `replica` packages without I/O: received frames and the time go in, frames to send
+//! and advice for the decision module come out. The tests run many nodes on a seeded simulated network. [`Mesh`] is the
+//! I/O around it: one thread, `mio`, TCP.
 //!
-//! A *link* leads one way: a mixer opens one to each peer and speaks on it, and what a peer says comes on the link that the
-//! peer opened. So a way that is cut in one direction is exactly one link that carries nothing. On a link's way back comes
-//! at most one frame, the reason for which it is refused.
+//! A *link* is used in one direction: a mixer opens one to each peer and sends on it, and receives on the links that its
+//! peers opened. So a network path that fails in one direction affects exactly one link. In the reverse direction of a
+//! link at most one frame is sent: the reason why the link was rejected.
 //!
-//! A frame is its length (4 bytes, little-endian, [`LONGEST`] at most), the CRC-32 of what follows (4 bytes, the same way) and a
-//! [`Frame`] in `postcard`. Whatever can't be read ends
-//! that link, with a count, and nothing else. No frame is waited for by anybody who serves a scan. There is no encryption and
-//! no sign-in: the listener belongs on a network of the mixers' own.
+//! A frame consists of its length (4 bytes, little-endian, at most [`MAX_FRAME_BYTES`]), the CRC-32 of its body (4 bytes,
+//! little-endian), and its body, a [`Frame`] in `postcard` encoding. An unreadable frame closes its link and is counted;
+//! nothing else is affected. No scan ever waits for a frame. There is no encryption and no authentication: the listener
+//! belongs on a network that only mixers can reach.
 
 mod frame;
 mod links;
 mod node;
-mod show;
+mod status;
 
-pub use frame::{Frame, LONGEST, Unreadable};
+pub use frame::{Frame, FrameError, MAX_FRAME_BYTES};
 pub use links::{Mesh, MeshConfig, MeshHandle};
-pub use node::{LocalReport, LocalStatus, Node, Out};
-pub use show::{FleetStatus, Member};
+pub use node::{LocalReport, LocalStatus, Node, NodeOutput};
+pub use status::{FleetStatus, MemberStatus};
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -1,4 +1,4 @@
-//! The thread and the sockets.
+//! The thread that owns the links, and the handles to it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,839 +11,957 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use oorandom::Rand64;
-use pewterwharf_peers::{Incarnation, Refusal, Rival};
+use pewterwharf_peers::{Hello, Incarnation, KnownIncarnation, LinkRejection};
 use pewterwharf_replica::Advice;
 use tracing::{debug, info, warn};
 
-use crate::frame::{Frame, LONGEST, Unreadable};
-use crate::node::{LocalReport, Node, Out};
-use crate::show::FleetStatus;
-
-const STACK: usize = 256 * 1024;
-/// Orders that may wait: whoever gives more goes without, and gives them later.
-const WAITING: usize = 64;
-/// Of so many peers each has a link that is kept; of more, links are opened when there is something to say, and the one
-/// longest unused goes for another.
-const KEPT: usize = 32;
-/// Links that peers may hold open here.
-const TAKEN: usize = 64;
-/// A link that is opened, and one that has to say hello, has so long.
-const PATIENCE_MS: f64 = 1000.0;
-/// Waits between attempts: the first, and the longest; each spread by a quarter.
-const WAITS_MS: (f64, f64) = (100.0, 2000.0);
-/// A link that stood for so long was none that only seems to be there.
-const STOOD_MS: f64 = 2000.0;
-/// A link that has stood for so long, to a peer that is not there for all that, is opened anew: past all time-outs of
-/// membership.
-const DEAF_MS: f64 = 5000.0;
-/// What may wait to be written on one link, on all, and what may have come and not be whole on all, in bytes.
-const OUT: usize = 128 * 1024;
-const OUT_ALL: usize = 2 << 20;
-const IN_ALL: usize = 2 << 20;
-/// Bytes of one link that are read in a second, and at once: one peer must not keep the thread from the others.
-const READ_PER_S: f64 = 4.0 * 1024.0 * 1024.0;
-const READ_AT_ONCE: f64 = 256.0 * 1024.0;
-/// Last words have so long to leave.
-const LAST_MS: f64 = 200.0;
-/// After a warning of one kind, further ones are told at the debug level for so long.
-const QUIET_MS: f64 = 5000.0;
-
-/// How often counts are told.
-const TELL_MS: f64 = 500.0;
+use crate::frame::{Frame, FrameError, MAX_FRAME_BYTES};
+use crate::node::{LocalReport, Node, NodeOutput};
+use crate::status::FleetStatus;
+
+const STACK_BYTES: usize = 256 * 1024;
+/// Commands that may be queued for the thread. A caller that finds the queue full has to try again later.
+const COMMAND_QUEUE: usize = 64;
+/// Up to this number of peers, each has a permanent link. In a larger fleet links are opened on demand, and the least
+/// recently used one is closed for another.
+const MAX_OUTGOING_LINKS: usize = 32;
+/// Links that peers may hold open to this mixer.
+const MAX_INCOMING_LINKS: usize = 64;
+/// Timeout for a connection to be established, and for a peer to send its hello.
+const HANDSHAKE_TIMEOUT_MS: f64 = 1000.0;
+/// Delay before a link is opened again. It doubles with each failure and is jittered by [`RETRY_JITTER`].
+const MIN_RETRY_DELAY_MS: f64 = 100.0;
+const MAX_RETRY_DELAY_MS: f64 = 2000.0;
+const RETRY_JITTER: f64 = 0.25;
+/// A link that was open for this long counts as a success: one that breaks earlier may only have seemed to work.
+const STABLE_LINK_MS: f64 = 2000.0;
+/// A link to a peer that is down is opened anew once it is this old: longer than all timeouts of membership.
+const DEAD_LINK_AGE_MS: f64 = 5000.0;
+/// Bytes that may be queued for one link, and for all links together.
+const MAX_QUEUED_BYTES: usize = 128 * 1024;
+const MAX_QUEUED_BYTES_TOTAL: usize = 2 << 20;
+/// Bytes of incomplete frames that may be buffered for all links together.
+const MAX_BUFFERED_BYTES_TOTAL: usize = 2 << 20;
+/// Rate and burst at which one link is read, so that one peer can't keep the thread from the others.
+const READ_BYTES_PER_S: f64 = 4.0 * 1024.0 * 1024.0;
+const READ_BURST_BYTES: f64 = 256.0 * 1024.0;
+/// Delay before a link that has used up its read allowance is read again.
+const READ_RETRY_MS: f64 = 5.0;
+/// Time that the last messages have to be sent when the mixer leaves the fleet.
+const LEAVE_TIMEOUT_MS: f64 = 200.0;
+/// After a warning, further ones of the same kind are logged at debug level for this long.
+const WARNING_INTERVAL_MS: f64 = 5000.0;
+/// Interval at which the counters for other threads are updated.
+const COUNTERS_INTERVAL_MS: f64 = 500.0;
+/// Longest time that the thread waits for events.
+const MAX_POLL_MS: f64 = 1000.0;
 
 const LISTENER: Token = Token(0);
-const ORDERS: Token = Token(1);
+const COMMANDS: Token = Token(1);
+/// Links get the tokens above this one.
+const LAST_RESERVED_TOKEN: usize = 2;
 
-/// What a mixer of a fleet is told at its start.
+/// Configuration of this mixer's part in a fleet.
 #[derive(Clone, Debug)]
 pub struct MeshConfig {
     pub fleet: String,
     pub local_name: String,
     pub listen: SocketAddr,
     pub peers: Vec<(String, SocketAddr)>,
-    /// Differs between starts.
+    /// Has to differ between starts.
     pub seed: u64,
-    /// For so long a deletion is kept before it is forgotten, in milliseconds.
+    /// How long a tombstone is kept.
     pub tombstone_ttl_ms: f64,
 }
 
 impl MeshConfig {
-    /// Descriptors that links may hold at most, with the thread's own.
+    /// Upper bound on the file descriptors that the links and their thread use.
     pub fn max_descriptors(&self) -> usize {
         const OWN: usize = 4;
-        // One more that is on its way in while another leaves.
-        self.peers.len().min(KEPT) + (self.peers.len() + 1).min(TAKEN) + OWN
+        // One more incoming link may be accepted before another is closed for it.
+        let incoming = (self.peers.len() + 1).min(MAX_INCOMING_LINKS);
+        self.peers.len().min(MAX_OUTGOING_LINKS) + incoming + OWN
     }
 }
 
-enum Order {
-    Report(Vec<LocalReport>),
-    Show(Sender<FleetStatus>),
-    Ends,
+enum Command {
+    Publish(Vec<LocalReport>),
+    Status(Sender<FleetStatus>),
+    BeginShutdown,
     Leave,
 }
 
-/// The way to the thread.
+/// A handle to the thread that owns the links.
 #[derive(Clone)]
 pub struct MeshHandle {
-    to: Sender<Order>,
+    commands: Sender<Command>,
     waker: Arc<Waker>,
 }
 
 impl MeshHandle {
-    fn give(&self, order: Order) -> bool {
-        let given = self.to.try_send(order).is_ok();
-        let _ = self.waker.wake(); // or the thread has ended
-        given
+    /// Returns false if the command queue is full.
+    fn send(&self, command: Command) -> bool {
+        let sent = self.commands.try_send(command).is_ok();
+        let _ = self.waker.wake(); // fails only if the thread has ended
+        sent
     }
 
-    /// What this mixer sees of its fleet; nothing, if the thread does not answer in time.
+    /// Status of the fleet, or `None` if the thread does not answer in time.
     pub fn status(&self) -> Option<FleetStatus> {
-        const TIME: Duration = Duration::from_secs(2);
-        let (to, shown) = bounded(1);
-        self.give(Order::Show(to)).then(|| shown.recv_timeout(TIME).ok()).flatten()
+        const TIMEOUT: Duration = Duration::from_secs(2);
+        let (reply, status) = bounded(1);
+        self.send(Command::Status(reply)).then(|| status.recv_timeout(TIMEOUT).ok()).flatten()
     }
 }
 
-/// Links that run.
+/// The links of a running mixer.
 pub struct Mesh {
-    way: MeshHandle,
-    told: Arc<Mutex<String>>,
-    /// Ends with the thread.
-    over: Receiver<()>,
-    at: SocketAddr,
+    handle: MeshHandle,
+    counters_text: Arc<Mutex<String>>,
+    /// Disconnected when the thread ends.
+    thread_ended: Receiver<()>,
+    local_addr: SocketAddr,
 }
 
 impl Mesh {
-    /// Listens and begins to join. Advice is handed to `hear`, on the links' own thread.
+    /// Starts to listen and to join the fleet. `on_advice` is called on the thread of the links.
     ///
     /// # Errors
-    /// If the listener, the poll or the thread can't be had.
-    pub fn start(terms: MeshConfig, hear: impl FnMut(Vec<Advice>) + Send + 'static) -> io::Result<Self> {
-        let listener = std::net::TcpListener::bind(terms.listen)?;
+    /// If the listener, the poll or the thread can't be created.
+    pub fn start(
+        config: MeshConfig,
+        on_advice: impl FnMut(Vec<Advice>) + Send + 'static,
+    ) -> io::Result<Self> {
+        let listener = std::net::TcpListener::bind(config.listen)?;
         listener.set_nonblocking(true)?;
-        let at = listener.local_addr()?;
+        let local_addr = listener.local_addr()?;
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), ORDERS)?);
-        let (to, given) = bounded(WAITING);
+        let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
+        let (sender, commands) = bounded(COMMAND_QUEUE);
         let mut listener = TcpListener::from_std(listener);
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let told = Arc::new(Mutex::new(String::new()));
-        let counts = told.clone();
-        let links = move || Links::new(terms, poll, listener, given, Box::new(hear), counts).run();
-        let (lives, over) = bounded(1);
+        let counters_text = Arc::new(Mutex::new(String::new()));
+        let shared_text = counters_text.clone();
+        let (alive, thread_ended) = bounded(1);
         let run = move || {
-            links();
-            drop(lives);
+            EventLoop::new(config, poll, listener, commands, Box::new(on_advice), shared_text).run();
+            drop(alive);
         };
-        Builder::new().name("mesh".to_owned()).stack_size(STACK).spawn(run)?;
-        Ok(Self { way: MeshHandle { to, waker }, told, over, at })
+        Builder::new().name("mesh".to_owned()).stack_size(STACK_BYTES).spawn(run)?;
+        let handle = MeshHandle { commands: sender, waker };
+        Ok(Self { handle, counters_text, thread_ended, local_addr })
     }
 
-    /// Where it listens.
     pub fn local_addr(&self) -> SocketAddr {
-        self.at
+        self.local_addr
     }
 
     pub fn handle(&self) -> MeshHandle {
-        self.way.clone()
+        self.handle.clone()
     }
 
-    /// Tells the others what this mixer has met by itself; false where it has to be told again later.
-    pub fn publish(&self, says: Vec<LocalReport>) -> bool {
-        self.way.give(Order::Report(says))
+    /// Publishes observations of this mixer. Returns false if they have to be published again later.
+    pub fn publish(&self, reports: Vec<LocalReport>) -> bool {
+        self.handle.send(Command::Publish(reports))
     }
 
-    /// Counts, a line each, as of some tenths of a second ago: whoever asks waits for nothing.
+    /// Counters, one per line, at most [`COUNTERS_INTERVAL_MS`] old. Does not wait for the thread.
     pub fn counters_text(&self) -> String {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.counters_text.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// This mixer was asked to end, and serves what it has taken on: a later process of its name may have the name.
+    /// This mixer was asked to shut down and still serves the scans that it has accepted. From now on a later process may
+    /// take its name.
     pub fn begin_shutdown(&self) {
-        self.way.give(Order::Ends);
+        self.handle.send(Command::BeginShutdown);
     }
 
-    /// Leaves the fleet with a word; takes two fifths of a second at most.
+    /// Leaves the fleet and announces it to the peers. Takes at most twice [`LEAVE_TIMEOUT_MS`].
     pub fn leave(self) {
-        self.way.give(Order::Leave);
-        // Not longer: the thread may be waiting to hand advice to the very one that ends it here.
-        let _ = self.over.recv_timeout(Duration::from_secs_f64(2.0 * LAST_MS / 1000.0));
+        self.handle.send(Command::Leave);
+        // Does not wait longer, because the thread may be blocked handing advice to the very caller of this function.
+        let _ = self.thread_ended.recv_timeout(Duration::from_secs_f64(2.0 * LEAVE_TIMEOUT_MS / 1000.0));
     }
 }
 
-/// How a link to a peer stands.
-enum Standing {
-    Closed { until: f64 },
-    Opening { stream: TcpStream, since: f64 },
-    Open { stream: TcpStream, since: f64 },
+enum LinkState {
+    Closed { retry_at_ms: f64 },
+    Connecting { stream: TcpStream, since_ms: f64 },
+    Open { stream: TcpStream, since_ms: f64 },
+}
+
+struct QueuedFrame {
+    droppable: bool,
+    bytes: Vec<u8>,
 }
 
 /// The link to a peer.
-struct To {
-    at: SocketAddr,
-    standing: Standing,
+struct OutgoingLink {
+    address: SocketAddr,
+    state: LinkState,
     token: usize,
-    wait_ms: f64,
-    /// Frames that wait, and whether each may be left out; of the first, so many bytes are written.
-    queue: VecDeque<(bool, Vec<u8>)>,
+    retry_delay_ms: f64,
+    queue: VecDeque<QueuedFrame>,
+    /// Bytes of the first queued frame that are already written.
     written: usize,
-    bytes: usize,
-    /// What has come on the way back.
-    back: Vec<u8>,
-    used_at: f64,
-    why: String,
+    queued_bytes: usize,
+    /// What was received in the reverse direction.
+    reverse_buffer: Vec<u8>,
+    used_at_ms: f64,
+    /// Why it was closed.
+    close_reason: String,
+}
+
+impl OutgoingLink {
+    fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            state: LinkState::Closed { retry_at_ms: 0.0 },
+            token: 0,
+            retry_delay_ms: MIN_RETRY_DELAY_MS,
+            queue: VecDeque::new(),
+            written: 0,
+            queued_bytes: 0,
+            reverse_buffer: Vec::new(),
+            used_at_ms: 0.0,
+            close_reason: "not tried yet".to_owned(),
+        }
+    }
+
+    fn is_closed(&self) -> bool {
+        matches!(self.state, LinkState::Closed { .. })
+    }
+
+    fn is_open(&self) -> bool {
+        matches!(self.state, LinkState::Open { .. })
+    }
+
+    /// Whether it has been open for at least that long.
+    fn open_for(&self, duration_ms: f64, now_ms: f64) -> bool {
+        matches!(self.state, LinkState::Open { since_ms, .. } if now_ms - since_ms >= duration_ms)
+    }
+}
+
+/// The sender of an incoming link.
+#[derive(Clone)]
+struct LinkPeer {
+    name: String,
+    incarnation: Incarnation,
 }
 
 /// A link from a peer.
-struct From {
+struct IncomingLink {
     stream: TcpStream,
-    /// Whose it is, and of which start, once it has said hello.
-    who: Option<(String, Incarnation)>,
+    /// Known once the peer has sent its hello.
+    peer: Option<LinkPeer>,
     ip: IpAddr,
     buffer: Vec<u8>,
-    since: f64,
-    heard_at: f64,
-    left: f64,
-    filled_at: f64,
+    since_ms: f64,
+    received_at_ms: f64,
+    read_tokens_bytes: f64,
+    refilled_at_ms: f64,
+}
+
+impl IncomingLink {
+    fn new(stream: TcpStream, ip: IpAddr, now_ms: f64) -> Self {
+        Self {
+            stream,
+            peer: None,
+            ip,
+            buffer: Vec::new(),
+            since_ms: now_ms,
+            received_at_ms: now_ms,
+            read_tokens_bytes: READ_BURST_BYTES,
+            refilled_at_ms: now_ms,
+        }
+    }
+
+    fn is_from(&self, name: &str) -> bool {
+        self.peer.as_ref().is_some_and(|peer| peer.name == name)
+    }
 }
 
-/// Why a link from a peer ends.
-enum End {
+/// Why a link from a peer is closed.
+enum CloseReason {
     Closed,
-    Unreadable(Unreadable),
-    Refused(Refusal),
-    NoRoom,
+    Unreadable(FrameError),
+    Rejected(LinkRejection),
+    BuffersFull,
 }
 
 #[derive(Default)]
-struct Counts(BTreeMap<&'static str, u64>);
+struct Counters(BTreeMap<&'static str, u64>);
 
-impl Counts {
-    fn add(&mut self, what: &'static str) {
-        *self.0.entry(what).or_default() += 1;
+impl Counters {
+    fn add(&mut self, name: &'static str) {
+        *self.0.entry(name).or_default() += 1;
     }
 }
 
-struct Links {
+struct EventLoop {
     node: Node,
     poll: Poll,
     listener: TcpListener,
-    given: Receiver<Order>,
-    hear: Box<dyn FnMut(Vec<Advice>) + Send>,
-    began: Instant,
-    chance: Rand64,
-    to: BTreeMap<String, To>,
-    by_token: HashMap<usize, String>,
-    from: HashMap<usize, From>,
-    ips: BTreeSet<IpAddr>,
-    next: usize,
-    /// Links that have more to be read.
-    more: BTreeSet<usize>,
-    counts: Counts,
-    quiet: BTreeMap<&'static str, f64>,
+    commands: Receiver<Command>,
+    on_advice: Box<dyn FnMut(Vec<Advice>) + Send>,
+    started_at: Instant,
+    rng: Rand64,
+    outgoing: BTreeMap<String, OutgoingLink>,
+    peer_by_token: HashMap<usize, String>,
+    incoming: HashMap<usize, IncomingLink>,
+    peer_ips: BTreeSet<IpAddr>,
+    last_token: usize,
+    /// Incoming links that have more to be read.
+    readable: BTreeSet<usize>,
+    counters: Counters,
+    /// Until when further warnings of a kind are logged at debug level.
+    quiet_until_ms: BTreeMap<&'static str, f64>,
     advice: Vec<Advice>,
-    told: Arc<Mutex<String>>,
-    tell_at: f64,
-    ends_at: Option<f64>,
+    counters_text: Arc<Mutex<String>>,
+    next_counters_ms: f64,
+    /// Set once the mixer leaves the fleet.
+    ends_at_ms: Option<f64>,
 }
 
-impl Links {
+impl EventLoop {
     fn new(
-        terms: MeshConfig,
+        config: MeshConfig,
         poll: Poll,
         listener: TcpListener,
-        given: Receiver<Order>,
-        hear: Box<dyn FnMut(Vec<Advice>) + Send>,
-        told: Arc<Mutex<String>>,
+        commands: Receiver<Command>,
+        on_advice: Box<dyn FnMut(Vec<Advice>) + Send>,
+        counters_text: Arc<Mutex<String>>,
     ) -> Self {
-        let names: Vec<String> = terms.peers.iter().map(|p| p.0.clone()).collect();
-        let ips = terms.peers.iter().map(|p| p.1.ip()).collect();
-        let to = |(name, at): (String, SocketAddr)| {
-            let standing = Standing::Closed { until: 0.0 };
-            let (queue, back) = (VecDeque::new(), Vec::new());
-            let (token, wait_ms, why) = (0, WAITS_MS.0, "not tried yet".to_owned());
-            let to =
-                To { at, standing, token, wait_ms, queue, written: 0, bytes: 0, back, used_at: 0.0, why };
-            (name, to)
-        };
-        let mut node = Node::new(&terms.fleet, &terms.local_name, &names, terms.seed);
-        node.exchange.replica.forget_after(terms.tombstone_ttl_ms);
+        let names: Vec<String> = config.peers.iter().map(|(name, _)| name.clone()).collect();
+        let peer_ips = config.peers.iter().map(|(_, address)| address.ip()).collect();
+        let mut node = Node::new(&config.fleet, &config.local_name, &names, config.seed);
+        node.exchange.replica.set_tombstone_ttl(config.tombstone_ttl_ms);
+        let outgoing = config.peers.into_iter().map(|(name, address)| (name, OutgoingLink::new(address)));
         Self {
             node,
             poll,
             listener,
-            given,
-            hear,
-            began: Instant::now(),
-            chance: Rand64::new(u128::from(terms.seed) ^ 0x117b5),
-            to: terms.peers.into_iter().map(to).collect(),
-            by_token: HashMap::new(),
-            from: HashMap::new(),
-            ips,
-            next: 2,
-            more: BTreeSet::new(),
-            counts: Counts::default(),
-            quiet: BTreeMap::new(),
+            commands,
+            on_advice,
+            started_at: Instant::now(),
+            rng: Rand64::new(u128::from(config.seed) ^ 0x117b5),
+            outgoing: outgoing.collect(),
+            peer_by_token: HashMap::new(),
+            incoming: HashMap::new(),
+            peer_ips,
+            last_token: LAST_RESERVED_TOKEN,
+            readable: BTreeSet::new(),
+            counters: Counters::default(),
+            quiet_until_ms: BTreeMap::new(),
             advice: Vec::new(),
-            told,
-            tell_at: 0.0,
-            ends_at: None,
+            counters_text,
+            next_counters_ms: 0.0,
+            ends_at_ms: None,
         }
     }
 
-    fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1000.0
+    fn now_ms(&self) -> f64 {
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Warns at most once in a while of one kind.
+    /// Logs a warning, at debug level if there was one of the same kind lately.
     fn warn(&mut self, kind: &'static str, line: &str) {
-        let now = self.now();
-        let until = self.quiet.entry(kind).or_insert(0.0);
-        if now < *until {
+        let now_ms = self.now_ms();
+        let quiet_until_ms = self.quiet_until_ms.entry(kind).or_insert(0.0);
+        if now_ms < *quiet_until_ms {
             return debug!(target: "fleet", "{line}");
         }
-        *until = now + QUIET_MS;
+        *quiet_until_ms = now_ms + WARNING_INTERVAL_MS;
         warn!(target: "fleet", "{line}");
     }
 
     fn run(mut self) {
         let mut events = Events::with_capacity(256);
         loop {
-            let now = self.now();
-            let wait = Duration::from_secs_f64((self.due() - now).clamp(0.0, 1000.0) / 1000.0);
-            match self.poll.poll(&mut events, Some(wait)) {
+            let now_ms = self.now_ms();
+            let wait_ms = (self.next_due_ms() - now_ms).clamp(0.0, MAX_POLL_MS);
+            match self.poll.poll(&mut events, Some(Duration::from_secs_f64(wait_ms / 1000.0))) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) => return tracing::error!(target: "fleet", "links between mixers: {error}"),
-                Ok(()) => {}
-            }
-            let now = self.now();
-            self.node.look(now);
-            for event in &events {
-                match event.token() {
-                    LISTENER => self.accept(now),
-                    ORDERS => {}
-                    Token(token) if self.by_token.contains_key(&token) => {
-                        self.outgoing(now, token, event.is_writable(), event.is_readable());
-                    }
-                    Token(token) => drop(self.more.insert(token)),
+                Err(error) => {
+                    return tracing::error!(target: "fleet", "polling the links between mixers: {error}");
                 }
+                Ok(()) => {}
             }
-            for token in std::mem::take(&mut self.more) {
-                self.incoming(now, token);
-            }
-            self.obey(now);
-            self.patience(now);
-            let out = self.node.tick(now);
-            self.carry(now, out);
-            self.open_links(now);
-            let names: Vec<String> =
-                self.to.iter().filter(|(_, to)| !to.queue.is_empty()).map(|(name, _)| name.clone()).collect();
-            names.iter().for_each(|name| self.flush(now, name));
-            if !self.advice.is_empty() {
-                let advice = std::mem::take(&mut self.advice);
-                (self.hear)(advice);
-            }
-            if now >= self.tell_at || self.ends_at.is_some() {
-                self.tell_at = now + TELL_MS;
-                let counts = self.shown(now).counters_text();
-                *self.told.lock().unwrap_or_else(PoisonError::into_inner) = counts;
+            let now_ms = self.now_ms();
+            self.node.begin_turn(now_ms);
+            self.handle_events(now_ms, &events);
+            for token in std::mem::take(&mut self.readable) {
+                self.read_incoming(now_ms, token);
             }
-            if let Some(at) = self.ends_at
-                && (now >= at || self.to.values().all(|to| to.queue.is_empty()))
+            self.run_commands(now_ms);
+            self.close_timed_out_links(now_ms);
+            let output = self.node.tick(now_ms);
+            self.apply_output(now_ms, output);
+            self.open_closed_links(now_ms);
+            self.flush_all(now_ms);
+            self.deliver_advice();
+            self.update_counters_text(now_ms);
+            if let Some(ends_at_ms) = self.ends_at_ms
+                && (now_ms >= ends_at_ms || self.outgoing.values().all(|link| link.queue.is_empty()))
             {
                 return;
             }
         }
     }
 
-    /// When something is to be done, whatever comes.
-    fn due(&self) -> f64 {
-        // Links that have more to be read wait for their allowance, a few milliseconds.
-        let more = if self.more.is_empty() { f64::INFINITY } else { self.now() + 5.0 };
-        let ends = self.ends_at.unwrap_or(f64::INFINITY);
-        let opens = self.kept() && self.node.peers.takes_part();
-        let to = self.to.values().map(|to| match to.standing {
-            // Guards against a thread that spins: who stands aside opens none, and is not due for it.
-            Standing::Closed { until } if opens => until,
-            Standing::Opening { since, .. } => since + PATIENCE_MS,
+    fn handle_events(&mut self, now_ms: f64, events: &Events) {
+        for event in events {
+            match event.token() {
+                LISTENER => self.accept(now_ms),
+                COMMANDS => {}
+                Token(token) if self.peer_by_token.contains_key(&token) => {
+                    self.outgoing_ready(now_ms, token, event.is_writable(), event.is_readable());
+                }
+                Token(token) => drop(self.readable.insert(token)),
+            }
+        }
+    }
+
+    fn flush_all(&mut self, now_ms: f64) {
+        let with_frames = self.outgoing.iter().filter(|(_, link)| !link.queue.is_empty());
+        let names: Vec<String> = with_frames.map(|(name, _)| name.clone()).collect();
+        for name in &names {
+            self.flush(now_ms, name);
+        }
+    }
+
+    fn deliver_advice(&mut self) {
+        if !self.advice.is_empty() {
+            let advice = std::mem::take(&mut self.advice);
+            (self.on_advice)(advice);
+        }
+    }
+
+    fn update_counters_text(&mut self, now_ms: f64) {
+        if now_ms >= self.next_counters_ms || self.ends_at_ms.is_some() {
+            self.next_counters_ms = now_ms + COUNTERS_INTERVAL_MS;
+            let text = self.status(now_ms).counters_text();
+            *self.counters_text.lock().unwrap_or_else(PoisonError::into_inner) = text;
+        }
+    }
+
+    /// When the next turn is due, even without events.
+    fn next_due_ms(&self) -> f64 {
+        // Links that have used up their read allowance wait for it to refill.
+        let read_ms = if self.readable.is_empty() { f64::INFINITY } else { self.now_ms() + READ_RETRY_MS };
+        let end_ms = self.ends_at_ms.unwrap_or(f64::INFINITY);
+        let opens_links = self.keeps_permanent_links() && self.node.membership.is_active();
+        let link_due_ms = self.outgoing.values().map(|link| match link.state {
+            // A superseded mixer opens no links. Were it due for them nevertheless, the thread would spin.
+            LinkState::Closed { retry_at_ms } if opens_links => retry_at_ms,
+            LinkState::Connecting { since_ms, .. } => since_ms + HANDSHAKE_TIMEOUT_MS,
             _ => f64::INFINITY,
         });
-        to.fold(self.node.due().min(more).min(ends), f64::min)
+        link_due_ms.fold(self.node.next_tick_ms().min(read_ms).min(end_ms), f64::min)
     }
 
-    /// Whether each peer has a link that is kept.
-    fn kept(&self) -> bool {
-        self.to.len() <= KEPT && self.ends_at.is_none()
+    /// Whether each peer has a permanent link.
+    fn keeps_permanent_links(&self) -> bool {
+        self.outgoing.len() <= MAX_OUTGOING_LINKS && self.ends_at_ms.is_none()
     }
 
-    fn obey(&mut self, now: f64) {
-        while let Ok(order) = self.given.try_recv() {
-            match order {
-                Order::Report(says) => {
-                    let out = says.into_iter().filter_map(|say| self.node.say(now, say)).collect();
-                    self.carry(now, out);
+    fn run_commands(&mut self, now_ms: f64) {
+        while let Ok(command) = self.commands.try_recv() {
+            match command {
+                Command::Publish(reports) => {
+                    let output =
+                        reports.into_iter().filter_map(|report| self.node.publish(now_ms, report)).collect();
+                    self.apply_output(now_ms, output);
                 }
-                Order::Show(to) => {
-                    let _ = to.send(self.shown(now)); // or nobody waits any more
+                Command::Status(reply) => {
+                    let _ = reply.send(self.status(now_ms)); // fails if the caller has given up
                 }
-                Order::Ends => self.node.peers.ends(),
-                Order::Leave => {
-                    let out = self.node.leave(now);
-                    self.carry(now, out);
-                    self.ends_at = Some(now + LAST_MS);
+                Command::BeginShutdown => self.node.membership.begin_shutdown(),
+                Command::Leave => {
+                    let output = self.node.leave(now_ms);
+                    self.apply_output(now_ms, output);
+                    self.ends_at_ms = Some(now_ms + LEAVE_TIMEOUT_MS);
                 }
             }
         }
     }
 
-    fn shown(&self, now: f64) -> FleetStatus {
-        let mut shown = self.node.shown(now);
-        for member in &mut shown.members {
-            let to = match self.to.get(&member.name) {
-                Some(To { standing: Standing::Open { .. }, .. }) => "to: open".to_owned(),
-                Some(To { standing: Standing::Opening { .. }, .. }) => "to: opening".to_owned(),
-                Some(To { why, .. }) => format!("to: {why}"),
+    fn status(&self, now_ms: f64) -> FleetStatus {
+        let mut status = self.node.status(now_ms);
+        for member in &mut status.members {
+            let to = match self.outgoing.get(&member.name) {
+                Some(OutgoingLink { state: LinkState::Open { .. }, .. }) => "to: open".to_owned(),
+                Some(OutgoingLink { state: LinkState::Connecting { .. }, .. }) => "to: opening".to_owned(),
+                Some(OutgoingLink { close_reason, .. }) => format!("to: {close_reason}"),
                 None => "to: none".to_owned(),
             };
-            let open = self.from.values().any(|f| f.who.as_ref().is_some_and(|w| w.0 == member.name));
-            member.link = format!("{to}; from: {}", if open { "open" } else { "none" });
-        }
-        shown.links.clone_from(&self.counts.0);
-        shown
-    }
-
-    /// Does what the node says.
-    fn carry(&mut self, now: f64, out: Vec<Out>) {
-        for one in out {
-            match one {
-                Out::Send { to, frame } => self.send(now, &to, &frame),
-                Out::Reopen { to } => self.reopen(now, &to),
-                Out::Greet { to } => self.greet(now, &to),
-                Out::Outdone { name, by } => self.outdone(now, &name, by),
-                Out::Advice(advice) => self.advice.push(advice),
-                Out::Log(line) => info!(target: "fleet", "{line}"),
+            let has_incoming = self.incoming.values().any(|link| link.is_from(&member.name));
+            member.link = format!("{to}; from: {}", if has_incoming { "open" } else { "none" });
+        }
+        status.links.clone_from(&self.counters.0);
+        status
+    }
+
+    fn apply_output(&mut self, now_ms: f64, output: Vec<NodeOutput>) {
+        for action in output {
+            match action {
+                NodeOutput::Send { to, frame } => self.send(now_ms, &to, &frame),
+                NodeOutput::ReopenLink { to } => self.reopen(now_ms, &to),
+                NodeOutput::SendHello { to } => self.send_hello(now_ms, &to),
+                NodeOutput::CloseSupersededLinks { name, by } => {
+                    self.close_superseded_links(now_ms, &name, by);
+                }
+                NodeOutput::Advice(advice) => self.advice.push(advice),
+                NodeOutput::Log(line) => info!(target: "fleet", "{line}"),
             }
         }
     }
 
-    fn send(&mut self, now: f64, name: &str, frame: &Frame) {
-        let kept = self.kept();
-        let Some(to) = self.to.get_mut(name) else { return };
-        to.used_at = now;
-        if let Standing::Closed { until } = to.standing {
-            // Of many peers a link is opened when there is something to say; a hello goes first, and this after it.
-            if kept || now < until {
-                self.counts.add("words_unsent");
+    fn send(&mut self, now_ms: f64, name: &str, frame: &Frame) {
+        let permanent = self.keeps_permanent_links();
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        link.used_at_ms = now_ms;
+        if let LinkState::Closed { retry_at_ms } = link.state {
+            // In a large fleet the link is opened on demand; the hello is queued before this frame.
+            if permanent || now_ms < retry_at_ms {
+                self.counters.add("words_unsent");
                 return;
             }
-            self.open(now, name);
-        }
-        self.queue(name, frame);
-    }
-
-    /// Puts a frame at the end of what waits; the oldest that may be left out make room for it.
-    fn queue(&mut self, name: &str, frame: &Frame) {
-        let all: usize = self.to.values().map(|to| to.bytes).sum();
-        let Some(to) = self.to.get_mut(name) else { return };
-        let bytes = frame.bytes();
-        let mut over =
-            (to.bytes + bytes.len()).saturating_sub(OUT).max((all + bytes.len()).saturating_sub(OUT_ALL));
-        to.bytes += bytes.len();
-        to.queue.push_back((frame.soft(), bytes));
-        let mut nth = usize::from(to.written > 0); // what is begun has to be ended
-        while over > 0 && nth < to.queue.len() {
-            if to.queue[nth].0 {
-                let dropped = to.queue.remove(nth).map_or(0, |frame| frame.1.len());
-                to.bytes -= dropped;
-                over = over.saturating_sub(dropped);
-                self.counts.add("words_dropped");
+            self.open(now_ms, name);
+        }
+        self.enqueue(name, frame);
+    }
+
+    /// Queues a frame. If the queues are full, the oldest droppable frames of this link make room.
+    fn enqueue(&mut self, name: &str, frame: &Frame) {
+        let total_bytes: usize = self.outgoing.values().map(|link| link.queued_bytes).sum();
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        let bytes = frame.encode();
+        let excess_on_link = (link.queued_bytes + bytes.len()).saturating_sub(MAX_QUEUED_BYTES);
+        let excess_in_total = (total_bytes + bytes.len()).saturating_sub(MAX_QUEUED_BYTES_TOTAL);
+        let mut excess = excess_on_link.max(excess_in_total);
+        link.queued_bytes += bytes.len();
+        link.queue.push_back(QueuedFrame { droppable: frame.is_droppable(), bytes });
+        let mut index = usize::from(link.written > 0); // a partly written frame has to be completed
+        while excess > 0 && index < link.queue.len() {
+            if link.queue[index].droppable {
+                let dropped = link.queue.remove(index).map_or(0, |frame| frame.bytes.len());
+                link.queued_bytes -= dropped;
+                excess = excess.saturating_sub(dropped);
+                self.counters.add("words_dropped");
             } else {
-                nth += 1;
+                index += 1;
             }
         }
     }
 
-    /// A link that stands, and that the peer does not hear, is ended; one that is being opened is the new one already.
-    fn reopen(&mut self, now: f64, name: &str) {
-        let open = |to: &To| matches!(to.standing, Standing::Open { .. });
-        if self.to.get(name).is_some_and(open) {
-            self.close(now, name, "it leads to nobody who is there", true);
+    /// Closes an open link that no longer reaches the peer. One that is being opened is already the new link.
+    fn reopen(&mut self, now_ms: f64, name: &str) {
+        if self.outgoing.get(name).is_some_and(OutgoingLink::is_open) {
+            self.close(now_ms, name, "the peer at the other end is down", true);
         }
     }
 
-    fn greet(&mut self, now: f64, name: &str) {
-        let Some(to) = self.to.get_mut(name) else { return };
-        match &mut to.standing {
-            Standing::Closed { until } => {
-                // It was heard of just now: no need to wait on.
-                *until = now;
-                to.wait_ms = WAITS_MS.0;
-                if !self.kept() {
-                    self.open(now, name);
+    fn send_hello(&mut self, now_ms: f64, name: &str) {
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        match &mut link.state {
+            LinkState::Closed { retry_at_ms } => {
+                // The peer has just been heard from, so there is no need to wait.
+                *retry_at_ms = now_ms;
+                link.retry_delay_ms = MIN_RETRY_DELAY_MS;
+                if !self.keeps_permanent_links() {
+                    self.open(now_ms, name);
                 }
             }
-            Standing::Opening { .. } | Standing::Open { .. } => {
-                let hello = Frame::Hello(self.node.peers.greeting(now, name));
-                self.queue(name, &hello);
+            LinkState::Connecting { .. } | LinkState::Open { .. } => {
+                let hello = Frame::Hello(self.node.membership.hello_to(now_ms, name));
+                self.enqueue(name, &hello);
             }
         }
     }
 
-    fn open_links(&mut self, now: f64) {
-        if !self.kept() || !self.node.peers.takes_part() {
+    fn open_closed_links(&mut self, now_ms: f64) {
+        if !self.keeps_permanent_links() || !self.node.membership.is_active() {
             return;
         }
-        let closed = |to: &To| matches!(to.standing, Standing::Closed { until } if now >= until);
-        let names: Vec<String> =
-            self.to.iter().filter(|(_, to)| closed(to)).map(|(name, _)| name.clone()).collect();
-        names.iter().for_each(|name| self.open(now, name));
-    }
-
-    fn open(&mut self, now: f64, name: &str) {
-        let open = self.to.values().filter(|to| !matches!(to.standing, Standing::Closed { .. })).count();
-        if open >= KEPT {
-            let unused = self
-                .to
-                .iter()
-                .filter(|(n, to)| *n != name && !matches!(to.standing, Standing::Closed { .. }));
-            let unused = unused.min_by(|a, b| a.1.used_at.total_cmp(&b.1.used_at)).map(|(n, _)| n.clone());
-            unused.into_iter().for_each(|n| self.close(now, &n, "another is used", true));
-        }
-        let Some(to) = self.to.get_mut(name) else { return };
-        self.next += 1;
-        let token = self.next;
-        let opened = TcpStream::connect(to.at).and_then(|mut stream| {
+        let is_due = |link: &OutgoingLink| matches!(link.state, LinkState::Closed { retry_at_ms } if now_ms >= retry_at_ms);
+        let due = self.outgoing.iter().filter(|(_, link)| is_due(link));
+        let names: Vec<String> = due.map(|(name, _)| name.clone()).collect();
+        for name in &names {
+            self.open(now_ms, name);
+        }
+    }
+
+    fn open(&mut self, now_ms: f64, name: &str) {
+        if self.outgoing.values().filter(|link| !link.is_closed()).count() >= MAX_OUTGOING_LINKS {
+            self.close_least_recently_used(now_ms, name);
+        }
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        self.last_token += 1;
+        let token = self.last_token;
+        let opened = TcpStream::connect(link.address).and_then(|mut stream| {
             let interest = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, Token(token), interest)?;
             Ok(stream)
         });
         match opened {
             Ok(stream) => {
-                to.token = token;
-                to.standing = Standing::Opening { stream, since: now };
-                self.by_token.insert(token, name.to_owned());
-                let hello = Frame::Hello(self.node.peers.greeting(now, name));
-                self.queue(name, &hello);
+                link.token = token;
+                link.state = LinkState::Connecting { stream, since_ms: now_ms };
+                self.peer_by_token.insert(token, name.to_owned());
+                let hello = Frame::Hello(self.node.membership.hello_to(now_ms, name));
+                self.enqueue(name, &hello);
             }
-            Err(error) => self.close(now, name, &error.to_string(), false),
-        }
-    }
-
-    /// Ends the link to a peer, to be tried again later.
-    fn close(&mut self, now: f64, name: &str, why: &str, soon: bool) {
-        let spread = 0.75 + 0.5 * self.chance.rand_float();
-        let Some(to) = self.to.get_mut(name) else { return };
-        let stood = matches!(to.standing, Standing::Open { since, .. } if now - since >= STOOD_MS);
-        to.wait_ms = if stood || soon { WAITS_MS.0 } else { (to.wait_ms * 2.0).min(WAITS_MS.1) };
-        self.by_token.remove(&to.token);
-        to.standing = Standing::Closed { until: now + to.wait_ms * spread };
-        (to.written, to.bytes) = (0, 0);
-        to.queue.clear();
-        to.back.clear();
-        why.clone_into(&mut to.why);
-        self.counts.add("links_closed");
-        debug!(target: "fleet", "the link to {name} is closed: {why}");
-    }
-
-    /// Something is to be written to a peer, or has come on the way back.
-    fn outgoing(&mut self, now: f64, token: usize, writable: bool, readable: bool) {
-        let Some(name) = self.by_token.get(&token).cloned() else { return };
-        let Some(to) = self.to.get_mut(&name) else { return };
-        if writable && let Standing::Opening { stream, .. } = &to.standing {
-            match stream
-                .take_error()
-                .and_then(|error| error.map_or(Ok(()), Err))
-                .and_then(|()| stream.peer_addr())
-            {
-                Ok(_) => {
-                    let _ = stream.set_nodelay(true); // it only makes words later
-                    let old = std::mem::replace(&mut to.standing, Standing::Closed { until: now });
-                    if let Standing::Opening { stream, .. } = old {
-                        to.standing = Standing::Open { stream, since: now };
+            Err(error) => self.close(now_ms, name, &error.to_string(), false),
+        }
+    }
+
+    fn close_least_recently_used(&mut self, now_ms: f64, except: &str) {
+        let candidates = self.outgoing.iter().filter(|(name, link)| *name != except && !link.is_closed());
+        let oldest = candidates.min_by(|a, b| a.1.used_at_ms.total_cmp(&b.1.used_at_ms));
+        if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+            self.close(now_ms, &name, "closed for a link to another peer", true);
+        }
+    }
+
+    /// Closes the link to a peer and schedules the next attempt.
+    fn close(&mut self, now_ms: f64, name: &str, reason: &str, retry_soon: bool) {
+        let spread = (1.0 - RETRY_JITTER) + 2.0 * RETRY_JITTER * self.rng.rand_float();
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        link.retry_delay_ms = if link.open_for(STABLE_LINK_MS, now_ms) || retry_soon {
+            MIN_RETRY_DELAY_MS
+        } else {
+            (link.retry_delay_ms * 2.0).min(MAX_RETRY_DELAY_MS)
+        };
+        self.peer_by_token.remove(&link.token);
+        link.state = LinkState::Closed { retry_at_ms: now_ms + link.retry_delay_ms * spread };
+        link.written = 0;
+        link.queued_bytes = 0;
+        link.queue.clear();
+        link.reverse_buffer.clear();
+        reason.clone_into(&mut link.close_reason);
+        self.counters.add("links_closed");
+        debug!(target: "fleet", "link to {name} closed: {reason}");
+    }
+
+    /// Handles readiness of the link to a peer.
+    fn outgoing_ready(&mut self, now_ms: f64, token: usize, writable: bool, readable: bool) {
+        let Some(name) = self.peer_by_token.get(&token).cloned() else { return };
+        let Some(link) = self.outgoing.get_mut(&name) else { return };
+        if writable && let LinkState::Connecting { stream, .. } = &link.state {
+            match connection_result(stream) {
+                Ok(()) => {
+                    let _ = stream.set_nodelay(true); // without it frames are only delayed
+                    let closed = LinkState::Closed { retry_at_ms: now_ms };
+                    if let LinkState::Connecting { stream, .. } = std::mem::replace(&mut link.state, closed) {
+                        link.state = LinkState::Open { stream, since_ms: now_ms };
                     }
-                    self.counts.add("links_opened");
+                    self.counters.add("links_opened");
                 }
                 Err(error) if error.kind() == ErrorKind::NotConnected => return,
-                Err(error) => return self.close(now, &name, &error.to_string(), false),
+                Err(error) => return self.close(now_ms, &name, &error.to_string(), false),
             }
         }
         if readable {
-            self.back(now, &name);
+            self.read_reverse(now_ms, &name);
         }
-        self.flush(now, &name);
+        self.flush(now_ms, &name);
     }
 
-    /// Reads what comes on the way back: a refusal, or the end.
-    fn back(&mut self, now: f64, name: &str) {
-        let Some(to) = self.to.get_mut(name) else { return };
-        let Standing::Open { stream, .. } = &mut to.standing else { return };
-        let mut piece = [0; 1024];
+    /// Reads the reverse direction of the link to a peer: a rejection or the end of the link.
+    fn read_reverse(&mut self, now_ms: f64, name: &str) {
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        let LinkState::Open { stream, .. } = &mut link.state else { return };
+        let mut chunk = [0; 1024];
         let ended = loop {
-            match stream.read(&mut piece) {
-                Ok(0) => break Some("it was closed there".to_owned()),
-                Ok(count) if to.back.len() + count > piece.len() => {
-                    break Some("it says more than a refusal".to_owned());
+            match stream.read(&mut chunk) {
+                Ok(0) => break Some("closed by the peer".to_owned()),
+                Ok(count) if link.reverse_buffer.len() + count > chunk.len() => {
+                    break Some("the peer sends more than a rejection".to_owned());
                 }
-                Ok(count) => to.back.extend_from_slice(&piece[..count]),
+                Ok(count) => link.reverse_buffer.extend_from_slice(&chunk[..count]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break None,
                 Err(error) => break Some(error.to_string()),
             }
         };
-        match Frame::read(&to.back) {
-            Ok(Some((Frame::Refused(why), _))) => {
-                self.counts.add("links_refused_there");
-                self.warn("refused there", &format!("{name} refuses the link: {why}"));
-                self.node.refused(now, &why);
-                self.close(now, name, &format!("refused: {why}"), false);
+        match Frame::decode(&link.reverse_buffer) {
+            Ok(Some((Frame::Rejected(rejection), _))) => {
+                self.counters.add("links_refused_there");
+                self.warn("refused there", &format!("{name} rejects the link: {rejection}"));
+                self.node.link_rejected(now_ms, &rejection);
+                self.close(now_ms, name, &format!("refused: {rejection}"), false);
             }
             Ok(None) if ended.is_none() => {}
-            Ok(None) => self.close(now, name, &ended.unwrap_or_default(), false),
-            _ => self.close(now, name, "what comes back can't be read", false),
+            Ok(None) => self.close(now_ms, name, &ended.unwrap_or_default(), false),
+            _ => self.close(now_ms, name, "the peer's answer can't be decoded", false),
         }
     }
 
-    fn flush(&mut self, now: f64, name: &str) {
-        let Some(to) = self.to.get_mut(name) else { return };
-        let Standing::Open { stream, .. } = &mut to.standing else { return };
-        while let Some((_, frame)) = to.queue.front() {
-            match stream.write(&frame[to.written..]) {
-                Ok(0) => return self.close(now, name, "it takes nothing", false),
+    fn flush(&mut self, now_ms: f64, name: &str) {
+        let Some(link) = self.outgoing.get_mut(name) else { return };
+        let LinkState::Open { stream, .. } = &mut link.state else { return };
+        while let Some(frame) = link.queue.front() {
+            match stream.write(&frame.bytes[link.written..]) {
+                Ok(0) => return self.close(now_ms, name, "the socket accepts no data", false),
                 Ok(count) => {
-                    to.written += count;
-                    if to.written == frame.len() {
-                        to.bytes -= frame.len();
-                        to.written = 0;
-                        to.queue.pop_front();
+                    link.written += count;
+                    if link.written == frame.bytes.len() {
+                        link.queued_bytes -= frame.bytes.len();
+                        link.written = 0;
+                        link.queue.pop_front();
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(error) => return self.close(now, name, &error.to_string(), false),
+                Err(error) => return self.close(now_ms, name, &error.to_string(), false),
             }
         }
     }
 
-    fn accept(&mut self, now: f64) {
+    fn accept(&mut self, now_ms: f64) {
         loop {
             match self.listener.accept() {
-                Ok((mut stream, at)) => {
-                    if !self.ips.contains(&at.ip()) {
-                        self.counts.add("links_of_strangers");
-                        self.warn(
-                            "stranger",
-                            &format!("a link from {at} is refused: no peer of the file is there"),
-                        );
-                        continue;
-                    }
-                    if self.from.len() >= TAKEN {
-                        // The one that was not heard of for longest makes room.
-                        let old = self.from.iter().min_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at));
-                        let old = old.map(|(token, _)| *token);
-                        old.into_iter().for_each(|token| drop(self.from.remove(&token)));
-                        self.counts.add("links_made_room");
-                    }
-                    self.next += 1;
-                    let token = self.next;
-                    if self.poll.registry().register(&mut stream, Token(token), Interest::READABLE).is_err() {
-                        continue;
-                    }
-                    let from = From {
-                        stream,
-                        who: None,
-                        ip: at.ip(),
-                        buffer: Vec::new(),
-                        since: now,
-                        heard_at: now,
-                        left: READ_AT_ONCE,
-                        filled_at: now,
-                    };
-                    self.from.insert(token, from);
-                    self.more.insert(token);
-                    self.counts.add("links_taken");
-                }
+                Ok((stream, address)) => self.accepted(now_ms, stream, address),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    // No descriptor is left, say: the listener tells again with the next that comes.
-                    self.warn("accept", &format!("a link could not be taken: {error}"));
+                    // For example out of descriptors. The listener becomes ready again with the next connection.
+                    self.warn("accept", &format!("accepting a link failed: {error}"));
                     return;
                 }
             }
         }
     }
 
-    /// Reads what a peer has said, within its allowance.
-    fn incoming(&mut self, now: f64, token: usize) {
-        let waiting: usize = self.from.values().map(|f| f.buffer.len()).sum();
-        let Some(from) = self.from.get_mut(&token) else { return };
-        from.left = (from.left + (now - from.filled_at) * READ_PER_S / 1000.0).min(READ_AT_ONCE);
-        from.filled_at = now;
-        let mut piece = [0; 8192];
-        let (mut end, mut read) = (None, 0);
+    fn accepted(&mut self, now_ms: f64, mut stream: TcpStream, address: SocketAddr) {
+        if !self.peer_ips.contains(&address.ip()) {
+            self.counters.add("links_of_strangers");
+            let line = format!("rejecting a link from {address}: no configured peer has this address");
+            self.warn("stranger", &line);
+            return;
+        }
+        if self.incoming.len() >= MAX_INCOMING_LINKS {
+            self.close_longest_silent_incoming();
+            self.counters.add("links_made_room");
+        }
+        self.last_token += 1;
+        let token = self.last_token;
+        if self.poll.registry().register(&mut stream, Token(token), Interest::READABLE).is_err() {
+            return;
+        }
+        self.incoming.insert(token, IncomingLink::new(stream, address.ip(), now_ms));
+        self.readable.insert(token);
+        self.counters.add("links_taken");
+    }
+
+    fn close_longest_silent_incoming(&mut self) {
+        let oldest = self.incoming.iter().min_by(|a, b| a.1.received_at_ms.total_cmp(&b.1.received_at_ms));
+        if let Some(token) = oldest.map(|(token, _)| *token) {
+            self.incoming.remove(&token);
+        }
+    }
+
+    /// Reads a link from a peer within its allowance.
+    fn read_incoming(&mut self, now_ms: f64, token: usize) {
+        let buffered_bytes: usize = self.incoming.values().map(|link| link.buffer.len()).sum();
+        let Some(link) = self.incoming.get_mut(&token) else { return };
+        let elapsed_ms = now_ms - link.refilled_at_ms;
+        link.read_tokens_bytes =
+            (link.read_tokens_bytes + elapsed_ms * READ_BYTES_PER_S / 1000.0).min(READ_BURST_BYTES);
+        link.refilled_at_ms = now_ms;
+        let mut chunk = [0; 8192];
+        let mut close_reason = None;
+        let mut read = 0;
         loop {
-            if from.left <= 0.0 {
-                self.more.insert(token);
+            if link.read_tokens_bytes <= 0.0 {
+                self.readable.insert(token);
                 break;
             }
-            match from.stream.read(&mut piece) {
+            match link.stream.read(&mut chunk) {
                 Ok(0) => {
-                    end = Some(End::Closed);
+                    close_reason = Some(CloseReason::Closed);
                     break;
                 }
                 Ok(count) => {
                     read += count;
-                    from.left -= count as f64;
-                    from.heard_at = now;
-                    from.buffer.extend_from_slice(&piece[..count]);
-                    if from.buffer.len() > 2 * LONGEST {
-                        self.more.insert(token);
+                    link.read_tokens_bytes -= count as f64;
+                    link.received_at_ms = now_ms;
+                    link.buffer.extend_from_slice(&chunk[..count]);
+                    if link.buffer.len() > 2 * MAX_FRAME_BYTES {
+                        self.readable.insert(token);
                         break;
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
-                    end = Some(End::Closed);
+                    close_reason = Some(CloseReason::Closed);
                     break;
                 }
             }
         }
-        if waiting + read > IN_ALL {
-            end = Some(End::NoRoom);
+        if buffered_bytes + read > MAX_BUFFERED_BYTES_TOTAL {
+            close_reason = Some(CloseReason::BuffersFull);
         }
-        if let Err(why) = self.frames(now, token) {
-            end = Some(why);
+        if let Err(reason) = self.handle_frames(now_ms, token) {
+            close_reason = Some(reason);
         }
-        if let Some(end) = end {
-            self.end(token, end);
+        if let Some(reason) = close_reason {
+            self.close_incoming(token, reason);
         }
     }
 
-    /// Takes the frames that have come whole.
-    fn frames(&mut self, now: f64, token: usize) -> Result<(), End> {
-        let Some(from) = self.from.get_mut(&token) else { return Ok(()) };
-        let mut buffer = std::mem::take(&mut from.buffer);
+    /// Handles the complete frames in the buffer of a link.
+    fn handle_frames(&mut self, now_ms: f64, token: usize) -> Result<(), CloseReason> {
+        let Some(link) = self.incoming.get_mut(&token) else { return Ok(()) };
+        let mut buffer = std::mem::take(&mut link.buffer);
         let mut used = 0;
-        let taken = loop {
-            match Frame::read(&buffer[used..]) {
+        let result = loop {
+            match Frame::decode(&buffer[used..]) {
                 Ok(None) => break Ok(()),
                 Ok(Some((frame, length))) => {
                     used += length;
-                    if let Err(end) = self.frame(now, token, frame) {
-                        break Err(end);
+                    if let Err(reason) = self.handle_frame(now_ms, token, frame) {
+                        break Err(reason);
                     }
                 }
-                Err(Unreadable::Format(theirs)) => {
-                    break Err(End::Refused(Refusal::Format { theirs, ours: pewterwharf_peers::FORMAT }));
+                Err(FrameError::FormatMismatch(theirs)) => {
+                    let ours = pewterwharf_peers::FORMAT;
+                    break Err(CloseReason::Rejected(LinkRejection::FormatMismatch { theirs, ours }));
                 }
-                Err(why) => break Err(End::Unreadable(why)),
+                Err(error) => break Err(CloseReason::Unreadable(error)),
             }
         };
         buffer.drain(..used);
         if buffer.is_empty() {
-            buffer = Vec::new();
+            buffer = Vec::new(); // frees the memory
         }
-        if let Some(from) = self.from.get_mut(&token) {
-            from.buffer = buffer;
+        if let Some(link) = self.incoming.get_mut(&token) {
+            link.buffer = buffer;
         }
-        taken
-    }
-
-    fn frame(&mut self, now: f64, token: usize, frame: Frame) -> Result<(), End> {
-        let Some(from) = self.from.get(&token) else { return Ok(()) };
-        match (frame, from.who.clone()) {
-            (Frame::Hello(hello), who) => {
-                let named = self.to.get(&hello.name).is_none_or(|to| to.at.ip() == from.ip);
-                if !named || who.is_some_and(|w| w.0 != hello.name) {
-                    return Err(End::Refused(Refusal::Unnamed(hello.name)));
-                }
-                self.node.hello(now, &hello).map_err(End::Refused)?;
-                // A later link of the same mixer takes the place of its earlier one.
-                let old = |(t, f): &(&usize, &From)| {
-                    **t != token && f.who.as_ref().is_some_and(|w| w.0 == hello.name)
-                };
-                let old: Vec<usize> = self.from.iter().filter(old).map(|(t, _)| *t).collect();
-                old.iter().for_each(|t| drop(self.from.remove(t)));
-                if let Some(from) = self.from.get_mut(&token) {
-                    from.who = Some((hello.name, hello.start));
-                }
-                Ok(())
-            }
-            (_, None) => Err(End::Unreadable(Unreadable::Malformed)),
-            (frame, Some((name, start))) => {
-                self.counts.add("words_heard");
-                let out = self.node.heard(now, &name, start, frame);
-                self.carry(now, out);
+        result
+    }
+
+    fn handle_frame(&mut self, now_ms: f64, token: usize, frame: Frame) -> Result<(), CloseReason> {
+        let Some(link) = self.incoming.get(&token) else { return Ok(()) };
+        match (frame, link.peer.clone()) {
+            (Frame::Hello(hello), peer) => self.handle_hello(now_ms, token, hello, peer),
+            (_, None) => Err(CloseReason::Unreadable(FrameError::Malformed)),
+            (frame, Some(peer)) => {
+                self.counters.add("words_heard");
+                let output = self.node.handle_frame(now_ms, &peer.name, peer.incarnation, frame);
+                self.apply_output(now_ms, output);
                 Ok(())
             }
         }
     }
 
-    /// A later start has a name: links of earlier ones are told so, and end.
-    fn outdone(&mut self, now: f64, name: &str, by: Rival) {
-        let earlier = |f: &From| f.who.as_ref().is_some_and(|w| w.0 == name && w.1 < by.start);
-        let tokens: Vec<usize> = self.from.iter().filter(|(_, f)| earlier(f)).map(|(t, _)| *t).collect();
-        tokens.into_iter().for_each(|token| self.end(token, End::Refused(Refusal::Older(by))));
-        // What waits for the earlier one is nothing to the later.
-        if let Some(to) = self.to.get_mut(name)
-            && to.written == 0
+    fn handle_hello(
+        &mut self,
+        now_ms: f64,
+        token: usize,
+        hello: Hello,
+        peer: Option<LinkPeer>,
+    ) -> Result<(), CloseReason> {
+        let Some(link) = self.incoming.get(&token) else { return Ok(()) };
+        let has_configured_ip =
+            self.outgoing.get(&hello.name).is_none_or(|outgoing| outgoing.address.ip() == link.ip);
+        if !has_configured_ip || peer.is_some_and(|peer| peer.name != hello.name) {
+            return Err(CloseReason::Rejected(LinkRejection::UnknownName(hello.name)));
+        }
+        self.node.handle_hello(now_ms, &hello).map_err(CloseReason::Rejected)?;
+        // A new link of a mixer replaces its earlier one.
+        let earlier = self.incoming.iter().filter(|(t, link)| **t != token && link.is_from(&hello.name));
+        let earlier: Vec<usize> = earlier.map(|(t, _)| *t).collect();
+        for token in &earlier {
+            self.incoming.remove(token);
+        }
+        if let Some(link) = self.incoming.get_mut(&token) {
+            link.peer = Some(LinkPeer { name: hello.name, incarnation: hello.incarnation });
+        }
+        Ok(())
+    }
+
+    /// Closes the links from earlier incarnations of a name, with the reason.
+    fn close_superseded_links(&mut self, now_ms: f64, name: &str, by: KnownIncarnation) {
+        let is_earlier = |link: &IncomingLink| {
+            link.peer.as_ref().is_some_and(|peer| peer.name == name && peer.incarnation < by.incarnation)
+        };
+        let earlier = self.incoming.iter().filter(|(_, link)| is_earlier(link));
+        let tokens: Vec<usize> = earlier.map(|(token, _)| *token).collect();
+        for token in tokens {
+            self.close_incoming(token, CloseReason::Rejected(LinkRejection::Superseded(by)));
+        }
+        // Frames that were queued for the earlier incarnation mean nothing to the later one.
+        if let Some(link) = self.outgoing.get_mut(name)
+            && link.written == 0
         {
-            let before = to.queue.len();
-            to.queue.retain(|(soft, _)| !soft);
-            to.bytes = to.queue.iter().map(|(_, frame)| frame.len()).sum();
-            if before != to.queue.len() {
-                to.used_at = now;
+            let queued = link.queue.len();
+            link.queue.retain(|frame| !frame.droppable);
+            link.queued_bytes = link.queue.iter().map(|frame| frame.bytes.len()).sum();
+            if queued != link.queue.len() {
+                link.used_at_ms = now_ms;
             }
         }
     }
 
-    fn end(&mut self, token: usize, why: End) {
-        let Some(mut from) = self.from.remove(&token) else { return };
-        let who = from.who.as_ref().map_or_else(|| from.ip.to_string(), |w| w.0.clone());
-        match why {
-            End::Closed => debug!(target: "fleet", "the link from {who} has ended"),
-            End::Unreadable(why) => {
-                self.counts.add("links_unreadable");
-                self.warn("unreadable", &format!("the link from {who} is ended: {why}"));
+    fn close_incoming(&mut self, token: usize, reason: CloseReason) {
+        let Some(mut link) = self.incoming.remove(&token) else { return };
+        let from = link.peer.as_ref().map_or_else(|| link.ip.to_string(), |peer| peer.name.clone());
+        match reason {
+            CloseReason::Closed => debug!(target: "fleet", "link from {from} closed"),
+            CloseReason::Unreadable(error) => {
+                self.counters.add("links_unreadable");
+                self.warn("unreadable", &format!("closing the link from {from}: {error}"));
             }
-            End::NoRoom => {
-                self.counts.add("links_no_room");
-                self.warn(
-                    "no room",
-                    &format!("the link from {who} is ended: no room for more that is not whole"),
-                );
+            CloseReason::BuffersFull => {
+                self.counters.add("links_no_room");
+                let line = format!("closing the link from {from}: too many bytes of incomplete frames");
+                self.warn("no room", &line);
             }
-            End::Refused(why) => {
-                self.counts.add("links_refused");
-                self.warn("refused", &format!("the link from {who} is refused: {why}"));
-                // It fits into what a socket takes at once, or goes unsaid.
-                let _ = from.stream.write(&Frame::Refused(why).bytes());
-                let _ = from.stream.shutdown(Shutdown::Write);
+            CloseReason::Rejected(rejection) => {
+                self.counters.add("links_refused");
+                self.warn("refused", &format!("rejecting the link from {from}: {rejection}"));
+                // Best effort: the frame fits into the socket's send buffer.
+                let _ = link.stream.write(&Frame::Rejected(rejection).encode());
+                let _ = link.stream.shutdown(Shutdown::Write);
             }
         }
     }
 
-    /// Links that take too long to open or to say hello.
-    fn patience(&mut self, now: f64) {
-        let late =
-            |to: &To| matches!(to.standing, Standing::Opening { since, .. } if now - since >= PATIENCE_MS);
-        let names: Vec<String> =
-            self.to.iter().filter(|(_, to)| late(to)).map(|(name, _)| name.clone()).collect();
-        names.iter().for_each(|name| self.close(now, name, "nobody answers", false));
-        // Guards against a link whose far end has gone without a word: written to, it takes all and carries nothing.
-        let deaf = |(name, to): (&String, &To)| {
-            let old = matches!(to.standing, Standing::Open { since, .. } if now - since >= DEAF_MS);
-            (old && !self.node.peers.up().contains_key(name)).then(|| name.clone())
-        };
-        let names: Vec<String> = self.to.iter().filter_map(deaf).collect();
-        names.iter().for_each(|name| self.reopen(now, name));
-        let mute = |f: &From| f.who.is_none() && now - f.since >= PATIENCE_MS;
-        let tokens: Vec<usize> = self.from.iter().filter(|(_, f)| mute(f)).map(|(t, _)| *t).collect();
+    fn close_timed_out_links(&mut self, now_ms: f64) {
+        let timed_out = |link: &OutgoingLink| matches!(link.state, LinkState::Connecting { since_ms, .. } if now_ms - since_ms >= HANDSHAKE_TIMEOUT_MS);
+        let connecting = self.outgoing.iter().filter(|(_, link)| timed_out(link));
+        let names: Vec<String> = connecting.map(|(name, _)| name.clone()).collect();
+        for name in &names {
+            self.close(now_ms, name, "connecting timed out", false);
+        }
+        // Guards against a link whose other end vanished without closing it: writes succeed but nothing arrives.
+        let up = self.node.membership.up();
+        let dead = self
+            .outgoing
+            .iter()
+            .filter(|(name, link)| link.open_for(DEAD_LINK_AGE_MS, now_ms) && !up.contains_key(*name));
+        let names: Vec<String> = dead.map(|(name, _)| name.clone()).collect();
+        for name in &names {
+            self.reopen(now_ms, name);
+        }
+        let without_hello =
+            |link: &IncomingLink| link.peer.is_none() && now_ms - link.since_ms >= HANDSHAKE_TIMEOUT_MS;
+        let silent = self.incoming.iter().filter(|(_, link)| without_hello(link));
+        let tokens: Vec<usize> = silent.map(|(token, _)| *token).collect();
         for token in tokens {
-            self.counts.add("links_mute");
-            self.end(token, End::Closed);
+            self.counters.add("links_mute");
+            self.close_incoming(token, CloseReason::Closed);
         }
     }
 }
+
+/// Whether a non-blocking connect has succeeded; `NotConnected` while it is still in progress.
+fn connection_result(stream: &TcpStream) -> io::Result<()> {
+    if let Some(error) = stream.take_error()? {
+        return Err(error);
+    }
+    stream.peer_addr().map(|_| ())
+}
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,29 +1,41 @@
-//! A mixer among mixers, without I/O.
+//! One mixer of a fleet, without I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use pewterwharf_peers::{Effect, Hello, Incarnation, Life, Peers, Refusal, Rival, Standing};
+use pewterwharf_peers::{
+    Effect, Hello, Incarnation, KnownIncarnation, LinkRejection, Membership, MembershipState, PeerInfo,
+    PeerStatus,
+};
 pub use pewterwharf_replica::LocalStatus;
-use pewterwharf_replica::kinds::{IdleLost, Leaving, ListHeld, Mark, ProcessStart, Stage, Used};
-use pewterwharf_replica::{Advice, Exchange, Limits, PeerReportPolicy, Progress, Replica, Word, kinds};
+use pewterwharf_replica::kinds::{
+    CustomerUsage, Departure, IdleConnectionsLost, Mark, ProcessStart, SearcherList, Stage,
+};
+use pewterwharf_replica::{
+    Advice, CatchUpProgress, Exchange, Limits, OutgoingMessage, PeerReportPolicy, Replica, ReplicaMessage,
+    kinds,
+};
 
 use crate::frame::Frame;
-use crate::show::{FleetStatus, Member};
+use crate::status::{FleetStatus, MemberStatus};
 
-/// What rows of all mixers may take in sum, in bytes.
-const ROWS: usize = 2 << 20;
-/// A pause between two looks of more than this is one of this process: what comes then may be so much older than it says.
-const PAUSE_MS: f64 = 300.0;
+/// Memory for the records of all mixers together.
+const MAX_RECORD_BYTES: usize = 2 << 20;
+/// A longer time between two turns is a pause of this process: records received then may be older than they say by the
+/// length of the pause.
+const PAUSE_THRESHOLD_MS: f64 = 300.0;
+/// How long the departure of a searcher stays published: well above the time in which every list contains it.
+const GONE_RETENTION_MS: f64 = 60_000.0;
+/// Name of the record about this mixer's searcher list.
+const LIST_RECORD: &str = "list";
+/// Trust score of a peer that has not been right or wrong yet, for display.
+const NEUTRAL_TRUST: f64 = 0.5;
 
-/// That a searcher has gone is said for so long: well past the time in which every list tells.
-const GONE_MS: f64 = 60_000.0;
-
-/// What this mixer has met by itself, for the others.
+/// An observation of this mixer to publish.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LocalReport {
-    /// What it knows of a searcher; nothing, where its list does not name it any more. With the multiple of normal where it
-    /// is marked, the parts that this goes by, and whether it is cold since its start.
+    /// What this mixer knows about a searcher; `status` is `None` once its list no longer contains the searcher.
+    /// `latency_ratio` and `parts` are the evidence for a mark; `cold` tells whether it is cold since its start.
     Searcher {
         address: SocketAddrV4,
         status: Option<LocalStatus>,
@@ -31,306 +43,368 @@
         latency_ratio: f64,
         parts: u32,
     },
-    /// The list that it holds.
+    /// The searcher list in use.
     List { index: u64, ready: u32 },
     /// Connections were lost while idle.
     IdleConnectionsLost { times: u16 },
-    /// A customer's scans in a span.
+    /// A customer's scans within a time span.
     CustomerUsage { customer: String, scans: u32, span_ms: u32 },
 }
 
-/// What is to be done.
+/// An action for the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// To that peer.
-    Send { to: String, frame: Frame },
-    /// Ends the link to that peer, and opens another soon.
-    Reopen { to: String },
-    /// Begins its link to that peer anew, with a hello first.
-    Greet { to: String },
-    /// Ends links on which an earlier start of that name speaks, with the reason.
-    Outdone { name: String, by: Rival },
-    /// For the decision module.
+pub enum NodeOutput {
+    Send {
+        to: String,
+        frame: Frame,
+    },
+    /// Close the link to this peer and open it again soon.
+    ReopenLink {
+        to: String,
+    },
+    /// Send a hello on the link to this peer, opening it if necessary.
+    SendHello {
+        to: String,
+    },
+    /// Close links from earlier incarnations of this name, with the reason.
+    CloseSupersededLinks {
+        name: String,
+        by: KnownIncarnation,
+    },
+    /// Advice for the decision module.
     Advice(Advice),
-    /// A change that operators want to know of.
+    /// A change for the operators' log.
     Log(String),
 }
 
 /// One mixer of a fleet.
 pub struct Node {
-    pub peers: Peers,
+    pub membership: Membership,
     pub exchange: Exchange,
     pub policy: PeerReportPolicy,
-    looked_at: Option<f64>,
-    /// How much older than they say the words are that are read in this turn.
-    old_ms: f64,
-    /// Searchers that have left the list, and when: their words are taken back once all have had time to hear of it.
-    gone: BTreeMap<SocketAddrV4, f64>,
-    /// Longest time between two looks since the start, in milliseconds.
+    last_turn_ms: Option<f64>,
+    /// How much older the records that are read in this turn may be than they say.
+    delay_ms: f64,
+    /// Searchers that have left the list, and when. Their departure is retracted once all mixers had time to receive it.
+    gone_since_ms: BTreeMap<SocketAddrV4, f64>,
+    /// Longest time between two turns since the start.
     longest_pause_ms: f64,
-    was: Progress,
+    logged_progress: CatchUpProgress,
 }
 
 impl Node {
-    /// A mixer that has just started; `names` are its peers, and the seed differs between starts.
-    pub fn new(fleet: &str, me: &str, names: &[String], seed: u64) -> Self {
-        let peers = Peers::new(fleet, me, names.iter().cloned(), seed);
-        let limits = Limits::per_origin(ROWS, names.len() + 1);
-        let replica = Replica::new(me, peers.start(), names.iter().cloned(), limits);
+    /// Creates a mixer that has just started. `names` are its peers; the seed must differ between starts.
+    pub fn new(fleet: &str, local_name: &str, names: &[String], seed: u64) -> Self {
+        let membership = Membership::new(fleet, local_name, names.iter().cloned(), seed);
+        let limits = Limits::per_origin(MAX_RECORD_BYTES, names.len() + 1);
+        let replica = Replica::new(local_name, membership.incarnation(), names.iter().cloned(), limits);
         Self {
             exchange: Exchange::new(replica, seed),
-            policy: PeerReportPolicy::new(me),
-            peers,
-            looked_at: None,
-            old_ms: 0.0,
-            gone: BTreeMap::new(),
+            policy: PeerReportPolicy::new(local_name),
+            membership,
+            last_turn_ms: None,
+            delay_ms: 0.0,
+            gone_since_ms: BTreeMap::new(),
             longest_pause_ms: 0.0,
-            was: Progress::Alone,
+            logged_progress: CatchUpProgress::Alone,
         }
     }
 
-    /// Has to be called first in every turn, with the time: it sees whether this process has paused.
-    pub fn look(&mut self, now: f64) {
-        let pause = self.looked_at.map_or(0.0, |at| now - at);
-        self.old_ms = if pause > PAUSE_MS { pause } else { 0.0 };
-        self.longest_pause_ms = self.longest_pause_ms.max(pause);
-        self.looked_at = Some(now);
+    /// Begins a turn. Has to be called before anything else in it, to detect a pause of this process.
+    pub fn begin_turn(&mut self, now_ms: f64) {
+        let pause_ms = self.last_turn_ms.map_or(0.0, |last_ms| now_ms - last_ms);
+        self.delay_ms = if pause_ms > PAUSE_THRESHOLD_MS { pause_ms } else { 0.0 };
+        self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
+        self.last_turn_ms = Some(now_ms);
     }
 
-    /// The first word on a link that a peer has opened.
+    /// Handles the first frame on a link that a peer has opened.
     ///
     /// # Errors
-    /// Why it is to be refused.
-    pub fn hello(&mut self, now: f64, hello: &Hello) -> Result<(), Refusal> {
-        self.peers.hello(now, hello)
+    /// Why the link has to be rejected.
+    pub fn handle_hello(&mut self, now_ms: f64, hello: &Hello) -> Result<(), LinkRejection> {
+        self.membership.handle_hello(now_ms, hello)
     }
 
-    /// A link that this mixer has opened is refused.
-    pub fn refused(&mut self, now: f64, why: &Refusal) {
-        if let Refusal::Older(by) = why {
-            self.peers.outdone(now, *by);
+    /// A peer has rejected the link that this mixer opened.
+    pub fn link_rejected(&mut self, now_ms: f64, rejection: &LinkRejection) {
+        if let LinkRejection::Superseded(by) = rejection {
+            self.membership.handle_later_incarnation(now_ms, *by);
         }
     }
 
-    /// A word of a peer, on a link whose hello was taken.
-    pub fn heard(&mut self, now: f64, from: &str, start: Incarnation, frame: Frame) -> Vec<Out> {
-        let mut out = Vec::new();
+    /// Handles a frame on a link whose hello was accepted.
+    pub fn handle_frame(
+        &mut self,
+        now_ms: f64,
+        from: &str,
+        incarnation: Incarnation,
+        frame: Frame,
+    ) -> Vec<NodeOutput> {
+        let mut output = Vec::new();
         match frame {
-            Frame::Swim(bytes) => self.peers.heard(now, &bytes),
-            Frame::Bye(left) if left == start => self.peers.bye(from, start),
-            Frame::Copy(word) if self.peers.takes_part() => self.copy(now, from, word, &mut out),
-            Frame::Copy(_) | Frame::Bye(_) | Frame::Hello(_) | Frame::Refused(_) => {}
+            Frame::Swim(bytes) => self.membership.handle_message(now_ms, &bytes),
+            Frame::Bye(left) if left == incarnation => self.membership.handle_bye(from, incarnation),
+            Frame::Replica(message) if self.membership.is_active() => {
+                self.handle_replica_message(now_ms, from, message, &mut output);
+            }
+            Frame::Replica(_) | Frame::Bye(_) | Frame::Hello(_) | Frame::Rejected(_) => {}
         }
-        out
+        output
     }
 
-    fn copy(&mut self, now: f64, from: &str, word: Word, out: &mut Vec<Out>) {
-        for (origin, start, through) in word.origins() {
-            let beyond = self.exchange.replica.origin(origin).is_some_and(|held| through > held.version);
-            self.peers.speaks(now, origin, start, beyond);
+    fn handle_replica_message(
+        &mut self,
+        now_ms: f64,
+        from: &str,
+        message: ReplicaMessage,
+        output: &mut Vec<NodeOutput>,
+    ) {
+        for origin in message.mentioned_origins() {
+            let held = self.exchange.replica.origin(origin.name);
+            let beyond_held_version = held.is_some_and(|held| origin.version > held.version);
+            self.membership.observe_incarnation(now_ms, origin.name, origin.incarnation, beyond_held_version);
         }
-        let (news, words) = self.exchange.heard(now, self.old_ms, from, word);
-        out.extend(words.into_iter().map(|(to, word)| Out::Send { to, frame: Frame::Copy(word) }));
-        let advice = self.policy.apply_changes(now, &news, &self.exchange.replica);
-        out.extend(advice.into_iter().map(Out::Advice));
+        let handled = self.exchange.handle_message(now_ms, self.delay_ms, from, message);
+        output.extend(handled.messages.into_iter().map(replica_frame));
+        let advice = self.policy.apply_changes(now_ms, &handled.changes, &self.exchange.replica);
+        output.extend(advice.into_iter().map(NodeOutput::Advice));
     }
 
-    /// What this mixer has met by itself.
-    pub fn say(&mut self, now: f64, say: LocalReport) -> Option<Out> {
+    /// Publishes an observation of this mixer.
+    pub fn publish(&mut self, now_ms: f64, report: LocalReport) -> Option<NodeOutput> {
         let replica = &mut self.exchange.replica;
-        match say {
-            LocalReport::Searcher { address: at, status: own, cold, latency_ratio, parts } => {
-                let advice = self.policy.local_status_changed(now, at, own);
-                let late = own.is_some_and(|own| !own.marked);
-                self.searcher(now, at, own, cold, Mark { latency_ratio, parts, late });
-                return advice.map(Out::Advice);
+        match report {
+            LocalReport::Searcher { address, status, cold, latency_ratio, parts } => {
+                let advice = self.policy.local_status_changed(now_ms, address, status);
+                let late = status.is_some_and(|status| !status.marked);
+                self.publish_searcher(now_ms, address, status, cold, Mark { latency_ratio, parts, late });
+                return advice.map(NodeOutput::Advice);
             }
             LocalReport::List { index, ready } => {
-                drop(replica.publish(now, "list", &ListHeld { index, ready }, now))
+                replica.publish(now_ms, LIST_RECORD, &SearcherList { index, ready }, now_ms);
             }
             LocalReport::IdleConnectionsLost { times } => {
-                drop(replica.publish(now, "", &IdleLost { times }, now))
+                replica.publish(now_ms, "", &IdleConnectionsLost { times }, now_ms);
             }
             LocalReport::CustomerUsage { customer, scans, span_ms } => {
-                replica.publish(now, &customer, &Used { scans, span_ms }, now);
+                replica.publish(now_ms, &customer, &CustomerUsage { scans, span_ms }, now_ms);
             }
         }
         None
     }
 
-    /// Says what the others may want to know of a searcher: who is up, warm and not marked, and always was, is no word.
-    fn searcher(&mut self, now: f64, at: SocketAddrV4, own: Option<LocalStatus>, cold: bool, mark: Mark) {
-        let (replica, name) = (&mut self.exchange.replica, at.to_string());
-        let before = replica
-            .reports::<Leaving>(now, &name)
-            .into_iter()
-            .find(|report| report.origin == replica.local_name())
-            .map(|report| report.value);
-        let Some(own) = own else {
-            replica.retract::<Mark>(now, &name);
-            replica.retract::<ProcessStart>(now, &name);
-            let since = before.map_or(0.0, |said| said.since);
-            replica.publish(now, &name, &Leaving { since, stage: Stage::Going }, now);
-            self.gone.insert(at, now);
+    /// Publishes what peers need to know about a searcher. Nothing is published about one that has always been up, warm and
+    /// not marked.
+    fn publish_searcher(
+        &mut self,
+        now_ms: f64,
+        address: SocketAddrV4,
+        status: Option<LocalStatus>,
+        cold: bool,
+        mark: Mark,
+    ) {
+        let replica = &mut self.exchange.replica;
+        let name = address.to_string();
+        let published: Option<Departure> = own_report(replica, now_ms, &name);
+        let Some(status) = status else {
+            replica.retract::<Mark>(now_ms, &name);
+            replica.retract::<ProcessStart>(now_ms, &name);
+            let started_at_ms = published.map_or(0.0, |departure| departure.started_at_ms);
+            replica.publish(now_ms, &name, &Departure { started_at_ms, stage: Stage::Gone }, now_ms);
+            self.gone_since_ms.insert(address, now_ms);
             return;
         };
-        self.gone.remove(&at);
-        match own.marked || own.late {
-            true => drop(replica.publish(now, &name, &mark, now)),
-            false => replica.retract::<Mark>(now, &name),
+        self.gone_since_ms.remove(&address);
+        if status.marked || status.late {
+            replica.publish(now_ms, &name, &mark, now_ms);
+        } else {
+            replica.retract::<Mark>(now_ms, &name);
         }
-        let leaving = Leaving { since: own.since, stage: own.stage };
-        if before.map_or(own.stage > Stage::Up, |before| before != leaving) {
-            replica.publish(now, &name, &leaving, now);
+        let departure = Departure { started_at_ms: status.started_at_ms, stage: status.stage };
+        if published.map_or(status.stage > Stage::Up, |published| published != departure) {
+            replica.publish(now_ms, &name, &departure, now_ms);
         }
-        let began = replica
-            .reports::<ProcessStart>(now, &name)
-            .into_iter()
-            .any(|report| report.origin == replica.local_name() && report.value.since == own.since);
-        match cold {
-            true if !began => drop(replica.publish(now, &name, &ProcessStart { since: own.since }, now)),
-            true => {}
-            false => replica.retract::<ProcessStart>(now, &name),
+        let start = ProcessStart { started_at_ms: status.started_at_ms };
+        let start_published = own_report::<ProcessStart>(replica, now_ms, &name)
+            .is_some_and(|published| published.started_at_ms == start.started_at_ms);
+        if !cold {
+            replica.retract::<ProcessStart>(now_ms, &name);
+        } else if !start_published {
+            replica.publish(now_ms, &name, &start, now_ms);
         }
     }
 
-    /// When it wants to be looked at again.
-    pub fn due(&self) -> f64 {
-        self.peers.due().min(self.exchange.due())
+    /// When [`Node::tick`] has to be called next.
+    pub fn next_tick_ms(&self) -> f64 {
+        self.membership.next_tick_ms().min(self.exchange.next_tick_ms())
     }
 
-    /// Lets time go on.
-    pub fn tick(&mut self, now: f64) -> Vec<Out> {
-        let mut out = Vec::new();
-        for effect in self.peers.tick(now) {
-            match effect {
-                Effect::Send { to, bytes } => out.push(Out::Send { to, frame: Frame::Swim(bytes) }),
-                Effect::Greet { to } => out.push(Out::Greet { to }),
-                Effect::Outdone { name, by } => out.push(Out::Outdone { name, by }),
-                Effect::Up { name, start } => {
-                    out.push(Out::Log(format!("{name} is there, start {start}")));
-                    self.exchange.peer(&name, Some(start));
-                }
-                Effect::Down { name } => {
-                    // One that leaves has last words on its links.
-                    if self.peers.takes_part() {
-                        out.push(Out::Reopen { to: name.clone() });
-                    }
-                    out.push(Out::Log(format!("{name} is not there any more")));
-                    self.exchange.peer(&name, None);
-                }
-                Effect::Started { name, start } => {
-                    self.exchange.started(&name, start);
-                    // A link that was opened to an earlier process leads nowhere, even if nobody has told this end of it.
-                    out.push(Out::Reopen { to: name });
-                }
-                Effect::Renewed(start) => {
-                    out.push(Out::Log(format!(
-                        "an earlier start of this name is known: this one is {start}"
-                    )));
-                    self.exchange.renewed(start);
-                }
-                Effect::Aside(by) => {
-                    let line = format!(
-                        "start {by} has this mixer's name: it stands aside from the fleet, and serves on"
-                    );
-                    out.push(Out::Log(line));
+    /// Runs what is due.
+    pub fn tick(&mut self, now_ms: f64) -> Vec<NodeOutput> {
+        let mut output = Vec::new();
+        for effect in self.membership.tick(now_ms) {
+            self.apply_effect(effect, &mut output);
+        }
+        if self.membership.is_active() {
+            output.extend(self.exchange.tick(now_ms).into_iter().map(replica_frame));
+        }
+        self.retract_old_departures(now_ms);
+        output.extend(self.policy.tick(now_ms).into_iter().map(NodeOutput::Advice));
+        let mixers = self.membership.up().len() as u32 + 1;
+        output.extend(self.policy.set_mixer_count(mixers).map(NodeOutput::Advice));
+        self.log_progress(&mut output);
+        output
+    }
+
+    fn apply_effect(&mut self, effect: Effect, output: &mut Vec<NodeOutput>) {
+        match effect {
+            Effect::Send { to, bytes } => output.push(NodeOutput::Send { to, frame: Frame::Swim(bytes) }),
+            Effect::SendHello { to } => output.push(NodeOutput::SendHello { to }),
+            Effect::CloseSupersededLinks { name, by } => {
+                output.push(NodeOutput::CloseSupersededLinks { name, by });
+            }
+            Effect::PeerUp { name, incarnation } => {
+                output.push(NodeOutput::Log(format!("{name} is up, incarnation {incarnation}")));
+                self.exchange.peer_up(&name, incarnation);
+            }
+            Effect::PeerDown { name } => {
+                // A mixer that leaves still has its last messages on its links.
+                if self.membership.is_active() {
+                    output.push(NodeOutput::ReopenLink { to: name.clone() });
                 }
+                output.push(NodeOutput::Log(format!("{name} is down")));
+                self.exchange.peer_down(&name);
+            }
+            Effect::PeerRestarted { name, incarnation } => {
+                self.exchange.peer_restarted(&name, incarnation);
+                // A link that was opened to the earlier process is dead, even if this end was not told.
+                output.push(NodeOutput::ReopenLink { to: name });
+            }
+            Effect::IncarnationChanged(incarnation) => {
+                output.push(NodeOutput::Log(format!(
+                    "another process of this name is known: this one is now incarnation {incarnation}"
+                )));
+                self.exchange.change_incarnation(incarnation);
+            }
+            Effect::Superseded(by) => {
+                output.push(NodeOutput::Log(format!(
+                    "superseded by incarnation {by} of this mixer's name: leaving the fleet, still serving clients"
+                )));
             }
         }
-        if self.peers.takes_part() {
-            let words = self.exchange.tick(now);
-            out.extend(words.into_iter().map(|(to, word)| Out::Send { to, frame: Frame::Copy(word) }));
-        }
-        let long_gone: Vec<SocketAddrV4> =
-            self.gone.iter().filter(|(_, since)| now - **since > GONE_MS).map(|(at, _)| *at).collect();
-        for at in long_gone {
-            self.gone.remove(&at);
-            self.exchange.replica.retract::<Leaving>(now, &at.to_string());
+    }
+
+    fn retract_old_departures(&mut self, now_ms: f64) {
+        let old: Vec<SocketAddrV4> = self
+            .gone_since_ms
+            .iter()
+            .filter(|(_, since_ms)| now_ms - **since_ms > GONE_RETENTION_MS)
+            .map(|(address, _)| *address)
+            .collect();
+        for address in old {
+            self.gone_since_ms.remove(&address);
+            self.exchange.replica.retract::<Departure>(now_ms, &address.to_string());
         }
-        out.extend(self.policy.tick(now).into_iter().map(Out::Advice));
-        let members = self.peers.up().len() as u32 + 1;
-        out.extend(self.policy.set_mixer_count(members).map(Out::Advice));
+    }
+
+    fn log_progress(&mut self, output: &mut Vec<NodeOutput>) {
         let progress = self.exchange.progress();
-        if std::mem::discriminant(&progress) != std::mem::discriminant(&self.was) {
-            out.push(Out::Log(match &progress {
-                Progress::Alone => "no mixer is there to catch up from".to_owned(),
-                Progress::CatchingUp { .. } => "catching up".to_owned(),
-                Progress::Done => "caught up".to_owned(),
+        if std::mem::discriminant(&progress) != std::mem::discriminant(&self.logged_progress) {
+            output.push(NodeOutput::Log(match &progress {
+                CatchUpProgress::Alone => "no mixer is up to catch up from".to_owned(),
+                CatchUpProgress::CatchingUp { .. } => "catching up".to_owned(),
+                CatchUpProgress::Done => "caught up".to_owned(),
             }));
-            self.was = progress;
+            self.logged_progress = progress;
         }
-        out
     }
 
-    /// Leaves the fleet, with a word to all that are there.
-    pub fn leave(&mut self, now: f64) -> Vec<Out> {
-        if !self.peers.takes_part() {
+    /// Leaves the fleet and says goodbye to all peers that are up.
+    pub fn leave(&mut self, now_ms: f64) -> Vec<NodeOutput> {
+        if !self.membership.is_active() {
             return Vec::new();
         }
-        let start = self.peers.start();
-        let byes = self.peers.up().keys().map(|to| Out::Send { to: to.clone(), frame: Frame::Bye(start) });
-        let byes: Vec<Out> = byes.collect();
-        self.peers.leave();
-        let out = self.tick(now).into_iter().filter(|o| !matches!(o, Out::Advice(_)));
-        byes.into_iter().chain(out).collect()
+        let bye = Frame::Bye(self.membership.incarnation());
+        let up = self.membership.up().keys();
+        let byes: Vec<NodeOutput> =
+            up.map(|to| NodeOutput::Send { to: to.clone(), frame: bye.clone() }).collect();
+        self.membership.leave();
+        let output = self.tick(now_ms).into_iter().filter(|o| !matches!(o, NodeOutput::Advice(_)));
+        byes.into_iter().chain(output).collect()
     }
 
-    /// What it sees of its fleet, for people; without what the links know.
-    pub fn shown(&self, now: f64) -> FleetStatus {
+    /// Status of the fleet, without the state of the links.
+    pub fn status(&self, now_ms: f64) -> FleetStatus {
         let replica = &self.exchange.replica;
-        let trust = self.policy.trust(now);
-        let member = |seen: pewterwharf_peers::Seen| {
-            let held = replica.origin(&seen.name).unwrap_or_default();
-            Member {
-                trust: trust.get(&seen.name).copied().unwrap_or(0.5),
-                life: match seen.life {
-                    Life::Unheard => "unheard",
-                    Life::Alive => "alive",
-                    Life::Suspect => "suspect",
-                    Life::Down => "down",
-                    Life::Left => "left",
+        let trust = self.policy.trust(now_ms);
+        let member = |peer: PeerInfo| {
+            let held = replica.origin(&peer.name).unwrap_or_default();
+            MemberStatus {
+                trust: trust.get(&peer.name).copied().unwrap_or(NEUTRAL_TRUST),
+                status: match peer.status {
+                    PeerStatus::Unknown => "unheard",
+                    PeerStatus::Alive => "alive",
+                    PeerStatus::Suspect => "suspect",
+                    PeerStatus::Down => "down",
+                    PeerStatus::Left => "left",
                 },
-                start: seen.start.map(|s| s.to_string()),
-                name: seen.name,
+                incarnation: peer.incarnation.map(|incarnation| incarnation.to_string()),
+                name: peer.name,
                 version: held.version,
-                rows: held.records,
+                records: held.records,
                 link: String::new(),
             }
         };
-        let (rows, bytes) = replica.size();
+        let size = replica.size();
         let own = replica.origin(replica.local_name()).unwrap_or_default();
-        let lists = replica.reports::<ListHeld>(now, "list").into_iter();
+        let lists = replica.reports::<SearcherList>(now_ms, LIST_RECORD).into_iter();
+        let by_kind = replica.count_by_kind().into_iter();
+        let rejected = replica.rejected().iter();
         FleetStatus {
-            me: replica.local_name().to_owned(),
-            standing: match self.peers.standing() {
-                Standing::Joining => "joining".to_owned(),
-                Standing::Member => "member".to_owned(),
-                Standing::Aside(by) => format!("aside, for start {by} of its name"),
-                Standing::Left => "left".to_owned(),
+            local_name: replica.local_name().to_owned(),
+            state: match self.membership.state() {
+                MembershipState::Joining => "joining".to_owned(),
+                MembershipState::Member => "member".to_owned(),
+                MembershipState::Superseded(by) => format!("aside, for start {by} of its name"),
+                MembershipState::Left => "left".to_owned(),
             },
-            start: self.peers.start().to_string(),
-            progress: match self.exchange.progress() {
-                Progress::Alone => "alone".to_owned(),
-                Progress::Done => "caught up".to_owned(),
-                Progress::CatchingUp { from, pieces, rows, behind } => {
-                    let from = from.unwrap_or_else(|| "nobody yet".to_owned());
-                    format!("catching up from {from}, {pieces} pieces, {rows} rows, {behind} behind")
-                }
-            },
-            members: self.peers.seen().into_iter().map(member).collect(),
+            incarnation: self.membership.incarnation().to_string(),
+            progress: progress_text(self.exchange.progress()),
+            members: self.membership.peers().into_iter().map(member).collect(),
             version: own.version,
-            own_rows: own.records,
-            rows,
-            bytes,
-            sum: format!("{:016x}", replica.sum()),
-            kinds: replica.by_kind().into_iter().map(|(kind, count)| (kinds::name(kind), count)).collect(),
+            own_records: own.records,
+            records: size.records,
+            bytes: size.bytes,
+            digest: format!("{:016x}", replica.digest()),
+            kinds: by_kind.map(|(kind, count)| (kinds::name(kind), count)).collect(),
             lists: lists.map(|report| (report.origin.to_owned(), report.value.index)).collect(),
-            refused: replica.refused().iter().map(|(why, count)| (why.word().to_owned(), *count)).collect(),
-            unfit_words: self.peers.unfit(),
-            passed_over: self.policy.passed_over,
+            rejected: rejected.map(|(reason, count)| (reason.label().to_owned(), *count)).collect(),
+            rejected_messages: self.membership.rejected_messages(),
+            ignored_reports: self.policy.ignored_reports,
             longest_pause_ms: self.longest_pause_ms,
             links: BTreeMap::new(),
         }
     }
 }
+
+fn replica_frame(OutgoingMessage { to, message }: OutgoingMessage) -> NodeOutput {
+    NodeOutput::Send { to, frame: Frame::Replica(message) }
+}
+
+/// What this mixer itself has published about a subject.
+fn own_report<K: kinds::RecordKind>(replica: &Replica, now_ms: f64, name: &str) -> Option<K> {
+    let mut reports = replica.reports::<K>(now_ms, name).into_iter();
+    reports.find(|report| report.origin == replica.local_name()).map(|report| report.value)
+}
+
+fn progress_text(progress: CatchUpProgress) -> String {
+    match progress {
+        CatchUpProgress::Alone => "alone".to_owned(),
+        CatchUpProgress::Done => "caught up".to_owned(),
+        CatchUpProgress::CatchingUp { source, pieces, records, remaining } => {
+            let source = source.unwrap_or_else(|| "nobody yet".to_owned());
+            format!("catching up from {source}, {pieces} pieces, {records} rows, {remaining} behind")
+        }
+    }
+}
--- a/crates/mesh/tests/fleet.rs
+++ b/crates/mesh/tests/fleet.rs
@@ -1,81 +1,93 @@
-//! Membership and copies of many mixers on a seeded network, through loss, reordering, partitions, stalls and crashes.
+//! Membership and replication of many mixers on a seeded network, through loss, reordering, partitions, stalls and
+//! crashes.
 
 mod net;
 
 use net::Net;
-use pewterwharf_mesh::{Frame, Out};
-use pewterwharf_peers::Standing;
-use pewterwharf_replica::{Advice, Progress};
+use pewterwharf_mesh::{Frame, FrameError, MAX_FRAME_BYTES, Node, NodeOutput};
+use pewterwharf_peers::{Hello, Incarnation, MembershipState};
+use pewterwharf_replica::{Advice, BatchKind, CatchUpProgress, RecordBatch, ReplicaMessage, WireRecord};
 
-/// One seed's day: faults for some seconds, then a heal. Why they do not agree, if they do not.
-fn day(seed: u64) -> Result<f64, String> {
+/// Runs one seed: faults for some seconds, then a heal. Returns the time to convergence, or the state of all mixers if
+/// they do not converge.
+fn run_faults(seed: u64) -> Result<f64, String> {
     let mut net = Net::new(3 + (seed % 3) as usize, seed);
-    let n = net.nodes.len();
+    let n = net.processes.len();
     net.run(1500.0);
     for _ in 0..12 {
-        let i = net.chance.rand_range(0..n as u64) as usize;
-        let j = net.chance.rand_range(0..n as u64) as usize;
-        match net.chance.rand_range(0..9) {
-            0 => net.cut[i][j] = true,
-            1 => {
-                let side = net.chance.rand_u64();
-                net.part(|x| side >> x & 1 == 0);
-            }
-            2 => net.loss = 0.3,
-            3 => net.stall(i, 4000.0),
-            4 => net.kill(i),
-            5 if net.nodes[i].node.is_none() => net.start(i),
-            6 => net.heal(),
-            7 => net.delay_ms = 200.0,
-            _ => {}
-        }
+        inject_fault(&mut net);
         for _ in 0..4 {
-            let by = net.chance.rand_range(0..n as u64) as usize;
-            let (about, marked) = (net.chance.rand_range(0..6) as u16, net.chance.rand_float() < 0.6);
-            net.mark(by, about, marked);
+            let mixer = net.rng.rand_range(0..n as u64) as usize;
+            let (searcher, marked) = (net.rng.rand_range(0..6) as u16, net.rng.rand_float() < 0.6);
+            net.mark(mixer, searcher, marked);
         }
-        let ms = 100.0 + net.chance.rand_float() * 1500.0;
-        net.run(ms);
+        let duration_ms = 100.0 + net.rng.rand_float() * 1500.0;
+        net.run(duration_ms);
     }
     net.heal();
-    net.delay_ms = 5.0;
+    net.max_delay_ms = 5.0;
     for i in 0..n {
-        if net.nodes[i].node.is_none() {
+        if net.processes[i].node.is_none() {
             net.start(i);
         }
     }
     net.run(4000.0); // the last stall is over
-    net.until_agreed(20_000.0).ok_or_else(|| {
-        let see = |p: &net::Process| {
-            let node = p.node.as_ref().expect("all run");
-            format!(
-                "{:?} {:?} up {:?} {:?}\n  {}",
-                node.peers.standing(),
-                node.exchange.progress(),
-                node.peers.up(),
-                node.exchange.replica.version_vector(),
-                node.peers.inside()
-            )
-        };
-        net.nodes.iter().map(see).collect::<Vec<_>>().join("\n")
+    net.run_until_converged(20_000.0).ok_or_else(|| {
+        let states = net.processes.iter().map(|process| debug_state(running(process)));
+        states.collect::<Vec<_>>().join("\n")
     })
 }
 
-fn days(seeds: std::ops::Range<u64>) {
+fn inject_fault(net: &mut Net) {
+    let n = net.processes.len();
+    let i = net.rng.rand_range(0..n as u64) as usize;
+    let j = net.rng.rand_range(0..n as u64) as usize;
+    match net.rng.rand_range(0..9) {
+        0 => net.cut[i][j] = true,
+        1 => {
+            let side = net.rng.rand_u64();
+            net.partition(|x| side >> x & 1 == 0);
+        }
+        2 => net.loss = 0.3,
+        3 => net.stall(i, 4000.0),
+        4 => net.kill(i),
+        5 if net.processes[i].node.is_none() => net.start(i),
+        6 => net.heal(),
+        7 => net.max_delay_ms = 200.0,
+        _ => {}
+    }
+}
+
+fn running(process: &net::Process) -> &Node {
+    process.node.as_ref().expect("the process runs")
+}
+
+fn debug_state(node: &Node) -> String {
+    format!(
+        "{:?} {:?} up {:?} {:?}\n  {}",
+        node.membership.state(),
+        node.exchange.progress(),
+        node.membership.up(),
+        node.exchange.replica.version_vector(),
+        node.membership.debug_state()
+    )
+}
+
+fn run_all_seeds(seeds: std::ops::Range<u64>) {
     let threads = std::thread::available_parallelism().map_or(4, usize::from) as u64;
     let failed: Vec<String> = std::thread::scope(|scope| {
         let (from, to) = (seeds.start, seeds.end);
-        let play = move |nth| {
-            let mine = (from..to).filter(move |seed| seed % threads == nth);
-            mine.filter_map(|seed| day(seed).err().map(|why| format!("seed {seed}:\n{why}")))
+        let run = move |thread| {
+            let mine = (from..to).filter(move |seed| seed % threads == thread);
+            mine.filter_map(|seed| run_faults(seed).err().map(|state| format!("seed {seed}:\n{state}")))
                 .collect::<Vec<_>>()
         };
-        let played: Vec<_> = (0..threads).map(|nth| scope.spawn(move || play(nth))).collect();
-        played.into_iter().flat_map(|p| p.join().expect("no day panics")).collect()
+        let runs: Vec<_> = (0..threads).map(|thread| scope.spawn(move || run(thread))).collect();
+        runs.into_iter().flat_map(|run| run.join().expect("no run panics")).collect()
     });
     assert!(
         failed.is_empty(),
-        "{} of {} days do not agree; the first\n{}",
+        "{} of {} seeds do not converge; the first\n{}",
         failed.len(),
         seeds.end - seeds.start,
         failed[0]
@@ -83,24 +95,24 @@
 }
 
 #[test]
-fn all_copies_are_equal_after_two_thousand_days_of_faults() {
-    days(0..2000);
+fn two_thousand_seeds_of_faults_converge() {
+    run_all_seeds(0..2000);
 }
 
-/// Found among a hundred thousand: one held a dead start that was above the living one, and took no word of it.
+/// A mixer held a dead incarnation that was above the live one, and ignored the live one's messages.
 #[test]
-fn a_dead_start_above_the_living_one_shuts_nobody_out() {
-    assert_eq!(day(25_656).map(|_| ()), Ok(()));
+fn a_dead_incarnation_above_the_live_one_excludes_nobody() {
+    assert_eq!(run_faults(25_656).map(|_| ()), Ok(()));
 }
 
 #[test]
-#[ignore = "a hundred thousand days take some minutes: run once by hand"]
-fn all_copies_are_equal_after_a_hundred_thousand_days() {
-    days(0..100_000);
+#[ignore = "a hundred thousand seeds take some minutes"]
+fn a_hundred_thousand_seeds_of_faults_converge() {
+    run_all_seeds(0..100_000);
 }
 
 #[test]
-fn a_fleet_that_is_restarted_as_a_whole_comes_up_from_nothing() {
+fn a_restart_of_the_whole_fleet_begins_empty() {
     let mut net = Net::new(5, 1);
     net.run(3000.0);
     net.mark(0, 1, true);
@@ -108,159 +120,175 @@
     (0..5).for_each(|i| net.kill(i));
     net.run(500.0);
     (0..5).for_each(|i| net.start(i));
-    assert!(net.until_agreed(10_000.0).is_some());
+    assert!(net.run_until_converged(10_000.0).is_some());
     net.run(1000.0);
-    for process in &net.nodes {
-        let node = process.node.as_ref().expect("it runs");
-        assert_eq!(node.exchange.progress(), Progress::Done);
-        assert_eq!(node.exchange.replica.rows().count(), 0, "what was said before is void");
+    for process in &net.processes {
+        let node = running(process);
+        assert_eq!(node.exchange.progress(), CatchUpProgress::Done);
+        assert_eq!(node.exchange.replica.records().count(), 0, "earlier records are void");
     }
 }
 
 #[test]
-fn the_later_of_two_processes_under_one_name_wins_and_the_earlier_stands_aside() {
+fn the_later_of_two_processes_under_one_name_supersedes_the_earlier() {
     let mut net = Net::new(3, 2);
     net.run(3000.0);
-    let first = net.nodes[2].node.take().expect("it runs");
+    let mut earlier = net.processes[2].node.take().expect("the process runs");
     net.start(2);
-    let later = net.nodes[2].node.take().expect("it runs");
-    net.nodes[2].node = Some(later);
     net.run(2000.0);
-    let clock = net.time(2);
-    let mut first = first;
-    let later = net.nodes[2].node.as_ref().expect("it runs");
-    assert_eq!(later.peers.standing(), Standing::Member);
-    assert!(later.peers.start() > first.peers.start());
-    // The earlier goes on beside it, and each greets the others until all is settled.
+    let earlier_now_ms = net.local_time_ms(2);
+    let later = running(&net.processes[2]);
+    assert_eq!(later.membership.state(), MembershipState::Member);
+    assert!(later.membership.incarnation() > earlier.membership.incarnation());
+    // The earlier process keeps running and sends hellos to a peer until it is superseded.
     for _ in 0..4 {
-        let hello = first.peers.greeting(clock, "m1");
-        let now = net.time(0);
-        let other = net.nodes[0].node.as_mut().expect("it runs");
-        if let Err(why) = other.hello(now, &hello) {
-            first.refused(clock, &why);
+        let hello = earlier.membership.hello_to(earlier_now_ms, "m1");
+        let now_ms = net.local_time_ms(0);
+        let peer = net.processes[0].node.as_mut().expect("the process runs");
+        if let Err(rejection) = peer.handle_hello(now_ms, &hello) {
+            earlier.link_rejected(earlier_now_ms, &rejection);
         }
-        first.tick(clock);
+        earlier.tick(earlier_now_ms);
         net.run(1000.0);
     }
-    let later = net.nodes[2].node.as_ref().expect("it runs");
-    assert_eq!(later.peers.standing(), Standing::Member);
-    assert!(matches!(first.peers.standing(), Standing::Aside(by) if by.lot == later.peers.start().lot));
-    let left = first.tick(clock);
-    assert!(left.iter().all(|o| matches!(o, Out::Log(_) | Out::Advice(_))), "it says nothing more: {left:?}");
-    assert!(net.until_agreed(5000.0).is_some());
+    let later = running(&net.processes[2]);
+    assert_eq!(later.membership.state(), MembershipState::Member);
+    let nonce = later.membership.incarnation().nonce;
+    assert!(matches!(earlier.membership.state(), MembershipState::Superseded(by) if by.nonce == nonce));
+    let output = earlier.tick(earlier_now_ms);
+    assert!(
+        output.iter().all(|o| matches!(o, NodeOutput::Log(_) | NodeOutput::Advice(_))),
+        "it sends nothing more: {output:?}"
+    );
+    assert!(net.run_until_converged(5000.0).is_some());
 }
+
 #[test]
-fn one_that_hears_and_is_not_heard_is_kept_by_way_of_a_third() {
+fn a_path_cut_in_one_direction_is_bridged_by_a_third_mixer() {
     let mut net = Net::new(3, 3);
     net.run(3000.0);
     net.cut[0][1] = true;
     net.run(10_000.0);
-    assert!(net.agree(), "one way of six is no reason to take anybody for down");
+    assert!(net.has_converged(), "one cut path of six takes nobody down");
     net.mark(0, 4, true);
-    assert!(net.until_agreed(2000.0).is_some(), "and what it says comes round");
+    assert!(net.run_until_converged(2000.0).is_some(), "its records still reach all others");
 }
 
 #[test]
-fn a_stall_longer_than_every_time_out_is_over_as_soon_as_it_is_over() {
+fn a_long_stall_is_recovered_from_at_once() {
     let mut net = Net::new(5, 4);
     net.run(3000.0);
     net.stall(1, 12_000.0);
     net.run(11_000.0);
-    let seen = net.nodes[0].node.as_ref().expect("it runs").peers.up().len();
-    assert_eq!(seen, 3, "it is down for the others");
+    let seen = running(&net.processes[0]).membership.up().len();
+    assert_eq!(seen, 3, "the stalled mixer is down for the others");
     net.run(1000.0);
-    let took = net.until_agreed(5000.0).expect("they agree again");
-    assert!(took < 5000.0);
-    let others = &net.nodes[1].node.as_ref().expect("it runs").peers;
-    assert_eq!(others.up().len(), 4, "and it took nobody for down for its own pause");
+    let took_ms = net.run_until_converged(5000.0).expect("they converge again");
+    assert!(took_ms < 5000.0);
+    let stalled = &running(&net.processes[1]).membership;
+    assert_eq!(stalled.up().len(), 4, "it does not count its own pause against its peers");
 }
 
 #[test]
-fn one_that_marks_everything_costs_a_few_looks_and_is_not_heard_after() {
+fn a_mixer_that_marks_everything_causes_few_probes() {
     let mut net = Net::new(5, 5);
     for i in 0..5 {
-        (0..20).for_each(|s| net.mark(i, s, false));
+        (0..20).for_each(|searcher| net.mark(i, searcher, false));
     }
     net.run(4000.0);
-    net.nodes.iter_mut().for_each(|p| p.advice.clear());
+    net.processes.iter_mut().for_each(|process| process.advice.clear());
     for _ in 0..30 {
-        (0..20).for_each(|s| net.mark(0, s, true));
+        (0..20).for_each(|searcher| net.mark(0, searcher, true));
         net.run(1000.0);
     }
-    for process in &net.nodes[1..] {
-        let looks = process.advice.iter().filter(|(_, a)| matches!(a, Advice::Look(_))).count();
-        let doubts = process.advice.iter().filter(|(_, a)| matches!(a, Advice::Doubt(_))).count();
-        assert!(looks > 0 && looks < 40, "{looks} looks in half a minute of 600 lies");
-        assert_eq!(doubts, 0, "one alone puts nobody on trial");
+    for process in &net.processes[1..] {
+        let advice = || process.advice.iter().map(|timed| timed.advice);
+        let probes = advice().filter(|a| matches!(a, Advice::Probe(_))).count();
+        let suspicions = advice().filter(|a| matches!(a, Advice::Suspect(_))).count();
+        assert!(probes > 0 && probes < 40, "{probes} probes in half a minute of 600 false marks");
+        assert_eq!(suspicions, 0, "one mixer alone makes no searcher suspect");
     }
 }
 
+/// A mixer receives records under its own incarnation that it never published.
 #[test]
-fn words_under_a_mixer_s_own_start_that_it_never_said_are_void_soon() {
-    use pewterwharf_replica::{RecordBatch, Why, WireRow, Word};
+fn forged_records_of_a_live_incarnation_become_void() {
+    const FORGED_KIND: u8 = 200;
     let mut net = Net::new(3, 6);
     net.run(3000.0);
     net.mark(0, 1, true);
     net.run(1000.0);
-    let (start, through) = {
-        let node = net.nodes[0].node.as_ref().expect("it runs");
-        (node.peers.start(), node.exchange.replica.origin("m1").expect("itself").version)
+    let node = running(&net.processes[0]);
+    let incarnation = node.membership.incarnation();
+    let version = node.exchange.replica.origin("m1").expect("its own records").version;
+    let record = WireRecord {
+        kind: FORGED_KIND,
+        name: "x".to_owned(),
+        counter: u64::MAX,
+        age_ms: 0,
+        value: Some(Vec::new()),
     };
-    let row =
-        WireRow { kind: 200, name: "x".to_owned(), counter: u64::MAX, age_ms: 0, value: Some(Vec::new()) };
-    let (origin, rows) = ("m1".to_owned(), vec![row]);
-    let part =
-        RecordBatch { origin, start, from: through, through: u64::MAX, floor: 0, why: Why::Delta, rows };
-    let (now, third) = (net.time(2), net.nodes[2].node.as_ref().expect("it runs").peers.start());
-    let forged = Frame::Copy(Word::Parts { parts: vec![part], left: 0 });
-    let believes = net.nodes[1].node.as_mut().expect("it runs");
-    believes.heard(now, "m3", third, forged);
-    assert!(believes.exchange.replica.rows().any(|r| r.1 == 200));
-    assert!(net.until_agreed(5000.0).is_some());
-    for process in &net.nodes {
-        let rows = process.node.as_ref().expect("it runs").exchange.replica.rows();
-        assert_eq!(
-            rows.filter(|r| r.0 == "m1").map(|r| r.1).collect::<Vec<_>>(),
-            [1],
-            "its own, and no other"
-        );
+    let batch = RecordBatch {
+        origin: "m1".to_owned(),
+        incarnation,
+        after: version,
+        through: u64::MAX,
+        tombstone_floor: 0,
+        kind: BatchKind::Delta,
+        records: vec![record],
+    };
+    let now_ms = net.local_time_ms(2);
+    let sender = running(&net.processes[2]).membership.incarnation();
+    let forged = Frame::Replica(ReplicaMessage::Batches { batches: vec![batch], remaining: 0 });
+    let deceived = net.processes[1].node.as_mut().expect("the process runs");
+    deceived.handle_frame(now_ms, "m3", sender, forged);
+    assert!(deceived.exchange.replica.records().any(|record| record.kind == FORGED_KIND));
+    assert!(net.run_until_converged(5000.0).is_some());
+    for process in &net.processes {
+        let records = running(process).exchange.replica.records();
+        let kinds = records.filter(|record| record.origin == "m1").map(|record| record.kind);
+        assert_eq!(kinds.collect::<Vec<_>>(), [1], "only its own record");
     }
 }
 
 #[test]
-fn a_frame_that_was_changed_anywhere_is_told_and_one_that_is_cut_is_awaited() {
-    use pewterwharf_mesh::{LONGEST, Unreadable};
-    use pewterwharf_peers::{Hello, Incarnation};
-    let (fleet, name, start) = ("fleet".to_owned(), "m1".to_owned(), Incarnation::first(77));
-    let hello =
-        |format| Hello { format, fleet: fleet.clone(), name: name.clone(), start, age_ms: 5, yours: None };
-    let bytes = Frame::Hello(hello(1)).bytes();
-    assert_eq!(Frame::read(&bytes), Ok(Some((Frame::Hello(hello(1)), bytes.len()))));
+fn corrupted_frames_are_detected_and_incomplete_ones_awaited() {
+    let (fleet, name, incarnation) = ("fleet".to_owned(), "m1".to_owned(), Incarnation::first(77));
+    let hello = |format| Hello {
+        format,
+        fleet: fleet.clone(),
+        name: name.clone(),
+        incarnation,
+        age_ms: 5,
+        receiver: None,
+    };
+    let bytes = Frame::Hello(hello(1)).encode();
+    assert_eq!(Frame::decode(&bytes), Ok(Some((Frame::Hello(hello(1)), bytes.len()))));
     for at in 0..bytes.len() {
-        assert_eq!(Frame::read(&bytes[..at]), Ok(None), "cut at {at}");
+        assert_eq!(Frame::decode(&bytes[..at]), Ok(None), "cut at {at}");
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
-            // A longer length waits for more; all else is told at once.
-            match Frame::read(&changed) {
+            // A greater length waits for more bytes; everything else is detected at once.
+            match Frame::decode(&changed) {
                 Err(_) => {}
                 Ok(None) => assert!(at < 4, "bit {bit} of byte {at}"),
-                Ok(Some(frame)) => panic!("bit {bit} of byte {at} reads as {frame:?}"),
+                Ok(Some(frame)) => panic!("bit {bit} of byte {at} decodes as {frame:?}"),
             }
         }
     }
-    let later = Frame::Hello(hello(2)).bytes();
+    let other_format = Frame::Hello(hello(2)).encode();
     assert!(
-        matches!(Frame::read(&later), Ok(Some((Frame::Hello(h), _))) if h.format == 2),
-        "the core refuses it"
+        matches!(Frame::decode(&other_format), Ok(Some((Frame::Hello(h), _))) if h.format == 2),
+        "membership rejects it"
     );
-    let mut longer = later[8..].to_vec();
-    longer.extend([9; 40]); // what a later format may add
-    let mut whole = (longer.len() as u32).to_le_bytes().to_vec();
-    whole.extend(crc32fast::hash(&longer).to_le_bytes());
-    whole.extend(&longer);
-    assert_eq!(Frame::read(&whole), Err(Unreadable::Format(2)));
+    let mut extended = other_format[8..].to_vec();
+    extended.extend([9; 40]); // what a later format may add
+    let mut frame = (extended.len() as u32).to_le_bytes().to_vec();
+    frame.extend(crc32fast::hash(&extended).to_le_bytes());
+    frame.extend(&extended);
+    assert_eq!(Frame::decode(&frame), Err(FrameError::FormatMismatch(2)));
     let huge = ((60 << 20) as u32).to_le_bytes();
-    assert_eq!(Frame::read(&huge), Err(Unreadable::Long(60 << 20)), "nothing is awaited of 60 MB");
-    const { assert!(LONGEST < 1 << 16) };
+    assert_eq!(Frame::decode(&huge), Err(FrameError::TooLong(60 << 20)), "60 MB are not awaited");
+    const { assert!(MAX_FRAME_BYTES < 1 << 16) };
 }
--- a/crates/peers/src/incarnation.rs
+++ b/crates/peers/src/incarnation.rs
@@ -1,24 +1,25 @@
-//! Which of several processes under one name is meant.
+//! Tells apart the processes that run under one mixer name.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A process among those that ever ran under a name; what the greater says is gone by. The number grows when a process
-/// learns of another under its name that it is the later of; the lot, drawn at the start, tells any two apart.
+/// Identifies one process among all that ever ran under a name. The greater incarnation supersedes the others. The number
+/// grows when a process learns of another one under its name that it has to supersede; the nonce, drawn at process start,
+/// tells any two processes apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     pub number: u64,
-    pub lot: u64,
+    pub nonce: u64,
 }
 
 impl Incarnation {
-    /// The first that a process knows of itself.
-    pub fn first(lot: u64) -> Self {
-        Self { number: 1, lot }
+    /// The incarnation that a process begins with.
+    pub fn first(nonce: u64) -> Self {
+        Self { number: 1, nonce }
     }
 
-    /// The same process, later than another under its name.
+    /// The same process with a number above that of `other`.
     #[must_use]
     pub fn after(self, other: Self) -> Self {
         Self { number: other.number.saturating_add(1), ..self }
@@ -27,6 +28,6 @@
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:04x}", self.number, self.lot as u16)
+        write!(f, "{}.{:04x}", self.number, self.nonce as u16)
     }
 }
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership and failure detection round `foca`.
+//! Membership and failure detection on top of `foca`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -15,45 +15,53 @@
 use rand::TryRng;
 use serde::{Deserialize, Serialize};
 
-use crate::{FORMAT, Hello, Incarnation, Refusal, Rival};
-
-/// A member is asked this often, one at a time: with three mixers each is asked once a second.
-const PROBE_MS: u64 = 500;
-/// A direct answer is awaited for so long before others are asked to ask: a hundred round trips of a data centre.
-const ANSWER_MS: u64 = 200;
-/// Others that are asked to ask.
-const ASKED: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// A suspect has so long to refute: four probes.
-const SUSPECT_MS: u64 = 2000;
-/// One that is down is remembered as that for so long, so that old words do not bring it back.
-const REMEMBER_MS: u64 = 60_000;
-/// How often changes are passed on beside probes, and those that are down asked whether they are.
-const GOSSIP_MS: u64 = 200;
-const ASK_DOWN_MS: u64 = 1000;
-/// Largest word, in bytes: some twenty members.
-const LARGEST: NonZeroUsize = NonZeroUsize::new(1400).unwrap();
-/// A pause between two looks of more than this is one of this process: looks come twenty times as often.
-const PAUSE_MS: f64 = 300.0;
-/// Ages of two processes that differ by less are not told apart, as words take their time: then the greater lot is the later.
-const ALIKE_MS: f64 = 3000.0;
-/// Other processes of its own name that it remembers.
-const RIVALS: usize = 16;
-/// How often it wants to be looked at, at the least.
-const LOOK_MS: f64 = 50.0;
-
-/// A mixer as `foca` knows it. `life` grows when one that was thought down comes back without having been.
+use crate::{FORMAT, Hello, Incarnation, KnownIncarnation, LinkRejection};
+
+/// Interval between probes of one member each: with three mixers each one is probed once a second.
+const PROBE_INTERVAL_MS: u64 = 500;
+/// Timeout of a direct probe before other members probe indirectly: a hundred round trips within a data centre.
+const PROBE_TIMEOUT_MS: u64 = 200;
+/// Members that are asked for an indirect probe, that gossip is sent to, or that are asked whether they are down.
+const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
+/// Time that a suspect has to refute the suspicion: four probes.
+const SUSPICION_TIMEOUT_MS: u64 = 2000;
+/// Time for which a member is remembered as down, so that old messages do not bring it back.
+const DOWN_RETENTION_MS: u64 = 60_000;
+/// Interval at which changes are gossiped in addition to probes.
+const GOSSIP_INTERVAL_MS: u64 = 200;
+/// Interval at which members that are down are contacted again.
+const RECONNECT_INTERVAL_MS: u64 = 1000;
+/// Largest message: about twenty members.
+const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1400).unwrap();
+/// A longer time between two ticks is a pause of this process, as ticks are much more frequent.
+const PAUSE_THRESHOLD_MS: f64 = 300.0;
+/// Process ages that differ by less are not told apart, as messages take time to arrive: the greater nonce then counts as
+/// the later process.
+const AGE_TOLERANCE_MS: f64 = 3000.0;
+/// Number of other processes of its own name that a mixer remembers.
+const MAX_RIVALS: usize = 16;
+/// Longest time between two ticks.
+const TICK_INTERVAL_MS: f64 = 50.0;
+
+/// A mixer's identity in `foca`. The generation grows when a mixer that was thought down turns out to be up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Id {
+struct Identity {
     name: String,
-    start: Incarnation,
-    life: u32,
+    incarnation: Incarnation,
+    generation: u32,
 }
 
-impl foca::Identity for Id {
+impl Identity {
+    fn new(name: &str, incarnation: Incarnation) -> Self {
+        Self { name: name.to_owned(), incarnation, generation: 0 }
+    }
+}
+
+impl foca::Identity for Identity {
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { life: self.life.wrapping_add(1), ..self.clone() })
+        Some(Self { generation: self.generation.wrapping_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> String {
@@ -61,70 +69,70 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.start, self.life) > (other.start, other.life)
+        (self.incarnation, self.generation) > (other.incarnation, other.generation)
     }
 }
 
-/// Why a word can't be used.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug)]
-struct Unfit(String);
+struct CodecError(String);
 
-impl fmt::Display for Unfit {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for CodecError {}
 
-/// Takes words about the names of the file only: without, whoever talks of ever new names would fill the memory.
-struct Named {
-    me: String,
+/// Accepts messages about configured names only. Otherwise a peer that keeps sending new names would fill the memory.
+struct ConfiguredNamesCodec {
+    local_name: String,
     names: Arc<BTreeSet<String>>,
-    /// The highest start under this mixer's own name that others talk of.
-    namesake: Arc<Mutex<Option<Incarnation>>>,
+    /// The highest incarnation under this mixer's own name that peers mention.
+    own_name_incarnation: Arc<Mutex<Option<Incarnation>>>,
 }
 
-impl Named {
-    fn known(&self, id: &Id) -> Result<(), Unfit> {
-        if id.name == self.me {
-            let mut held = self.namesake.lock().unwrap_or_else(PoisonError::into_inner);
-            *held = (*held).max(Some(id.start));
+impl ConfiguredNamesCodec {
+    fn check(&self, identity: &Identity) -> Result<(), CodecError> {
+        if identity.name == self.local_name {
+            let mut highest = self.own_name_incarnation.lock().unwrap_or_else(PoisonError::into_inner);
+            *highest = (*highest).max(Some(identity.incarnation));
         }
-        if id.name == self.me || self.names.contains(&id.name) {
+        if identity.name == self.local_name || self.names.contains(&identity.name) {
             Ok(())
         } else {
-            Err(Unfit(format!("{:?} is not in the file", id.name)))
+            Err(CodecError(format!("{:?} is not in the settings file", identity.name)))
         }
     }
 }
 
-impl Codec<Id> for Named {
-    type Error = Unfit;
+impl Codec<Identity> for ConfiguredNamesCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Id>, buf: impl BufMut) -> Result<(), Unfit> {
-        PostcardCodec.encode_header(header, buf).map_err(|error| Unfit(error.to_string()))
+    fn encode_header(&mut self, header: &Header<Identity>, buf: impl BufMut) -> Result<(), CodecError> {
+        PostcardCodec.encode_header(header, buf).map_err(|error| CodecError(error.to_string()))
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, Unfit> {
-        let header = PostcardCodec.decode_header(buf).map_err(|error| Unfit(error.to_string()))?;
-        self.known(&header.src).map(|()| header)
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Identity>, CodecError> {
+        let header = PostcardCodec.decode_header(buf).map_err(|error| CodecError(error.to_string()))?;
+        self.check(&header.src).map(|()| header)
     }
 
-    fn encode_member(&mut self, member: &Member<Id>, buf: impl BufMut) -> Result<(), Unfit> {
-        PostcardCodec.encode_member(member, buf).map_err(|error| Unfit(error.to_string()))
+    fn encode_member(&mut self, member: &Member<Identity>, buf: impl BufMut) -> Result<(), CodecError> {
+        PostcardCodec.encode_member(member, buf).map_err(|error| CodecError(error.to_string()))
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Unfit> {
-        let member = PostcardCodec.decode_member(buf).map_err(|error| Unfit(error.to_string()))?;
-        self.known(member.id()).map(|()| member)
+    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Identity>, CodecError> {
+        let member = PostcardCodec.decode_member(buf).map_err(|error| CodecError(error.to_string()))?;
+        self.check(member.id()).map(|()| member)
     }
 }
 
-/// The seeded chance that `foca` draws from.
-struct Chance(Rand64);
+/// Seeded random number generator for `foca`.
+struct FocaRng(Rand64);
 
-impl TryRng for Chance {
+impl TryRng for FocaRng {
     type Error = Infallible;
 
     fn try_next_u32(&mut self) -> Result<u32, Infallible> {
@@ -136,542 +144,626 @@
     }
 
     fn try_fill_bytes(&mut self, dst: &mut [u8]) -> Result<(), Infallible> {
-        for piece in dst.chunks_mut(8) {
+        for chunk in dst.chunks_mut(8) {
             let bytes = self.0.rand_u64().to_le_bytes();
-            piece.copy_from_slice(&bytes[..piece.len()]);
+            chunk.copy_from_slice(&bytes[..chunk.len()]);
         }
         Ok(())
     }
 }
 
-/// What `foca` wants done.
+/// Collects what `foca` wants to be done.
 #[derive(Default)]
-struct Wishes {
-    sends: Vec<(Id, Vec<u8>)>,
-    timers: Vec<(Duration, Timer<Id>)>,
-    /// Something about who lives has changed.
-    changed: bool,
+struct FocaOutput {
+    sends: Vec<(Identity, Vec<u8>)>,
+    timers: Vec<(Duration, Timer<Identity>)>,
+    /// The set of live members may have changed.
+    members_changed: bool,
 }
 
-impl Runtime<Id> for &mut Wishes {
-    fn notify(&mut self, _: Notification<'_, Id>) {
-        self.changed = true;
+impl Runtime<Identity> for &mut FocaOutput {
+    fn notify(&mut self, _: Notification<'_, Identity>) {
+        self.members_changed = true;
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: Identity, data: &[u8]) {
         self.sends.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
         self.timers.push((after, event));
     }
 }
 
-/// How this mixer stands in its fleet.
+/// This mixer's membership of its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Nobody has said yet that it knows of this start.
+pub enum MembershipState {
+    /// No peer has confirmed this incarnation yet.
     Joining,
     Member,
-    /// A later start has its name. It serves its clients, and says nothing more to mixers.
-    Aside(Incarnation),
+    /// A later incarnation uses this name. This process still serves its clients but sends nothing more to mixers.
+    Superseded(Incarnation),
     Left,
 }
 
-/// What another is taken for.
+/// What a peer is believed to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Life {
-    /// It has not been heard of since the start.
-    Unheard,
+pub enum PeerStatus {
+    /// Nothing was received from it since the start.
+    Unknown,
     Alive,
-    /// It did not answer, and has some time left to say that it lives.
+    /// It did not answer a probe and has some time left to refute the suspicion.
     Suspect,
     Down,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
-/// A peer of the file.
+/// A configured peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct PeerInfo {
     pub name: String,
-    pub life: Life,
-    pub start: Option<Incarnation>,
+    pub status: PeerStatus,
+    pub incarnation: Option<Incarnation>,
 }
 
-/// What is to be done, or has changed.
+/// An action to carry out, or a change that took place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     Send {
         to: String,
         bytes: Vec<u8>,
     },
-    /// Begins its link to that peer with a hello anew.
-    Greet {
+    /// Send a hello on the link to this peer.
+    SendHello {
         to: String,
     },
-    /// Ends links on which an earlier start of that name speaks.
-    Outdone {
+    /// Close links from earlier incarnations of this name.
+    CloseSupersededLinks {
         name: String,
-        by: Rival,
+        by: KnownIncarnation,
     },
-    Up {
+    PeerUp {
         name: String,
-        start: Incarnation,
+        incarnation: Incarnation,
     },
-    Down {
+    PeerDown {
         name: String,
     },
-    /// A later start has taken a peer's name: what the earlier one said is void.
-    Started {
+    /// A later incarnation has taken a peer's name: what the earlier one published is void.
+    PeerRestarted {
         name: String,
-        start: Incarnation,
+        incarnation: Incarnation,
     },
-    /// This mixer has a new start; what it said under the one before is said anew.
-    Renewed(Incarnation),
-    /// This mixer stands aside.
-    Aside(Incarnation),
+    /// This mixer has taken a new incarnation and has to publish everything anew.
+    IncarnationChanged(Incarnation),
+    /// This mixer was superseded.
+    Superseded(Incarnation),
+}
+
+/// The latest known process under a name.
+#[derive(Clone, Copy)]
+struct KnownProcess {
+    incarnation: Incarnation,
+    /// When the process started, by this mixer's clock, if that is known.
+    started_at_ms: Option<f64>,
+}
+
+/// Timers are ordered by their due time, then by their order of creation.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    due_us: u64,
+    sequence: u64,
 }
 
-/// The mixers of a fleet, as one of them sees them.
-pub struct Peers {
-    me: String,
+/// The mixers of a fleet, as seen by one of them.
+pub struct Membership {
+    local_name: String,
     fleet: String,
-    start: Incarnation,
-    standing: Standing,
+    incarnation: Incarnation,
+    state: MembershipState,
     names: Arc<BTreeSet<String>>,
-    /// The highest start heard of each name, and when its process began by this mixer's clock, where that is known.
-    starts: BTreeMap<String, (Incarnation, Option<f64>)>,
-    /// When this process began.
-    began: Option<f64>,
-    /// Processes of its own name, by their lots, that it has taken a number above, and that number.
-    topped: BTreeMap<u64, u64>,
-    /// It was asked to end.
-    ends: bool,
+    /// The process with the highest incarnation known of each name.
+    processes: BTreeMap<String, KnownProcess>,
+    /// When this process started.
+    started_at_ms: Option<f64>,
+    /// The number that this mixer took to supersede another process of its own name, by that process's nonce.
+    superseded_numbers: BTreeMap<u64, u64>,
+    shutting_down: bool,
     up: BTreeMap<String, Incarnation>,
     left: BTreeSet<String>,
-    foca: Foca<Id, Named, Chance, foca::NoCustomBroadcast>,
-    namesake: Arc<Mutex<Option<Incarnation>>>,
-    wishes: Wishes,
-    timers: BTreeMap<(u64, u64), Timer<Id>>,
-    order: u64,
-    looked_at: Option<f64>,
-    ask_down_at: f64,
-    /// Words that could not be used.
-    unfit: u64,
-    chance: Rand64,
+    foca: Foca<Identity, ConfiguredNamesCodec, FocaRng, foca::NoCustomBroadcast>,
+    own_name_incarnation: Arc<Mutex<Option<Incarnation>>>,
+    foca_output: FocaOutput,
+    timers: BTreeMap<TimerKey, Timer<Identity>>,
+    timer_sequence: u64,
+    last_tick_ms: Option<f64>,
+    next_reconnect_ms: f64,
+    /// Number of messages that could not be used.
+    rejected_messages: u64,
+    rng: Rand64,
     effects: Vec<Effect>,
 }
 
-fn micros(ms: f64) -> u64 {
+fn to_micros(ms: f64) -> u64 {
     (ms.max(0.0) * 1000.0) as u64
 }
 
-fn config(members: usize) -> Config {
+fn foca_config(members: usize) -> Config {
     let every = |ms, members| PeriodicParams { frequency: Duration::from_millis(ms), num_members: members };
-    // An update is passed on so often: some times the logarithm of the members, as SWIM has it.
-    let often = 4 + 4 * (members.max(2).ilog2() as u8);
+    // Each update is sent a multiple of log(members) times, as in SWIM.
+    let transmissions = 4 + 4 * (members.max(2).ilog2() as u8);
     Config {
-        probe_period: Duration::from_millis(PROBE_MS),
-        probe_rtt: Duration::from_millis(ANSWER_MS),
-        num_indirect_probes: ASKED,
-        max_transmissions: NonZeroU8::new(often).unwrap_or(NonZeroU8::MAX),
-        suspect_to_down_after: Duration::from_millis(SUSPECT_MS),
-        remove_down_after: Some(Duration::from_millis(REMEMBER_MS)),
-        max_packet_size: LARGEST,
+        probe_period: Duration::from_millis(PROBE_INTERVAL_MS),
+        probe_rtt: Duration::from_millis(PROBE_TIMEOUT_MS),
+        num_indirect_probes: FANOUT,
+        max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MAX),
+        suspect_to_down_after: Duration::from_millis(SUSPICION_TIMEOUT_MS),
+        remove_down_after: Some(Duration::from_millis(DOWN_RETENTION_MS)),
+        max_packet_size: MAX_MESSAGE_BYTES,
         notify_down_members: true,
-        periodic_announce: Some(every(10 * ASK_DOWN_MS, NonZeroUsize::MIN)),
-        // By ourselves, as it stops when nobody is left: see `ask_down`.
+        periodic_announce: Some(every(10 * RECONNECT_INTERVAL_MS, NonZeroUsize::MIN)),
+        // `announce_to_down_peers` does this instead, as `foca` stops once no member is left.
         periodic_announce_to_down_members: None,
-        periodic_gossip: Some(every(GOSSIP_MS, ASKED)),
+        periodic_gossip: Some(every(GOSSIP_INTERVAL_MS, FANOUT)),
     }
 }
 
-impl Peers {
-    /// A mixer that has just started. `names` are its peers, at most [`crate::MOST`]; the seed must differ between starts.
-    pub fn new(fleet: &str, me: &str, names: impl IntoIterator<Item = String>, seed: u64) -> Self {
+impl Membership {
+    /// Creates the membership of a mixer that has just started. `names` are its peers, at most [`crate::MAX_MIXERS`]; the
+    /// seed must differ between starts.
+    pub fn new(fleet: &str, local_name: &str, names: impl IntoIterator<Item = String>, seed: u64) -> Self {
         let names: Arc<BTreeSet<String>> =
-            Arc::new(names.into_iter().filter(|n| n != me).take(crate::MOST).collect());
-        let mut chance = Rand64::new(u128::from(seed) ^ 0x70ee_2500);
-        let start = Incarnation::first(chance.rand_u64());
-        let namesake = Arc::new(Mutex::new(None));
-        let codec = Named { me: me.to_owned(), names: names.clone(), namesake: namesake.clone() };
-        let id = Id { name: me.to_owned(), start, life: 0 };
-        let config = config(names.len() + 1);
-        let ours = Rand64::new(u128::from(chance.rand_u64()));
+            Arc::new(names.into_iter().filter(|name| name != local_name).take(crate::MAX_MIXERS).collect());
+        let mut foca_rng = Rand64::new(u128::from(seed) ^ 0x70ee_2500);
+        let incarnation = Incarnation::first(foca_rng.rand_u64());
+        let own_name_incarnation = Arc::new(Mutex::new(None));
+        let codec = ConfiguredNamesCodec {
+            local_name: local_name.to_owned(),
+            names: names.clone(),
+            own_name_incarnation: own_name_incarnation.clone(),
+        };
+        let identity = Identity::new(local_name, incarnation);
+        let config = foca_config(names.len() + 1);
+        let rng = Rand64::new(u128::from(foca_rng.rand_u64()));
         Self {
-            me: me.to_owned(),
+            local_name: local_name.to_owned(),
             fleet: fleet.to_owned(),
-            start,
-            standing: Standing::Joining,
+            incarnation,
+            state: MembershipState::Joining,
             names,
-            starts: BTreeMap::new(),
-            began: None,
-            topped: BTreeMap::new(),
-            ends: false,
+            processes: BTreeMap::new(),
+            started_at_ms: None,
+            superseded_numbers: BTreeMap::new(),
+            shutting_down: false,
             up: BTreeMap::new(),
             left: BTreeSet::new(),
-            foca: Foca::new(id, config, Chance(chance), codec),
-            namesake,
-            wishes: Wishes::default(),
+            foca: Foca::new(identity, config, FocaRng(foca_rng), codec),
+            own_name_incarnation,
+            foca_output: FocaOutput::default(),
             timers: BTreeMap::new(),
-            order: 0,
-            looked_at: None,
-            ask_down_at: 0.0,
-            unfit: 0,
-            chance: ours,
+            timer_sequence: 0,
+            last_tick_ms: None,
+            next_reconnect_ms: 0.0,
+            rejected_messages: 0,
+            rng,
             effects: Vec::new(),
         }
     }
 
-    pub fn start(&self) -> Incarnation {
-        self.start
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn state(&self) -> MembershipState {
+        self.state
     }
 
-    /// Whether it takes part: it neither left nor stood aside.
-    pub fn takes_part(&self) -> bool {
-        matches!(self.standing, Standing::Joining | Standing::Member)
+    /// Whether this mixer has neither left nor been superseded.
+    pub fn is_active(&self) -> bool {
+        matches!(self.state, MembershipState::Joining | MembershipState::Member)
     }
 
-    /// Those that are up, with their starts.
+    /// The peers that are up, with their incarnations.
     pub fn up(&self) -> &BTreeMap<String, Incarnation> {
         &self.up
     }
 
-    /// Words that could not be used.
-    pub fn unfit(&self) -> u64 {
-        self.unfit
+    /// Number of messages that could not be used.
+    pub fn rejected_messages(&self) -> u64 {
+        self.rejected_messages
     }
 
-    /// All that the machine below holds, for those who look for a fault.
-    pub fn inside(&self) -> String {
-        let members = self.foca.iter_membership_state().map(|m| {
-            let id = m.id();
+    /// The whole state of `foca`, for debugging.
+    pub fn debug_state(&self) -> String {
+        let members = self.foca.iter_membership_state().map(|member| {
+            let id = member.id();
             format!(
-                "{} {} life {} incarnation {} {:?}",
+                "{} {} generation {} incarnation {} {:?}",
                 id.name,
-                id.start,
-                id.life,
-                m.incarnation(),
-                m.state()
+                id.incarnation,
+                id.generation,
+                member.incarnation(),
+                member.state()
             )
         });
-        let me = self.foca.identity();
-        format!("{} {} life {}; {}", me.name, me.start, me.life, members.collect::<Vec<_>>().join(", "))
-    }
-
-    /// All peers of the file, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+        let local = self.foca.identity();
+        format!(
+            "{} {} generation {}; {}",
+            local.name,
+            local.incarnation,
+            local.generation,
+            members.collect::<Vec<_>>().join(", ")
+        )
+    }
+
+    /// All configured peers, by name.
+    pub fn peers(&self) -> Vec<PeerInfo> {
         let suspects: BTreeSet<&str> = self
             .foca
             .iter_members()
-            .filter(|m| m.state() == State::Suspect)
-            .map(|m| m.id().name.as_str())
+            .filter(|member| member.state() == State::Suspect)
+            .map(|member| member.id().name.as_str())
             .collect();
-        let life = |name: &String| match (self.up.contains_key(name), self.left.contains(name)) {
-            (true, _) if suspects.contains(name.as_str()) => Life::Suspect,
-            (true, _) => Life::Alive,
-            (false, true) => Life::Left,
-            (false, false) if self.starts.contains_key(name) => Life::Down,
-            (false, false) => Life::Unheard,
+        let status = |name: &String| match (self.up.contains_key(name), self.left.contains(name)) {
+            (true, _) if suspects.contains(name.as_str()) => PeerStatus::Suspect,
+            (true, _) => PeerStatus::Alive,
+            (false, true) => PeerStatus::Left,
+            (false, false) if self.processes.contains_key(name) => PeerStatus::Down,
+            (false, false) => PeerStatus::Unknown,
         };
-        let seen = |name: &String| Seen {
+        let info = |name: &String| PeerInfo {
             name: name.clone(),
-            life: life(name),
-            start: self.starts.get(name).map(|s| s.0),
+            status: status(name),
+            incarnation: self.processes.get(name).map(|process| process.incarnation),
         };
-        self.names.iter().map(seen).collect()
+        self.names.iter().map(info).collect()
     }
 
-    fn age(&mut self, now: f64) -> f64 {
-        now - *self.began.get_or_insert(now)
+    /// Time for which this process has run.
+    fn age_ms(&mut self, now_ms: f64) -> f64 {
+        now_ms - *self.started_at_ms.get_or_insert(now_ms)
     }
 
-    /// What is known of the latest process under a name.
-    fn rival(&self, now: f64, name: &str) -> Option<Rival> {
-        let (start, began) = self.starts.get(name).copied()?;
-        Some(Rival { start, age_ms: began.map(|began| (now - began).max(0.0) as u64) })
+    /// The latest known process under a name.
+    fn known_incarnation(&self, now_ms: f64, name: &str) -> Option<KnownIncarnation> {
+        let KnownProcess { incarnation, started_at_ms } = self.processes.get(name).copied()?;
+        let age_ms = started_at_ms.map(|started_at_ms| (now_ms - started_at_ms).max(0.0) as u64);
+        Some(KnownIncarnation { incarnation, age_ms })
     }
 
-    /// What it says first to a peer.
-    pub fn greeting(&mut self, now: f64, to: &str) -> Hello {
+    /// The hello for a link to this peer.
+    pub fn hello_to(&mut self, now_ms: f64, peer: &str) -> Hello {
         Hello {
             format: FORMAT,
             fleet: self.fleet.clone(),
-            name: self.me.clone(),
-            start: self.start,
-            age_ms: self.age(now) as u64,
-            yours: self.rival(now, to),
+            name: self.local_name.clone(),
+            incarnation: self.incarnation,
+            age_ms: self.age_ms(now_ms) as u64,
+            receiver: self.known_incarnation(now_ms, peer),
         }
     }
 
-    /// Takes the first word on a link.
+    /// Handles the first message on a link.
     ///
     /// # Errors
-    /// Why the link is to be ended.
-    pub fn hello(&mut self, now: f64, hello: &Hello) -> Result<(), Refusal> {
+    /// Why the link has to be closed.
+    pub fn handle_hello(&mut self, now_ms: f64, hello: &Hello) -> Result<(), LinkRejection> {
         if hello.format != FORMAT {
-            return Err(Refusal::Format { theirs: hello.format, ours: FORMAT });
+            return Err(LinkRejection::FormatMismatch { theirs: hello.format, ours: FORMAT });
         }
         if hello.fleet != self.fleet {
-            return Err(Refusal::Fleet { theirs: hello.fleet.clone(), ours: self.fleet.clone() });
+            let theirs = hello.fleet.clone();
+            return Err(LinkRejection::FleetMismatch { theirs, ours: self.fleet.clone() });
         }
-        if hello.name == self.me {
-            self.outdone(now, Rival { start: hello.start, age_ms: Some(hello.age_ms) });
-            let age_ms = Some(self.age(now) as u64);
-            return Err(if self.takes_part() {
-                Refusal::Older(Rival { start: self.start, age_ms })
-            } else {
-                Refusal::Namesake(hello.name.clone())
-            });
+        if hello.name == self.local_name {
+            return Err(self.reject_own_name(now_ms, hello));
         }
         if !self.names.contains(&hello.name) {
-            return Err(Refusal::Unnamed(hello.name.clone()));
+            return Err(LinkRejection::UnknownName(hello.name.clone()));
         }
-        if !self.takes_part() {
-            return Err(Refusal::Away);
+        if !self.is_active() {
+            return Err(LinkRejection::Inactive);
         }
-        match self.rival(now, &hello.name) {
-            Some(known) if known.start > hello.start => return Err(Refusal::Older(known)),
-            Some(known) if known.start == hello.start => {}
-            _ => self.started(&hello.name, hello.start),
+        match self.known_incarnation(now_ms, &hello.name) {
+            Some(known) if known.incarnation > hello.incarnation => {
+                return Err(LinkRejection::Superseded(known));
+            }
+            Some(known) if known.incarnation == hello.incarnation => {}
+            _ => self.peer_restarted(&hello.name, hello.incarnation),
         }
-        if let Some((_, began)) = self.starts.get_mut(&hello.name) {
-            *began = Some(now - hello.age_ms as f64);
+        if let Some(process) = self.processes.get_mut(&hello.name) {
+            process.started_at_ms = Some(now_ms - hello.age_ms as f64);
         }
         self.left.remove(&hello.name);
-        match hello.yours {
-            Some(yours) if yours.start == self.start => {
-                if self.standing == Standing::Joining {
-                    self.standing = Standing::Member;
+        match hello.receiver {
+            Some(known) if known.incarnation == self.incarnation => {
+                if self.state == MembershipState::Joining {
+                    self.state = MembershipState::Member;
                 }
             }
-            Some(yours) if yours.start > self.start => self.outdone(now, yours),
-            _ => self.effects.push(Effect::Greet { to: hello.name.clone() }),
+            Some(known) if known.incarnation > self.incarnation => {
+                self.handle_later_incarnation(now_ms, known);
+            }
+            _ => self.effects.push(Effect::SendHello { to: hello.name.clone() }),
         }
-        if self.takes_part() {
-            let id = Id { name: hello.name.clone(), start: hello.start, life: 0 };
-            let done = self.foca.announce(id, &mut self.wishes);
-            self.unfit += u64::from(done.is_err());
+        if self.is_active() {
+            let identity = Identity::new(&hello.name, hello.incarnation);
+            let result = self.foca.announce(identity, &mut self.foca_output);
+            self.rejected_messages += u64::from(result.is_err());
         }
         Ok(())
     }
 
-    fn started(&mut self, name: &str, start: Incarnation) {
-        self.starts.insert(name.to_owned(), (start, None));
+    /// Another process uses this mixer's name.
+    fn reject_own_name(&mut self, now_ms: f64, hello: &Hello) -> LinkRejection {
+        let theirs = KnownIncarnation { incarnation: hello.incarnation, age_ms: Some(hello.age_ms) };
+        self.handle_later_incarnation(now_ms, theirs);
+        let age_ms = Some(self.age_ms(now_ms) as u64);
+        if self.is_active() {
+            LinkRejection::Superseded(KnownIncarnation { incarnation: self.incarnation, age_ms })
+        } else {
+            LinkRejection::DuplicateName(hello.name.clone())
+        }
+    }
+
+    fn peer_restarted(&mut self, name: &str, incarnation: Incarnation) {
+        self.processes.insert(name.to_owned(), KnownProcess { incarnation, started_at_ms: None });
         self.left.remove(name);
-        self.up.get_mut(name).into_iter().for_each(|held| *held = start);
-        self.effects.push(Effect::Outdone { name: name.to_owned(), by: Rival { start, age_ms: None } });
-        self.effects.push(Effect::Started { name: name.to_owned(), start });
-        // Its words may have found no way yet, its own start may have to be told anew.
-        self.effects.push(Effect::Greet { to: name.to_owned() });
-    }
-
-    /// Somebody knows of a start under this mixer's name, beyond its own. It takes a number above it: a dead process does
-    /// not answer that, and one that lives comes above it again. Only then the one that has run for less time is the later,
-    /// and the other stands aside. Guards against a restarted mixer that gives way to its own dead past: somebody who knew
-    /// nothing of that may have taken it in already, and a process that died young has a small age for long.
-    pub fn outdone(&mut self, now: f64, by: Rival) {
-        if by.start <= self.start || !self.takes_part() {
+        if let Some(held) = self.up.get_mut(name) {
+            *held = incarnation;
+        }
+        let by = KnownIncarnation { incarnation, age_ms: None };
+        self.effects.push(Effect::CloseSupersededLinks { name: name.to_owned(), by });
+        self.effects.push(Effect::PeerRestarted { name: name.to_owned(), incarnation });
+        // The new process may not be able to reach this mixer yet, and may have to be told which incarnation of itself is
+        // known here.
+        self.effects.push(Effect::SendHello { to: name.to_owned() });
+    }
+
+    /// A peer knows a later incarnation under this mixer's name. This mixer takes a number above it: a dead process does
+    /// not react to that, a live one takes a higher number in turn. Only in the second case the process that has run for
+    /// less time is the later one, and the other is superseded. Otherwise a restarted mixer could give way to its own dead
+    /// predecessor: a peer that did not know of the restart may have accepted it already, and a process that died young
+    /// keeps a small age for long.
+    pub fn handle_later_incarnation(&mut self, now_ms: f64, by: KnownIncarnation) {
+        if by.incarnation <= self.incarnation || !self.is_active() {
             return;
         }
-        let age = self.age(now);
-        let later = by.age_ms.is_some_and(|theirs| {
-            let more = age - theirs as f64;
-            more > ALIKE_MS || more >= -ALIKE_MS && by.start.lot > self.start.lot
+        let age_ms = self.age_ms(now_ms);
+        let is_later = by.age_ms.is_some_and(|their_age_ms| {
+            let older_by_ms = age_ms - their_age_ms as f64;
+            older_by_ms > AGE_TOLERANCE_MS
+                || older_by_ms >= -AGE_TOLERANCE_MS && by.incarnation.nonce > self.incarnation.nonce
         });
-        let lives = self.topped.get(&by.start.lot).is_some_and(|topped| by.start.number > *topped);
-        // Its own lot is its own echo, however it came by that number.
-        let gives_way = self.ends || later && lives;
-        if gives_way && by.start.lot != self.start.lot {
-            self.standing = Standing::Aside(by.start);
-            self.end();
-            self.effects.push(Effect::Aside(by.start));
+        let is_alive = self
+            .superseded_numbers
+            .get(&by.incarnation.nonce)
+            .is_some_and(|number| by.incarnation.number > *number);
+        // An incarnation with this mixer's own nonce is its own echo, however it got that number.
+        let gives_way = self.shutting_down || is_later && is_alive;
+        if gives_way && by.incarnation.nonce != self.incarnation.nonce {
+            self.state = MembershipState::Superseded(by.incarnation);
+            self.stop();
+            self.effects.push(Effect::Superseded(by.incarnation));
             return;
         }
-        self.topped.insert(by.start.lot, by.start.number.saturating_add(1));
-        while self.topped.len() > RIVALS {
-            self.topped.pop_first();
-        }
-        self.rise(by.start);
-    }
-
-    /// This mixer was asked to end: whoever comes under its name from now on is the later, whatever their ages. Guards against
-    /// a restart within [`ALIKE_MS`] whose new process gave way, by lot, to one that was still serving its last scans.
-    pub fn ends(&mut self) {
-        self.ends = true;
-    }
-
-    /// Takes a number above that start.
-    fn rise(&mut self, above: Incarnation) {
-        self.start = self.start.after(above);
-        let id = Id { name: self.me.clone(), start: self.start, life: 0 };
-        let done = self.foca.change_identity(id, &mut self.wishes);
-        self.unfit += u64::from(done.is_err());
-        self.effects.push(Effect::Renewed(self.start));
-        self.effects.extend(self.names.iter().map(|to| Effect::Greet { to: to.clone() }));
-    }
-
-    /// Copies speak of a start of that name, and how far its words went. Guards against rows of a dead start that came by way
-    /// of a third: whoever runs under that name now has to come above it.
-    pub fn speaks(&mut self, now: f64, name: &str, start: Incarnation, beyond: bool) {
-        if !self.takes_part() {
+        self.superseded_numbers.insert(by.incarnation.nonce, by.incarnation.number.saturating_add(1));
+        while self.superseded_numbers.len() > MAX_RIVALS {
+            self.superseded_numbers.pop_first();
+        }
+        self.supersede(by.incarnation);
+    }
+
+    /// This mixer was asked to shut down: any other process under its name counts as the later one from now on, whatever
+    /// the ages. Otherwise a process restarted within [`AGE_TOLERANCE_MS`] could lose, by nonce, to the one that is still
+    /// serving its last scans.
+    pub fn begin_shutdown(&mut self) {
+        self.shutting_down = true;
+    }
+
+    /// Takes a number above that incarnation.
+    fn supersede(&mut self, other: Incarnation) {
+        self.incarnation = self.incarnation.after(other);
+        let identity = Identity::new(&self.local_name, self.incarnation);
+        let result = self.foca.change_identity(identity, &mut self.foca_output);
+        self.rejected_messages += u64::from(result.is_err());
+        self.effects.push(Effect::IncarnationChanged(self.incarnation));
+        self.effects.extend(self.names.iter().map(|to| Effect::SendHello { to: to.clone() }));
+    }
+
+    /// A replication message mentions an incarnation of a mixer. `beyond_held_version` tells whether it attributes records
+    /// to that mixer that are not held here. Guards against records of a dead incarnation that arrive through a third
+    /// mixer: the live process of that name has to supersede it.
+    pub fn observe_incarnation(
+        &mut self,
+        now_ms: f64,
+        name: &str,
+        incarnation: Incarnation,
+        beyond_held_version: bool,
+    ) {
+        if !self.is_active() {
             return;
         }
-        if name == self.me {
-            self.outdone(now, Rival { start, age_ms: None });
-            // Words under this very start that it never said: it begins anew, and they are void.
-            if start == self.start && beyond {
-                self.rise(start);
+        if name == self.local_name {
+            self.handle_later_incarnation(now_ms, KnownIncarnation { incarnation, age_ms: None });
+            // Records under this very incarnation that it never published: a new incarnation makes them void.
+            if incarnation == self.incarnation && beyond_held_version {
+                self.supersede(incarnation);
             }
-        } else if self.names.contains(name) && self.starts.get(name).is_none_or(|s| s.0 < start) {
-            self.started(name, start);
+        } else if self.names.contains(name) && self.is_later_than_known(name, incarnation) {
+            self.peer_restarted(name, incarnation);
         }
     }
 
-    fn end(&mut self) {
+    fn is_later_than_known(&self, name: &str, incarnation: Incarnation) -> bool {
+        self.processes.get(name).is_none_or(|process| process.incarnation < incarnation)
+    }
+
+    fn stop(&mut self) {
         self.timers.clear();
-        self.wishes = Wishes::default();
+        self.foca_output = FocaOutput::default();
         let up = mem::take(&mut self.up);
-        self.effects.extend(up.into_keys().map(|name| Effect::Down { name }));
+        self.effects.extend(up.into_keys().map(|name| Effect::PeerDown { name }));
     }
 
-    /// A peer says that it goes.
-    pub fn bye(&mut self, name: &str, start: Incarnation) {
-        if self.starts.get(name).is_some_and(|s| s.0 == start) {
+    /// Handles the announcement of a peer that it leaves.
+    pub fn handle_bye(&mut self, name: &str, incarnation: Incarnation) {
+        if self.processes.get(name).is_some_and(|process| process.incarnation == incarnation) {
             self.left.insert(name.to_owned());
-            let id = self.foca.iter_members().find(|m| m.id().name == name).map(|m| m.id().clone());
-            if let Some(id) = id {
-                let gone = [Member::down(id)].into_iter();
-                let done = self.foca.apply_many(gone, true, &mut self.wishes);
-                self.unfit += u64::from(done.is_err());
+            let member = self.foca.iter_members().find(|member| member.id().name == name);
+            if let Some(identity) = member.map(|member| member.id().clone()) {
+                let down = [Member::down(identity)].into_iter();
+                let result = self.foca.apply_many(down, true, &mut self.foca_output);
+                self.rejected_messages += u64::from(result.is_err());
             }
         }
     }
 
-    /// Leaves the fleet; what is left to be sent comes back as effects. Nothing is said after it.
+    /// Leaves the fleet. The last messages are returned as effects by the next tick; nothing is sent after them.
     pub fn leave(&mut self) {
-        if self.takes_part() {
-            let done = self.foca.leave_cluster(&mut self.wishes);
-            self.unfit += u64::from(done.is_err());
-            let sends = mem::take(&mut self.wishes.sends);
+        if self.is_active() {
+            let result = self.foca.leave_cluster(&mut self.foca_output);
+            self.rejected_messages += u64::from(result.is_err());
+            let sends = mem::take(&mut self.foca_output.sends);
             self.effects.extend(sends.into_iter().map(|(to, bytes)| Effect::Send { to: to.name, bytes }));
-            self.standing = Standing::Left;
-            self.end();
+            self.state = MembershipState::Left;
+            self.stop();
         }
     }
 
-    /// Takes a word of membership.
-    pub fn heard(&mut self, now: f64, bytes: &[u8]) {
-        if self.takes_part() {
-            let done = self.foca.handle_data(bytes, &mut self.wishes);
-            self.unfit += u64::from(matches!(
-                done,
+    /// Handles a membership message.
+    pub fn handle_message(&mut self, now_ms: f64, bytes: &[u8]) {
+        if self.is_active() {
+            let result = self.foca.handle_data(bytes, &mut self.foca_output);
+            self.rejected_messages += u64::from(matches!(
+                result,
                 Err(foca::Error::Decode(_) | foca::Error::MalformedPacket | foca::Error::DataTooBig)
             ));
-            let namesake = mem::take(&mut *self.namesake.lock().unwrap_or_else(PoisonError::into_inner));
-            namesake.into_iter().for_each(|start| self.outdone(now, Rival { start, age_ms: None }));
+            let mentioned =
+                mem::take(&mut *self.own_name_incarnation.lock().unwrap_or_else(PoisonError::into_inner));
+            if let Some(incarnation) = mentioned {
+                self.handle_later_incarnation(now_ms, KnownIncarnation { incarnation, age_ms: None });
+            }
         }
     }
 
-    /// When it wants to be looked at.
-    pub fn due(&self) -> f64 {
-        self.looked_at.map_or(0.0, |at| at + LOOK_MS)
+    /// When [`Membership::tick`] has to be called next.
+    pub fn next_tick_ms(&self) -> f64 {
+        self.last_tick_ms.map_or(0.0, |last_ms| last_ms + TICK_INTERVAL_MS)
     }
 
-    /// Lets go on what has fallen due at `now`, in milliseconds of a clock that never steps, and tells what is to be done.
-    pub fn tick(&mut self, now: f64) -> Vec<Effect> {
-        self.age(now);
-        if let Some(before) = self.looked_at
-            && now - before > PAUSE_MS
+    /// Runs what is due and returns the effects since the last call. `now_ms` is read from a monotonic clock.
+    pub fn tick(&mut self, now_ms: f64) -> Vec<Effect> {
+        self.age_ms(now_ms);
+        if let Some(last_ms) = self.last_tick_ms
+            && now_ms - last_ms > PAUSE_THRESHOLD_MS
         {
-            // A pause of this process: what others answered meanwhile is still to be read, and nobody is late for it.
-            let late = micros(now - before);
-            self.timers =
-                mem::take(&mut self.timers).into_iter().map(|((at, n), t)| ((at + late, n), t)).collect();
+            self.postpone_timers(now_ms - last_ms);
         }
-        self.looked_at = Some(now);
-        self.carry(now);
+        self.last_tick_ms = Some(now_ms);
+        self.process_foca_output(now_ms);
         while let Some(first) = self.timers.first_entry()
-            && first.key().0 <= micros(now)
+            && first.key().due_us <= to_micros(now_ms)
         {
             let timer = first.remove();
-            // Nothing it may say matters: a probe that did not run its course begins anew.
-            let _ = self.foca.handle_timer(timer, &mut self.wishes);
-            self.carry(now);
+            // An error only means that a probe did not complete; the next one begins anew.
+            let _ = self.foca.handle_timer(timer, &mut self.foca_output);
+            self.process_foca_output(now_ms);
         }
-        if now >= self.ask_down_at && self.takes_part() {
-            self.ask_down_at = now + ASK_DOWN_MS as f64;
-            self.rivals();
-            self.ask_down();
-            self.carry(now);
+        if now_ms >= self.next_reconnect_ms && self.is_active() {
+            self.next_reconnect_ms = now_ms + RECONNECT_INTERVAL_MS as f64;
+            self.compare_with_foca_state();
+            self.announce_to_down_peers();
+            self.process_foca_output(now_ms);
         }
         mem::take(&mut self.effects)
     }
 
-    /// The machine below may hold a dead start of a name that is above the one known to live: it would take no word of the
-    /// living one, which has to come above it. Nothing is notified of who was never heard of alive.
-    fn rivals(&mut self) {
-        let held = |m: &Member<Id>| (m.id().name.clone(), m.id().start);
-        let held: Vec<(String, Incarnation)> = self.foca.iter_membership_state().map(held).collect();
-        for (name, start) in held {
-            if self.starts.get(&name).is_none_or(|s| s.0 < start) {
-                self.started(&name, start);
+    /// After a pause of this process: answers of others that arrived meanwhile are still unread, so nobody is late.
+    fn postpone_timers(&mut self, pause_ms: f64) {
+        let pause_us = to_micros(pause_ms);
+        let postponed = |(key, timer): (TimerKey, Timer<Identity>)| {
+            (TimerKey { due_us: key.due_us + pause_us, ..key }, timer)
+        };
+        self.timers = mem::take(&mut self.timers).into_iter().map(postponed).collect();
+    }
+
+    /// `foca` may hold a dead incarnation of a name that is above the one known to be alive, and would then ignore the live
+    /// one until it supersedes the dead one. It sends no notification about a member that it never knew alive.
+    fn compare_with_foca_state(&mut self) {
+        let known_to_foca = |member: &Member<Identity>| (member.id().name.clone(), member.id().incarnation);
+        let members: Vec<(String, Incarnation)> =
+            self.foca.iter_membership_state().map(known_to_foca).collect();
+        for (name, incarnation) in members {
+            if self.is_later_than_known(&name, incarnation) {
+                self.peer_restarted(&name, incarnation);
             }
         }
     }
 
-    /// Asks some that were heard of and are down whether they are. Guards against a fleet that was cut into single mixers,
-    /// each of which has nobody left to ask, on links that carry words again.
-    fn ask_down(&mut self) {
-        let down = |name: &&String| !self.up.contains_key(*name) && !self.left.contains(*name);
-        let mut down: Vec<(String, Incarnation)> =
-            self.starts.keys().filter(down).map(|name| (name.clone(), self.starts[name].0)).collect();
-        while down.len() > ASKED.get() {
-            down.swap_remove(self.chance.rand_range(0..down.len() as u64) as usize);
+    /// Contacts some of the known peers that are down. Guards against a fleet that was partitioned into single mixers: once
+    /// the links work again, none of them has a live member left to probe.
+    fn announce_to_down_peers(&mut self) {
+        let is_down = |name: &&String| !self.up.contains_key(*name) && !self.left.contains(*name);
+        let mut down: Vec<(String, Incarnation)> = self
+            .processes
+            .keys()
+            .filter(is_down)
+            .map(|name| (name.clone(), self.processes[name].incarnation))
+            .collect();
+        while down.len() > FANOUT.get() {
+            down.swap_remove(self.rng.rand_range(0..down.len() as u64) as usize);
         }
-        for (name, start) in down {
-            let done = self.foca.announce(Id { name, start, life: 0 }, &mut self.wishes);
-            self.unfit += u64::from(done.is_err());
+        for (name, incarnation) in down {
+            let identity = Identity { name, incarnation, generation: 0 };
+            let result = self.foca.announce(identity, &mut self.foca_output);
+            self.rejected_messages += u64::from(result.is_err());
         }
     }
 
-    /// Turns wishes into effects and timers.
-    fn carry(&mut self, now: f64) {
-        let Wishes { sends, timers, changed } = mem::take(&mut self.wishes);
-        if !self.takes_part() {
+    /// Turns what `foca` wants to be done into effects and timers.
+    fn process_foca_output(&mut self, now_ms: f64) {
+        let FocaOutput { sends, timers, members_changed } = mem::take(&mut self.foca_output);
+        if !self.is_active() {
             return;
         }
         for (after, timer) in timers {
-            self.order += 1;
-            self.timers.insert((micros(now) + after.as_micros() as u64, self.order), timer);
+            self.timer_sequence += 1;
+            let due_us = to_micros(now_ms) + after.as_micros() as u64;
+            self.timers.insert(TimerKey { due_us, sequence: self.timer_sequence }, timer);
         }
-        if changed {
-            self.compare();
+        if members_changed {
+            self.update_live_members();
         }
         self.effects.extend(sends.into_iter().map(|(to, bytes)| Effect::Send { to: to.name, bytes }));
     }
 
-    /// Holds what is told against what the machine below now has. Its notifications say only that something has changed:
-    /// a name that goes over from one start to the next has none of its own where both live.
-    fn compare(&mut self) {
-        let ids: Vec<Id> = self.foca.iter_members().map(|m| m.id().clone()).collect();
-        for id in &ids {
-            if self.starts.get(&id.name).is_none_or(|s| s.0 < id.start) {
-                self.started(&id.name, id.start);
+    /// Compares the known live members with those of `foca`. Its notifications only tell that something has changed: there
+    /// is none if a name moves from one live incarnation to the next.
+    fn update_live_members(&mut self) {
+        let identities: Vec<Identity> = self.foca.iter_members().map(|member| member.id().clone()).collect();
+        for identity in &identities {
+            if self.is_later_than_known(&identity.name, identity.incarnation) {
+                self.peer_restarted(&identity.name, identity.incarnation);
             }
         }
-        let known = |id: &&Id| self.starts.get(&id.name).is_some_and(|s| s.0 == id.start);
-        let live: BTreeMap<String, Incarnation> =
-            ids.iter().filter(known).map(|id| (id.name.clone(), id.start)).collect();
+        let is_latest = |identity: &&Identity| {
+            self.processes
+                .get(&identity.name)
+                .is_some_and(|process| process.incarnation == identity.incarnation)
+        };
+        let live: BTreeMap<String, Incarnation> = identities
+            .iter()
+            .filter(is_latest)
+            .map(|identity| (identity.name.clone(), identity.incarnation))
+            .collect();
         let before = mem::replace(&mut self.up, live);
         let down = before.keys().filter(|name| !self.up.contains_key(*name));
-        self.effects.extend(down.map(|name| Effect::Down { name: name.clone() }));
+        self.effects.extend(down.map(|name| Effect::PeerDown { name: name.clone() }));
         let up = self.up.iter().filter(|(name, _)| !before.contains_key(*name));
-        self.effects.extend(up.map(|(name, start)| Effect::Up { name: name.clone(), start: *start }));
+        self.effects.extend(
+            up.map(|(name, incarnation)| Effect::PeerUp { name: name.clone(), incarnation: *incarnation }),
+        );
     }
 }
--- a/crates/rehearse/src/words.rs
+++ b/crates/rehearse/src/words.rs
@@ -65,8 +65,11 @@
             }
             if one.cold {
                 let said = self.replica.reports::<ProcessStart>(now, &name);
-                if !said.iter().any(|s| s.origin == self.replica.local_name() && s.value.since == one.since) {
-                    self.replica.publish(now, &name, &ProcessStart { since: one.since }, now);
+                if !said
+                    .iter()
+                    .any(|s| s.origin == self.replica.local_name() && s.value.started_at_ms == one.since)
+                {
+                    self.replica.publish(now, &name, &ProcessStart { started_at_ms: one.since }, now);
                 }
             }
         }
--- a/crates/rehearse/src/world.rs
+++ b/crates/rehearse/src/world.rs
@@ -335,7 +335,7 @@
         }
         let Some(part) = part else { return };
         for to in (0..self.fleet.mixers).filter(|to| *to != mixer) {
-            self.day.word_bytes += part.rows.iter().map(|r| r.name.len() as u64 + 40).sum::<u64>();
+            self.day.word_bytes += part.records.iter().map(|r| r.name.len() as u64 + 40).sum::<u64>();
             if self.chance.rand_float() < words.loss {
                 // Its next word shows the gap; or a round does.
                 self.add(self.now + ROUND_MS, Next::Round(mixer, to));
