--- a/crates/replica/src/exchange.rs
+++ b/crates/replica/src/exchange.rs
@@ -1,8 +1,9 @@
-//! Who is told what, and when.
+//! Anti-entropy: what is sent to whom, and when.
 //!
-//! New rows of this mixer's own go to all at once, or to some of a large fleet. In rounds one that is up, by lot, is told a
-//! sum of all that is held; only where it differs versions follow, then what is lacking in pieces, then digests of ranges
-//! where versions agree and rows do not. Whatever is lost, cut or comes in another order is made up for by a later round.
+//! This mixer's new records go to all peers at once, or to some of them in a large fleet. In periodic rounds a random
+//! peer that is up gets a digest of everything that is held. Only if it differs do version vectors follow, then the
+//! missing records in pieces, then digests of counter ranges where versions agree and records do not. Whatever is lost,
+//! cut off or reordered is made up for by a later round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,99 +11,147 @@
 use pewterwharf_peers::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::rows::{Entry, RecordBatch, RejectReason};
-use crate::store::{Delta, News, Replica};
+use crate::record::{OriginVersion, RecordBatch, RejectReason};
+use crate::store::{Delta, RangeDigests, RecordChange, Replica};
 
-/// A word between two mixers about copies.
+/// A replication message between two mixers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
-    /// All that is held, as one number.
-    Sum(u64),
-    /// All that is held, by origin; `ask` wants what is lacking.
-    Vector { entries: Vec<Entry>, ask: bool },
-    /// Some of what the other lacks, and how many counters are left to send; none, if it is all.
-    Parts { parts: Vec<RecordBatch>, left: u64 },
-    /// Digests of an origin's ranges, where versions agree and rows do not.
-    Ranges { origin: String, start: Incarnation, through: u64, digests: Vec<u64> },
-    /// Who was asked is catching up itself, and gives nothing out.
+pub enum ReplicaMessage {
+    /// Digest of everything that the sender holds.
+    Digest(u64),
+    /// The sender's version vector. `request` asks for the records that the sender lacks.
+    VersionVector { entries: Vec<OriginVersion>, request: bool },
+    /// Records that the receiver lacks, and the number of counters still to be sent; zero if these are all.
+    Batches { batches: Vec<RecordBatch>, remaining: u64 },
+    /// Digests of an origin's counter ranges, sent if the versions agree and the records do not.
+    RangeDigests { origin: String, incarnation: Incarnation, version: u64, digests: Vec<u64> },
+    /// The sender is catching up itself and can't serve a request.
     CatchingUp,
 }
 
-impl Word {
-    /// The mixers that it speaks of, with their starts and how far their words went.
-    pub fn origins(&self) -> Vec<(&str, Incarnation, u64)> {
+/// An origin that a message mentions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MentionedOrigin<'a> {
+    pub name: &'a str,
+    pub incarnation: Incarnation,
+    /// Highest counter that the message attributes to the origin.
+    pub version: u64,
+}
+
+impl ReplicaMessage {
+    pub fn mentioned_origins(&self) -> Vec<MentionedOrigin<'_>> {
         match self {
-            Self::Vector { entries, .. } => {
-                entries.iter().map(|e| (e.origin.as_str(), e.start, e.through)).collect()
+            Self::VersionVector { entries, .. } => entries
+                .iter()
+                .map(|entry| MentionedOrigin {
+                    name: &entry.origin,
+                    incarnation: entry.incarnation,
+                    version: entry.version,
+                })
+                .collect(),
+            Self::Batches { batches, .. } => batches
+                .iter()
+                .map(|batch| MentionedOrigin {
+                    name: &batch.origin,
+                    incarnation: batch.incarnation,
+                    version: batch.through,
+                })
+                .collect(),
+            Self::RangeDigests { origin, incarnation, version, .. } => {
+                vec![MentionedOrigin { name: origin, incarnation: *incarnation, version: *version }]
             }
-            Self::Parts { parts, .. } => {
-                parts.iter().map(|p| (p.origin.as_str(), p.start, p.through)).collect()
-            }
-            Self::Ranges { origin, start, through, .. } => vec![(origin, *start, *through)],
-            Self::Sum(_) | Self::CatchingUp => Vec::new(),
+            Self::Digest(_) | Self::CatchingUp => Vec::new(),
         }
     }
 }
 
-/// A round is this long; of more than [`ROUND_OF`] mixers longer, as each is told in about the same time.
-const ROUND_MS: f64 = 200.0;
-/// Bytes of rows in one word.
-const PIECE: usize = 12 * 1024;
-/// New rows go at once to all of so many, and to so many by lot of more.
-const AT_ONCE: usize = 32;
-/// What one peer is given in a second, in bytes, and at once: a restarted mixer must not hold up the others' words.
-const GIVE_PER_S: f64 = 512.0 * 1024.0;
-const GIVE_AT_ONCE: f64 = 64.0 * 1024.0;
-/// One that was asked and says nothing for so long is given up, and another is asked.
-const SILENT_MS: f64 = 500.0;
-/// Gaps that a peer's parts show are asked for at most this often.
-const ASK_AGAIN_MS: f64 = 50.0;
-
-/// How far this mixer is in taking what others hold.
+/// A message and the peer that it goes to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingMessage {
+    pub to: String,
+    pub message: ReplicaMessage,
+}
+
+/// Result of a received message.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Handled {
+    pub changes: Vec<RecordChange>,
+    pub messages: Vec<OutgoingMessage>,
+}
+
+/// Mean interval between gossip rounds.
+const ROUND_INTERVAL_MS: f64 = 200.0;
+/// Relative spread of the round interval, on either side of the mean.
+const ROUND_JITTER: f64 = 0.25;
+/// Bytes of records in one message.
+const MAX_MESSAGE_BYTES: usize = 12 * 1024;
+/// New records go at once to all peers up to this number, and to this many random ones of a larger fleet.
+const MAX_PUSH_PEERS: usize = 32;
+/// Rate and burst of the records that one peer is sent: catch-up of a restarted mixer must not delay messages to others.
+const PEER_BYTES_PER_S: f64 = 512.0 * 1024.0;
+const PEER_BURST_BYTES: f64 = 64.0 * 1024.0;
+/// Bytes that a record counts against the rate besides its name.
+const RECORD_COST_BYTES: usize = 48;
+/// A catch-up source that is silent for this long is given up for another.
+const SOURCE_TIMEOUT_MS: f64 = 500.0;
+/// Minimum interval between requests to one peer for records that its batches show to be missing.
+const REQUEST_INTERVAL_MS: f64 = 50.0;
+/// A time before any clock reading.
+const NEVER_MS: f64 = -1e9;
+
+/// How far this mixer has caught up with what its peers hold.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Progress {
-    /// Nobody was there to ask since the start.
+pub enum CatchUpProgress {
+    /// No peer has been up since the start.
     Alone,
-    /// *Catching up*: from whom, pieces and rows taken, and how many counters its source has left.
     CatchingUp {
-        from: Option<String>,
+        source: Option<String>,
         pieces: u64,
-        rows: u64,
-        behind: u64,
+        records: u64,
+        /// Number of counters that the source has yet to send.
+        remaining: u64,
     },
     Done,
 }
 
+/// The peer that this mixer catches up from.
 #[derive(Debug)]
-struct Catching {
-    asked: Option<(String, f64)>,
+struct CatchUpSource {
+    name: String,
+    last_activity_ms: f64,
+}
+
+#[derive(Debug, Default)]
+struct CatchUp {
+    source: Option<CatchUpSource>,
     pieces: u64,
-    rows: u64,
-    behind: u64,
-    /// Those that say that they catch up themselves.
-    fellows: BTreeSet<String>,
+    records: u64,
+    remaining: u64,
+    /// Peers that are catching up themselves.
+    also_catching_up: BTreeSet<String>,
 }
 
-/// A peer, as far as it is given something.
+/// Token bucket and request time of one peer.
 #[derive(Debug)]
-struct Given {
-    left: f64,
-    at: f64,
-    asked_at: f64,
+struct PeerBudget {
+    tokens_bytes: f64,
+    refilled_at_ms: f64,
+    requested_at_ms: f64,
 }
 
-/// What this mixer tells and asks.
+/// Exchanges records with the peers that are up.
 #[derive(Debug)]
 pub struct Exchange {
     pub replica: Replica,
     up: BTreeMap<String, Incarnation>,
-    chance: Rand64,
-    round_at: f64,
-    /// The version of its own that was told at once.
-    told: u64,
-    given: BTreeMap<String, Given>,
-    catching: Option<Catching>,
-    began: bool,
+    rng: Rand64,
+    next_round_ms: f64,
+    /// Version of this mixer's own records that was pushed to the peers.
+    pushed_version: u64,
+    budgets: BTreeMap<String, PeerBudget>,
+    catch_up: Option<CatchUp>,
+    /// Whether any peer has been up since the start.
+    had_peer: bool,
 }
 
 impl Exchange {
@@ -110,239 +159,298 @@
         Self {
             replica,
             up: BTreeMap::new(),
-            chance: Rand64::new(u128::from(seed) ^ 0xe2c4_a93e),
-            round_at: 0.0,
-            told: 0,
-            given: BTreeMap::new(),
-            catching: None,
-            began: false,
+            rng: Rand64::new(u128::from(seed) ^ 0xe2c4_a93e),
+            next_round_ms: 0.0,
+            pushed_version: 0,
+            budgets: BTreeMap::new(),
+            catch_up: None,
+            had_peer: false,
         }
     }
 
-    /// A peer is up, or not any more.
-    pub fn peer(&mut self, name: &str, start: Option<Incarnation>) {
-        match start {
-            Some(start) => {
-                self.up.insert(name.to_owned(), start);
-                self.replica.started(name, start);
-                if !self.began {
-                    self.began = true;
-                    self.catching = Some(Catching {
-                        asked: None,
-                        pieces: 0,
-                        rows: 0,
-                        behind: 0,
-                        fellows: BTreeSet::new(),
-                    });
-                }
-            }
-            None => {
-                self.up.remove(name);
-                self.given.remove(name);
-                if let Some(catching) = &mut self.catching {
-                    catching.fellows.remove(name);
-                    // Its source has died: another is asked at the next look.
-                    catching.asked.take_if(|asked| asked.0 == name);
-                }
-            }
+    pub fn peer_up(&mut self, name: &str, incarnation: Incarnation) {
+        self.up.insert(name.to_owned(), incarnation);
+        self.replica.observe_incarnation(name, incarnation);
+        if !self.had_peer {
+            self.had_peer = true;
+            self.catch_up = Some(CatchUp::default());
+        }
+    }
+
+    pub fn peer_down(&mut self, name: &str) {
+        self.up.remove(name);
+        self.budgets.remove(name);
+        if let Some(catch_up) = &mut self.catch_up {
+            catch_up.also_catching_up.remove(name);
+            // The next round picks another source.
+            catch_up.source.take_if(|source| source.name == name);
         }
     }
 
-    /// A later start of a mixer is known.
-    pub fn started(&mut self, name: &str, start: Incarnation) {
-        self.replica.started(name, start);
-        self.up.get_mut(name).into_iter().for_each(|held| *held = start);
-        // It knows nothing yet, whatever its earlier start did.
-        self.given.remove(name);
+    /// A peer was restarted.
+    pub fn peer_restarted(&mut self, name: &str, incarnation: Incarnation) {
+        self.replica.observe_incarnation(name, incarnation);
+        if let Some(held) = self.up.get_mut(name) {
+            *held = incarnation;
+        }
+        // The new process holds nothing yet, whatever its predecessor was sent.
+        self.budgets.remove(name);
     }
 
-    /// This mixer has a new start.
-    pub fn renewed(&mut self, start: Incarnation) {
-        self.replica.renew(start);
-        self.told = 0;
+    /// This mixer has taken a new incarnation.
+    pub fn change_incarnation(&mut self, incarnation: Incarnation) {
+        self.replica.change_incarnation(incarnation);
+        self.pushed_version = 0;
     }
 
-    pub fn progress(&self) -> Progress {
-        match &self.catching {
-            Some(c) => Progress::CatchingUp {
-                from: c.asked.as_ref().map(|a| a.0.clone()),
-                pieces: c.pieces,
-                rows: c.rows,
-                behind: c.behind,
+    pub fn progress(&self) -> CatchUpProgress {
+        match &self.catch_up {
+            Some(catch_up) => CatchUpProgress::CatchingUp {
+                source: catch_up.source.as_ref().map(|source| source.name.clone()),
+                pieces: catch_up.pieces,
+                records: catch_up.records,
+                remaining: catch_up.remaining,
             },
-            None if self.began => Progress::Done,
-            None => Progress::Alone,
+            None if self.had_peer => CatchUpProgress::Done,
+            None => CatchUpProgress::Alone,
         }
     }
 
-    /// When it wants to be looked at, beside after new rows.
-    pub fn due(&self) -> f64 {
-        self.round_at
+    /// When [`Exchange::tick`] has to be called next. It also has to be called after records were published.
+    pub fn next_tick_ms(&self) -> f64 {
+        self.next_round_ms
     }
 
-    fn lot(&mut self, among: &[String]) -> Option<String> {
+    fn random_peer(&mut self, among: &[String]) -> Option<String> {
         if among.is_empty() {
             return None;
         }
-        let nth = self.chance.rand_range(0..among.len() as u64) as usize;
-        among.get(nth).cloned()
+        let index = self.rng.rand_range(0..among.len() as u64) as usize;
+        among.get(index).cloned()
     }
 
-    /// Lets time go on: words and to whom they go.
-    pub fn tick(&mut self, now: f64) -> Vec<(String, Word)> {
-        let mut words = Vec::new();
-        self.tell(now, &mut words);
-        if now < self.round_at {
-            return words;
+    /// Runs what is due and returns the messages to send.
+    pub fn tick(&mut self, now_ms: f64) -> Vec<OutgoingMessage> {
+        let mut messages = Vec::new();
+        self.push_new_records(now_ms, &mut messages);
+        if now_ms < self.next_round_ms {
+            return messages;
         }
-        let spread = 0.75 + 0.5 * self.chance.rand_float();
-        self.round_at = now + ROUND_MS * spread;
-        self.replica.tick(now);
+        let spread = (1.0 - ROUND_JITTER) + 2.0 * ROUND_JITTER * self.rng.rand_float();
+        self.next_round_ms = now_ms + ROUND_INTERVAL_MS * spread;
+        self.replica.tick(now_ms);
         let up: Vec<String> = self.up.keys().cloned().collect();
-        if let Some(catching) = &mut self.catching {
-            catching.asked.take_if(|asked| now - asked.1 > SILENT_MS);
-            if catching.asked.is_none() {
-                let others: Vec<String> =
-                    up.iter().filter(|name| !catching.fellows.contains(*name)).cloned().collect();
-                if others.is_empty() && !up.is_empty() {
-                    // All that are there came back together: nobody has more than what each says anew.
-                    self.catching = None;
-                } else if let Some(source) = self.lot(&others) {
-                    self.catching.iter_mut().for_each(|c| c.asked = Some((source.clone(), now)));
-                    words.push((source, Word::Vector { entries: self.replica.version_vector(), ask: true }));
-                }
-            }
-        }
-        if self.catching.is_none()
-            && let Some(one) = self.lot(&up)
+        self.continue_catch_up(now_ms, &up, &mut messages);
+        if self.catch_up.is_none()
+            && let Some(to) = self.random_peer(&up)
         {
-            words.push((one, Word::Sum(self.replica.sum())));
+            messages.push(OutgoingMessage { to, message: ReplicaMessage::Digest(self.replica.digest()) });
+        }
+        messages
+    }
+
+    /// Requests records from a new source if there is none or it has timed out.
+    fn continue_catch_up(&mut self, now_ms: f64, up: &[String], messages: &mut Vec<OutgoingMessage>) {
+        let Some(catch_up) = &mut self.catch_up else { return };
+        catch_up.source.take_if(|source| now_ms - source.last_activity_ms > SOURCE_TIMEOUT_MS);
+        if catch_up.source.is_some() {
+            return;
         }
-        words
+        let sources: Vec<String> =
+            up.iter().filter(|name| !catch_up.also_catching_up.contains(*name)).cloned().collect();
+        if sources.is_empty() && !up.is_empty() {
+            // All peers restarted together: none holds more than what each publishes anew.
+            self.catch_up = None;
+        } else if let Some(to) = self.random_peer(&sources) {
+            if let Some(catch_up) = &mut self.catch_up {
+                catch_up.source = Some(CatchUpSource { name: to.clone(), last_activity_ms: now_ms });
+            }
+            messages.push(OutgoingMessage { to, message: self.version_vector(true) });
+        }
+    }
+
+    fn version_vector(&self, request: bool) -> ReplicaMessage {
+        ReplicaMessage::VersionVector { entries: self.replica.version_vector(), request }
     }
 
-    /// New rows of its own, to all at once.
-    fn tell(&mut self, now: f64, words: &mut Vec<(String, Word)>) {
-        let Some(part) = self.replica.own_records_since(now, self.told, PIECE) else { return };
-        self.told = part.through;
-        let mut to: Vec<String> = self.up.keys().cloned().collect();
-        while to.len() > AT_ONCE {
-            let nth = self.chance.rand_range(0..to.len() as u64) as usize;
-            to.swap_remove(nth);
+    /// Sends this mixer's new records without waiting for a round.
+    fn push_new_records(&mut self, now_ms: f64, messages: &mut Vec<OutgoingMessage>) {
+        let Some(batch) = self.replica.own_records_since(now_ms, self.pushed_version, MAX_MESSAGE_BYTES)
+        else {
+            return;
+        };
+        self.pushed_version = batch.through;
+        let mut receivers: Vec<String> = self.up.keys().cloned().collect();
+        while receivers.len() > MAX_PUSH_PEERS {
+            let index = self.rng.rand_range(0..receivers.len() as u64) as usize;
+            receivers.swap_remove(index);
         }
-        for name in to {
-            words.push((name, Word::Parts { parts: vec![part.clone()], left: 0 }));
+        for to in receivers {
+            let message = ReplicaMessage::Batches { batches: vec![batch.clone()], remaining: 0 };
+            messages.push(OutgoingMessage { to, message });
         }
     }
 
-    /// Bytes that a peer may be given now.
-    fn allowance(&mut self, name: &str, now: f64) -> usize {
-        let given = self.given.entry(name.to_owned()).or_insert(Given {
-            left: GIVE_AT_ONCE,
-            at: now,
-            asked_at: -1e9,
+    /// Refills the token bucket of a peer and returns the bytes that it may be sent now.
+    fn refill_budget(&mut self, name: &str, now_ms: f64) -> usize {
+        let budget = self.budgets.entry(name.to_owned()).or_insert(PeerBudget {
+            tokens_bytes: PEER_BURST_BYTES,
+            refilled_at_ms: now_ms,
+            requested_at_ms: NEVER_MS,
         });
-        given.left = (given.left + (now - given.at).max(0.0) * GIVE_PER_S / 1000.0).min(GIVE_AT_ONCE);
-        given.at = now;
-        (given.left as usize).min(PIECE)
+        let elapsed_ms = (now_ms - budget.refilled_at_ms).max(0.0);
+        budget.tokens_bytes =
+            (budget.tokens_bytes + elapsed_ms * PEER_BYTES_PER_S / 1000.0).min(PEER_BURST_BYTES);
+        budget.refilled_at_ms = now_ms;
+        (budget.tokens_bytes as usize).min(MAX_MESSAGE_BYTES)
     }
 
-    /// Takes a word of a peer; `old_ms` is by how much it may be older than it says.
-    pub fn heard(
+    /// Handles a message from a peer. `delay_ms` is how much older the records in it may be than they say.
+    pub fn handle_message(
         &mut self,
-        now: f64,
-        old_ms: f64,
+        now_ms: f64,
+        delay_ms: f64,
         from: &str,
-        word: Word,
-    ) -> (Vec<News>, Vec<(String, Word)>) {
-        let mut words = Vec::new();
-        let mut news = Vec::new();
-        let mut answer = |word: Word| words.push((from.to_owned(), word));
-        match word {
-            Word::Sum(_) if self.catching.is_some() => {}
-            Word::Sum(sum) => {
-                if sum != self.replica.sum() {
-                    answer(Word::Vector { entries: self.replica.version_vector(), ask: true });
+        message: ReplicaMessage,
+    ) -> Handled {
+        let mut changes = Vec::new();
+        let catching_up = self.catch_up.is_some();
+        let replies = match message {
+            ReplicaMessage::Digest(digest) => {
+                if !catching_up && digest != self.replica.digest() {
+                    vec![self.version_vector(true)]
+                } else {
+                    Vec::new()
                 }
             }
-            Word::Vector { ask, .. } if self.catching.is_some() => {
-                if ask {
-                    answer(Word::CatchingUp);
+            ReplicaMessage::VersionVector { request, .. } if catching_up => {
+                if request {
+                    vec![ReplicaMessage::CatchingUp]
+                } else {
+                    Vec::new()
                 }
             }
-            Word::Vector { entries, ask } => {
-                let budget = self.allowance(from, now);
-                let Delta { batches: parts, remaining: left } = self.replica.delta(now, &entries, budget);
-                let spent: usize = parts.iter().flat_map(|p| &p.rows).map(|r| r.name.len() + 48).sum();
-                self.given.get_mut(from).into_iter().for_each(|g| g.left -= spent as f64);
-                let lacks = self.replica.lacks(&entries);
-                let unlike = self.replica.unlike(&entries);
-                if ask || !parts.is_empty() {
-                    words.push((from.to_owned(), Word::Parts { parts, left }));
-                }
-                if lacks && ask {
-                    words.push((
-                        from.to_owned(),
-                        Word::Vector { entries: self.replica.version_vector(), ask: false },
-                    ));
-                }
-                for origin in unlike {
-                    if let Some((start, through, digests)) = self.replica.ranges(&origin) {
-                        words.push((from.to_owned(), Word::Ranges { origin, start, through, digests }));
-                    }
-                }
+            ReplicaMessage::VersionVector { entries, request } => {
+                self.answer_version_vector(now_ms, from, &entries, request)
             }
-            Word::Ranges { origin, start, through, digests } => {
-                if self.catching.is_none() {
-                    let budget = self.allowance(from, now);
-                    let parts = self.replica.mend(now, &origin, start, through, &digests, budget);
-                    if !parts.is_empty() {
-                        words.push((from.to_owned(), Word::Parts { parts, left: 0 }));
-                    }
-                }
+            ReplicaMessage::RangeDigests { origin, incarnation, version, digests } => {
+                let theirs = RangeDigests { incarnation, version, digests };
+                self.answer_range_digests(now_ms, from, &origin, &theirs)
             }
-            Word::CatchingUp => {
-                if let Some(catching) = &mut self.catching {
-                    catching.fellows.insert(from.to_owned());
-                    catching.asked.take_if(|asked| asked.0 == from);
-                    self.round_at = now;
-                }
+            ReplicaMessage::CatchingUp => {
+                self.source_is_catching_up(now_ms, from);
+                Vec::new()
             }
-            Word::Parts { parts, left } => {
+            ReplicaMessage::Batches { batches, remaining } => {
                 let mut gap = false;
-                let rows: usize = parts.iter().map(|p| p.rows.len()).sum();
-                for part in &parts {
-                    match self.replica.apply(now, old_ms, from, part) {
-                        Ok(more) => news.extend(more),
+                let records: usize = batches.iter().map(|batch| batch.records.len()).sum();
+                for batch in &batches {
+                    match self.replica.apply(now_ms, delay_ms, from, batch) {
+                        Ok(more) => changes.extend(more),
                         Err(RejectReason::Gap) => gap = true,
                         Err(_) => {}
                     }
                 }
-                let mut ask = gap || left > 0;
-                if let Some(catching) = &mut self.catching
-                    && catching.asked.as_ref().is_some_and(|asked| asked.0 == from)
-                {
-                    catching.pieces += 1;
-                    catching.rows += rows as u64;
-                    catching.behind = left;
-                    catching.asked = Some((from.to_owned(), now));
-                    if left == 0 && !gap {
-                        self.catching = None;
-                    }
-                } else if ask {
-                    let asked_at = self.given.get(from).map_or(-1e9, |g| g.asked_at);
-                    ask = now - asked_at >= ASK_AGAIN_MS;
-                }
-                if ask {
-                    self.allowance(from, now);
-                    self.given.get_mut(from).into_iter().for_each(|g| g.asked_at = now);
-                    words.push((
-                        from.to_owned(),
-                        Word::Vector { entries: self.replica.version_vector(), ask: true },
-                    ));
-                }
+                self.after_batches(now_ms, from, records, remaining, gap)
+            }
+        };
+        let to_sender = |message| OutgoingMessage { to: from.to_owned(), message };
+        Handled { changes, messages: replies.into_iter().map(to_sender).collect() }
+    }
+
+    /// Sends what the peer lacks; asks for what this mixer lacks; sends range digests of diverging origins.
+    fn answer_version_vector(
+        &mut self,
+        now_ms: f64,
+        from: &str,
+        entries: &[OriginVersion],
+        request: bool,
+    ) -> Vec<ReplicaMessage> {
+        let mut replies = Vec::new();
+        let budget = self.refill_budget(from, now_ms);
+        let Delta { batches, remaining } = self.replica.delta(now_ms, entries, budget);
+        let spent: usize = batches
+            .iter()
+            .flat_map(|batch| &batch.records)
+            .map(|record| record.name.len() + RECORD_COST_BYTES)
+            .sum();
+        if let Some(budget) = self.budgets.get_mut(from) {
+            budget.tokens_bytes -= spent as f64;
+        }
+        let behind = self.replica.is_behind(entries);
+        let diverging = self.replica.diverging_origins(entries);
+        if request || !batches.is_empty() {
+            replies.push(ReplicaMessage::Batches { batches, remaining });
+        }
+        if behind && request {
+            replies.push(self.version_vector(false));
+        }
+        for origin in diverging {
+            if let Some(RangeDigests { incarnation, version, digests }) = self.replica.range_digests(&origin)
+            {
+                replies.push(ReplicaMessage::RangeDigests { origin, incarnation, version, digests });
+            }
+        }
+        replies
+    }
+
+    fn answer_range_digests(
+        &mut self,
+        now_ms: f64,
+        from: &str,
+        origin: &str,
+        theirs: &RangeDigests,
+    ) -> Vec<ReplicaMessage> {
+        if self.catch_up.is_some() {
+            return Vec::new();
+        }
+        let budget = self.refill_budget(from, now_ms);
+        let batches = self.replica.repair_batches(now_ms, origin, theirs, budget);
+        if batches.is_empty() {
+            return Vec::new();
+        }
+        vec![ReplicaMessage::Batches { batches, remaining: 0 }]
+    }
+
+    fn source_is_catching_up(&mut self, now_ms: f64, from: &str) {
+        if let Some(catch_up) = &mut self.catch_up {
+            catch_up.also_catching_up.insert(from.to_owned());
+            catch_up.source.take_if(|source| source.name == from);
+            self.next_round_ms = now_ms;
+        }
+    }
+
+    /// Updates the catch-up after batches from a peer were applied, and requests more where some are missing.
+    fn after_batches(
+        &mut self,
+        now_ms: f64,
+        from: &str,
+        records: usize,
+        remaining: u64,
+        gap: bool,
+    ) -> Vec<ReplicaMessage> {
+        let mut request = gap || remaining > 0;
+        if let Some(catch_up) = &mut self.catch_up
+            && catch_up.source.as_ref().is_some_and(|source| source.name == from)
+        {
+            catch_up.pieces += 1;
+            catch_up.records += records as u64;
+            catch_up.remaining = remaining;
+            catch_up.source = Some(CatchUpSource { name: from.to_owned(), last_activity_ms: now_ms });
+            if remaining == 0 && !gap {
+                self.catch_up = None;
             }
+        } else if request {
+            let requested_at_ms = self.budgets.get(from).map_or(NEVER_MS, |budget| budget.requested_at_ms);
+            request = now_ms - requested_at_ms >= REQUEST_INTERVAL_MS;
+        }
+        if !request {
+            return Vec::new();
+        }
+        self.refill_budget(from, now_ms);
+        if let Some(budget) = self.budgets.get_mut(from) {
+            budget.requested_at_ms = now_ms;
         }
-        (news, words)
+        vec![self.version_vector(true)]
     }
 }
--- a/crates/replica/src/kinds/idle.rs
+++ b/crates/replica/src/kinds/idle_loss.rs
@@ -1,20 +1,20 @@
 use serde::{Deserialize, Serialize};
 
-use super::Kind;
+use super::RecordKind;
 
-/// On this mixer's way to searchers connections are lost while they are idle.
+/// Connections from this mixer to searchers are lost while they are idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct IdleLost {
-    /// Times that this was found in the last half minute.
+pub struct IdleConnectionsLost {
+    /// How often this was detected within the last half minute.
     pub times: u16,
 }
 
-impl Kind for IdleLost {
+impl RecordKind for IdleConnectionsLost {
     const CODE: u8 = 4;
     const NAME: &'static str = "idle-lost";
-    const FRESH_MS: f64 = 10_000.0;
+    const VALIDITY_MS: f64 = 10_000.0;
 
-    fn fits(&self) -> bool {
+    fn is_valid(&self) -> bool {
         true
     }
 
--- a/crates/replica/src/kinds/mark.rs
+++ b/crates/replica/src/kinds/mark.rs
@@ -1,30 +1,31 @@
 use serde::{Deserialize, Serialize};
 
-use super::Kind;
+use super::RecordKind;
 
-/// A searcher that a mixer has marked, by its address, and on what evidence; or one at which a part is late, which alone is no
-/// mark: a slice of several mixers together tells sooner than any one's.
+/// Evidence against a searcher, identified by its address: either this mixer marked it, or a single part is late there.
+/// A late part alone is no mark, but the late parts of several mixers add up to a slice sooner than those of one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Average latency in the slice that marked it, in multiples of normal.
+    /// Average latency in the slice that caused the mark, as a multiple of the baseline.
     pub latency_ratio: f64,
-    /// Parts that this is the average of.
+    /// Number of parts in that average.
     pub parts: u32,
-    /// No mark yet: a part is late there.
+    /// Only a late part, not a mark yet.
     pub late: bool,
 }
 
-impl Kind for Mark {
+impl RecordKind for Mark {
     const CODE: u8 = 1;
     const NAME: &'static str = "mark";
-    /// Two probes' time, as a mixer that marked a searcher probes it each half second and says when it readmits it.
-    const FRESH_MS: f64 = 1500.0;
+    /// Long enough for two probes: a mixer probes a marked searcher every half second and reports when it readmits it.
+    const VALIDITY_MS: f64 = 1500.0;
 
-    fn fits(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.latency_ratio.is_finite() && self.latency_ratio >= 0.0
     }
 
-    /// The better founded: a mark before a late part, more parts, then the higher average. Marks are weighed one by one where that matters.
+    /// The better evidence: a mark before a late part, then more parts, then the higher average. Where the number of
+    /// marks matters they are counted one by one instead.
     fn join(self, other: Self) -> Self {
         let more =
             (!other.late, other.parts, other.latency_ratio) > (!self.late, self.parts, self.latency_ratio);
--- a/crates/replica/src/kinds/mod.rs
+++ b/crates/replica/src/kinds/mod.rs
@@ -1,70 +1,82 @@
-//! The kinds of rows: one small type in one file each, with its own join. A new kind is one more file and one line in
-//! [`each`]; a mixer that does not know a kind holds its rows unread and passes them on.
+//! The kinds of records, one type in one file each. A new kind needs a file and a line in [`known_kinds`]. A mixer that
+//! does not know a kind keeps its records undecoded and passes them on.
 
-mod idle;
-mod leaving;
-mod list;
+mod departure;
+mod idle_loss;
 mod mark;
-mod start;
-mod used;
+mod process_start;
+mod searcher_list;
+mod usage;
 
 use std::fmt::Debug;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-pub use idle::IdleLost;
-pub use leaving::{Leaving, Stage};
-pub use list::ListHeld;
+pub use departure::{Departure, Stage};
+pub use idle_loss::IdleConnectionsLost;
 pub use mark::Mark;
-pub use start::ProcessStart;
-pub use used::Used;
+pub use process_start::ProcessStart;
+pub use searcher_list::SearcherList;
+pub use usage::CustomerUsage;
 
-/// What one mixer says of one thing.
+/// What one mixer reports about one subject.
 ///
-/// [`Kind::join`] is for what several origins say of it and has to be commutative, associative and idempotent: it takes the
-/// side on which no rule can be broken. `docs/copies.md` has the table.
-pub trait Kind: Serialize + DeserializeOwned + Clone + PartialEq + Debug {
-    /// Its number on the wire; never used anew.
+/// [`RecordKind::join`] combines the reports of several origins. It has to be commutative, associative and idempotent,
+/// and errs on the side on which no rule can be broken. The table is in `docs/copies.md`.
+pub trait RecordKind: Serialize + DeserializeOwned + Clone + PartialEq + Debug {
+    /// Number of this kind on the wire; never reused.
     const CODE: u8;
     const NAME: &'static str;
-    /// Milliseconds for which its evidence says something.
-    const FRESH_MS: f64;
+    /// How long the evidence stays valid.
+    const VALIDITY_MS: f64;
 
-    /// Whether it can be meant: figures are finite and in their ranges.
-    fn fits(&self) -> bool;
+    /// Whether all figures are finite and within their ranges.
+    fn is_valid(&self) -> bool;
 
     #[must_use]
     fn join(self, other: Self) -> Self;
 }
 
-/// A kind that is known: its code, its name, and whether bytes are a value of it.
-type Known = (u8, &'static str, fn(&[u8]) -> bool);
+struct KnownKind {
+    code: u8,
+    name: &'static str,
+    is_valid: fn(&[u8]) -> bool,
+}
 
-pub(crate) fn each() -> [Known; 6] {
-    fn of<K: Kind>() -> Known {
-        (K::CODE, K::NAME, |bytes| read::<K>(bytes).is_some())
+fn known_kinds() -> [KnownKind; 6] {
+    fn of<K: RecordKind>() -> KnownKind {
+        KnownKind { code: K::CODE, name: K::NAME, is_valid: |bytes| decode::<K>(bytes).is_some() }
     }
-    [of::<Mark>(), of::<ProcessStart>(), of::<Leaving>(), of::<IdleLost>(), of::<ListHeld>(), of::<Used>()]
+    [
+        of::<Mark>(),
+        of::<ProcessStart>(),
+        of::<Departure>(),
+        of::<IdleConnectionsLost>(),
+        of::<SearcherList>(),
+        of::<CustomerUsage>(),
+    ]
 }
 
-/// Whether a value keeps to its kind; of kinds that are not known here, nobody can say.
-pub(crate) fn fits(kind: u8, bytes: &[u8]) -> bool {
-    each().iter().find(|k| k.0 == kind).is_none_or(|k| k.2(bytes))
+/// Whether bytes are a valid value of a kind. Values of unknown kinds can't be checked and count as valid.
+pub(crate) fn is_valid(code: u8, bytes: &[u8]) -> bool {
+    known_kinds().iter().find(|kind| kind.code == code).is_none_or(|kind| (kind.is_valid)(bytes))
 }
 
-/// The name of a kind, for people.
-pub fn name(kind: u8) -> String {
-    each().iter().find(|k| k.0 == kind).map_or_else(|| format!("kind-{kind}"), |k| k.1.to_owned())
+/// Display name of a kind.
+pub fn name(code: u8) -> String {
+    let known = known_kinds();
+    let kind = known.iter().find(|kind| kind.code == code);
+    kind.map_or_else(|| format!("kind-{code}"), |kind| kind.name.to_owned())
 }
 
-/// Reads a value, if it is one and can be meant.
-pub(crate) fn read<K: Kind>(bytes: &[u8]) -> Option<K> {
+/// Decodes a value. Returns `None` for trailing bytes or an invalid value.
+pub(crate) fn decode<K: RecordKind>(bytes: &[u8]) -> Option<K> {
     let (value, rest) = postcard::take_from_bytes::<K>(bytes).ok()?;
-    (rest.is_empty() && value.fits()).then_some(value)
+    (rest.is_empty() && value.is_valid()).then_some(value)
 }
 
-/// The greater of two figures that are both finite.
+/// The greater of two finite figures.
 pub(crate) fn greater(a: f64, b: f64) -> f64 {
     if b > a { b } else { a }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,28 +1,35 @@
-//! Copies of what matters, held by all mixers of a fleet. No I/O: words and the time come in, words and advice go out.
+//! State that is replicated between the mixers of a fleet. No I/O: messages and the time go in, messages and advice come
+//! out.
 //!
-//! A *row* is what one mixer, its *origin*, says of one thing: kind, name, value, the time of its evidence. Only its origin
-//! writes it, so two values of one row never compete: of one origin the later start wins, and within a start the higher
-//! counter. What several origins say of one thing is kept side by side and joined when it is looked at ([`kinds::Kind`]).
+//! A *record* is what one mixer, its *origin*, reports about one subject: kind, name, value, and the time of its
+//! evidence. Only its origin writes it, so two values of one record never conflict: the later incarnation of the origin
+//! wins, and within an incarnation the higher counter. The reports of several origins about one subject are kept side by
+//! side and joined when they are read ([`kinds::RecordKind`]).
 //!
-//! - [`Replica`] holds the rows. What goes from mixer to mixer is a [`Part`]: *all* rows of an origin whose counter lies in an
-//!   interval. Parts are taken without gaps only, so a version for each origin says all that a mixer has (delta-state CRDTs,
-//!   Almeida et al., 2018; the order of Scuttlebutt, van Renesse et al., 2008).
-//! - [`Exchange`] decides who is told what and when: new rows at once, sums in rounds, deltas where they differ, digests of
-//!   ranges where versions agree and rows do not, catch-up in pieces.
-//! - [`Heed`] decides what a mixer makes of copies: advice to its decision module, bounded, and weighed by how far each peer
-//!   has been right of late.
+//! - [`Replica`] holds the records. Mixers exchange them as a [`RecordBatch`]: *all* records of an origin whose counter
+//!   lies in an interval. Batches are applied without gaps only, so one version for each origin describes everything that
+//!   a mixer holds (delta-state CRDTs, Almeida et al., 2018; the ordering of Scuttlebutt, van Renesse et al., 2008).
+//! - [`Exchange`] decides what is sent to whom and when: new records at once, digests in periodic rounds, deltas where
+//!   version vectors differ, digests of counter ranges where versions agree and records do not, and catch-up in pieces.
+//! - [`PeerReportPolicy`] decides what a mixer makes of its peers' reports: bounded advice to its decision module,
+//!   weighted by how often each peer was right lately.
 //!
-//! Invariants: merges are commutative, associative and idempotent; no wall clock is compared; rows, bytes and an origin's
-//! share of them are bounded, whatever comes; a row that was forgotten never comes back from an old copy.
+//! Invariants: merges are commutative, associative and idempotent; wall clocks are never compared; the number of records,
+//! their bytes and an origin's quota are bounded whatever is received; a deleted record never comes back from an old copy.
 
 pub mod kinds;
 
 mod exchange;
 mod policy;
-mod rows;
+mod record;
 mod store;
 
-pub use exchange::{Exchange, Progress, Word};
+pub use exchange::{CatchUpProgress, Exchange, OutgoingMessage, ReplicaMessage};
 pub use policy::{Advice, LocalStatus, PeerReportPolicy, Trust};
-pub use rows::{Entry, LONGEST_NAME, LONGEST_VALUE, RANGES, RecordBatch, RejectReason, Why, WireRow};
-pub use store::{Delta, Limits, News, OriginState, Replica, Report};
+pub use record::{
+    BatchKind, DIGEST_RANGES, MAX_NAME_BYTES, MAX_VALUE_BYTES, OriginVersion, RecordBatch, RejectReason,
+    WireRecord,
+};
+pub use store::{
+    Delta, Limits, OriginState, RangeDigests, RecordChange, RecordView, Replica, ReplicaSize, Report,
+};
--- a/crates/replica/src/policy.rs
+++ b/crates/replica/src/policy.rs
@@ -1,8 +1,9 @@
-//! How far copies are heeded: advice to the decision module, bounded, and weighed by how far each peer was right of late.
+//! Policy on peer reports: which advice for the decision module follows from them.
 //!
-//! What advice may do is bounded twice. Here: so many looks a second whatever is said, drains and starts that the own list
-//! does not confirm are taken back, and who was wrong is heard less. In the module: nothing that is advised can make it send
-//! what the rules bar, as all it does on advice is to look, to send less, or to leave alone.
+//! The effect of a report is limited twice. Here: probes are rate-limited whatever peers report, departures and restarts
+//! that this mixer's own list does not confirm are retracted, and a peer that was wrong loses trust. In the decision
+//! module: advice can't make it send anything that the rules forbid, because all that it does on advice is to probe a
+//! searcher, to send it less, or to leave it alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -10,433 +11,501 @@
 use pewterwharf::interface::{Event, Life, Word};
 use pewterwharf::report::Known;
 
-use crate::kinds::{IdleLost, Kind, Leaving, Mark, ProcessStart, Stage};
-use crate::store::{News, Replica, Report};
+use crate::kinds::{Departure, IdleConnectionsLost, Mark, ProcessStart, RecordKind, Stage};
+use crate::store::{RecordChange, Replica, Report};
 
-/// How far a peer has been right of late: 1 always, 0 never.
+/// How often a peer was right lately: 1 for always, 0 for never.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trust {
-    level: f64,
-    at: f64,
+    score: f64,
+    updated_at_ms: f64,
 }
 
 impl Trust {
-    /// Of one that nothing is known of.
-    const MIDDLE: f64 = 0.5;
-    /// Under this its word alone makes nobody look.
-    const HEARD: f64 = 0.2;
-    /// In this time what is known of it fades to the middle by two thirds: a sick mixer may be mended.
-    const FADE_MS: f64 = 30_000.0;
-    /// How much one case weighs: three wrong words in a row and it is not heard.
-    const CASE: f64 = 0.3;
-
-    const NEW: Self = Self { level: Self::MIDDLE, at: 0.0 };
-
-    /// Its level now, 0 to 1.
-    pub fn level(&self, now: f64) -> f64 {
-        Self::MIDDLE + (self.level - Self::MIDDLE) * ((self.at - now).min(0.0) / Self::FADE_MS).exp()
+    /// Score of a peer that nothing is known about.
+    const NEUTRAL: f64 = 0.5;
+    /// Reports of a peer with a lower score are ignored.
+    const THRESHOLD: f64 = 0.2;
+    /// Within this time a score returns two thirds of the way to neutral, because a faulty mixer may have been repaired.
+    const DECAY_MS: f64 = 30_000.0;
+    /// Weight of one outcome: three wrong reports in a row take a neutral score below the threshold.
+    const OUTCOME_WEIGHT: f64 = 0.3;
+
+    const NEW: Self = Self { score: Self::NEUTRAL, updated_at_ms: 0.0 };
+
+    /// The current score, 0 to 1.
+    pub fn score(&self, now_ms: f64) -> f64 {
+        Self::NEUTRAL
+            + (self.score - Self::NEUTRAL) * ((self.updated_at_ms - now_ms).min(0.0) / Self::DECAY_MS).exp()
     }
 
-    fn heard(&self, now: f64) -> bool {
-        self.level(now) >= Self::HEARD
+    fn is_trusted(&self, now_ms: f64) -> bool {
+        self.score(now_ms) >= Self::THRESHOLD
     }
 
-    fn case(&mut self, now: f64, right: bool) {
-        let level = self.level(now);
+    fn record_outcome(&mut self, now_ms: f64, right: bool) {
+        let score = self.score(now_ms);
         let goal = f64::from(u8::from(right));
-        *self = Self { level: level + Self::CASE * (goal - level), at: now };
+        *self = Self { score: score + Self::OUTCOME_WEIGHT * (goal - score), updated_at_ms: now_ms };
     }
 }
 
-/// Something for the decision module.
+/// Advice for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Advice {
-    /// One peer has marked it: a reason to look.
-    Look(SocketAddrV4),
-    /// Several that agree have: one part at a time until one comes back in time.
-    Doubt(SocketAddrV4),
-    /// It drains or goes, as a peer was told.
-    Leaves(SocketAddrV4),
-    /// Nothing has confirmed that: it is as the own list says.
-    Stays(SocketAddrV4),
-    /// It has a later start than the own list says, and is cold.
+    /// A peer has marked this searcher: probe it.
+    Probe(SocketAddrV4),
+    /// Several peers agree on a mark: send one part at a time until one returns in time.
+    Suspect(SocketAddrV4),
+    /// The searcher is draining or gone, according to a peer.
+    Departing(SocketAddrV4),
+    /// The reported departure was not confirmed, or this mixer's own list decides from now on.
+    DepartureRetracted(SocketAddrV4),
+    /// The searcher was started later than this mixer's own list says, and is cold. With its start time.
     Restarted(SocketAddrV4, f64),
-    /// Nothing has confirmed that.
+    /// The reported restart was not confirmed.
     RestartRetracted(SocketAddrV4),
-    /// Several lose connections that are idle.
-    IdleLost,
-    /// So many mixers are there, this one among them.
-    Mixers(u32),
+    /// Several mixers lose connections while they are idle.
+    IdleConnectionsLost,
+    /// Number of mixers that are up, including this one.
+    MixerCount(u32),
 }
 
 impl Advice {
-    /// As the decision module is told.
+    /// The event for the decision module.
     pub fn to_event(self) -> Event {
         let of = |searcher, word| Event::Heard { searcher, word };
         match self {
-            Self::Look(searcher) => of(searcher, Word::Look),
-            Self::Doubt(searcher) => of(searcher, Word::Doubt),
-            Self::Leaves(searcher) => of(searcher, Word::Leaves(true)),
-            Self::Stays(searcher) => of(searcher, Word::Leaves(false)),
-            Self::Restarted(searcher, since) => of(searcher, Word::Began(since)),
+            Self::Probe(searcher) => of(searcher, Word::Look),
+            Self::Suspect(searcher) => of(searcher, Word::Doubt),
+            Self::Departing(searcher) => of(searcher, Word::Leaves(true)),
+            Self::DepartureRetracted(searcher) => of(searcher, Word::Leaves(false)),
+            Self::Restarted(searcher, started_at_ms) => of(searcher, Word::Began(started_at_ms)),
             Self::RestartRetracted(searcher) => of(searcher, Word::Began(0.0)),
-            Self::IdleLost => Event::IdleLost,
-            Self::Mixers(count) => Event::Mixers(count),
+            Self::IdleConnectionsLost => Event::IdleLost,
+            Self::MixerCount(count) => Event::Mixers(count),
         }
     }
 }
 
-/// What this mixer knows by itself of a searcher that its own list names.
+/// What this mixer itself knows about a searcher on its list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalStatus {
     pub marked: bool,
-    /// Not marked, and a part is late there.
+    /// Not marked, but a part is late there.
     pub late: bool,
-    /// Its start and stage, as the own list says.
-    pub since: f64,
+    /// Start time of its process, as the list says.
+    pub started_at_ms: f64,
+    /// Lifecycle stage, as the list says.
     pub stage: Stage,
 }
 
 impl LocalStatus {
-    /// As the decision module knows it.
+    /// Converts the decision module's report about a searcher.
     pub fn from_report(known: &Known) -> Self {
         let stage = match known.life {
             Life::Ready => Stage::Up,
             Life::Draining => Stage::Draining,
-            Life::Gone => Stage::Going,
+            Life::Gone => Stage::Gone,
         };
-        Self { marked: known.marked, late: known.late > 0.0, since: known.since, stage }
+        Self { marked: known.marked, late: known.late > 0.0, started_at_ms: known.since, stage }
     }
 }
 
-/// Parts of a slice, as the module has it: late ones of several mixers together say as much as a slice of one.
-const SLICE: u32 = 3;
-/// Looks in a second, of all peers' words together: a probe each at most.
-const LOOKS_PER_S: f64 = 8.0;
-/// Looks that may come at once.
-const LOOKS_AT_ONCE: f64 = 8.0;
-/// Of these, what a single peer may cause.
-const SHARE: f64 = 0.5;
-/// After so long a look has told who was right: a probe and the next slice.
-const TOLD_MS: f64 = 1500.0;
-/// A drain or a start that the own list does not confirm within this is taken back: lists are seconds late, not more.
-const CONFIRM_MS: f64 = 10_000.0;
-/// Of the searchers that the own list says are up, the share that peers' words alone may take out at a time.
-const OUT: f64 = 0.25;
-
-/// A look under way: who asked for it.
+/// Parts in a slice of the decision module: as many late parts of several mixers count as a mark of one.
+const SLICE_PARTS: u32 = 3;
+/// Rate and burst of the probes that all peers together may cause.
+const PROBES_PER_S: f64 = 8.0;
+const PROBE_BURST: f64 = 8.0;
+/// Share of these probes that one peer may cause.
+const PROBE_SHARE_PER_PEER: f64 = 0.5;
+/// Time after which a probe has shown who was right: a probe and the next slice.
+const PROBE_OUTCOME_MS: f64 = 1500.0;
+/// A reported departure or restart is retracted if this mixer's own list does not confirm it in time. Lists are seconds
+/// late, not more.
+const CONFIRMATION_TIMEOUT_MS: f64 = 10_000.0;
+/// Share of the searchers that are up by this mixer's own list that peer reports alone may take out of use at a time.
+const MAX_SHARE_TAKEN_OUT: f64 = 0.25;
+/// Share of all mixers, and minimum number of them, that count as several.
+const AGREEING_MIXERS_DIVISOR: usize = 10;
+const MIN_AGREEING_MIXERS: usize = 2;
+
+/// A probe whose outcome decides whether its reporters were right.
 #[derive(Debug)]
-struct Case {
-    by: BTreeSet<String>,
-    until: f64,
-    /// It was marked here by its own evidence since.
-    right: bool,
+struct PendingProbe {
+    reporters: BTreeSet<String>,
+    decided_at_ms: f64,
+    /// This mixer has marked the searcher by its own evidence since.
+    confirmed: bool,
 }
 
-/// A drain or a start by hearsay.
+/// A departure or restart that only a peer has reported.
 #[derive(Debug)]
-struct Hearsay {
-    by: String,
-    until: f64,
-    since: f64,
-    /// Kept to until confirmed; afterwards only remembered, so that it is not heard again.
-    over: bool,
+struct UnconfirmedReport {
+    reporter: String,
+    expires_at_ms: f64,
+    started_at_ms: f64,
+    /// Retracted, and kept for a while only so that the same report is not accepted again.
+    retracted: bool,
+}
+
+/// The searcher that a changed record is about.
+struct Subject<'a> {
+    searcher: SocketAddrV4,
+    local: LocalStatus,
+    change: &'a RecordChange,
 }
 
-/// Turns copies into advice.
+/// Turns peer reports into advice.
 #[derive(Debug)]
 pub struct PeerReportPolicy {
-    me: String,
-    own: BTreeMap<SocketAddrV4, LocalStatus>,
+    local_name: String,
+    searchers: BTreeMap<SocketAddrV4, LocalStatus>,
     trust: BTreeMap<String, Trust>,
-    cases: BTreeMap<SocketAddrV4, Case>,
-    leaving: BTreeMap<SocketAddrV4, Hearsay>,
-    began: BTreeMap<SocketAddrV4, Hearsay>,
-    doubted: BTreeMap<SocketAddrV4, f64>,
-    looks: f64,
-    looks_of: BTreeMap<String, f64>,
-    filled_at: f64,
-    idle_until: f64,
+    pending_probes: BTreeMap<SocketAddrV4, PendingProbe>,
+    departures: BTreeMap<SocketAddrV4, UnconfirmedReport>,
+    restarts: BTreeMap<SocketAddrV4, UnconfirmedReport>,
+    /// Suspected searchers, and until when.
+    suspected_until_ms: BTreeMap<SocketAddrV4, f64>,
+    probe_tokens: f64,
+    probe_tokens_by_peer: BTreeMap<String, f64>,
+    refilled_at_ms: f64,
+    next_idle_advice_ms: f64,
     mixers: u32,
-    /// Words that were passed over: of a searcher the own list does not name, of one not trusted, over the bounds.
-    pub passed_over: u64,
+    /// Number of ignored reports: about a searcher that is not on this mixer's own list, from a peer that is not trusted,
+    /// or over a limit.
+    pub ignored_reports: u64,
 }
 
 impl PeerReportPolicy {
-    pub fn new(me: &str) -> Self {
+    pub fn new(local_name: &str) -> Self {
         Self {
-            me: me.to_owned(),
-            own: BTreeMap::new(),
+            local_name: local_name.to_owned(),
+            searchers: BTreeMap::new(),
             trust: BTreeMap::new(),
-            cases: BTreeMap::new(),
-            leaving: BTreeMap::new(),
-            began: BTreeMap::new(),
-            doubted: BTreeMap::new(),
-            looks: LOOKS_AT_ONCE,
-            looks_of: BTreeMap::new(),
-            filled_at: 0.0,
-            idle_until: 0.0,
+            pending_probes: BTreeMap::new(),
+            departures: BTreeMap::new(),
+            restarts: BTreeMap::new(),
+            suspected_until_ms: BTreeMap::new(),
+            probe_tokens: PROBE_BURST,
+            probe_tokens_by_peer: BTreeMap::new(),
+            refilled_at_ms: 0.0,
+            next_idle_advice_ms: 0.0,
             mixers: 0,
-            passed_over: 0,
+            ignored_reports: 0,
         }
     }
 
-    /// How far each peer is trusted now, for people.
-    pub fn trust(&self, now: f64) -> BTreeMap<String, f64> {
-        self.trust.iter().map(|(name, trust)| (name.clone(), trust.level(now))).collect()
+    /// The current trust score of each peer, for display.
+    pub fn trust(&self, now_ms: f64) -> BTreeMap<String, f64> {
+        self.trust.iter().map(|(name, trust)| (name.clone(), trust.score(now_ms))).collect()
     }
 
-    fn trusts(&self, by: &str, now: f64) -> bool {
-        self.trust.get(by).unwrap_or(&Trust::NEW).heard(now)
+    fn is_trusted(&self, peer: &str, now_ms: f64) -> bool {
+        self.trust.get(peer).unwrap_or(&Trust::NEW).is_trusted(now_ms)
     }
 
-    fn case(&mut self, by: &str, now: f64, right: bool) {
-        self.trust.entry(by.to_owned()).or_insert(Trust::NEW).case(now, right);
+    fn record_outcome(&mut self, peer: &str, now_ms: f64, right: bool) {
+        self.trust.entry(peer.to_owned()).or_insert(Trust::NEW).record_outcome(now_ms, right);
     }
 
-    /// What this mixer now knows by itself of a searcher; nothing, where its list does not name it any more. Hearsay of it is
-    /// held against that; what of it is over comes back.
+    /// Updates what this mixer itself knows about a searcher; `None` once its own list no longer contains the searcher.
+    /// Compares peer reports with it and returns the retraction of advice that is no longer needed.
     #[must_use]
     pub fn local_status_changed(
         &mut self,
-        now: f64,
+        now_ms: f64,
         searcher: SocketAddrV4,
-        own: Option<LocalStatus>,
+        local: Option<LocalStatus>,
     ) -> Option<Advice> {
-        let Some(own) = own else {
-            self.own.remove(&searcher);
-            // Gone from the list: that it would leave was right.
-            let said = self.leaving.remove(&searcher).filter(|said| !said.over);
-            said.iter().for_each(|said| self.case(&said.by, now, true));
-            self.began.remove(&searcher);
-            self.cases.remove(&searcher);
-            self.doubted.remove(&searcher);
-            return said.map(|_| Advice::Stays(searcher));
+        let Some(local) = local else {
+            return self.searcher_removed(now_ms, searcher);
         };
-        self.own.insert(searcher, own);
-        if let Some(case) = self.cases.get_mut(&searcher) {
-            case.right |= own.marked;
+        self.searchers.insert(searcher, local);
+        if let Some(probe) = self.pending_probes.get_mut(&searcher) {
+            probe.confirmed |= local.marked;
         }
-        // What the own list says itself is no hearsay any more: the list alone decides when it is over. Guards against a drain
-        // that is taken back within one start, and would have been kept to for ever.
-        let mut confirms = None;
-        let confirmed = |said: &Hearsay| own.stage > Stage::Up || own.since > said.since;
-        if self.leaving.get(&searcher).is_some_and(confirmed)
-            && let Some(said) = self.leaving.remove(&searcher).filter(|said| !said.over)
+        // Once this mixer's own list confirms a departure, the list alone decides when it is over. Otherwise a drain that
+        // is undone within one process lifetime would stay in effect for ever.
+        let mut retraction = None;
+        let confirmed = |report: &UnconfirmedReport| {
+            local.stage > Stage::Up || local.started_at_ms > report.started_at_ms
+        };
+        if self.departures.get(&searcher).is_some_and(confirmed)
+            && let Some(report) = self.departures.remove(&searcher).filter(|report| !report.retracted)
         {
-            self.case(&said.by, now, true);
-            confirms = Some(Advice::Stays(searcher));
+            self.record_outcome(&report.reporter, now_ms, true);
+            retraction = Some(Advice::DepartureRetracted(searcher));
         }
-        if self.began.get(&searcher).is_some_and(|said| own.since >= said.since)
-            && let Some(said) = self.began.remove(&searcher).filter(|said| !said.over)
+        if self.restarts.get(&searcher).is_some_and(|report| local.started_at_ms >= report.started_at_ms)
+            && let Some(report) = self.restarts.remove(&searcher).filter(|report| !report.retracted)
         {
-            self.case(&said.by, now, true);
+            self.record_outcome(&report.reporter, now_ms, true);
+        }
+        retraction
+    }
+
+    /// A searcher is no longer on this mixer's own list, which confirms a reported departure.
+    fn searcher_removed(&mut self, now_ms: f64, searcher: SocketAddrV4) -> Option<Advice> {
+        self.searchers.remove(&searcher);
+        let departure = self.departures.remove(&searcher).filter(|report| !report.retracted);
+        if let Some(report) = &departure {
+            self.record_outcome(&report.reporter, now_ms, true);
         }
-        confirms
+        self.restarts.remove(&searcher);
+        self.pending_probes.remove(&searcher);
+        self.suspected_until_ms.remove(&searcher);
+        departure.map(|_| Advice::DepartureRetracted(searcher))
     }
 
-    /// So many mixers are members, this one among them.
+    /// Sets the number of mixers that are up, including this one.
     pub fn set_mixer_count(&mut self, mixers: u32) -> Option<Advice> {
-        (std::mem::replace(&mut self.mixers, mixers) != mixers).then_some(Advice::Mixers(mixers))
+        let before = std::mem::replace(&mut self.mixers, mixers);
+        (before != mixers).then_some(Advice::MixerCount(mixers))
     }
 
-    /// What peers said anew, as the replica now holds it.
-    pub fn apply_changes(&mut self, now: f64, news: &[News], replica: &Replica) -> Vec<Advice> {
+    /// The number of mixers that have to agree: a tenth of them, and at least two.
+    fn agreeing_mixers_needed(&self) -> usize {
+        (self.mixers as usize).div_ceil(AGREEING_MIXERS_DIVISOR).max(MIN_AGREEING_MIXERS)
+    }
+
+    /// Evaluates records that have changed, as the replica now holds them.
+    pub fn apply_changes(&mut self, now_ms: f64, changes: &[RecordChange], replica: &Replica) -> Vec<Advice> {
         let mut advice = Vec::new();
-        for one in news {
-            if one.origin == self.me {
+        for change in changes {
+            if change.origin == self.local_name {
                 continue;
             }
-            if one.kind == IdleLost::CODE {
-                self.idle(now, replica, &mut advice);
+            if change.kind == IdleConnectionsLost::CODE {
+                self.idle_loss_reported(now_ms, replica, &mut advice);
                 continue;
             }
-            if ![Mark::CODE, Leaving::CODE, ProcessStart::CODE].contains(&one.kind) {
+            if ![Mark::CODE, Departure::CODE, ProcessStart::CODE].contains(&change.kind) {
                 continue;
             }
-            // A mixer sends only to searchers that its own list has named: of others it needs to know nothing.
-            let known = one.name.parse().ok().filter(|at: &SocketAddrV4| self.own.contains_key(at));
-            let Some((searcher, own)) = known.and_then(|at| Some((at, *self.own.get(&at)?))) else {
-                self.passed_over += 1;
+            // A mixer sends only to searchers on its own list, so reports about others are of no use to it.
+            let Some(subject) = self.subject(change) else {
+                self.ignored_reports += 1;
                 continue;
             };
-            match one.kind {
-                Mark::CODE => self.marked(now, searcher, own, one, replica, &mut advice),
-                Leaving::CODE => self.leaves(now, searcher, own, one, replica, &mut advice),
-                _ => self.begins(now, searcher, own, one, replica, &mut advice),
+            match change.kind {
+                Mark::CODE => self.mark_reported(now_ms, &subject, replica, &mut advice),
+                Departure::CODE => self.departure_reported(now_ms, &subject, replica, &mut advice),
+                _ => self.start_reported(now_ms, &subject, replica, &mut advice),
             }
         }
         advice
     }
 
-    /// The tokens for looks, of all and of each peer, refilled by time.
-    fn fill(&mut self, now: f64) {
-        let more = (now - self.filled_at).max(0.0) * LOOKS_PER_S / 1000.0;
-        self.filled_at = now;
-        self.looks = (self.looks + more).min(LOOKS_AT_ONCE);
-        for left in self.looks_of.values_mut() {
-            *left = (*left + SHARE * more).min(SHARE * LOOKS_AT_ONCE);
+    fn subject<'a>(&self, change: &'a RecordChange) -> Option<Subject<'a>> {
+        let searcher: SocketAddrV4 = change.name.parse().ok()?;
+        let local = *self.searchers.get(&searcher)?;
+        Some(Subject { searcher, local, change })
+    }
+
+    /// Refills the probe tokens of all peers together and of each one.
+    fn refill_probe_tokens(&mut self, now_ms: f64) {
+        let refill = (now_ms - self.refilled_at_ms).max(0.0) * PROBES_PER_S / 1000.0;
+        self.refilled_at_ms = now_ms;
+        self.probe_tokens = (self.probe_tokens + refill).min(PROBE_BURST);
+        for tokens in self.probe_tokens_by_peer.values_mut() {
+            *tokens = (*tokens + PROBE_SHARE_PER_PEER * refill).min(PROBE_SHARE_PER_PEER * PROBE_BURST);
         }
     }
 
-    fn marked(
-        &mut self,
-        now: f64,
-        searcher: SocketAddrV4,
-        own: LocalStatus,
-        one: &News,
-        replica: &Replica,
-        advice: &mut Vec<Advice>,
-    ) {
-        let fresh = replica
-            .reports::<Mark>(now, &one.name)
+    /// Takes a token for a probe that a peer's report causes. Returns false if there is none.
+    fn take_probe_token(&mut self, now_ms: f64, peer: &str) -> bool {
+        self.refill_probe_tokens(now_ms);
+        let peer_tokens =
+            self.probe_tokens_by_peer.entry(peer.to_owned()).or_insert(PROBE_SHARE_PER_PEER * PROBE_BURST);
+        if self.probe_tokens < 1.0 || *peer_tokens < 1.0 {
+            return false;
+        }
+        self.probe_tokens -= 1.0;
+        *peer_tokens -= 1.0;
+        true
+    }
+
+    fn mark_reported(&mut self, now_ms: f64, subject: &Subject, replica: &Replica, advice: &mut Vec<Advice>) {
+        let &Subject { searcher, local, change } = subject;
+        let reports: Vec<Report<Mark>> = replica
+            .reports::<Mark>(now_ms, &change.name)
             .into_iter()
-            .filter(|report| report.age_ms <= Mark::FRESH_MS);
-        let heard = fresh.filter(|report| report.origin != self.me && self.trusts(report.origin, now));
-        let said: Vec<(String, bool)> =
-            heard.map(|report| (report.origin.to_owned(), report.value.late)).collect();
-        // A mark stands for a slice; late parts of several make one together, the own among them.
-        let parts: u32 = said.iter().map(|s| if s.1 { 1 } else { SLICE }).sum::<u32>() + u32::from(own.late);
-        let by: BTreeSet<String> = said.iter().map(|s| s.0.clone()).collect();
-        if own.marked || own.stage != Stage::Up || !by.contains(&one.origin) {
-            self.passed_over += u64::from(!by.contains(&one.origin) && !own.marked);
+            .filter(|report| report.age_ms <= Mark::VALIDITY_MS)
+            .filter(|report| report.origin != self.local_name && self.is_trusted(report.origin, now_ms))
+            .collect();
+        // A mark counts as a whole slice; late parts of several mixers, including this one, add up to a slice.
+        let reported_parts = reports.iter().map(|report| if report.value.late { 1 } else { SLICE_PARTS });
+        let parts: u32 = reported_parts.sum::<u32>() + u32::from(local.late);
+        let reporters: BTreeSet<String> = reports.iter().map(|report| report.origin.to_owned()).collect();
+        let counts = reporters.contains(&change.origin);
+        if local.marked || local.stage != Stage::Up || !counts {
+            self.ignored_reports += u64::from(!counts && !local.marked);
             return;
         }
-        if parts < SLICE {
+        if parts < SLICE_PARTS {
             return;
         }
-        if let Some(case) = self.cases.get_mut(&searcher) {
-            case.by.extend(by.iter().cloned());
+        if let Some(probe) = self.pending_probes.get_mut(&searcher) {
+            probe.reporters.extend(reporters.iter().cloned());
         } else {
-            self.fill(now);
-            let left = self.looks_of.entry(one.origin.clone()).or_insert(SHARE * LOOKS_AT_ONCE);
-            if self.looks < 1.0 || *left < 1.0 {
-                self.passed_over += 1;
+            if !self.take_probe_token(now_ms, &change.origin) {
+                self.ignored_reports += 1;
                 return;
             }
-            (self.looks, *left) = (self.looks - 1.0, *left - 1.0);
-            self.cases.insert(searcher, Case { by: by.clone(), until: now + TOLD_MS, right: false });
-            advice.push(Advice::Look(searcher));
+            let decided_at_ms = now_ms + PROBE_OUTCOME_MS;
+            let probe = PendingProbe { reporters, decided_at_ms, confirmed: false };
+            self.pending_probes.insert(searcher, probe);
+            advice.push(Advice::Probe(searcher));
         }
-        // Several: two at least, and of a larger fleet a tenth of those that are there.
-        let several = (self.mixers as usize).div_ceil(10).max(2);
-        let doubted = self.doubted.get(&searcher).is_some_and(|until| now < *until);
-        let marks = said.iter().filter(|s| !s.1).count();
-        if marks >= several && !doubted && self.may_take_out(self.doubted.len()) {
-            self.doubted.insert(searcher, now + TOLD_MS);
-            advice.push(Advice::Doubt(searcher));
+        let suspected = self.suspected_until_ms.get(&searcher).is_some_and(|until_ms| now_ms < *until_ms);
+        let marks = reports.iter().filter(|report| !report.value.late).count();
+        if marks >= self.agreeing_mixers_needed()
+            && !suspected
+            && self.may_take_out_another(self.suspected_until_ms.len())
+        {
+            self.suspected_until_ms.insert(searcher, now_ms + PROBE_OUTCOME_MS);
+            advice.push(Advice::Suspect(searcher));
         }
     }
 
-    /// Whether peers' words may take out one more, beside so many: never more than a share of those that are up.
-    fn may_take_out(&self, out: usize) -> bool {
-        let up = self.own.values().filter(|o| o.stage == Stage::Up).count();
-        (out + 1) as f64 <= OUT * up as f64
+    /// Whether peer reports may take another searcher out of use besides those that they have taken out already.
+    fn may_take_out_another(&self, taken_out: usize) -> bool {
+        let up = self.searchers.values().filter(|local| local.stage == Stage::Up).count();
+        (taken_out + 1) as f64 <= MAX_SHARE_TAKEN_OUT * up as f64
     }
 
-    fn leaves(
+    fn departure_reported(
         &mut self,
-        now: f64,
-        searcher: SocketAddrV4,
-        own: LocalStatus,
-        one: &News,
+        now_ms: f64,
+        subject: &Subject,
         replica: &Replica,
         advice: &mut Vec<Advice>,
     ) {
-        let said = replica.reports::<Leaving>(now, &one.name);
-        let current =
-            |report: &Report<Leaving>| report.origin == one.origin && report.age_ms <= Leaving::FRESH_MS;
-        let Some(said) = said.into_iter().find(current).map(|report| report.value) else { return };
-        // What it says has to be news: of the start that is known here or a later one.
-        if said.stage == Stage::Up || own.stage != Stage::Up || said.since < own.since {
+        let &Subject { searcher, local, change } = subject;
+        let Some(departure) = valid_report::<Departure>(now_ms, change, replica) else { return };
+        // Only new information counts: about the process that this mixer knows or a later one.
+        if departure.stage == Stage::Up
+            || local.stage != Stage::Up
+            || departure.started_at_ms < local.started_at_ms
+        {
             return;
         }
-        let held = self.leaving.values().filter(|s| !s.over).count();
-        if self.leaving.contains_key(&searcher) || !self.trusts(&one.origin, now) || !self.may_take_out(held)
+        let in_effect = self.departures.values().filter(|report| !report.retracted).count();
+        if self.departures.contains_key(&searcher)
+            || !self.is_trusted(&change.origin, now_ms)
+            || !self.may_take_out_another(in_effect)
         {
-            self.passed_over += 1;
+            self.ignored_reports += 1;
             return;
         }
-        let hearsay =
-            Hearsay { by: one.origin.clone(), until: now + CONFIRM_MS, since: said.since, over: false };
-        self.leaving.insert(searcher, hearsay);
-        advice.push(Advice::Leaves(searcher));
+        let report = UnconfirmedReport::new(now_ms, &change.origin, departure.started_at_ms);
+        self.departures.insert(searcher, report);
+        advice.push(Advice::Departing(searcher));
     }
 
-    fn begins(
+    fn start_reported(
         &mut self,
-        now: f64,
-        searcher: SocketAddrV4,
-        own: LocalStatus,
-        one: &News,
+        now_ms: f64,
+        subject: &Subject,
         replica: &Replica,
         advice: &mut Vec<Advice>,
     ) {
-        let said = replica.reports::<ProcessStart>(now, &one.name);
-        let current = |report: &Report<ProcessStart>| {
-            report.origin == one.origin && report.age_ms <= ProcessStart::FRESH_MS
-        };
-        let Some(said) = said.into_iter().find(current).map(|report| report.value) else { return };
-        if said.since <= own.since {
+        let &Subject { searcher, local, change } = subject;
+        let Some(start) = valid_report::<ProcessStart>(now_ms, change, replica) else { return };
+        if start.started_at_ms <= local.started_at_ms {
             return;
         }
-        let known = self.began.get(&searcher).is_some_and(|held| held.over || held.since >= said.since);
-        let held = self.began.values().filter(|s| !s.over).count();
-        if known || !self.trusts(&one.origin, now) || !self.may_take_out(held) {
-            self.passed_over += 1;
+        let known = self
+            .restarts
+            .get(&searcher)
+            .is_some_and(|report| report.retracted || report.started_at_ms >= start.started_at_ms);
+        let in_effect = self.restarts.values().filter(|report| !report.retracted).count();
+        if known || !self.is_trusted(&change.origin, now_ms) || !self.may_take_out_another(in_effect) {
+            self.ignored_reports += 1;
             return;
         }
-        let hearsay =
-            Hearsay { by: one.origin.clone(), until: now + CONFIRM_MS, since: said.since, over: false };
-        self.began.insert(searcher, hearsay);
-        advice.push(Advice::Restarted(searcher, said.since));
+        let report = UnconfirmedReport::new(now_ms, &change.origin, start.started_at_ms);
+        self.restarts.insert(searcher, report);
+        advice.push(Advice::Restarted(searcher, start.started_at_ms));
     }
 
-    fn idle(&mut self, now: f64, replica: &Replica, advice: &mut Vec<Advice>) {
-        let all = replica.reports::<IdleLost>(now, "");
-        let by = all
+    fn idle_loss_reported(&mut self, now_ms: f64, replica: &Replica, advice: &mut Vec<Advice>) {
+        let reporters = replica
+            .reports::<IdleConnectionsLost>(now_ms, "")
             .into_iter()
-            .filter(|report| {
-                report.origin != self.me
-                    && report.age_ms <= IdleLost::FRESH_MS
-                    && self.trusts(report.origin, now)
-            })
+            .filter(|report| report.origin != self.local_name)
+            .filter(|report| report.age_ms <= IdleConnectionsLost::VALIDITY_MS)
+            .filter(|report| self.is_trusted(report.origin, now_ms))
             .count();
-        if by >= (self.mixers as usize).div_ceil(10).max(2) && now >= self.idle_until {
-            self.idle_until = now + IdleLost::FRESH_MS;
-            advice.push(Advice::IdleLost);
+        if reporters >= self.agreeing_mixers_needed() && now_ms >= self.next_idle_advice_ms {
+            self.next_idle_advice_ms = now_ms + IdleConnectionsLost::VALIDITY_MS;
+            advice.push(Advice::IdleConnectionsLost);
         }
     }
 
-    /// What time has shown: who was right with a look, and hearsay that nothing has confirmed.
-    pub fn tick(&mut self, now: f64) -> Vec<Advice> {
+    /// Settles probes whose outcome is known, and retracts reports that were not confirmed in time.
+    pub fn tick(&mut self, now_ms: f64) -> Vec<Advice> {
         let mut advice = Vec::new();
-        let over: Vec<SocketAddrV4> = self.cases.iter().filter(|c| now >= c.1.until).map(|c| *c.0).collect();
-        for searcher in over {
-            if let Some(case) = self.cases.remove(&searcher) {
-                case.by.iter().for_each(|by| self.case(by, now, case.right));
+        let decided: Vec<SocketAddrV4> = self
+            .pending_probes
+            .iter()
+            .filter(|(_, probe)| now_ms >= probe.decided_at_ms)
+            .map(|(searcher, _)| *searcher)
+            .collect();
+        for searcher in decided {
+            if let Some(probe) = self.pending_probes.remove(&searcher) {
+                for reporter in &probe.reporters {
+                    self.record_outcome(reporter, now_ms, probe.confirmed);
+                }
             }
         }
-        self.doubted.retain(|_, until| now < *until);
-        let take_back = |held: &mut BTreeMap<SocketAddrV4, Hearsay>| -> Vec<(SocketAddrV4, String)> {
-            held.retain(|_, said| !said.over || now < said.until + CONFIRM_MS);
-            let late = held.iter_mut().filter(|(_, said)| !said.over && now >= said.until);
-            late.map(|(at, said)| {
-                said.over = true;
-                (*at, said.by.clone())
-            })
-            .collect()
-        };
-        let stays = take_back(&mut self.leaving);
-        let not_begun = take_back(&mut self.began);
-        for (searcher, by) in stays {
-            self.case(&by, now, false);
-            advice.push(Advice::Stays(searcher));
+        self.suspected_until_ms.retain(|_, until_ms| now_ms < *until_ms);
+        let departures = retract_expired(&mut self.departures, now_ms);
+        let restarts = retract_expired(&mut self.restarts, now_ms);
+        for (searcher, reporter) in departures {
+            self.record_outcome(&reporter, now_ms, false);
+            advice.push(Advice::DepartureRetracted(searcher));
         }
-        for (searcher, by) in not_begun {
-            self.case(&by, now, false);
+        for (searcher, reporter) in restarts {
+            self.record_outcome(&reporter, now_ms, false);
             advice.push(Advice::RestartRetracted(searcher));
         }
         advice
     }
 }
+
+impl UnconfirmedReport {
+    fn new(now_ms: f64, reporter: &str, started_at_ms: f64) -> Self {
+        Self {
+            reporter: reporter.to_owned(),
+            expires_at_ms: now_ms + CONFIRMATION_TIMEOUT_MS,
+            started_at_ms,
+            retracted: false,
+        }
+    }
+}
+
+/// What the origin of a change reports, unless its evidence is too old.
+fn valid_report<K: RecordKind>(now_ms: f64, change: &RecordChange, replica: &Replica) -> Option<K> {
+    let reports = replica.reports::<K>(now_ms, &change.name);
+    let valid = |report: &Report<K>| report.origin == change.origin && report.age_ms <= K::VALIDITY_MS;
+    reports.into_iter().find(valid).map(|report| report.value)
+}
+
+/// Retracts expired reports, and forgets those that were retracted long ago. Returns the retracted searchers with their
+/// reporters.
+fn retract_expired(
+    reports: &mut BTreeMap<SocketAddrV4, UnconfirmedReport>,
+    now_ms: f64,
+) -> Vec<(SocketAddrV4, String)> {
+    reports.retain(|_, report| !report.retracted || now_ms < report.expires_at_ms + CONFIRMATION_TIMEOUT_MS);
+    let expired =
+        reports.iter_mut().filter(|(_, report)| !report.retracted && now_ms >= report.expires_at_ms);
+    expired
+        .map(|(searcher, report)| {
+            report.retracted = true;
+            (*searcher, report.reporter.clone())
+        })
+        .collect()
+}
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -1,81 +1,106 @@
-//! The rows that a mixer holds.
+//! The records that a mixer holds, its own and those of its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use pewterwharf_peers::Incarnation;
 
-use crate::kinds::{self, Kind};
-use crate::rows::{Entry, LONGEST_NAME, LONGEST_VALUE, RANGES, RecordBatch, RejectReason, Sum, Why, WireRow};
-
-/// A deletion is kept for so long, where nothing else is said: well past the time in which rounds reach everybody who is up. Who was away for longer
-/// takes all from the beginning.
-pub const KEEP_DELETED_MS: f64 = 60_000.0;
-/// What a row costs beside its name and value, in bytes: its places in two maps.
-const ROW_COST: usize = 160;
-
-/// How much is held at most.
+use crate::kinds::{self, RecordKind};
+use crate::record::{
+    BatchKind, DIGEST_RANGES, DigestHasher, MAX_NAME_BYTES, MAX_VALUE_BYTES, OriginVersion, RecordBatch,
+    RejectReason, WireRecord,
+};
+
+/// Default lifetime of a tombstone: well above the time in which gossip reaches every mixer that is up. A mixer that was
+/// away for longer gets a full sync.
+pub const TOMBSTONE_TTL_MS: f64 = 60_000.0;
+/// Memory that a record takes besides its name and value: its entries in two maps.
+const RECORD_OVERHEAD_BYTES: usize = 160;
+/// Bytes of a record on the wire besides its name and value.
+const WIRE_OVERHEAD_BYTES: usize = 24;
+
+/// Upper bounds on what is held of one origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Rows of one origin.
-    pub rows: usize,
-    /// Bytes of one origin's rows, with what their places cost.
+    pub records: usize,
+    /// Bytes of all records, including [`RECORD_OVERHEAD_BYTES`] for each.
     pub bytes: usize,
 }
 
 impl Limits {
-    /// What all origins together may take is parted among them.
-    pub fn per_origin(bytes: usize, origins: usize) -> Self {
-        let bytes = bytes / origins.max(1);
-        Self { rows: bytes / ROW_COST, bytes }
+    /// Divides a budget for all origins equally among them.
+    pub fn per_origin(total_bytes: usize, origins: usize) -> Self {
+        let bytes = total_bytes / origins.max(1);
+        Self { records: bytes / RECORD_OVERHEAD_BYTES, bytes }
     }
 }
 
-/// What a row is about.
+/// Identifies the subject of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct RecordKey {
     kind: u8,
     name: String,
 }
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Record {
     counter: u64,
-    /// Absent where it is deleted.
+    /// `None` for a tombstone.
     value: Option<Vec<u8>>,
-    /// When its evidence was found, by this mixer's clock.
-    at: f64,
-    /// Since when it is held here.
-    since: f64,
+    /// When the evidence was found, by this mixer's clock.
+    evidence_at_ms: f64,
+    /// When this mixer received or wrote the record.
+    received_at_ms: f64,
 }
 
-/// A sweep under way: how far, and what the sender had forgotten at its begin.
+/// A full sync in progress.
 #[derive(Clone, Copy, Debug)]
-struct Sweep {
+struct FullSync {
     through: u64,
-    floor: u64,
+    /// The sender's tombstone floor when the sync began.
+    tombstone_floor: u64,
 }
 
 /// All that is held of one origin.
 #[derive(Clone, Debug, Default)]
-struct Held {
-    start: Incarnation,
-    through: u64,
-    floor: u64,
-    sweep: Option<Sweep>,
-    rows: BTreeMap<Key, Row>,
-    order: BTreeMap<u64, Key>,
+struct OriginRecords {
+    incarnation: Incarnation,
+    version: u64,
+    tombstone_floor: u64,
+    full_sync: Option<FullSync>,
+    records: BTreeMap<RecordKey, Record>,
+    by_counter: BTreeMap<u64, RecordKey>,
     bytes: usize,
     digest: u64,
-    deleted: usize,
+    tombstones: usize,
+}
+
+/// Records with a counter up to and including `through`.
+struct CollectedRecords {
+    records: Vec<WireRecord>,
+    through: u64,
+}
+
+/// The counters above `after` and up to `through`.
+struct CounterRange {
+    after: u64,
+    through: u64,
 }
 
-/// What is held of one origin.
+/// A record of a peer that was added, replaced or removed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecordChange {
+    pub origin: String,
+    pub kind: u8,
+    pub name: String,
+}
+
+/// Summary of what is held of one origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OriginState {
     pub incarnation: Incarnation,
-    /// Highest counter up to which all of its records are held.
+    /// All records up to this counter are held.
     pub version: u64,
-    /// Records, not counting tombstones.
+    /// Number of records, not counting tombstones.
     pub records: usize,
 }
 
@@ -84,7 +109,7 @@
 pub struct Report<'a, K> {
     pub origin: &'a str,
     pub value: K,
-    /// Age of the evidence, in milliseconds.
+    /// Age of the evidence.
     pub age_ms: f64,
 }
 
@@ -92,540 +117,665 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delta {
     pub batches: Vec<RecordBatch>,
-    /// Counters that did not fit the budget; zero if the batches are complete.
+    /// Number of counters that did not fit the budget; zero if the batches are complete.
     pub remaining: u64,
 }
 
-/// What has changed here by what another said.
-#[derive(Clone, Debug, PartialEq)]
-pub struct News {
-    pub origin: String,
+/// Digests of the counter ranges of one origin at one version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RangeDigests {
+    pub incarnation: Incarnation,
+    pub version: u64,
+    pub digests: Vec<u64>,
+}
+
+/// Number and size of all held records, tombstones included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplicaSize {
+    pub records: usize,
+    pub bytes: usize,
+}
+
+/// A held record that is not a tombstone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecordView<'a> {
+    pub origin: &'a str,
     pub kind: u8,
-    pub name: String,
+    pub name: &'a str,
+    pub counter: u64,
+    pub value: &'a [u8],
 }
 
-/// The rows that a mixer holds, its own among them.
+/// The records that a mixer holds, including its own.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    me: String,
-    named: BTreeSet<String>,
+    local_name: String,
+    configured: BTreeSet<String>,
     limits: Limits,
-    forget_ms: f64,
-    held: BTreeMap<String, Held>,
-    refused: BTreeMap<RejectReason, u64>,
+    tombstone_ttl_ms: f64,
+    origins: BTreeMap<String, OriginRecords>,
+    rejected: BTreeMap<RejectReason, u64>,
 }
 
-impl Held {
-    fn cost(key: &Key, row: &Row) -> usize {
-        key.name.len() + row.value.as_ref().map_or(0, Vec::len) + ROW_COST
+impl OriginRecords {
+    fn new(incarnation: Incarnation) -> Self {
+        Self { incarnation, ..Self::default() }
+    }
+
+    fn cost(key: &RecordKey, record: &Record) -> usize {
+        key.name.len() + record.value.as_ref().map_or(0, Vec::len) + RECORD_OVERHEAD_BYTES
     }
 
-    fn sum(key: &Key, row: &Row) -> u64 {
-        let Some(value) = &row.value else { return 0 };
-        let sum = Sum::new().number(u64::from(key.kind)).bytes(key.name.as_bytes());
-        sum.number(row.counter).bytes(value).end()
+    fn record_digest(key: &RecordKey, record: &Record) -> u64 {
+        let Some(value) = &record.value else { return 0 };
+        let hasher = DigestHasher::new().number(u64::from(key.kind)).bytes(key.name.as_bytes());
+        hasher.number(record.counter).bytes(value).finish()
     }
 
-    fn remove(&mut self, key: &Key) -> Option<Row> {
-        let row = self.rows.remove(key)?;
-        self.order.remove(&row.counter);
-        self.bytes -= Self::cost(key, &row);
-        self.digest ^= Self::sum(key, &row);
-        self.deleted -= usize::from(row.value.is_none());
-        Some(row)
+    fn remove(&mut self, key: &RecordKey) -> Option<Record> {
+        let record = self.records.remove(key)?;
+        self.by_counter.remove(&record.counter);
+        self.bytes -= Self::cost(key, &record);
+        self.digest ^= Self::record_digest(key, &record);
+        self.tombstones -= usize::from(record.value.is_none());
+        Some(record)
     }
 
-    fn insert(&mut self, key: Key, row: Row) {
+    fn insert(&mut self, key: RecordKey, record: Record) {
         self.remove(&key);
-        // Two rows under one counter can't be told apart by versions: the later word stands.
-        if let Some(other) = self.order.get(&row.counter).cloned() {
+        // Versions can't tell two records with the same counter apart: the one that arrives later replaces the other.
+        if let Some(other) = self.by_counter.get(&record.counter).cloned() {
             self.remove(&other);
         }
-        self.bytes += Self::cost(&key, &row);
-        self.digest ^= Self::sum(&key, &row);
-        self.deleted += usize::from(row.value.is_none());
-        self.order.insert(row.counter, key.clone());
-        self.rows.insert(key, row);
+        self.bytes += Self::cost(&key, &record);
+        self.digest ^= Self::record_digest(&key, &record);
+        self.tombstones += usize::from(record.value.is_none());
+        self.by_counter.insert(record.counter, key.clone());
+        self.records.insert(key, record);
+    }
+
+    fn has_room_for(&self, key: &RecordKey, record: &Record, limits: &Limits) -> bool {
+        let old_cost = self.records.get(key).map_or(0, |old| Self::cost(key, old));
+        let records = self.records.len() + usize::from(old_cost == 0);
+        records <= limits.records && self.bytes - old_cost + Self::cost(key, record) <= limits.bytes
+    }
+
+    fn wire_record(&self, counter: u64, key: &RecordKey, now_ms: f64) -> Option<WireRecord> {
+        let record = self.records.get(key)?;
+        let age_ms = (now_ms - record.evidence_at_ms).clamp(0.0, f64::from(u32::MAX)) as u32;
+        Some(WireRecord {
+            kind: key.kind,
+            name: key.name.clone(),
+            counter,
+            age_ms,
+            value: record.value.clone(),
+        })
     }
 
-    fn fits(&self, key: &Key, row: &Row, limits: &Limits) -> bool {
-        let old = self.rows.get(key).map_or(0, |old| Self::cost(key, old));
-        let rows = self.rows.len() + usize::from(old == 0);
-        rows <= limits.rows && self.bytes - old + Self::cost(key, row) <= limits.bytes
+    /// Collects the records above `after` and up to `through` until the byte budget is used up.
+    fn collect(&self, after: u64, through: u64, now_ms: f64, budget: &mut usize) -> CollectedRecords {
+        let mut records = Vec::new();
+        let mut collected_through = after;
+        if through <= after {
+            return CollectedRecords { records, through: after };
+        }
+        for (counter, key) in self.by_counter.range(after + 1..=through) {
+            let Some(record) = self.wire_record(*counter, key, now_ms) else { continue };
+            let cost = record.name.len() + record.value.as_ref().map_or(0, Vec::len) + WIRE_OVERHEAD_BYTES;
+            if cost > *budget {
+                return CollectedRecords { records, through: collected_through };
+            }
+            *budget -= cost;
+            collected_through = *counter;
+            records.push(record);
+        }
+        CollectedRecords { records, through }
     }
 
-    fn wire(&self, counter: u64, key: &Key, now: f64) -> Option<WireRow> {
-        let row = self.rows.get(key)?;
-        let age_ms = (now - row.at).clamp(0.0, f64::from(u32::MAX)) as u32;
-        Some(WireRow { kind: key.kind, name: key.name.clone(), counter, age_ms, value: row.value.clone() })
+    fn digest_range(&self, index: u64) -> CounterRange {
+        let bound = |i: u64| (u128::from(self.version) * u128::from(i) / u128::from(DIGEST_RANGES)) as u64;
+        CounterRange { after: bound(index), through: bound(index + 1) }
     }
 
-    /// Rows above `from` and up to `upto` until so many bytes are used; how far that is.
-    fn gather(&self, from: u64, through: u64, now: f64, budget: &mut usize) -> (Vec<WireRow>, u64) {
-        let mut rows = Vec::new();
-        let mut end = from;
-        if through <= from {
-            return (rows, from);
+    /// Starts or continues a full sync. Fails if pieces are missing before this batch.
+    fn continue_full_sync(&mut self, batch: &RecordBatch) -> Result<(), RejectReason> {
+        let begins = batch.after == 0;
+        if begins {
+            self.full_sync = Some(FullSync { through: 0, tombstone_floor: batch.tombstone_floor });
         }
-        for (counter, key) in self.order.range(from + 1..=through) {
-            let Some(row) = self.wire(*counter, key, now) else { continue };
-            let cost = row.name.len() + row.value.as_ref().map_or(0, Vec::len) + 24;
-            if cost > *budget {
-                return (rows, end);
+        if self.full_sync.is_none_or(|sync| sync.through != batch.after) {
+            return Err(RejectReason::Gap);
+        }
+        Ok(())
+    }
+
+    /// Removes the records in the interval of the batch that the batch does not contain.
+    fn remove_missing_from(&mut self, batch: &RecordBatch) -> Vec<RecordKey> {
+        let kept: BTreeSet<u64> = batch.records.iter().map(|r| r.counter).collect();
+        let first = batch.after.saturating_add(1);
+        let interval = self.by_counter.range(first..=batch.through.max(first));
+        let missing: Vec<RecordKey> = interval
+            .filter(|(counter, _)| **counter <= batch.through && !kept.contains(counter))
+            .map(|(_, key)| key.clone())
+            .collect();
+        for key in &missing {
+            self.remove(key);
+        }
+        missing
+    }
+
+    /// Whether a received record has to be stored. Refreshes the age of a record that is held already.
+    fn accepts(&mut self, key: &RecordKey, record: &Record, batch: &RecordBatch, sender: &str) -> bool {
+        let sent_by_origin = sender == batch.origin;
+        match self.records.get_mut(key) {
+            Some(held) if held.counter > record.counter => false,
+            Some(held) if held.counter == record.counter && held.value == record.value => {
+                // The same record over another path: assuming the older evidence is the safe side.
+                held.evidence_at_ms = held.evidence_at_ms.min(record.evidence_at_ms);
+                false
             }
-            *budget -= cost;
-            end = *counter;
-            rows.push(row);
+            // Two values under one counter are a fault of the origin. The greater value wins on all mixers, in
+            // whatever order they arrive.
+            Some(held) if held.counter == record.counter && held.value > record.value && !sent_by_origin => {
+                false
+            }
+            // A record below the version that is not held was deleted or lost: only a repair or a full sync can tell.
+            None if record.counter <= self.version && batch.kind == BatchKind::Delta => false,
+            None if record.counter <= self.tombstone_floor
+                && batch.kind == BatchKind::Repair
+                && !sent_by_origin =>
+            {
+                false
+            }
+            _ => true,
         }
-        (rows, through)
     }
 
-    /// The bounds of a range of counters.
-    fn range(&self, nth: u64) -> (u64, u64) {
-        let at = |n: u64| (u128::from(self.through) * u128::from(n) / u128::from(RANGES)) as u64;
-        (at(nth), at(nth + 1))
+    /// Advances the version after all records of a batch were taken.
+    fn finish_batch(&mut self, batch: &RecordBatch) {
+        match batch.kind {
+            BatchKind::Delta => self.version = self.version.max(batch.through),
+            BatchKind::FullSync { last: false } => {
+                if let Some(sync) = &mut self.full_sync {
+                    sync.through = batch.through;
+                }
+            }
+            BatchKind::FullSync { last: true } => {
+                if let Some(sync) = self.full_sync.take() {
+                    // Deletions whose tombstones were discarded during the sync may have been missed: the version
+                    // then stays below them.
+                    let complete_through = if batch.tombstone_floor > sync.tombstone_floor {
+                        sync.tombstone_floor
+                    } else {
+                        batch.through
+                    };
+                    self.version = self.version.max(complete_through);
+                    self.tombstone_floor = self.tombstone_floor.max(sync.tombstone_floor);
+                }
+            }
+            BatchKind::Repair => {}
+        }
     }
 }
 
 impl Replica {
-    /// Holds nothing yet. `named` are the mixers that the file names, this one among them or not.
+    /// Creates a replica without records. `configured` are the mixers of the settings file; whether this mixer is among
+    /// them makes no difference.
     pub fn new(
-        me: &str,
-        start: Incarnation,
-        named: impl IntoIterator<Item = String>,
+        local_name: &str,
+        incarnation: Incarnation,
+        configured: impl IntoIterator<Item = String>,
         limits: Limits,
     ) -> Self {
-        let mut named: BTreeSet<String> = named.into_iter().collect();
-        named.insert(me.to_owned());
-        let held = BTreeMap::from([(me.to_owned(), Held { start, ..Held::default() })]);
-        Self { me: me.to_owned(), named, limits, forget_ms: KEEP_DELETED_MS, held, refused: BTreeMap::new() }
+        let mut configured: BTreeSet<String> = configured.into_iter().collect();
+        configured.insert(local_name.to_owned());
+        let origins = BTreeMap::from([(local_name.to_owned(), OriginRecords::new(incarnation))]);
+        Self {
+            local_name: local_name.to_owned(),
+            configured,
+            limits,
+            tombstone_ttl_ms: TOMBSTONE_TTL_MS,
+            origins,
+            rejected: BTreeMap::new(),
+        }
     }
 
-    /// Keeps a deletion for so long, in milliseconds, before it is forgotten.
-    pub fn forget_after(&mut self, ms: f64) {
-        self.forget_ms = ms;
+    pub fn set_tombstone_ttl(&mut self, ttl_ms: f64) {
+        self.tombstone_ttl_ms = ttl_ms;
     }
 
     pub fn local_name(&self) -> &str {
-        &self.me
+        &self.local_name
     }
 
-    /// Whether the file names this mixer.
-    pub fn names(&self, name: &str) -> bool {
-        self.named.contains(name)
+    /// Whether the settings file names this mixer.
+    pub fn is_configured(&self, name: &str) -> bool {
+        self.configured.contains(name)
     }
 
-    /// Parts and rows that were not taken, by the reason.
-    pub fn refused(&self) -> &BTreeMap<RejectReason, u64> {
-        &self.refused
+    /// Number of rejected batches and records by reason.
+    pub fn rejected(&self) -> &BTreeMap<RejectReason, u64> {
+        &self.rejected
     }
 
-    /// Rows and bytes held of all origins.
-    pub fn size(&self) -> (usize, usize) {
-        self.held.values().fold((0, 0), |(rows, bytes), h| (rows + h.rows.len(), bytes + h.bytes))
+    pub fn size(&self) -> ReplicaSize {
+        let empty = ReplicaSize { records: 0, bytes: 0 };
+        self.origins.values().fold(empty, |size, origin| ReplicaSize {
+            records: size.records + origin.records.len(),
+            bytes: size.bytes + origin.bytes,
+        })
     }
 
-    /// Rows that are not deletions, by kind.
-    pub fn by_kind(&self) -> BTreeMap<u8, usize> {
+    /// Number of records by kind, not counting tombstones.
+    pub fn count_by_kind(&self) -> BTreeMap<u8, usize> {
         let mut counts = BTreeMap::new();
-        for (key, row) in self.held.values().flat_map(|h| &h.rows) {
-            *counts.entry(key.kind).or_default() += usize::from(row.value.is_some());
+        for (key, record) in self.origins.values().flat_map(|origin| &origin.records) {
+            *counts.entry(key.kind).or_default() += usize::from(record.value.is_some());
         }
         counts
     }
 
-    /// Of an origin: start, version, rows that are not deletions.
-    pub fn origin(&self, origin: &str) -> Option<OriginState> {
-        self.held.get(origin).map(|h| OriginState {
-            incarnation: h.start,
-            version: h.through,
-            records: h.rows.len() - h.deleted,
+    pub fn origin(&self, name: &str) -> Option<OriginState> {
+        self.origins.get(name).map(|origin| OriginState {
+            incarnation: origin.incarnation,
+            version: origin.version,
+            records: origin.records.len() - origin.tombstones,
         })
     }
 
-    fn own(&mut self) -> &mut Held {
-        self.held.entry(self.me.clone()).or_default()
+    fn own_records(&mut self) -> &mut OriginRecords {
+        self.origins.entry(self.local_name.clone()).or_default()
     }
 
-    /// Says something of its own, with the time of its evidence. False where there is no room for it.
-    pub fn publish<K: Kind>(&mut self, now: f64, name: &str, value: &K, at: f64) -> bool {
+    /// Publishes a value of this mixer, with the time of its evidence. Returns false if there is no room for it.
+    pub fn publish<K: RecordKind>(
+        &mut self,
+        now_ms: f64,
+        name: &str,
+        value: &K,
+        evidence_at_ms: f64,
+    ) -> bool {
         let Ok(bytes) = postcard::to_allocvec(value) else { return false };
-        self.write(now, Key { kind: K::CODE, name: name.to_owned() }, Some(bytes), at)
+        self.write(now_ms, RecordKey { kind: K::CODE, name: name.to_owned() }, Some(bytes), evidence_at_ms)
     }
 
-    /// Takes back what it said.
-    pub fn retract<K: Kind>(&mut self, now: f64, name: &str) {
-        let key = Key { kind: K::CODE, name: name.to_owned() };
-        if self.own().rows.get(&key).is_some_and(|row| row.value.is_some()) {
-            self.write(now, key, None, now);
+    /// Deletes a value that this mixer published.
+    pub fn retract<K: RecordKind>(&mut self, now_ms: f64, name: &str) {
+        let key = RecordKey { kind: K::CODE, name: name.to_owned() };
+        if self.own_records().records.get(&key).is_some_and(|record| record.value.is_some()) {
+            self.write(now_ms, key, None, now_ms);
         }
     }
 
-    fn write(&mut self, now: f64, key: Key, value: Option<Vec<u8>>, at: f64) -> bool {
+    fn write(&mut self, now_ms: f64, key: RecordKey, value: Option<Vec<u8>>, evidence_at_ms: f64) -> bool {
         let limits = self.limits;
-        let fits = key.name.len() <= LONGEST_NAME && value.as_ref().is_none_or(|v| v.len() <= LONGEST_VALUE);
-        let held = self.own();
-        let row = Row { counter: held.through.saturating_add(1), value, at, since: now };
-        if !fits || !held.fits(&key, &row, &limits) {
-            *self.refused.entry(RejectReason::Share).or_default() += 1;
+        let valid =
+            key.name.len() <= MAX_NAME_BYTES && value.as_ref().is_none_or(|v| v.len() <= MAX_VALUE_BYTES);
+        let own = self.own_records();
+        let counter = own.version.saturating_add(1);
+        let record = Record { counter, value, evidence_at_ms, received_at_ms: now_ms };
+        if !valid || !own.has_room_for(&key, &record, &limits) {
+            *self.rejected.entry(RejectReason::OverQuota).or_default() += 1;
             return false;
         }
-        held.through = row.counter;
-        held.insert(key, row);
+        own.version = record.counter;
+        own.insert(key, record);
         true
     }
 
-    /// This mixer has a new start: all that it says is said anew under it.
-    pub fn renew(&mut self, start: Incarnation) {
-        let held = self.own();
-        let rows: Vec<(Key, Row)> =
-            held.order.values().filter_map(|key| Some((key.clone(), held.rows.get(key)?.clone()))).collect();
-        *held = Held { start, ..Held::default() };
-        for (key, row) in rows.into_iter().filter(|(_, row)| row.value.is_some()) {
-            held.through += 1;
-            let counter = held.through;
-            held.insert(key, Row { counter, ..row });
+    /// Publishes all of this mixer's values again under a new incarnation.
+    pub fn change_incarnation(&mut self, incarnation: Incarnation) {
+        let own = self.own_records();
+        let records: Vec<(RecordKey, Record)> = own
+            .by_counter
+            .values()
+            .filter_map(|key| Some((key.clone(), own.records.get(key)?.clone())))
+            .collect();
+        *own = OriginRecords::new(incarnation);
+        for (key, record) in records.into_iter().filter(|(_, record)| record.value.is_some()) {
+            own.version += 1;
+            let counter = own.version;
+            own.insert(key, Record { counter, ..record });
         }
     }
 
-    /// A later start of an origin is heard of: what the earlier one said is void.
-    pub fn started(&mut self, origin: &str, start: Incarnation) {
-        if origin != self.me
-            && self.named.contains(origin)
-            && self.held.get(origin).is_none_or(|held| held.start < start)
+    /// Discards the records of a peer's earlier incarnations once a later one is known.
+    pub fn observe_incarnation(&mut self, origin: &str, incarnation: Incarnation) {
+        if origin != self.local_name
+            && self.configured.contains(origin)
+            && self.origins.get(origin).is_none_or(|held| held.incarnation < incarnation)
         {
-            self.held.insert(origin.to_owned(), Held { start, ..Held::default() });
+            self.origins.insert(origin.to_owned(), OriginRecords::new(incarnation));
         }
     }
 
-    /// What is held, by origin.
-    pub fn version_vector(&self) -> Vec<Entry> {
-        let entry = |(origin, h): (&String, &Held)| Entry {
-            origin: origin.clone(),
-            start: h.start,
-            through: h.through,
-            sweep: h.sweep.map(|s| s.through),
-            digest: h.digest,
+    pub fn version_vector(&self) -> Vec<OriginVersion> {
+        let entry = |(name, origin): (&String, &OriginRecords)| OriginVersion {
+            origin: name.clone(),
+            incarnation: origin.incarnation,
+            version: origin.version,
+            full_sync: origin.full_sync.map(|sync| sync.through),
+            digest: origin.digest,
         };
-        self.held.iter().map(entry).collect()
-    }
-
-    /// One number for all that is held: two mixers with the same hold the same.
-    pub fn sum(&self) -> u64 {
-        self.held.iter().filter(|(_, h)| h.through > 0).fold(0, |sum, (origin, h)| {
-            let one = Sum::new().bytes(origin.as_bytes()).number(h.start.number).number(h.start.lot);
-            sum ^ one.number(h.through).number(h.digest).number(u64::from(h.sweep.is_some())).end()
+        self.origins.iter().map(entry).collect()
+    }
+
+    /// Digest of all that is held: equal on two mixers that hold the same records.
+    pub fn digest(&self) -> u64 {
+        self.origins.iter().filter(|(_, origin)| origin.version > 0).fold(0, |digest, (name, origin)| {
+            let hasher = DigestHasher::new()
+                .bytes(name.as_bytes())
+                .number(origin.incarnation.number)
+                .number(origin.incarnation.nonce);
+            let full_sync = u64::from(origin.full_sync.is_some());
+            digest ^ hasher.number(origin.version).number(origin.digest).number(full_sync).finish()
         })
     }
 
-    /// Whether another holds something that this mixer does not.
-    pub fn lacks(&self, theirs: &[Entry]) -> bool {
-        theirs.iter().any(|t| {
-            let ours = self.held.get(&t.origin).map(|h| (h.start, h.through));
-            t.origin != self.me
-                && t.through > 0
-                && self.named.contains(&t.origin)
-                && ours < Some((t.start, t.through))
+    /// Whether a peer with this version vector holds records that this mixer lacks.
+    pub fn is_behind(&self, theirs: &[OriginVersion]) -> bool {
+        theirs.iter().any(|entry| {
+            let ours = self.origins.get(&entry.origin).map(|held| (held.incarnation, held.version));
+            entry.origin != self.local_name
+                && entry.version > 0
+                && self.configured.contains(&entry.origin)
+                && ours < Some((entry.incarnation, entry.version))
         })
     }
 
-    /// Rows that another holds and this mixer does not, by versions: how far it is behind, at the most.
-    pub fn behind(&self, theirs: &[Entry]) -> u64 {
-        let behind = |t: &Entry| match self.held.get(&t.origin) {
-            _ if t.origin == self.me => 0,
-            Some(h) if h.start == t.start => t.through.saturating_sub(h.through),
-            Some(h) if h.start > t.start => 0,
-            _ => t.through,
+    /// Upper bound, by versions, of the number of records that a peer holds and this mixer lacks.
+    pub fn lag(&self, theirs: &[OriginVersion]) -> u64 {
+        let lag = |entry: &OriginVersion| match self.origins.get(&entry.origin) {
+            _ if entry.origin == self.local_name => 0,
+            Some(held) if held.incarnation == entry.incarnation => entry.version.saturating_sub(held.version),
+            Some(held) if held.incarnation > entry.incarnation => 0,
+            _ => entry.version,
         };
-        theirs.iter().map(behind).fold(0, u64::saturating_add)
-    }
-
-    /// What this mixer holds and another does not, in pieces of so many bytes; how many counters are left, none if that was all.
-    pub fn delta(&self, now: f64, theirs: &[Entry], budget: usize) -> Delta {
-        let theirs: BTreeMap<&str, &Entry> = theirs.iter().map(|e| (e.origin.as_str(), e)).collect();
-        let (mut parts, mut budget, mut left) = (Vec::new(), budget, 0_u64);
-        for (origin, held) in self.held.iter().filter(|(_, h)| h.through > 0) {
-            let entry = theirs.get(origin.as_str()).copied().filter(|e| e.start >= held.start);
-            let (from, sweep) = match entry {
-                Some(e) if e.start > held.start => continue,
-                Some(Entry { sweep: Some(pos), .. }) => (*pos, true),
-                Some(e) if e.through < held.floor => (0, true),
-                Some(e) if e.through >= held.through => continue,
-                Some(e) => (e.through, false),
+        theirs.iter().map(lag).fold(0, u64::saturating_add)
+    }
+
+    /// The records that this mixer holds and a peer with this version vector lacks, limited to `budget` bytes.
+    pub fn delta(&self, now_ms: f64, theirs: &[OriginVersion], budget: usize) -> Delta {
+        let theirs: BTreeMap<&str, &OriginVersion> = theirs.iter().map(|e| (e.origin.as_str(), e)).collect();
+        let mut batches = Vec::new();
+        let mut budget = budget;
+        let mut remaining = 0_u64;
+        for (name, held) in self.origins.iter().filter(|(_, held)| held.version > 0) {
+            let entry = theirs.get(name.as_str()).copied().filter(|e| e.incarnation >= held.incarnation);
+            let (after, full_sync) = match entry {
+                Some(e) if e.incarnation > held.incarnation => continue,
+                Some(OriginVersion { full_sync: Some(position), .. }) => (*position, true),
+                Some(e) if e.version < held.tombstone_floor => (0, true),
+                Some(e) if e.version >= held.version => continue,
+                Some(e) => (e.version, false),
                 None => (0, false),
             };
-            let (rows, through) = held.gather(from, held.through, now, &mut budget);
-            let last = through >= held.through;
-            left = left.saturating_add(held.through.saturating_sub(through));
-            if rows.is_empty() && !last {
-                continue; // the next piece begins with it
+            let CollectedRecords { records, through } =
+                held.collect(after, held.version, now_ms, &mut budget);
+            let last = through >= held.version;
+            remaining = remaining.saturating_add(held.version.saturating_sub(through));
+            if records.is_empty() && !last {
+                continue; // No room for the first record: the next piece begins with it.
             }
-            let why = if sweep { Why::Sweep { last } } else { Why::Delta };
-            parts.push(RecordBatch {
-                origin: origin.clone(),
-                start: held.start,
-                from,
+            let kind = if full_sync { BatchKind::FullSync { last } } else { BatchKind::Delta };
+            batches.push(RecordBatch {
+                origin: name.clone(),
+                incarnation: held.incarnation,
+                after,
                 through,
-                floor: held.floor,
-                why,
-                rows,
+                tombstone_floor: held.tombstone_floor,
+                kind,
+                records,
             });
         }
-        Delta { batches: parts, remaining: left }
-    }
-
-    /// What this mixer has said since a version of its own.
-    pub fn own_records_since(&self, now: f64, from: u64, budget: usize) -> Option<RecordBatch> {
-        let held = self.held.get(&self.me).filter(|h| h.through > from)?;
-        let mut left = budget;
-        let (rows, through) = held.gather(from, held.through, now, &mut left);
-        let (origin, floor, why) = (self.me.clone(), held.floor, Why::Delta);
-        (!rows.is_empty()).then_some(RecordBatch {
-            origin,
-            start: held.start,
-            from,
+        Delta { batches, remaining }
+    }
+
+    /// What this mixer has published since a version of its own.
+    pub fn own_records_since(&self, now_ms: f64, after: u64, budget: usize) -> Option<RecordBatch> {
+        let own = self.origins.get(&self.local_name).filter(|own| own.version > after)?;
+        let mut budget = budget;
+        let CollectedRecords { records, through } = own.collect(after, own.version, now_ms, &mut budget);
+        (!records.is_empty()).then(|| RecordBatch {
+            origin: self.local_name.clone(),
+            incarnation: own.incarnation,
+            after,
             through,
-            floor,
-            why,
-            rows,
+            tombstone_floor: own.tombstone_floor,
+            kind: BatchKind::Delta,
+            records,
         })
     }
 
-    /// Origins of which another holds the same version, and other rows.
-    pub fn unlike(&self, theirs: &[Entry]) -> Vec<String> {
-        let unlike = |t: &&Entry| {
-            self.held.get(&t.origin).is_some_and(|h| {
-                (h.start, h.through) == (t.start, t.through)
-                    && h.sweep.is_none()
-                    && t.sweep.is_none()
-                    && h.digest != t.digest
+    /// Origins of which a peer holds the same version with different records.
+    pub fn diverging_origins(&self, theirs: &[OriginVersion]) -> Vec<String> {
+        let diverges = |entry: &&OriginVersion| {
+            self.origins.get(&entry.origin).is_some_and(|held| {
+                (held.incarnation, held.version) == (entry.incarnation, entry.version)
+                    && held.full_sync.is_none()
+                    && entry.full_sync.is_none()
+                    && held.digest != entry.digest
             })
         };
-        theirs.iter().filter(unlike).map(|t| t.origin.clone()).collect()
+        theirs.iter().filter(diverges).map(|entry| entry.origin.clone()).collect()
     }
 
-    /// Digests of the ranges of an origin's counters, with its start and version.
-    pub fn ranges(&self, origin: &str) -> Option<(Incarnation, u64, Vec<u64>)> {
-        let held = self.held.get(origin)?;
-        let digest = |nth| {
-            let (from, through) = held.range(nth);
-            let rows = held.order.range(from + 1..=through.max(from + 1)).filter(|(c, _)| **c <= through);
-            rows.filter_map(|(_, key)| held.rows.get(key).map(|row| Held::sum(key, row)))
-                .fold(0, |a, b| a ^ b)
+    pub fn range_digests(&self, origin: &str) -> Option<RangeDigests> {
+        let held = self.origins.get(origin)?;
+        let digest = |index| {
+            let CounterRange { after, through } = held.digest_range(index);
+            let keys =
+                held.by_counter.range(after + 1..=through.max(after + 1)).filter(|(c, _)| **c <= through);
+            keys.filter_map(|(_, key)| {
+                held.records.get(key).map(|record| OriginRecords::record_digest(key, record))
+            })
+            .fold(0, |a, b| a ^ b)
         };
-        Some((held.start, held.through, (0..RANGES).map(digest).collect()))
+        Some(RangeDigests {
+            incarnation: held.incarnation,
+            version: held.version,
+            digests: (0..DIGEST_RANGES).map(digest).collect(),
+        })
     }
 
-    /// The ranges of an origin in which another's digests differ, where it has the same version.
-    pub fn mend(
+    /// The ranges of an origin whose digests differ from a peer's at the same version.
+    pub fn repair_batches(
         &self,
-        now: f64,
+        now_ms: f64,
         origin: &str,
-        start: Incarnation,
-        through: u64,
-        theirs: &[u64],
+        theirs: &RangeDigests,
         budget: usize,
     ) -> Vec<RecordBatch> {
-        let Some((_, _, ours)) = self.ranges(origin) else { return Vec::new() };
-        let Some(held) = self.held.get(origin).filter(|h| (h.start, h.through) == (start, through)) else {
+        let Some(ours) = self.range_digests(origin) else { return Vec::new() };
+        let same_version =
+            |held: &&OriginRecords| (held.incarnation, held.version) == (theirs.incarnation, theirs.version);
+        let Some(held) = self.origins.get(origin).filter(same_version) else {
             return Vec::new();
         };
-        let mut left = budget;
-        let unlike = ours.iter().zip(theirs).zip(0..).filter(|((a, b), _)| a != b).map(|(_, nth)| nth);
-        let mut parts = Vec::new();
-        for nth in unlike {
-            let (from, through) = held.range(nth);
-            let (rows, end) = held.gather(from, through, now, &mut left);
-            if end > from {
-                let (origin, floor, why) = (origin.to_owned(), held.floor, Why::Repair);
-                parts.push(RecordBatch { origin, start, from, through: end, floor, why, rows });
+        let mut budget = budget;
+        let differing = ours.digests.iter().zip(&theirs.digests).zip(0..).filter(|((a, b), _)| a != b);
+        let mut batches = Vec::new();
+        for (_, index) in differing {
+            let CounterRange { after, through } = held.digest_range(index);
+            let collected = held.collect(after, through, now_ms, &mut budget);
+            if collected.through > after {
+                batches.push(RecordBatch {
+                    origin: origin.to_owned(),
+                    incarnation: theirs.incarnation,
+                    after,
+                    through: collected.through,
+                    tombstone_floor: held.tombstone_floor,
+                    kind: BatchKind::Repair,
+                    records: collected.records,
+                });
             }
         }
-        parts
+        batches
     }
 
-    /// Takes what another sends. `old_ms` is by how much it may be older than it says, as it waited to be read.
+    /// Applies a batch from a peer. `delay_ms` is how much older the records may be than they say, because the message
+    /// waited to be read.
     ///
     /// # Errors
-    /// Why it was not taken; it is counted.
+    /// Why the batch was rejected; the rejection is counted.
     pub fn apply(
         &mut self,
-        now: f64,
-        old_ms: f64,
-        by: &str,
-        part: &RecordBatch,
-    ) -> Result<Vec<News>, RejectReason> {
-        let taken = self.try_apply(now, old_ms, by, part);
-        if let Err(why) = taken {
-            *self.refused.entry(why).or_default() += 1;
+        now_ms: f64,
+        delay_ms: f64,
+        sender: &str,
+        batch: &RecordBatch,
+    ) -> Result<Vec<RecordChange>, RejectReason> {
+        let applied = self.try_apply(now_ms, delay_ms, sender, batch);
+        if let Err(reason) = applied {
+            *self.rejected.entry(reason).or_default() += 1;
         }
-        taken
+        applied
     }
 
     fn try_apply(
         &mut self,
-        now: f64,
-        old_ms: f64,
-        by: &str,
-        part: &RecordBatch,
-    ) -> Result<Vec<News>, RejectReason> {
-        if !self.named.contains(&part.origin) {
-            return Err(RejectReason::Unnamed);
-        }
-        if part.origin == self.me {
-            return Err(RejectReason::OwnOrigin);
-        }
-        let ordered = part.rows.windows(2).all(|w| w[0].counter < w[1].counter);
-        let within = part.rows.iter().all(|r| r.counter > part.from && r.counter <= part.through);
-        if !ordered || !within || part.through < part.from || !part.rows.iter().all(fit) {
-            return Err(RejectReason::Unfit);
-        }
+        now_ms: f64,
+        delay_ms: f64,
+        sender: &str,
+        batch: &RecordBatch,
+    ) -> Result<Vec<RecordChange>, RejectReason> {
+        self.validate(batch)?;
         let limits = self.limits;
-        match self.held.get(&part.origin).map(|h| h.start) {
-            Some(start) if start > part.start => return Err(RejectReason::Old),
-            Some(start) if start == part.start => {}
-            _ if part.from > 0 || part.why == Why::Repair => return Err(RejectReason::Gap),
-            _ => {
-                self.held.insert(part.origin.clone(), Held { start: part.start, ..Held::default() });
-            }
-        }
-        let held = self.held.entry(part.origin.clone()).or_default();
-        let row = |wire: &WireRow| Row {
-            counter: wire.counter,
-            value: wire.value.clone(),
-            at: now - old_ms - f64::from(wire.age_ms),
-            since: now,
-        };
-        let mut news = Vec::new();
-        // Whatever of the interval is not in the part is not there any more; with a repair only its origin may say so.
-        let clears = match part.why {
-            Why::Delta => {
-                if part.from > held.through {
+        let held = self.records_for(batch)?;
+        // A full sync lists everything that exists in its interval. In a repair, only the origin itself can tell that a
+        // record does not exist.
+        let lists_all_records = match batch.kind {
+            BatchKind::Delta => {
+                if batch.after > held.version {
                     return Err(RejectReason::Gap);
                 }
                 false
             }
-            Why::Sweep { .. } => {
-                let begins = part.from == 0;
-                if begins {
-                    held.sweep = Some(Sweep { through: 0, floor: part.floor });
-                }
-                if held.sweep.is_none_or(|s| s.through != part.from) {
-                    return Err(RejectReason::Gap);
-                }
+            BatchKind::FullSync { .. } => {
+                held.continue_full_sync(batch)?;
                 true
             }
-            Why::Repair => by == part.origin,
+            BatchKind::Repair => sender == batch.origin,
         };
-        if clears {
-            let kept: BTreeSet<u64> = part.rows.iter().map(|r| r.counter).collect();
-            let range =
-                held.order.range(part.from.saturating_add(1)..=part.through.max(part.from.saturating_add(1)));
-            let gone: Vec<Key> = range
-                .filter(|(c, _)| **c <= part.through && !kept.contains(c))
-                .map(|(_, key)| key.clone())
-                .collect();
-            for key in gone {
-                held.remove(&key);
-                news.push(News { origin: part.origin.clone(), kind: key.kind, name: key.name });
-            }
+        let change = |key: &RecordKey| RecordChange {
+            origin: batch.origin.clone(),
+            kind: key.kind,
+            name: key.name.clone(),
+        };
+        let mut changes = Vec::new();
+        if lists_all_records {
+            changes.extend(held.remove_missing_from(batch).iter().map(change));
         }
-        let mut over = false;
-        for wire in &part.rows {
-            let key = Key { kind: wire.kind, name: wire.name.clone() };
-            let row = row(wire);
-            match held.rows.get_mut(&key) {
-                Some(old) if old.counter > row.counter => continue,
-                Some(old) if old.counter == row.counter && old.value == row.value => {
-                    // The same word by another way: the older evidence is the safe side.
-                    old.at = old.at.min(row.at);
-                    continue;
-                }
-                // Two contents under one counter: a fault of their origin. One wins everywhere, whoever came first.
-                Some(old) if old.counter == row.counter && old.value > row.value && by != part.origin => {
-                    continue;
-                }
-                // What is not held and lies under the version was deleted, or is missing: a repair or a sweep tells.
-                None if row.counter <= held.through && part.why == Why::Delta => continue,
-                None if row.counter <= held.floor && part.why == Why::Repair && by != part.origin => continue,
-                _ => {}
+        for wire in &batch.records {
+            let key = RecordKey { kind: wire.kind, name: wire.name.clone() };
+            let record = Record {
+                counter: wire.counter,
+                value: wire.value.clone(),
+                evidence_at_ms: now_ms - delay_ms - f64::from(wire.age_ms),
+                received_at_ms: now_ms,
+            };
+            if !held.accepts(&key, &record, batch, sender) {
+                continue;
             }
-            if !held.fits(&key, &row, &limits) {
-                over = true;
-                break;
+            if !held.has_room_for(&key, &record, &limits) {
+                // The version does not advance: it must not cover records that are not held.
+                return Err(RejectReason::OverQuota);
             }
-            news.push(News { origin: part.origin.clone(), kind: wire.kind, name: wire.name.clone() });
-            held.insert(key, row);
+            changes.push(change(&key));
+            held.insert(key, record);
         }
-        if over {
-            // The version stays: what has no room is not said to be held.
-            return Err(RejectReason::Share);
+        held.finish_batch(batch);
+        Ok(changes)
+    }
+
+    fn validate(&self, batch: &RecordBatch) -> Result<(), RejectReason> {
+        if !self.configured.contains(&batch.origin) {
+            return Err(RejectReason::UnknownOrigin);
         }
-        match part.why {
-            Why::Delta => held.through = held.through.max(part.through),
-            Why::Sweep { last: false } => {
-                held.sweep.iter_mut().for_each(|s| s.through = part.through);
-            }
-            Why::Sweep { last: true } => {
-                if let Some(sweep) = held.sweep.take() {
-                    // What was forgotten while it went on may have been missed: the version then stays under that.
-                    let sure = if part.floor > sweep.floor { sweep.floor } else { part.through };
-                    held.through = held.through.max(sure);
-                    held.floor = held.floor.max(sweep.floor);
-                }
+        if batch.origin == self.local_name {
+            return Err(RejectReason::OwnOrigin);
+        }
+        let ordered = batch.records.windows(2).all(|pair| pair[0].counter < pair[1].counter);
+        let within = batch.records.iter().all(|r| r.counter > batch.after && r.counter <= batch.through);
+        if !ordered || !within || batch.through < batch.after || !batch.records.iter().all(is_valid) {
+            return Err(RejectReason::Invalid);
+        }
+        Ok(())
+    }
+
+    /// The records that a batch applies to. A batch of a later incarnation replaces what is held.
+    fn records_for(&mut self, batch: &RecordBatch) -> Result<&mut OriginRecords, RejectReason> {
+        match self.origins.get(&batch.origin).map(|held| held.incarnation) {
+            Some(held) if held > batch.incarnation => return Err(RejectReason::StaleIncarnation),
+            Some(held) if held == batch.incarnation => {}
+            _ if batch.after > 0 || batch.kind == BatchKind::Repair => return Err(RejectReason::Gap),
+            _ => {
+                self.origins.insert(batch.origin.clone(), OriginRecords::new(batch.incarnation));
             }
-            Why::Repair => {}
         }
-        Ok(news)
-    }
-
-    /// Forgets deletions that everybody had time to hear of.
-    pub fn tick(&mut self, now: f64) {
-        let forget_ms = self.forget_ms;
-        for held in self.held.values_mut().filter(|h| h.deleted > 0 && h.sweep.is_none()) {
-            let old = |row: &Row| row.value.is_none() && now - row.since > forget_ms;
-            let gone: Vec<Key> =
-                held.rows.iter().filter(|(_, r)| old(r)).map(|(key, _)| key.clone()).collect();
-            for key in gone {
-                if let Some(row) = held.remove(&key) {
-                    held.floor = held.floor.max(row.counter);
+        Ok(self.origins.entry(batch.origin.clone()).or_default())
+    }
+
+    /// Discards tombstones that every mixer had time to receive.
+    pub fn tick(&mut self, now_ms: f64) {
+        let ttl_ms = self.tombstone_ttl_ms;
+        for held in self.origins.values_mut().filter(|held| held.tombstones > 0 && held.full_sync.is_none()) {
+            let expired = |record: &Record| record.value.is_none() && now_ms - record.received_at_ms > ttl_ms;
+            let keys: Vec<RecordKey> = held
+                .records
+                .iter()
+                .filter(|(_, record)| expired(record))
+                .map(|(key, _)| key.clone())
+                .collect();
+            for key in keys {
+                if let Some(record) = held.remove(&key) {
+                    held.tombstone_floor = held.tombstone_floor.max(record.counter);
                 }
             }
         }
     }
 
-    /// What each origin says of something, with the age of its evidence in milliseconds, as far as it can be read.
-    pub fn reports<K: Kind>(&self, now: f64, name: &str) -> Vec<Report<'_, K>> {
-        let key = Key { kind: K::CODE, name: name.to_owned() };
+    /// What each origin reports about a subject, leaving out values that can't be decoded.
+    pub fn reports<K: RecordKind>(&self, now_ms: f64, name: &str) -> Vec<Report<'_, K>> {
+        let key = RecordKey { kind: K::CODE, name: name.to_owned() };
         let mut reports = Vec::new();
-        for (origin, held) in &self.held {
-            let Some(row) = held.rows.get(&key) else { continue };
-            let Some(value) = row.value.as_ref().and_then(|bytes| kinds::read::<K>(bytes)) else { continue };
-            let age_ms = (now - row.at).max(0.0);
+        for (origin, held) in &self.origins {
+            let Some(record) = held.records.get(&key) else { continue };
+            let Some(value) = record.value.as_ref().and_then(|bytes| kinds::decode::<K>(bytes)) else {
+                continue;
+            };
+            let age_ms = (now_ms - record.evidence_at_ms).max(0.0);
             reports.push(Report { origin, value, age_ms });
         }
         reports
     }
 
-    /// What all origins say of something, joined.
-    pub fn joined<K: Kind>(&self, now: f64, name: &str) -> Option<K> {
-        let fresh = self.reports::<K>(now, name).into_iter().filter(|report| report.age_ms <= K::FRESH_MS);
-        fresh.map(|report| report.value).reduce(K::join)
-    }
-
-    /// All rows that are not deletions, for those who compare or print: origin, kind, name, counter, value.
-    pub fn rows(&self) -> impl Iterator<Item = (&str, u8, &str, u64, &[u8])> {
-        self.held.iter().flat_map(|(origin, held)| {
-            held.rows.iter().filter_map(move |(key, row)| {
-                Some((origin.as_str(), key.kind, key.name.as_str(), row.counter, row.value.as_deref()?))
+    /// What all origins report about a subject, joined into one value.
+    pub fn joined<K: RecordKind>(&self, now_ms: f64, name: &str) -> Option<K> {
+        let current =
+            self.reports::<K>(now_ms, name).into_iter().filter(|report| report.age_ms <= K::VALIDITY_MS);
+        current.map(|report| report.value).reduce(K::join)
+    }
+
+    /// All records except tombstones, for comparison and display.
+    pub fn records(&self) -> impl Iterator<Item = RecordView<'_>> {
+        self.origins.iter().flat_map(|(origin, held)| {
+            held.records.iter().filter_map(move |(key, record)| {
+                Some(RecordView {
+                    origin,
+                    kind: key.kind,
+                    name: &key.name,
+                    counter: record.counter,
+                    value: record.value.as_deref()?,
+                })
             })
         })
     }
 }
 
-/// Whether a row keeps to the limits, and a kind that is known to what it may say.
-fn fit(row: &WireRow) -> bool {
-    let value = row.value.as_deref();
-    row.name.len() <= LONGEST_NAME
-        && value.is_none_or(|v| v.len() <= LONGEST_VALUE && kinds::fits(row.kind, v))
+/// Whether a record keeps to the size limits and, if its kind is known, decodes to a valid value.
+fn is_valid(record: &WireRecord) -> bool {
+    let value = record.value.as_deref();
+    record.name.len() <= MAX_NAME_BYTES
+        && value.is_none_or(|v| v.len() <= MAX_VALUE_BYTES && kinds::is_valid(record.kind, v))
 }
