--- a/crates/replica/src/policy.rs
+++ b/crates/replica/src/policy.rs
@@ -110,7 +110,7 @@
             SearcherStatus::Draining => Stage::Draining,
             SearcherStatus::Gone => Stage::Gone,
         };
-        Self { marked: known.marked, late: known.overdue > 0.0, started_at_ms: known.since, stage }
+        Self { marked: known.marked, late: known.overdue > 0.0, started_at_ms: known.started_at, stage }
     }
 }
 
