--- a/crates/mixer/tests/crowd.rs
+++ b/crates/mixer/tests/crowd.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pewterwharf_soak::fleet::{Library, build_library};
+use pewterwharf_soak::process::{ShimLibrary, build_library};
 use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
@@ -56,7 +56,7 @@
 #[test]
 fn requests_that_are_read_beside_a_crowd_are_answered() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let library = build_library(Library::Accepts, &folder).expect("the library can be built");
+    let library = build_library(ShimLibrary::Accepts, &folder).expect("the library can be built");
     let closes = folder.join(format!("closes-{}", std::process::id()));
     let _ = std::fs::remove_file(&closes); // of an earlier run
     let before = format!("export SHIM_CLOSES={} LD_PRELOAD={}", closes.display(), library.display());
--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pewterwharf_soak::clock::now_ms;
-use pewterwharf_soak::fleet::{Library, build_library};
+use pewterwharf_soak::process::{ShimLibrary, build_library};
 use pewterwharf_soak::record::Event;
 use pewterwharf_standins::SearcherBehavior;
 
@@ -24,7 +24,7 @@
 fn start_noted(name: &str, setting: &str, manners: &[SearcherBehavior]) -> (Mixer, PathBuf) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = |library| build_library(library, &folder).expect("the library can be built");
-    let (accepts, sends) = (library(Library::Accepts), library(Library::Sends));
+    let (accepts, sends) = (library(ShimLibrary::Accepts), library(ShimLibrary::Sends));
     let notes = folder.join(format!("notes-{name}-{}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&notes); // of an earlier run
     let before = format!(
@@ -41,7 +41,8 @@
     let text = std::fs::read_to_string(notes).expect("the notes");
     let mut found = Vec::new();
     for line in text.lines() {
-        let Event::Written { at, part, told_ms } = serde_json::from_str(line).expect("an event") else {
+        let Event::Written { at, part, timeout_ms: told_ms } = serde_json::from_str(line).expect("an event")
+        else {
             continue;
         };
         let Some(sent_at) = part.split('.').next().and_then(|id| sent.get(id)) else { continue };
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pewterwharf_soak::fleet::{Library, build_library};
+use pewterwharf_soak::process::{ShimLibrary, build_library};
 use pewterwharf_standins::{self as standins, DiscoveryServer, SearcherBehavior};
 use rustix::net::sockopt;
 
@@ -26,7 +26,7 @@
 /// Has the shell load the library that watches sends, with this setting.
 fn loads(setting: &str) -> String {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let library = build_library(Library::Sends, &folder).expect("the library can be built");
+    let library = build_library(ShimLibrary::Sends, &folder).expect("the library can be built");
     format!("export {setting} LD_PRELOAD={}", library.display())
 }
 
--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -12,42 +12,55 @@
 use serde_json::{Value, json};
 
 use crate::clock::now_ms;
-use crate::control::{self, AgentOrder, Listed};
+use crate::control::{self, AgentCommand, ListedSearcher};
 use crate::record::{self, Event, Recorder, Status};
 
-const STACK: usize = 128 * 1024;
-/// As long as nothing changes, an empty line comes so often.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// How often who has to wait looks again.
-const LOOK: Duration = Duration::from_millis(10);
-/// Pieces of a slow list, and the time between two.
-const SLOW_PIECE: usize = 40;
-const SLOW_WAIT: Duration = Duration::from_millis(2);
+const STACK_BYTES: usize = 128 * 1024;
+/// While nothing changes, a watch sends an empty line this often.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How often a waiting thread checks the state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The size of the pieces of a slow list, in bytes.
+const SLOW_PIECE_BYTES: usize = 40;
+/// The delay before each piece of a slow list.
+const SLOW_PIECE_DELAY: Duration = Duration::from_millis(2);
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Setup {
     pub folder: String,
     pub mixer: usize,
-    /// Where discovery is, and where it moves to.
-    pub places: [SocketAddr; 2],
+    /// The addresses between which discovery moves; it begins at the first.
+    pub discovery_addresses: [SocketAddr; 2],
+}
+
+/// A span in which open watches send nothing.
+#[derive(Default)]
+struct Silence {
+    from: f64,
+    until: f64,
+}
+
+/// A change of the list and the version that it leads to.
+struct Change {
+    index: u64,
+    entries: Vec<ListedSearcher>,
 }
 
 #[derive(Default)]
 struct State {
     index: u64,
-    listed: BTreeMap<String, Listed>,
-    /// Changes by their version.
-    changes: Vec<(u64, Vec<Listed>)>,
-    /// Changes that wait for discovery's return.
-    waiting: Vec<Vec<Listed>>,
+    listed: BTreeMap<String, ListedSearcher>,
+    changes: Vec<Change>,
+    /// Changes that are not yet applied, as discovery is down.
+    pending: Vec<Vec<ListedSearcher>>,
     down_until: f64,
     slow_until: f64,
-    /// Watches begun before this time say nothing until then.
-    silent: (f64, f64),
-    /// Watches begun before this time have ended.
+    /// Applies to watches that began before it.
+    silence: Silence,
+    /// Watches that began before this time have ended.
     reset_at: f64,
-    /// Which of the two places is discovery's.
-    place: usize,
+    /// The index of discovery's current address.
+    active_address: usize,
 }
 
 struct Agent {
@@ -57,29 +70,31 @@
     changed: Condvar,
 }
 
-/// Serves until its runner has gone.
+/// Serves until the runner ends.
 pub fn serve(setup: Setup) -> Result<()> {
-    let recorder = record::recorder(&setup.folder, &format!("agent-{}", setup.mixer))?;
-    let places = setup.places;
+    let recorder = record::create_recorder(&setup.folder, &format!("agent-{}", setup.mixer))?;
+    let addresses = setup.discovery_addresses;
     let agent = Arc::new(Agent { setup, recorder, state: Mutex::default(), changed: Condvar::new() });
-    for (place, at) in places.into_iter().enumerate() {
-        let (listener, agent) = (TcpListener::bind(at)?, agent.clone());
+    for (address_index, address) in addresses.into_iter().enumerate() {
+        let (listener, agent) = (TcpListener::bind(address)?, agent.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let agent = agent.clone();
-                // One that can't be served ends here.
-                let _ = Builder::new().stack_size(STACK).spawn(move || drop(agent.connection(stream, place)));
+                // A connection for which there is no thread is closed.
+                let _ = Builder::new()
+                    .stack_size(STACK_BYTES)
+                    .spawn(move || drop(agent.serve_connection(stream, address_index)));
             }
         });
     }
-    let returning = agent.clone();
+    let applying = agent.clone();
     thread::spawn(move || {
         loop {
-            thread::sleep(LOOK);
-            returning.learn_what_waits();
+            thread::sleep(POLL_INTERVAL);
+            applying.apply_pending_changes();
         }
     });
-    control::obey(|order| agent.obey(order));
+    control::receive_commands(|command| agent.handle(command));
     Ok(())
 }
 
@@ -88,29 +103,29 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn obey(&self, order: AgentOrder) {
+    fn handle(&self, command: AgentCommand) {
         let now = now_ms();
         let mut state = self.state();
-        match order {
-            AgentOrder::Change(entries) => state.waiting.push(entries),
-            AgentOrder::Silent(ms) => state.silent = (now, now + ms as f64),
-            AgentOrder::Down(ms) => state.down_until = now + ms as f64,
-            AgentOrder::Reset => state.reset_at = now,
-            AgentOrder::Slow(ms) => state.slow_until = now + ms as f64,
-            AgentOrder::Move => state.place = 1 - state.place,
+        match command {
+            AgentCommand::Change(entries) => state.pending.push(entries),
+            AgentCommand::Silent(ms) => state.silence = Silence { from: now, until: now + ms as f64 },
+            AgentCommand::Down(ms) => state.down_until = now + ms as f64,
+            AgentCommand::Reset => state.reset_at = now,
+            AgentCommand::Slow(ms) => state.slow_until = now + ms as f64,
+            AgentCommand::Move => state.active_address = 1 - state.active_address,
         }
         drop(state);
-        self.learn_what_waits();
+        self.apply_pending_changes();
         self.changed.notify_all();
     }
 
-    /// Takes up the changes that have come, unless discovery is down.
-    fn learn_what_waits(&self) {
+    /// Applies the pending changes, unless discovery is down.
+    fn apply_pending_changes(&self) {
         let mut state = self.state();
-        if now_ms() < state.down_until || state.waiting.is_empty() {
+        if now_ms() < state.down_until || state.pending.is_empty() {
             return;
         }
-        for entries in std::mem::take(&mut state.waiting) {
+        for entries in std::mem::take(&mut state.pending) {
             state.index += 1;
             let index = state.index;
             for entry in &entries {
@@ -120,101 +135,114 @@
                 }
             }
             let searchers = entries.iter().map(|entry| (entry.name.clone(), entry.status)).collect();
-            self.recorder.record(&Event::Held { at: now_ms(), mixer: self.setup.mixer, index, searchers });
-            state.changes.push((index, entries));
+            let mixer = self.setup.mixer;
+            self.recorder.record(&Event::ListReceived { at: now_ms(), mixer, index, searchers });
+            state.changes.push(Change { index, entries });
         }
         drop(state);
         self.changed.notify_all();
     }
 
-    fn connection(&self, mut stream: TcpStream, place: usize) -> io::Result<()> {
+    /// Answers requests for the whole list until one starts a watch, then serves that.
+    fn serve_connection(&self, mut stream: TcpStream, address_index: usize) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let begun_at = now_ms();
         let mut input = BufReader::new(stream.try_clone()?);
         loop {
-            let (mut request, mut line) = (String::new(), String::new());
-            if input.read_line(&mut request)? == 0 {
+            let (mut request_line, mut line) = (String::new(), String::new());
+            if input.read_line(&mut request_line)? == 0 {
                 return Ok(());
             }
             while input.read_line(&mut line)? > 2 {
                 line.clear();
             }
-            while now_ms() < self.state().down_until || self.state().place != place {
-                thread::sleep(LOOK);
+            while now_ms() < self.state().down_until || self.state().active_address != address_index {
+                thread::sleep(POLL_INTERVAL);
             }
-            if request.contains("watch=1") {
+            if request_line.contains("watch=1") {
                 let after =
-                    request.split("after=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-                return self.watch(&mut stream, place, begun_at, after.unwrap_or(0));
+                    request_line.split("after=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+                return self.serve_watch(&mut stream, address_index, begun_at, after.unwrap_or(0));
             }
-            let (index, whole) = self.whole();
+            let (index, body) = self.snapshot();
             self.write(
                 &mut stream,
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len()).as_bytes(),
+                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes(),
             )?;
-            self.recorder.record(&Event::Told { at: now_ms(), mixer: self.setup.mixer, index });
+            self.recorder.record(&Event::ListSent { at: now_ms(), mixer: self.setup.mixer, index });
         }
     }
 
-    fn whole(&self) -> (u64, String) {
+    /// The version of the list, and the whole list.
+    fn snapshot(&self) -> (u64, String) {
         let state = self.state();
-        let entries: Vec<&Listed> = state.listed.values().collect();
-        (state.index, list(state.index, true, &entries).to_string())
+        let entries: Vec<&ListedSearcher> = state.listed.values().collect();
+        (state.index, discovery_list(state.index, true, &entries).to_string())
     }
 
-    fn watch(&self, stream: &mut TcpStream, place: usize, begun_at: f64, mut after: u64) -> io::Result<()> {
+    fn serve_watch(
+        &self,
+        stream: &mut TcpStream,
+        address_index: usize,
+        begun_at: f64,
+        mut after: u64,
+    ) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-        let mut first = true;
+        let mut is_first = true;
         loop {
             let state = self.state();
             let (state, _) = self
                 .changed
-                .wait_timeout_while(state, EMPTY_LINE, |state| {
-                    !first && state.index == after && state.reset_at < begun_at
+                .wait_timeout_while(state, KEEPALIVE_INTERVAL, |state| {
+                    !is_first && state.index == after && state.reset_at < begun_at
                 })
                 .unwrap_or_else(PoisonError::into_inner);
             if state.reset_at >= begun_at {
                 return Ok(());
             }
-            if state.place != place || Self::is_silent(&state, begun_at) {
+            if state.active_address != address_index || Self::is_silent(&state, begun_at) {
                 drop(state);
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            let lines = Self::lines(&state, first, after);
+            let lines = Self::watch_lines(&state, is_first, after);
             let index = state.index;
             drop(state);
             for line in &lines {
                 self.write(stream, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())?;
             }
-            self.recorder.record(&Event::Told { at: now_ms(), mixer: self.setup.mixer, index });
-            (first, after) = (false, index);
+            self.recorder.record(&Event::ListSent { at: now_ms(), mixer: self.setup.mixer, index });
+            is_first = false;
+            after = index;
         }
     }
 
     fn is_silent(state: &State, begun_at: f64) -> bool {
         let now = now_ms();
-        now < state.down_until || begun_at < state.silent.0 && now < state.silent.1
+        now < state.down_until || begun_at < state.silence.from && now < state.silence.until
     }
 
-    /// What a watch that holds a version is told; an empty line if nothing.
-    fn lines(state: &State, first: bool, after: u64) -> Vec<String> {
-        if first && (after == 0 || after > state.index) {
-            let entries: Vec<&Listed> = state.listed.values().collect();
-            return vec![format!("{}\n", list(state.index, true, &entries))];
+    /// The next lines of a watch that has this version; an empty line if nothing changed.
+    fn watch_lines(state: &State, is_first: bool, after: u64) -> Vec<String> {
+        if is_first && (after == 0 || after > state.index) {
+            let entries: Vec<&ListedSearcher> = state.listed.values().collect();
+            return vec![format!("{}\n", discovery_list(state.index, true, &entries))];
         }
-        let news = state.changes.iter().filter(|change| change.0 > after);
-        let lines: Vec<String> = news
-            .map(|(index, entries)| format!("{}\n", list(*index, false, &entries.iter().collect::<Vec<_>>())))
+        let changes = state.changes.iter().filter(|change| change.index > after);
+        let lines: Vec<String> = changes
+            .map(|change| {
+                let entries = change.entries.iter().collect::<Vec<_>>();
+                format!("{}\n", discovery_list(change.index, false, &entries))
+            })
             .collect();
         if lines.is_empty() { vec!["\n".to_owned()] } else { lines }
     }
 
-    /// Writes, slowly where it is told to be slow.
+    /// Writes bytes, with a delay before each piece while the agent is slow.
     fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
-        for piece in bytes.chunks(SLOW_PIECE) {
+        for piece in bytes.chunks(SLOW_PIECE_BYTES) {
             if now_ms() < self.state().slow_until {
-                thread::sleep(SLOW_WAIT);
+                thread::sleep(SLOW_PIECE_DELAY);
             }
             stream.write_all(piece)?;
         }
@@ -222,8 +250,8 @@
     }
 }
 
-/// A list in discovery's form.
-pub fn list(index: u64, whole: bool, entries: &[&Listed]) -> Value {
+/// A list in discovery's format.
+pub fn discovery_list(index: u64, is_snapshot: bool, entries: &[&ListedSearcher]) -> Value {
     let endpoints: Vec<Value> = entries
         .iter()
         .map(|entry| {
@@ -231,5 +259,5 @@
                    "status": entry.status, "weight": 1.0, "since_ms": entry.since_ms})
         })
         .collect();
-    json!({"index": index, "snapshot": whole, "endpoints": endpoints})
+    json!({"index": index, "snapshot": is_snapshot, "endpoints": endpoints})
 }
--- a/crates/soak/src/clock.rs
+++ b/crates/soak/src/clock.rs
@@ -1,8 +1,8 @@
-//! Milliseconds of the machine's monotonic clock, the same in all processes.
+//! The machine's monotonic clock in milliseconds, the same in all processes.
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// The time now.
+/// The current time.
 pub fn now_ms() -> f64 {
     let time = clock_gettime(ClockId::Monotonic);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
--- a/crates/soak/src/control.rs
+++ b/crates/soak/src/control.rs
@@ -1,4 +1,4 @@
-//! What the runner tells a process on its standard input, a line of JSON each.
+//! The commands that the runner sends to a process on its standard input, each as a line of JSON.
 
 use std::io::{BufRead, stdin};
 
@@ -6,57 +6,58 @@
 
 use crate::record::Status;
 
-/// What a searcher does with parts.
+/// How a searcher treats parts. Records hold the names of these variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Manner {
+pub enum SearcherBehavior {
     #[default]
     Answers,
-    /// Takes them and says nothing.
+    /// Accepts parts and never answers.
     Hangs,
-    /// Answers 503 and does not run them.
+    /// Answers 503 without executing the part.
     Full,
-    /// Runs them and answers 500.
+    /// Executes the part and answers 500.
     Fails,
-    /// Runs them after up to 0.8 s.
+    /// Executes the part after a delay of up to 0.8 s.
     Slow,
-    /// Answers for a part that was never asked for.
+    /// Answers for a part that was never sent.
     Spoils,
-    /// Runs them and resets the connection in place of the answer.
+    /// Executes the part and resets the connection in place of the answer.
     Resets,
     /// Writes half of an answer and stops.
     Halves,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub enum SearcherOrder {
-    Manner(Manner),
+pub enum SearcherCommand {
+    SetBehavior(SearcherBehavior),
 }
 
-/// What a fault proxy does with the connections through it.
+/// How a fault proxy treats its connections. Records hold the names of these variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Passing {
+pub enum ProxyMode {
+    /// Forwards everything.
     #[default]
     Whole,
-    /// Nothing passes and nothing is said.
+    /// Forwards nothing and keeps connections open.
     Stalled,
-    /// A byte or a few at a time.
+    /// Forwards a few bytes at a time.
     Chopped,
-    /// Half of what was read passes, then both sides end.
+    /// Forwards half of a received chunk, then closes both sides.
     Cut,
-    /// New connections end at once.
+    /// Closes new connections at once.
     Refuses,
-    /// Nothing that a mixer writes is read.
+    /// Reads nothing from mixers.
     Deaf,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub enum ProxyOrder {
-    Passing(Passing),
+pub enum ProxyCommand {
+    SetMode(ProxyMode),
 }
 
-/// One searcher as discovery lists it.
+/// A searcher as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedSearcher {
     pub name: String,
     pub address: String,
     pub group: u32,
@@ -64,40 +65,42 @@
     pub since_ms: f64,
 }
 
+/// Commands to a discovery agent; durations are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum AgentOrder {
-    Change(Vec<Listed>),
-    /// Open watches say nothing for so long; new ones are answered.
+pub enum AgentCommand {
+    /// These entries of the list change.
+    Change(Vec<ListedSearcher>),
+    /// Open watches send nothing for this time; new ones are answered.
     Silent(u64),
-    /// Nothing is answered and nothing learnt for so long.
+    /// The agent answers nothing and learns of no change for this time.
     Down(u64),
-    /// Open watches end.
+    /// Closes open watches.
     Reset,
-    /// Lists come in small pieces for so long.
+    /// Lists are sent in small pieces for this time.
     Slow(u64),
-    /// Discovery is at the second address from now on; the first falls silent.
+    /// Discovery moves to the other address, and the current one falls silent.
     Move,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClientsOrder {
-    /// The front leads new connections to the mixer, or does not.
-    Front(bool),
-    /// Every client with a request open closes its connection.
+pub enum ClientsCommand {
+    /// Whether the load balancer sends new connections to the mixer.
+    SetInRotation(bool),
+    /// Each client with an open request closes its connection.
     LeaveAll,
-    /// So many further clients ask at once, once.
+    /// This many further clients send one request each, at once.
     Burst(usize),
-    /// So many connections rest without a request, for so many milliseconds.
+    /// This many idle connections stay open for this many milliseconds.
     Crowd(usize, u64),
-    /// No further requests.
+    /// Clients send no further requests.
     Finish,
 }
 
-/// Calls `take` with each order that comes, until standard input ends.
-pub fn obey<Order: DeserializeOwned>(mut take: impl FnMut(Order)) {
+/// Calls `handle` with each command until standard input ends.
+pub fn receive_commands<Command: DeserializeOwned>(mut handle: impl FnMut(Command)) {
     for line in stdin().lock().lines().map_while(Result::ok) {
-        if let Ok(order) = serde_json::from_str(&line) {
-            take(order);
+        if let Ok(command) = serde_json::from_str(&line) {
+            handle(command);
         }
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,23 +1,24 @@
-//! Soak test of the mixer: a few dozen real processes on loopback, faults that overlap in time, and a verdict by invariants.
+//! Soak test of the mixer: a few dozen real processes on loopback, overlapping faults, and a check of invariants.
 //!
 //! Mixers run as they are deployed. Searchers, the discovery agent of each mixer, fault proxies and clients are processes of their
-//! own ([`role`]), so that signals stop and kill them like real ones. Each writes what it saw to a file of [`record::Event`]s, on the
-//! one monotonic clock of the machine. A [`run`] draws its faults from a seed ([`trouble`]), and [`judge`] holds the events
-//! against the promises of `docs/promises.md`; what a mixer says of itself (its `violations_` counters, its exit status) counts
-//! beside what was seen from outside.
+//! own ([`role`]), so that they can be stopped and killed by signals as in production. Each process records what it observes as
+//! [`record::Event`]s, with times of the machine's monotonic clock, which all processes share. A [`run`] draws its faults from a
+//! seed ([`fault`]), and [`checker`] checks the events against the promises of `docs/promises.md`. A mixer's own statements (its
+//! `violations_` counters and its exit status) are checked beside the observations from outside.
 //!
-//! Not covered: the slow-start budget, the retry budget, wall clocks that step, system calls that fail.
+//! Not covered: the slow-start budget, the retry budget, steps of the wall clock. System calls fail only in runs with
+//! [`run::Options::failing_syscalls`].
 
 pub mod agent;
+pub mod checker;
 pub mod clients;
 pub mod clock;
 pub mod control;
-pub mod fleet;
-pub mod judge;
+pub mod fault;
+pub mod process;
 pub mod proxy;
 pub mod record;
 pub mod role;
 pub mod run;
 pub mod searcher;
 pub mod settings;
-pub mod trouble;
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A fault proxy as a process, between the mixers and some searchers. It reads at once whatever a mixer writes, also while it
-//! passes nothing on but not while it is deaf, and records every part with the times of its first and last byte.
+//! A fault proxy as a process, between the mixers and some searchers. It reads whatever a mixer writes at once, even while it
+//! forwards nothing (except in [`ProxyMode::Deaf`]), and records each part with the times of its first and last byte.
 
 use std::io::{self, BufRead, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,22 +13,26 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::now_ms;
-use crate::control::{self, Passing, ProxyOrder};
+use crate::control::{self, ProxyCommand, ProxyMode};
 use crate::record::{self, Event, Recorder};
-use crate::settings::{NARROW, holds};
+use crate::settings::{SMALL_BUFFER_BYTES, cell_holds};
 
-const STACK: usize = 128 * 1024;
-/// Bytes that are read at once.
-const PIECE: usize = 8 * 1024;
-/// How often a stalled connection looks whether it goes on.
-const LOOK: Duration = Duration::from_millis(5);
-/// Pieces of a chopped connection, and the time between two.
-const CHOPPED: usize = 7;
-const CHOP: Duration = Duration::from_micros(300);
+const STACK_BYTES: usize = 128 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// How often a connection that does not forward checks the mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The size of the pieces of a chopped connection, in bytes.
+const CHOPPED_PIECE_BYTES: usize = 7;
+/// The delay before each piece of a chopped connection.
+const CHOPPED_PIECE_DELAY: Duration = Duration::from_micros(300);
+/// The frame type of a call in the searcher protocol.
+const FRAME_CALL: u8 = b'D';
+/// The size of the length field of a frame.
+const LENGTH_BYTES: usize = 4;
 
-/// A searcher's address as it is listed, and where it really is.
+/// The path to a searcher: the address that is listed, and the searcher's own.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Way {
+pub struct Route {
     pub listen: SocketAddr,
     pub target: SocketAddr,
     pub searcher: String,
@@ -39,149 +43,156 @@
 pub struct Setup {
     pub folder: String,
     pub number: usize,
-    pub ways: Vec<Way>,
-    /// Connections take few bytes ahead of who reads them.
-    pub narrow: bool,
+    pub routes: Vec<Route>,
+    /// Whether connections have small receive buffers.
+    pub small_buffers: bool,
 }
 
 struct Shared {
-    passing: Mutex<Passing>,
+    mode: Mutex<ProxyMode>,
     recorder: Recorder,
 }
 
 impl Shared {
-    fn passing(&self) -> Passing {
-        *self.passing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn mode(&self) -> ProxyMode {
+        *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Serves until its runner has gone.
+/// Serves until the runner ends.
 pub fn serve(setup: Setup) -> Result<()> {
-    let recorder = record::recorder(&setup.folder, &format!("proxy-{}", setup.number))?;
-    let shared = Arc::new(Shared { passing: Mutex::default(), recorder });
-    for way in setup.ways {
-        let (listener, shared) = (TcpListener::bind(way.listen)?, shared.clone());
-        if setup.narrow {
-            sockopt::set_socket_recv_buffer_size(&listener, NARROW)?;
+    let recorder = record::create_recorder(&setup.folder, &format!("proxy-{}", setup.number))?;
+    let shared = Arc::new(Shared { mode: Mutex::default(), recorder });
+    for route in setup.routes {
+        let (listener, shared) = (TcpListener::bind(route.listen)?, shared.clone());
+        if setup.small_buffers {
+            sockopt::set_socket_recv_buffer_size(&listener, SMALL_BUFFER_BYTES)?;
         }
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                if shared.passing() == Passing::Refuses {
-                    continue; // it ends here
+            for mixer_side in listener.incoming().flatten() {
+                if shared.mode() == ProxyMode::Refuses {
+                    continue; // closes the connection
                 }
-                let (way, shared) = (way.clone(), shared.clone());
-                // One that can't be served ends here.
-                let _ = Builder::new().stack_size(STACK).spawn(move || drop(connect(&near, way, &shared)));
+                let (route, shared) = (route.clone(), shared.clone());
+                // A connection for which there is no thread is closed.
+                let _ = Builder::new()
+                    .stack_size(STACK_BYTES)
+                    .spawn(move || drop(forward_connection(&mixer_side, route, &shared)));
             }
         });
     }
-    control::obey(|ProxyOrder::Passing(passing)| {
-        *shared.passing.lock().unwrap_or_else(PoisonError::into_inner) = passing;
+    control::receive_commands(|ProxyCommand::SetMode(mode)| {
+        *shared.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
     });
     Ok(())
 }
 
-fn connect(near: &TcpStream, way: Way, shared: &Arc<Shared>) -> io::Result<()> {
-    let far = TcpStream::connect(way.target)?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (to_far, from_near) = channel();
-    let (to_near, from_far) = channel();
-    let spawn = |run: Box<dyn FnOnce() + Send>| Builder::new().stack_size(STACK).spawn(run).map(drop);
-    let (stream, sharing) = (near.try_clone()?, shared.clone());
+/// Forwards both directions of a connection, each with a thread that reads and one that writes.
+fn forward_connection(mixer_side: &TcpStream, route: Route, shared: &Arc<Shared>) -> io::Result<()> {
+    let searcher_side = TcpStream::connect(route.target)?;
+    mixer_side.set_nodelay(true)?;
+    searcher_side.set_nodelay(true)?;
+    let (to_searcher, from_mixer) = channel();
+    let (to_mixer, from_searcher) = channel();
+    let spawn = |run: Box<dyn FnOnce() + Send>| Builder::new().stack_size(STACK_BYTES).spawn(run).map(drop);
+    let (stream, recording) = (mixer_side.try_clone()?, shared.clone());
     spawn(Box::new(move || {
-        let is_deaf = || sharing.passing() == Passing::Deaf;
-        read(&stream, &to_far, &is_deaf, &mut |bytes, at| sharing.recorder.watch(bytes, at, &way));
+        let is_deaf = || recording.mode() == ProxyMode::Deaf;
+        read_chunks(&stream, &to_searcher, &is_deaf, &mut |bytes, times| {
+            recording.recorder.record_frames(bytes, times, &route)
+        });
     }))?;
-    let stream = far.try_clone()?;
-    spawn(Box::new(move || read(&stream, &to_near, &|| false, &mut |_, _| 0)))?;
-    let (to, back, sharing) = (near.try_clone()?, far.try_clone()?, shared.clone());
-    spawn(Box::new(move || write(&to, &back, &from_far, &sharing)))?;
-    write(&far, near, &from_near, shared);
+    let stream = searcher_side.try_clone()?;
+    spawn(Box::new(move || read_chunks(&stream, &to_mixer, &|| false, &mut |_, _| 0)))?;
+    let (to, from, writing) = (mixer_side.try_clone()?, searcher_side.try_clone()?, shared.clone());
+    spawn(Box::new(move || write_chunks(&to, &from, &from_searcher, &writing)))?;
+    write_chunks(&searcher_side, mixer_side, &from_mixer, shared);
     Ok(())
 }
 
-/// Reads all that comes and hands it on; `watch` is shown what it has not yet used up, and says how much of it it has.
-fn read(
+/// Reads all that arrives and passes it on. `observe` gets the bytes that it has not consumed yet, with the time at which each
+/// arrived, and returns how many of them it consumes.
+fn read_chunks(
     mut stream: &TcpStream,
     to: &Sender<Vec<u8>>,
     is_deaf: &dyn Fn() -> bool,
-    watch: &mut dyn FnMut(&[u8], &mut Vec<f64>) -> usize,
+    observe: &mut dyn FnMut(&[u8], &mut Vec<f64>) -> usize,
 ) {
-    let (mut unused, mut times) = (Vec::new(), Vec::new());
-    let mut bytes = vec![0; PIECE];
+    let (mut unconsumed, mut times) = (Vec::new(), Vec::new());
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
         while is_deaf() {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         let Ok(count @ 1..) = stream.read(&mut bytes) else { return };
         let at = now_ms();
-        unused.extend_from_slice(&bytes[..count]);
-        times.resize(unused.len(), at);
-        let used = watch(&unused, &mut times);
-        unused.drain(..used);
-        times.drain(..used);
+        unconsumed.extend_from_slice(&bytes[..count]);
+        times.resize(unconsumed.len(), at);
+        let consumed = observe(&unconsumed, &mut times);
+        unconsumed.drain(..consumed);
+        times.drain(..consumed);
         if to.send(bytes[..count].to_vec()).is_err() {
             return;
         }
     }
 }
 
-/// Passes on what comes, as it is told to, and ends both sides with it.
-fn write(mut to: &TcpStream, from: &TcpStream, pieces: &Receiver<Vec<u8>>, shared: &Shared) {
-    for piece in pieces {
-        while shared.passing() == Passing::Stalled {
-            thread::sleep(LOOK);
+/// Writes the received chunks as the mode says, and closes both sides at the end.
+fn write_chunks(mut to: &TcpStream, from: &TcpStream, chunks: &Receiver<Vec<u8>>, shared: &Shared) {
+    for chunk in chunks {
+        while shared.mode() == ProxyMode::Stalled {
+            thread::sleep(POLL_INTERVAL);
         }
-        let passed = match shared.passing() {
-            Passing::Cut => {
-                let _ = to.write_all(&piece[..piece.len() / 2]); // it ends in any case
+        let written = match shared.mode() {
+            ProxyMode::Cut => {
+                let _ = to.write_all(&chunk[..chunk.len() / 2]); // it ends in any case
                 break;
             }
-            Passing::Chopped => piece.chunks(CHOPPED).try_for_each(|few| {
-                thread::sleep(CHOP);
-                to.write_all(few)
+            ProxyMode::Chopped => chunk.chunks(CHOPPED_PIECE_BYTES).try_for_each(|piece| {
+                thread::sleep(CHOPPED_PIECE_DELAY);
+                to.write_all(piece)
             }),
-            _ => to.write_all(&piece),
+            _ => to.write_all(&chunk),
         };
-        if passed.is_err() {
+        if written.is_err() {
             break;
         }
     }
-    let _ = from.shutdown(Shutdown::Both); // either may have ended
+    let _ = from.shutdown(Shutdown::Both); // either side may have ended
     let _ = to.shutdown(Shutdown::Both);
 }
 
 impl Recorder {
-    /// Records the parts of the frames that are whole in these bytes, each of which came at its time; how many bytes they took.
-    fn watch(&self, bytes: &[u8], times: &mut [f64], way: &Way) -> usize {
-        let mut used = 0;
-        while let Some((head, rest)) = bytes[used..].split_first_chunk::<4>() {
+    /// Records the parts of the complete frames in these bytes, each of which arrived at its time; returns the length of these
+    /// frames.
+    fn record_frames(&self, bytes: &[u8], times: &mut [f64], route: &Route) -> usize {
+        let mut consumed = 0;
+        while let Some((head, rest)) = bytes[consumed..].split_first_chunk::<LENGTH_BYTES>() {
             let length = u32::from_be_bytes(*head) as usize;
             let Some(frame) = rest.get(..length) else { break };
-            if let Some((b'D', call)) = frame.split_first() {
-                let (at, whole_at) = (times[used], times[used + 3 + length]);
-                self.call(call, at, whole_at, way);
+            if let Some((&FRAME_CALL, call)) = frame.split_first() {
+                let (at, complete_at) = (times[consumed], times[consumed + LENGTH_BYTES - 1 + length]);
+                self.record_call(call, at, complete_at, route);
             }
-            used += 4 + length;
+            consumed += LENGTH_BYTES + length;
         }
-        used
+        consumed
     }
 
-    fn call(&self, mut rest: &[u8], at: f64, whole_at: f64, way: &Way) {
-        while !rest.is_empty() {
-            let mut line = String::new();
-            if rest.read_line(&mut line).is_err() {
+    fn record_call(&self, mut call: &[u8], at: f64, complete_at: f64, route: &Route) {
+        while !call.is_empty() {
+            let mut header = String::new();
+            if call.read_line(&mut header).is_err() {
                 return;
             }
-            let words: Vec<&str> = line.split_whitespace().collect();
-            let [part, shard, list, length] = words[..] else { return };
-            let told_ms =
-                list.split(',').find_map(|pair| pair.strip_prefix("d=")?.parse().ok()).unwrap_or(0.0);
-            let (part, searcher) = (part.to_owned(), way.searcher.clone());
-            let holds = shard.parse().is_ok_and(|shard| holds(way.cell, shard));
-            self.record(&Event::Attempt { at, whole_at, part, searcher, told_ms, holds });
-            rest = rest.get(length.parse().unwrap_or(0)..).unwrap_or_default();
+            let fields: Vec<&str> = header.split_whitespace().collect();
+            let [part, shard, properties, length] = fields[..] else { return };
+            let timeout_ms =
+                properties.split(',').find_map(|pair| pair.strip_prefix("d=")?.parse().ok()).unwrap_or(0.0);
+            let (part, searcher) = (part.to_owned(), route.searcher.clone());
+            let holds_shard = shard.parse().is_ok_and(|shard| cell_holds(route.cell, shard));
+            self.record(&Event::Attempt { at, complete_at, part, searcher, timeout_ms, holds_shard });
+            call = call.get(length.parse().unwrap_or(0)..).unwrap_or_default();
         }
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What the processes of a run saw, as lines of JSON, each written at once so that a kill loses none.
+//! The events that the processes of a run record, as lines of JSON. Each is written at once, so that a kill loses none.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a searcher is listed.
+/// The status of a searcher in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
@@ -16,12 +16,12 @@
     Removed,
 }
 
-/// How a client's request came to its end without a whole answer.
+/// How a connection ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionEnd {
     /// The mixer closed the connection.
     Closed,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
 }
 
@@ -29,54 +29,102 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event")]
 pub enum Event {
-    /// A client wrote the last byte of a request; `fresh` is the first on its connection, `behind` the first of those that were
-    /// written with it before.
+    /// A client wrote the last byte of a request.
     Sent {
         at: f64,
         id: String,
         mixer: usize,
         class: String,
         deadline_ms: f64,
-        fresh: bool,
-        behind: Option<String>,
+        /// Whether this is the first request on its connection.
+        #[serde(rename = "fresh")]
+        is_first: bool,
+        /// The first of the requests that were written before this one in the same batch.
+        #[serde(rename = "behind")]
+        pipelined_behind: Option<String>,
     },
-    /// A client wrote the first half of a request, on a connection that stood; the rest follows much later.
-    Begun { at: f64, id: String },
-    /// It read the last byte of an answer.
-    Answered { at: f64, id: String, status: u16, exact: bool, weight: f64, sound: bool },
-    /// It closed the connection while it awaited the answer.
+    /// A client wrote the first half of a request on an open connection; the rest follows much later.
+    #[serde(rename = "Begun")]
+    HalfSent { at: f64, id: String },
+    /// The client read the last byte of an answer.
+    Answered {
+        at: f64,
+        id: String,
+        status: u16,
+        exact: bool,
+        weight: f64,
+        /// Whether the answer holds only what searchers computed for this request.
+        #[serde(rename = "sound")]
+        is_authentic: bool,
+    },
+    /// The client closed the connection while it waited for the answer.
     ClientClosed { at: f64, id: String },
-    /// The connection ended without a whole answer.
-    ConnectionEnded { at: f64, id: String, how: ConnectionEnd, partly: bool },
-    /// No answer came for long after the deadline, and the connection stands.
-    Silent { at: f64, id: String },
-    /// A client that stopped within a request: how long until it was answered or closed, none if it never was.
+    /// The connection ended without a complete answer.
+    ConnectionEnded {
+        at: f64,
+        id: String,
+        how: ConnectionEnd,
+        /// Whether the beginning of an answer had arrived.
+        #[serde(rename = "partly")]
+        is_partial: bool,
+    },
+    /// No answer came until long after the deadline, and the connection is still open.
+    #[serde(rename = "Silent")]
+    Unanswered { at: f64, id: String },
+    /// A client that stopped within a request: how long until it was answered or closed, `None` if it never was.
     Abandoned { at: f64, mixer: usize, ended_after_ms: Option<f64> },
-    /// A client that rested was told an error it had not asked for.
-    Unasked { at: f64, mixer: usize, line: String },
-    /// A part left a mixer for a searcher: its frame's first and last byte, as the proxy between them read it.
-    Attempt { at: f64, whole_at: f64, part: String, searcher: String, told_ms: f64, holds: bool },
-    /// A mixer wrote the first byte of a part's frame, by its own system call: whatever was read of it, and when.
-    Written { at: f64, part: String, told_ms: f64 },
-    /// A searcher carried a part out.
+    /// An idle client received an error without a request.
+    #[serde(rename = "Unasked")]
+    UnsolicitedError { at: f64, mixer: usize, line: String },
+    /// A part was sent to a searcher, with the times of its frame's first and last byte at the proxy in between.
+    Attempt {
+        at: f64,
+        #[serde(rename = "whole_at")]
+        complete_at: f64,
+        part: String,
+        searcher: String,
+        /// The time that the searcher is given for its answer.
+        #[serde(rename = "told_ms")]
+        timeout_ms: f64,
+        /// Whether the searcher holds the part's shard.
+        #[serde(rename = "holds")]
+        holds_shard: bool,
+    },
+    /// A mixer's own system call wrote the first byte of a part's frame, whether or not the searcher has read it.
+    Written {
+        at: f64,
+        part: String,
+        #[serde(rename = "told_ms")]
+        timeout_ms: f64,
+    },
+    /// A searcher executed a part.
     Ran { at: f64, part: String, searcher: String },
-    /// The agent of a mixer has this change to the list.
-    Held { at: f64, mixer: usize, index: u64, searchers: Vec<(String, Status)> },
-    /// It has written the list up to this version to its mixer.
-    Told { at: f64, mixer: usize, index: u64 },
-    /// A fault, and until when it lasts.
-    Trouble { at: f64, until: f64, what: String },
+    /// The agent of a mixer received this change of the list.
+    #[serde(rename = "Held")]
+    ListReceived { at: f64, mixer: usize, index: u64, searchers: Vec<(String, Status)> },
+    /// The agent sent the list up to this version to its mixer.
+    #[serde(rename = "Told")]
+    ListSent { at: f64, mixer: usize, index: u64 },
+    /// A fault, and when it ends.
+    #[serde(rename = "Trouble")]
+    Fault {
+        at: f64,
+        until: f64,
+        /// The debug text of a [`crate::fault::Fault`].
+        #[serde(rename = "what")]
+        description: String,
+    },
     /// A process of a mixer was started.
     Started { at: f64, mixer: usize },
-    /// It first answered that it is ready.
+    /// The process answered for the first time that it is ready.
     Ready { at: f64, mixer: usize },
-    /// It was sent a signal.
+    /// The process was sent a signal.
     Signalled { at: f64, mixer: usize, signal: String },
-    /// It ended; no status where a signal ended it.
+    /// The process ended; there is no status if a signal ended it.
     Exited { at: f64, mixer: usize, status: Option<i32>, expected: bool },
-    /// One of its counters when the run ended, or when it ended itself.
+    /// One of the process's counters when the run ended, or when the process ended itself.
     Counter { at: f64, mixer: usize, name: String, value: u64 },
-    /// What it held when the run ended.
+    /// The resources that the process held when the run ended.
     Resources { at: f64, mixer: usize, descriptors: u64, threads: u64, peak_kb: u64 },
 }
 
@@ -88,10 +136,10 @@
         Ok(Self(Mutex::new(File::create(path)?)))
     }
 
-    /// Writes one event; a run whose record can't be written is worth nothing.
+    /// Writes one event.
     ///
     /// # Panics
-    /// If the file can't be written.
+    /// If the file can't be written: a run without its record can't be checked.
     pub fn record(&self, event: &Event) {
         let mut line = serde_json::to_vec(event).expect("events can be written as JSON");
         line.push(b'\n');
@@ -115,11 +163,11 @@
     Ok(events)
 }
 
-/// The record of a process in a run's folder.
-pub fn recorder(folder: &str, name: &str) -> anyhow::Result<Recorder> {
+/// Creates the record of a process in the folder of a run.
+pub fn create_recorder(folder: &str, name: &str) -> anyhow::Result<Recorder> {
     let path = Path::new(folder).join(format!("{name}.jsonl"));
     if path.exists() {
-        anyhow::bail!("{} stands already", path.display());
+        anyhow::bail!("{} already exists", path.display());
     }
     Ok(Recorder::create(&path)?)
 }
--- a/crates/soak/src/role.rs
+++ b/crates/soak/src/role.rs
@@ -1,14 +1,14 @@
-//! The processes that stand in for a mixer's surroundings: which one, told by the environment.
+//! The roles of the processes around the mixers. A process finds its role in the environment.
 
 use anyhow::Result;
 use serde::{Deserialize, Serialize};
 
 use crate::{agent, clients, proxy, searcher};
 
-/// The variable that names the role of a process, as JSON.
-pub const VARIABLE: &str = "SOAK_ROLE";
+/// The environment variable that holds the role of a process, as JSON.
+pub const ROLE_VARIABLE: &str = "SOAK_ROLE";
 
-/// What a process is to be.
+/// What a process does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Role {
     Searcher(searcher::Setup),
@@ -17,15 +17,15 @@
     Clients(clients::Setup),
 }
 
-/// Serves the role that the environment names until its runner has gone; returns at once where it names none.
+/// Serves the role of the environment until the runner ends; returns at once if there is none.
 pub fn serve() -> Result<()> {
-    let Ok(text) = std::env::var(VARIABLE) else { return Ok(()) };
+    let Ok(text) = std::env::var(ROLE_VARIABLE) else { return Ok(()) };
     match serde_json::from_str(&text)? {
         Role::Searcher(setup) => searcher::serve(setup)?,
         Role::Proxy(setup) => proxy::serve(setup)?,
         Role::Agent(setup) => agent::serve(setup)?,
         Role::Clients(setup) => clients::serve(setup)?,
     }
-    // Threads that still serve end with the process.
+    // Ends the threads that still serve connections.
     std::process::exit(0)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts all processes, carries out the faults of its seed, ends in order, and hands its events to the judge.
+//! One run: starts all processes, injects the faults of its seed, shuts down in order, and checks the recorded events.
 
 mod faults;
 mod mixers;
@@ -10,57 +10,56 @@
 use anyhow::{Result, ensure};
 
 use crate::agent;
+use crate::checker::{self, Report};
 use crate::clients;
 use crate::clock::now_ms;
-use crate::control::{AgentOrder, ClientsOrder, Listed};
-use crate::fleet::{Helper, Library, MixerProcess, Ports, build_library, page};
-use crate::judge::{self, Verdict};
-use crate::proxy::{self, Way};
+use crate::control::{AgentCommand, ClientsCommand, ListedSearcher};
+use crate::fault::{self, Fault, ScheduledFault, Sizes};
+use crate::process::{MixerProcess, Ports, Resources, RoleProcess, ShimLibrary, build_library, fetch_page};
+use crate::proxy::{self, Route};
 use crate::record::{self, Event, Recorder, Status};
 use crate::role::Role;
 use crate::searcher;
 use crate::settings::CELLS;
-use crate::trouble::{self, Sizes, Trouble};
 
-/// Processes that may take each searcher's place in turn.
+/// The number of searchers that can replace one another in each slot.
 const GENERATIONS: usize = 3;
-/// After a SIGTERM and the longest deadline, so long passes until SIGKILL.
-const KILLED_AFTER_MS: f64 = 700.0;
-/// In so long all is up at the beginning.
-const UP_IN_MS: f64 = 30_000.0;
-/// After the last request, so long until the run ends: the longest deadline and what is owed after it.
+/// The platform sends SIGKILL this long after SIGTERM, plus the longest query timeout.
+const KILL_GRACE_MS: f64 = 700.0;
+/// All mixers are ready within this time after the start of a run.
+const START_TIMEOUT_MS: f64 = 30_000.0;
+/// The time between the last request and the end of the run: the longest deadline and what must happen after it.
 const SETTLE_MS: u64 = 3500;
 const TICK: Duration = Duration::from_millis(2);
 
-static ALONE: Mutex<()> = Mutex::new(());
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// What is played.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The mixer's program.
     pub program: PathBuf,
-    /// What leads this program to [`crate::role::serve`] when it is started anew.
+    /// The arguments with which the current program calls [`crate::role::serve`].
     pub role_arguments: Vec<String>,
-    /// For records, logs and configurations; made anew.
+    /// The folder of records, logs and configurations; it is created anew.
     pub folder: PathBuf,
     pub seed: u64,
     pub seconds: u64,
     pub sizes: Sizes,
-    /// Plays these in place of those that the seed draws.
-    pub troubles: Option<Vec<(u64, Trouble)>>,
-    /// The mixers' system calls fail now and then.
-    pub faults: bool,
-    /// Connections to searchers take few bytes ahead of who reads them, some queries hold long texts, and searchers read nothing for
-    /// a while.
-    pub narrow: bool,
-    /// Threads of the mixers are held up now and then after a look at the clock.
-    pub holds: bool,
-    /// Some clients send their requests in two halves, far apart.
+    /// These faults in place of those that the seed draws.
+    pub faults: Option<Vec<ScheduledFault>>,
+    /// Whether system calls of the mixers fail now and then.
+    pub failing_syscalls: bool,
+    /// Whether connections to searchers have small buffers, some queries have long texts, and searchers stop reading for a while.
+    pub small_buffers: bool,
+    /// Whether threads of the mixers are sometimes delayed after they read the clock.
+    pub clock_delays: bool,
+    /// Whether some clients send their requests in two halves, far apart.
     pub halves: bool,
 }
 
 impl Options {
-    /// The usual sizes: 5 mixers with an agent and a process of clients each, 12 searchers, 4 proxies.
+    /// The default sizes: 5 mixers, each with an agent and a process of clients, 12 searchers, 4 proxies.
     pub fn new(program: &Path, role_arguments: &[&str], folder: PathBuf, seed: u64, seconds: u64) -> Self {
         Self {
             program: program.to_owned(),
@@ -69,189 +68,167 @@
             seed,
             seconds,
             sizes: Sizes { mixers: 5, searchers: 12, proxies: 4 },
-            troubles: None,
-            faults: false,
-            narrow: false,
-            holds: false,
+            faults: None,
+            failing_syscalls: false,
+            small_buffers: false,
+            clock_delays: false,
             halves: false,
         }
     }
 }
 
 impl Options {
-    /// Builds the libraries that are loaded before each mixer.
-    fn libraries(&self) -> Result<Vec<PathBuf>> {
-        // Writes are noted before they are cut short.
-        let kinds = [(Library::Sends, true), (Library::Faults, self.faults)];
+    /// Builds the libraries that are preloaded into each mixer.
+    fn build_libraries(&self) -> Result<Vec<PathBuf>> {
+        // The first library records writes before the second one shortens them.
+        let kinds = [(ShimLibrary::Sends, true), (ShimLibrary::Faults, self.failing_syscalls)];
         let wanted = kinds.into_iter().filter(|(_, is_wanted)| *is_wanted);
         wanted.map(|(library, _)| build_library(library, &std::env::temp_dir())).collect()
     }
 }
 
-/// A mixer, whichever process is it now.
+/// A process that ends while its successor already runs.
+struct EndingProcess {
+    process: MixerProcess,
+    kill_at: f64,
+}
+
+/// A mixer and its current process.
 struct Mixer {
     name: String,
     listen: std::net::SocketAddr,
-    places: [std::net::SocketAddr; 2],
-    place: usize,
+    discovery_addresses: [std::net::SocketAddr; 2],
+    /// The index of the discovery address in its configuration.
+    discovery_index: usize,
     process: Option<MixerProcess>,
-    /// A process that ends beside the one that has taken over, and when it is killed.
-    before: Option<(MixerProcess, f64)>,
+    predecessor: Option<EndingProcess>,
+    /// The number of processes started so far.
     processes: u32,
-    /// Asked to end, and when it is killed if it has not.
-    ends_by: Option<f64>,
-    /// A series of stops goes on until then.
+    /// When the process is killed unless it has ended; `None` if it was not sent SIGTERM.
+    kill_at: Option<f64>,
+    /// The end of a series of stops.
     stutters_until: f64,
-    ready: bool,
-    agent: Helper,
-    clients: Helper,
+    is_ready: bool,
+    agent: RoleProcess,
+    clients: RoleProcess,
 }
 
-/// The place of a searcher, whichever process and name stand there now.
-struct Searcher {
+/// A slot for a searcher, and its current searcher and process.
+struct SearcherSlot {
     cell: u32,
-    ways: Vec<Way>,
+    /// The route to each of the searchers that replace one another.
+    routes: Vec<Route>,
     generation: usize,
+    /// The number of processes started so far.
     processes: u32,
-    process: Option<Helper>,
+    process: Option<RoleProcess>,
     status: Status,
     since_ms: f64,
 }
 
-impl Searcher {
-    fn way(&self) -> &Way {
-        &self.ways[self.generation]
+impl SearcherSlot {
+    fn route(&self) -> &Route {
+        &self.routes[self.generation]
     }
 
-    fn listed(&self) -> Listed {
-        let (way, status) = (self.way(), self.status);
-        let (name, address) = (way.searcher.clone(), way.listen.to_string());
-        Listed { name, address, group: self.cell, status, since_ms: self.since_ms }
+    /// The searcher as discovery lists it.
+    fn listed(&self) -> ListedSearcher {
+        let (route, status) = (self.route(), self.status);
+        let (name, address) = (route.searcher.clone(), route.listen.to_string());
+        ListedSearcher { name, address, group: self.cell, status, since_ms: self.since_ms }
     }
 }
 
-/// Something that is due later.
+/// Something that the run does at a later time. Mixers, searchers and proxies are given by their numbers.
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Begin(Trouble),
-    FrontOff(usize),
+enum Action {
+    BeginFault(Fault),
+    TakeOutOfRotation(usize),
     StartMixer(usize),
-    TakeOver(usize),
-    Resume(usize),
+    StartSuccessor(usize),
+    ResumeMixer(usize),
     Stutter { mixer: usize, left: u32, ms: u64, apart_ms: u64 },
     ResumeSearcher(usize),
     StartSearcher(usize),
-    Behave(usize),
+    RestoreSearcher(usize),
     RemoveSearcher(usize),
     ReplaceSearcher(usize),
-    PassWhole(usize),
-    Hangup { mixer: usize, left: u32 },
+    RestoreProxy(usize),
+    SendHangup { mixer: usize, left: u32 },
+}
+
+struct ScheduledAction {
+    due_at: f64,
+    action: Action,
 }
 
 struct Run<'a> {
     options: &'a Options,
-    /// Those that are loaded before a mixer.
+    /// The libraries that are preloaded into each mixer.
     libraries: Vec<PathBuf>,
     recorder: Recorder,
     mixers: Vec<Mixer>,
-    searchers: Vec<Searcher>,
-    proxies: Vec<Helper>,
-    /// Held for as long as the run.
+    searchers: Vec<SearcherSlot>,
+    proxies: Vec<RoleProcess>,
+    /// Keeps the ports reserved for the run.
     _ports: Ports,
-    due: Vec<(f64, Due)>,
+    schedule: Vec<ScheduledAction>,
 }
 
-/// Unix time, as discovery states when a searcher began.
+/// Unix time, in which discovery states when a searcher started.
 #[expect(clippy::disallowed_methods, reason = "discovery's lists state Unix time")]
 fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-/// Plays one run and judges it.
+/// Plays one run and checks it.
 ///
 /// # Errors
-/// If the run itself could not be played: a file, a port or a process was not to be had.
-pub fn play(options: &Options) -> Result<Verdict> {
-    // One at a time in a process: they share its ports, and each wants the machine.
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+/// If the run could not be played, as a file, a port or a process was not available.
+pub fn play(options: &Options) -> Result<Report> {
+    // The runs of a process share its ports, and each needs the whole machine: they run one at a time.
+    let _lock = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     if options.folder.exists() {
         std::fs::remove_dir_all(&options.folder)?;
     }
     std::fs::create_dir_all(&options.folder)?;
-    let libraries = options.libraries()?;
+    let libraries = options.build_libraries()?;
     let mut run = Run::start(options, libraries)?;
     run.wait_until_ready()?;
-    let begun = now_ms();
-    let troubles = match &options.troubles {
-        Some(troubles) => troubles.clone(),
-        None if options.narrow => trouble::draw_narrow(options.seed, options.seconds * 1000, options.sizes),
-        None => trouble::draw(options.seed, options.seconds * 1000, options.sizes),
-    };
-    run.due.extend(troubles.into_iter().map(|(at, trouble)| (begun + at as f64, Due::Begin(trouble))));
-    let end = begun + options.seconds as f64 * 1000.0;
+    let begun_at = now_ms();
+    run.schedule_faults(begun_at);
+    let end = begun_at + options.seconds as f64 * 1000.0;
     while now_ms() < end {
-        run.turn()?;
+        run.tick()?;
         std::thread::sleep(TICK);
     }
     run.settle()?;
-    run.take_stock();
+    run.record_final_state();
     drop(run);
     let mut events = record::read_all(&options.folder)?;
-    events.sort_by(|one, other| judge::time(one).total_cmp(&judge::time(other)));
-    Ok(judge::judge(&events))
+    events.sort_by(|one, other| checker::event_time(one).total_cmp(&checker::event_time(other)));
+    Ok(checker::check(&events))
 }
 
 impl<'a> Run<'a> {
     fn start(options: &'a Options, libraries: Vec<PathBuf>) -> Result<Self> {
         let mut ports = Ports::reserve()?;
-        let folder = options.folder.to_string_lossy().into_owned();
         let searchers = (0..options.sizes.searchers)
-            .map(|n| searcher_place(n, &mut ports))
+            .map(|number| searcher_slot(number, &mut ports))
+            .collect::<Result<Vec<_>>>()?;
+        let proxies = start_proxies(options, &searchers)?;
+        let mixers = (0..options.sizes.mixers)
+            .map(|number| start_surroundings(options, number, &mut ports))
             .collect::<Result<Vec<_>>>()?;
-        let mut proxies = Vec::new();
-        for number in 0..options.sizes.proxies {
-            let of_it = searchers.iter().enumerate().filter(|(n, _)| n % options.sizes.proxies == number);
-            let ways = of_it.flat_map(|(_, searcher)| searcher.ways.clone()).collect();
-            let setup = proxy::Setup { folder: folder.clone(), number, ways, narrow: options.narrow };
-            proxies.push(Helper::start(&options.role_arguments, &Role::Proxy(setup))?);
-        }
-        let mut mixers = Vec::new();
-        for number in 0..options.sizes.mixers {
-            let listen = ports.next_free()?;
-            let places = [ports.next_free()?, ports.next_free()?];
-            let agent = agent::Setup { folder: folder.clone(), mixer: number, places };
-            let seed = options.seed * 100 + number as u64;
-            let clients = clients::Setup {
-                folder: folder.clone(),
-                mixer: number,
-                address: listen,
-                seed,
-                long_texts: options.narrow,
-                halves: options.halves,
-            };
-            mixers.push(Mixer {
-                name: format!("m{number}"),
-                listen,
-                places,
-                place: 0,
-                process: None,
-                before: None,
-                processes: 0,
-                ends_by: None,
-                stutters_until: 0.0,
-                ready: false,
-                agent: Helper::start(&options.role_arguments, &Role::Agent(agent))?,
-                clients: Helper::start(&options.role_arguments, &Role::Clients(clients))?,
-            });
-        }
         let recorder = Recorder::create(&options.folder.join("runner.jsonl"))?;
-        let due = Vec::new();
-        let mut run = Self { options, libraries, recorder, mixers, searchers, proxies, _ports: ports, due };
+        let schedule = Vec::new();
+        let mut run =
+            Self { options, libraries, recorder, mixers, searchers, proxies, _ports: ports, schedule };
         for searcher in 0..run.searchers.len() {
             run.start_searcher(searcher)?;
         }
-        let all: Vec<Listed> = run.searchers.iter().map(Searcher::listed).collect();
-        run.tell_agents(&all);
+        let all: Vec<ListedSearcher> = run.searchers.iter().map(SearcherSlot::listed).collect();
+        run.update_agents(&all);
         for mixer in 0..run.mixers.len() {
             run.start_mixer(mixer)?;
         }
@@ -259,73 +236,89 @@
     }
 
     fn wait_until_ready(&mut self) -> Result<()> {
-        let begun = now_ms();
-        while self.mixers.iter().any(|mixer| !mixer.ready) {
-            ensure!(now_ms() - begun < UP_IN_MS, "not all mixers came up");
-            self.turn()?;
+        let begun_at = now_ms();
+        while self.mixers.iter().any(|mixer| !mixer.is_ready) {
+            ensure!(now_ms() - begun_at < START_TIMEOUT_MS, "not all mixers became ready");
+            self.tick()?;
             std::thread::sleep(TICK);
         }
         Ok(())
     }
 
-    /// Does what is due, and looks at each mixer.
-    fn turn(&mut self) -> Result<()> {
+    /// Schedules the faults of a run that begins at this time.
+    fn schedule_faults(&mut self, begun_at: f64) {
+        let Options { seed, seconds, sizes, .. } = self.options;
+        let faults = match &self.options.faults {
+            Some(faults) => faults.clone(),
+            None if self.options.small_buffers => {
+                fault::draw_for_small_buffers(*seed, seconds * 1000, *sizes)
+            }
+            None => fault::draw(*seed, seconds * 1000, *sizes),
+        };
+        self.schedule.extend(faults.into_iter().map(|ScheduledFault { at_ms, fault }| ScheduledAction {
+            due_at: begun_at + at_ms as f64,
+            action: Action::BeginFault(fault),
+        }));
+    }
+
+    /// Performs the actions that are due, and checks each mixer.
+    fn tick(&mut self) -> Result<()> {
         let now = now_ms();
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.due).into_iter().partition(|due| due.0 <= now);
-        self.due = later;
-        for (_, due) in due {
-            self.carry_out(due)?;
+            std::mem::take(&mut self.schedule).into_iter().partition(|scheduled| scheduled.due_at <= now);
+        self.schedule = later;
+        for scheduled in due {
+            self.perform(scheduled.action)?;
         }
-        (0..self.mixers.len()).try_for_each(|mixer| self.look_at(mixer))
+        (0..self.mixers.len()).try_for_each(|mixer| self.check_mixer(mixer))
     }
 
     fn start_searcher(&mut self, number: usize) -> Result<()> {
         let searcher = &mut self.searchers[number];
         searcher.processes += 1;
-        let way = searcher.way().clone();
+        let route = searcher.route().clone();
         let setup = searcher::Setup {
             folder: self.options.folder.to_string_lossy().into_owned(),
-            name: way.searcher,
+            name: route.searcher,
             process: searcher.processes,
-            listen: way.target,
+            listen: route.target,
             seed: self.options.seed * 10_000 + number as u64 * 10 + u64::from(searcher.processes),
         };
-        searcher.process = Some(Helper::start(&self.options.role_arguments, &Role::Searcher(setup))?);
+        searcher.process = Some(RoleProcess::start(&self.options.role_arguments, &Role::Searcher(setup))?);
         Ok(())
     }
 
-    fn tell_agents(&mut self, changed: &[Listed]) {
+    /// Sends changed entries of the list to all agents.
+    fn update_agents(&mut self, changed: &[ListedSearcher]) {
         for mixer in &mut self.mixers {
-            mixer.agent.tell(&AgentOrder::Change(changed.to_vec()));
+            mixer.agent.send(&AgentCommand::Change(changed.to_vec()));
         }
     }
 
-    fn later(&mut self, ms: u64, due: Due) {
-        self.due.push((now_ms() + ms as f64, due));
+    fn schedule_after(&mut self, ms: u64, action: Action) {
+        self.schedule.push(ScheduledAction { due_at: now_ms() + ms as f64, action });
     }
 
-    /// Lets all that was asked come to its end.
+    /// Stops the clients, and waits until all requests have ended.
     fn settle(&mut self) -> Result<()> {
-        let ms = SETTLE_MS;
-        self.mixers.iter_mut().for_each(|mixer| mixer.clients.tell(&ClientsOrder::Finish));
-        let end = now_ms() + ms as f64;
+        self.mixers.iter_mut().for_each(|mixer| mixer.clients.send(&ClientsCommand::Finish));
+        let end = now_ms() + SETTLE_MS as f64;
         while now_ms() < end {
-            self.turn()?;
+            self.tick()?;
             std::thread::sleep(TICK);
         }
         Ok(())
     }
 
-    /// Records what the mixers hold, and their counters.
-    fn take_stock(&mut self) {
+    /// Records the resources and counters of the mixers.
+    fn record_final_state(&mut self) {
         for (number, mixer) in self.mixers.iter().enumerate() {
             let Some(process) = &mixer.process else { continue };
-            if let Some((descriptors, threads, peak_kb)) = process.resources() {
+            if let Some(Resources { descriptors, threads, peak_kb }) = process.resources() {
                 let at = now_ms();
                 self.recorder.record(&Event::Resources { at, mixer: number, descriptors, threads, peak_kb });
             }
-            if let Ok((200, text)) = page(mixer.listen, "/-/counters") {
+            if let Ok((200, text)) = fetch_page(mixer.listen, "/-/counters") {
                 let lines: Vec<String> = text.lines().map(str::to_owned).collect();
                 record_counters(&self.recorder, number, &lines);
             }
@@ -333,6 +326,52 @@
     }
 }
 
+/// Starts the fault proxies; each serves every nth searcher.
+fn start_proxies(options: &Options, searchers: &[SearcherSlot]) -> Result<Vec<RoleProcess>> {
+    let mut proxies = Vec::new();
+    for number in 0..options.sizes.proxies {
+        let served = searchers.iter().enumerate().filter(|(nth, _)| nth % options.sizes.proxies == number);
+        let setup = proxy::Setup {
+            folder: options.folder.to_string_lossy().into_owned(),
+            number,
+            routes: served.flat_map(|(_, searcher)| searcher.routes.clone()).collect(),
+            small_buffers: options.small_buffers,
+        };
+        proxies.push(RoleProcess::start(&options.role_arguments, &Role::Proxy(setup))?);
+    }
+    Ok(proxies)
+}
+
+/// Starts the agent and the clients of a mixer that is not started yet.
+fn start_surroundings(options: &Options, number: usize, ports: &mut Ports) -> Result<Mixer> {
+    let folder = options.folder.to_string_lossy().into_owned();
+    let listen = ports.next_free()?;
+    let discovery_addresses = [ports.next_free()?, ports.next_free()?];
+    let agent = agent::Setup { folder: folder.clone(), mixer: number, discovery_addresses };
+    let clients = clients::Setup {
+        folder,
+        mixer: number,
+        address: listen,
+        seed: options.seed * 100 + number as u64,
+        long_texts: options.small_buffers,
+        halves: options.halves,
+    };
+    Ok(Mixer {
+        name: format!("m{number}"),
+        listen,
+        discovery_addresses,
+        discovery_index: 0,
+        process: None,
+        predecessor: None,
+        processes: 0,
+        kill_at: None,
+        stutters_until: 0.0,
+        is_ready: false,
+        agent: RoleProcess::start(&options.role_arguments, &Role::Agent(agent))?,
+        clients: RoleProcess::start(&options.role_arguments, &Role::Clients(clients))?,
+    })
+}
+
 fn record_counters(recorder: &Recorder, mixer: usize, lines: &[String]) {
     for line in lines {
         let Some((name, value)) = line.rsplit_once(' ') else { continue };
@@ -342,14 +381,22 @@
     }
 }
 
-/// The place of a searcher, with the names and addresses of those that may stand there in turn.
-fn searcher_place(number: usize, ports: &mut Ports) -> Result<Searcher> {
+/// A slot for a searcher, with the names and addresses of those that replace one another in it.
+fn searcher_slot(number: usize, ports: &mut Ports) -> Result<SearcherSlot> {
     let cell = number as u32 % CELLS;
-    let way = |generation: usize| {
+    let route = |generation: usize| {
         let (listen, target) = (ports.next_free()?, ports.next_free()?);
         let searcher = format!("s{number}{}", ["a", "b", "c"][generation % GENERATIONS]);
-        Ok(Way { listen, target, searcher, cell })
+        Ok(Route { listen, target, searcher, cell })
     };
-    let ways = (0..GENERATIONS).map(way).collect::<Result<_>>()?;
-    Ok(Searcher { cell, ways, generation: 0, processes: 0, process: None, status: Status::Up, since_ms: 0.0 })
+    let routes = (0..GENERATIONS).map(route).collect::<Result<_>>()?;
+    Ok(SearcherSlot {
+        cell,
+        routes,
+        generation: 0,
+        processes: 0,
+        process: None,
+        status: Status::Up,
+        since_ms: 0.0,
+    })
 }
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -1,208 +1,219 @@
-//! A run's part for faults: each begun when it is due, and undone later.
+//! Fault injection of a run: each fault begins when it is due and is undone later.
 
 use anyhow::Result;
 use rustix::process::Signal;
 
-use super::{Due, GENERATIONS, KILLED_AFTER_MS, Run, unix_ms};
+use super::{Action, GENERATIONS, KILL_GRACE_MS, Run, unix_ms};
 use crate::clock::now_ms;
-use crate::control::{AgentOrder, ClientsOrder, Manner, Passing, ProxyOrder, SearcherOrder};
-use crate::fleet::signal;
+use crate::control::{
+    AgentCommand, ClientsCommand, ProxyCommand, ProxyMode, SearcherBehavior, SearcherCommand,
+};
+use crate::fault::Fault;
+use crate::process::send_signal;
 use crate::record::{Event, Status};
-use crate::settings::LONGEST_MS;
-use crate::trouble::Trouble;
+use crate::settings::LONGEST_TIMEOUT_MS;
+
+/// The time between the removal of a searcher from the list and its replacement.
+const REPLACEMENT_DELAY_MS: u64 = 600;
+/// The time between two SIGHUPs of a reload.
+const HANGUP_INTERVAL_MS: u64 = 20;
 
 impl Run<'_> {
-    pub(super) fn carry_out(&mut self, due: Due) -> Result<()> {
-        match due {
-            Due::Begin(trouble) => self.begin(trouble)?,
-            Due::FrontOff(mixer) => self.mixers[mixer].clients.tell(&ClientsOrder::Front(false)),
-            Due::StartMixer(mixer) if self.mixers[mixer].process.is_some() => {}
-            Due::StartMixer(mixer) => self.start_mixer(mixer)?,
-            Due::TakeOver(mixer) => self.take_over(mixer)?,
-            Due::Resume(mixer) => self.resume_mixer(mixer),
-            Due::Stutter { mixer, left, ms, apart_ms } => {
+    pub(super) fn perform(&mut self, action: Action) -> Result<()> {
+        match action {
+            Action::BeginFault(fault) => self.begin_fault(fault)?,
+            Action::TakeOutOfRotation(mixer) => {
+                self.mixers[mixer].clients.send(&ClientsCommand::SetInRotation(false))
+            }
+            Action::StartMixer(mixer) if self.mixers[mixer].process.is_some() => {}
+            Action::StartMixer(mixer) => self.start_mixer(mixer)?,
+            Action::StartSuccessor(mixer) => self.start_successor(mixer)?,
+            Action::ResumeMixer(mixer) => self.resume_mixer(mixer),
+            Action::Stutter { mixer, left, ms, apart_ms } => {
                 self.signal_mixer(mixer, Signal::STOP, "STOP");
-                self.later(ms, Due::Resume(mixer));
+                self.schedule_after(ms, Action::ResumeMixer(mixer));
                 if left > 1 {
-                    self.later(ms + apart_ms, Due::Stutter { mixer, left: left - 1, ms, apart_ms });
+                    self.schedule_after(
+                        ms + apart_ms,
+                        Action::Stutter { mixer, left: left - 1, ms, apart_ms },
+                    );
                 }
             }
-            Due::ResumeSearcher(searcher) => {
+            Action::ResumeSearcher(searcher) => {
                 if let Some(process) = &self.searchers[searcher].process {
-                    signal(&process.child, Signal::CONT);
+                    send_signal(&process.child, Signal::CONT);
                 }
             }
-            Due::StartSearcher(number) => {
+            Action::StartSearcher(number) => {
                 self.start_searcher(number)?;
                 self.searchers[number].since_ms = unix_ms();
                 let listed = self.searchers[number].listed();
-                self.tell_agents(&[listed]);
+                self.update_agents(&[listed]);
+            }
+            Action::RestoreSearcher(searcher) => {
+                self.set_searcher_behavior(searcher, SearcherBehavior::Answers);
             }
-            Due::Behave(searcher) => self.searcher_does(searcher, Manner::Answers),
-            Due::RemoveSearcher(number) => {
+            Action::RemoveSearcher(number) => {
                 self.searchers[number].status = Status::Removed;
                 let listed = self.searchers[number].listed();
-                self.tell_agents(&[listed]);
-                self.later(600, Due::ReplaceSearcher(number));
+                self.update_agents(&[listed]);
+                self.schedule_after(REPLACEMENT_DELAY_MS, Action::ReplaceSearcher(number));
             }
-            Due::ReplaceSearcher(number) => {
+            Action::ReplaceSearcher(number) => {
                 let searcher = &mut self.searchers[number];
                 searcher.process = None;
                 searcher.generation += 1;
-                (searcher.status, searcher.since_ms) = (Status::Up, unix_ms());
+                searcher.status = Status::Up;
+                searcher.since_ms = unix_ms();
                 self.start_searcher(number)?;
                 let listed = self.searchers[number].listed();
-                self.tell_agents(&[listed]);
+                self.update_agents(&[listed]);
             }
-            Due::PassWhole(proxy) => self.proxies[proxy].tell(&ProxyOrder::Passing(Passing::Whole)),
-            Due::Hangup { mixer, left } => {
+            Action::RestoreProxy(proxy) => self.proxies[proxy].send(&ProxyCommand::SetMode(ProxyMode::Whole)),
+            Action::SendHangup { mixer, left } => {
                 self.signal_mixer(mixer, Signal::HUP, "HUP");
                 if left > 1 {
-                    self.later(20, Due::Hangup { mixer, left: left - 1 });
+                    self.schedule_after(HANGUP_INTERVAL_MS, Action::SendHangup { mixer, left: left - 1 });
                 }
             }
         }
         Ok(())
     }
 
-    fn searcher_does(&mut self, number: usize, manner: Manner) {
+    fn set_searcher_behavior(&mut self, number: usize, behavior: SearcherBehavior) {
         if let Some(process) = &mut self.searchers[number].process {
-            process.tell(&SearcherOrder::Manner(manner));
+            process.send(&SearcherCommand::SetBehavior(behavior));
         }
     }
 
-    fn begin(&mut self, trouble: Trouble) -> Result<()> {
+    fn begin_fault(&mut self, fault: Fault) -> Result<()> {
         let now = now_ms();
-        let lasts = |ms: u64| now + ms as f64;
-        let note = |until: f64| Event::Trouble { at: now, until, what: format!("{trouble:?}") };
-        match trouble {
-            Trouble::MixerEnds { mixer, front_ms } => {
+        let end_after = |ms: u64| now + ms as f64;
+        let event = |until: f64| Event::Fault { at: now, until, description: format!("{fault:?}") };
+        match fault {
+            Fault::MixerEnds { mixer, front_ms } => {
                 if !self.may_end(mixer) {
                     return Ok(());
                 }
-                self.recorder.record(&note(now));
+                self.recorder.record(&event(now));
                 self.signal_mixer(mixer, Signal::TERM, "TERM");
-                self.mixers[mixer].ends_by = Some(now + LONGEST_MS + KILLED_AFTER_MS);
-                self.later(front_ms, Due::FrontOff(mixer));
+                self.mixers[mixer].kill_at = Some(now + LONGEST_TIMEOUT_MS + KILL_GRACE_MS);
+                self.schedule_after(front_ms, Action::TakeOutOfRotation(mixer));
             }
-            Trouble::MixerHandsOver { mixer, after_ms } => {
+            Fault::MixerHandsOver { mixer, after_ms } => {
                 if !self.may_end(mixer) {
                     return Ok(());
                 }
-                self.recorder.record(&note(now));
+                self.recorder.record(&event(now));
                 self.signal_mixer(mixer, Signal::TERM, "TERM");
-                self.mixers[mixer].ends_by = Some(now + LONGEST_MS + KILLED_AFTER_MS);
-                self.later(after_ms, Due::TakeOver(mixer));
+                self.mixers[mixer].kill_at = Some(now + LONGEST_TIMEOUT_MS + KILL_GRACE_MS);
+                self.schedule_after(after_ms, Action::StartSuccessor(mixer));
             }
-            Trouble::MixerKilled { mixer } => {
+            Fault::MixerKilled { mixer } => {
                 if !self.may_end(mixer) {
                     return Ok(());
                 }
-                self.recorder.record(&note(now));
+                self.recorder.record(&event(now));
                 self.signal_mixer(mixer, Signal::KILL, "KILL");
-                self.mixers[mixer].ends_by = Some(f64::INFINITY);
+                self.mixers[mixer].kill_at = Some(f64::INFINITY);
             }
-            Trouble::MixerPaused { mixer, ms } => {
-                self.recorder.record(&note(lasts(ms)));
+            Fault::MixerPaused { mixer, ms } => {
+                self.recorder.record(&event(end_after(ms)));
                 self.signal_mixer(mixer, Signal::STOP, "STOP");
-                self.later(ms, Due::Resume(mixer));
+                self.schedule_after(ms, Action::ResumeMixer(mixer));
             }
-            Trouble::MixerStutters { mixer, count, ms, apart_ms } => {
-                // Two series at once would let it go on for no time at all.
+            Fault::MixerStutters { mixer, count, ms, apart_ms } => {
+                // With two series at once the mixer would not run at all in between.
                 if now < self.mixers[mixer].stutters_until {
                     return Ok(());
                 }
-                self.mixers[mixer].stutters_until = lasts(u64::from(count) * (ms + apart_ms));
-                self.recorder.record(&note(lasts(u64::from(count) * (ms + apart_ms))));
-                self.carry_out(Due::Stutter { mixer, left: count, ms, apart_ms })?;
-            }
-            Trouble::MixerReloads { mixer, signals } => {
-                self.recorder.record(&note(now));
-                let place = 1 - self.mixers[mixer].place;
-                self.mixers[mixer].place = place;
+                self.mixers[mixer].stutters_until = end_after(u64::from(count) * (ms + apart_ms));
+                self.recorder.record(&event(end_after(u64::from(count) * (ms + apart_ms))));
+                self.perform(Action::Stutter { mixer, left: count, ms, apart_ms })?;
+            }
+            Fault::MixerReloads { mixer, signals } => {
+                self.recorder.record(&event(now));
+                self.mixers[mixer].discovery_index = 1 - self.mixers[mixer].discovery_index;
                 self.write_config(mixer)?;
-                self.mixers[mixer].agent.tell(&AgentOrder::Move);
-                self.carry_out(Due::Hangup { mixer, left: signals })?;
+                self.mixers[mixer].agent.send(&AgentCommand::Move);
+                self.perform(Action::SendHangup { mixer, left: signals })?;
             }
-            Trouble::MixerReports { mixer } => {
-                self.recorder.record(&note(now));
+            Fault::MixerReports { mixer } => {
+                self.recorder.record(&event(now));
                 self.signal_mixer(mixer, Signal::USR1, "USR1");
             }
-            Trouble::LogReaderGone { mixer } => {
-                self.recorder.record(&note(f64::MAX));
-                self.mixers[mixer].process.iter().for_each(|process| process.log.go());
+            Fault::LogReaderGone { mixer } => {
+                self.recorder.record(&event(f64::MAX));
+                self.mixers[mixer].process.iter().for_each(|process| process.log.close());
             }
-            Trouble::LogReaderStalls { mixer, ms } => {
-                self.recorder.record(&note(lasts(ms)));
+            Fault::LogReaderStalls { mixer, ms } => {
+                self.recorder.record(&event(end_after(ms)));
                 self.mixers[mixer].process.iter().for_each(|process| process.log.stall(ms));
             }
-            Trouble::SearcherPaused { searcher, ms } => {
-                self.recorder.record(&note(lasts(ms)));
+            Fault::SearcherPaused { searcher, ms } => {
+                self.recorder.record(&event(end_after(ms)));
                 if let Some(process) = &self.searchers[searcher].process {
-                    signal(&process.child, Signal::STOP);
+                    send_signal(&process.child, Signal::STOP);
                 }
-                self.later(ms, Due::ResumeSearcher(searcher));
+                self.schedule_after(ms, Action::ResumeSearcher(searcher));
             }
-            Trouble::SearcherRestarts { searcher, ms } => {
+            Fault::SearcherRestarts { searcher, ms } => {
                 if self.searchers[searcher].status != Status::Up || self.searchers[searcher].process.is_none()
                 {
                     return Ok(());
                 }
-                self.recorder.record(&note(lasts(ms)));
+                self.recorder.record(&event(end_after(ms)));
                 self.searchers[searcher].process = None;
-                self.later(ms, Due::StartSearcher(searcher));
-            }
-            Trouble::SearcherDoes { searcher, manner, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.searcher_does(searcher, manner);
-                self.later(ms, Due::Behave(searcher));
-            }
-            Trouble::SearcherReplaced { searcher, drains_ms } => {
-                let place = &mut self.searchers[searcher];
-                if place.status != Status::Up
-                    || place.generation + 1 >= GENERATIONS
-                    || place.process.is_none()
-                {
+                self.schedule_after(ms, Action::StartSearcher(searcher));
+            }
+            Fault::SearcherDoes { searcher, manner, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.set_searcher_behavior(searcher, manner);
+                self.schedule_after(ms, Action::RestoreSearcher(searcher));
+            }
+            Fault::SearcherReplaced { searcher, drains_ms } => {
+                let slot = &mut self.searchers[searcher];
+                if slot.status != Status::Up || slot.generation + 1 >= GENERATIONS || slot.process.is_none() {
                     return Ok(());
                 }
-                place.status = Status::Draining;
-                self.recorder.record(&note(lasts(drains_ms)));
+                slot.status = Status::Draining;
+                self.recorder.record(&event(end_after(drains_ms)));
                 let listed = self.searchers[searcher].listed();
-                self.tell_agents(&[listed]);
-                self.later(drains_ms, Due::RemoveSearcher(searcher));
+                self.update_agents(&[listed]);
+                self.schedule_after(drains_ms, Action::RemoveSearcher(searcher));
             }
-            Trouble::ProxyPasses { proxy, passing, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.proxies[proxy].tell(&ProxyOrder::Passing(passing));
-                self.later(ms, Due::PassWhole(proxy));
+            Fault::ProxyPasses { proxy, passing, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.proxies[proxy].send(&ProxyCommand::SetMode(passing));
+                self.schedule_after(ms, Action::RestoreProxy(proxy));
             }
-            Trouble::AgentSilent { mixer, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.mixers[mixer].agent.tell(&AgentOrder::Silent(ms));
+            Fault::AgentSilent { mixer, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.mixers[mixer].agent.send(&AgentCommand::Silent(ms));
             }
-            Trouble::AgentDown { mixer, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.mixers[mixer].agent.tell(&AgentOrder::Down(ms));
+            Fault::AgentDown { mixer, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.mixers[mixer].agent.send(&AgentCommand::Down(ms));
             }
-            Trouble::AgentResets { mixer } => {
-                self.recorder.record(&note(now));
-                self.mixers[mixer].agent.tell(&AgentOrder::Reset);
+            Fault::AgentResets { mixer } => {
+                self.recorder.record(&event(now));
+                self.mixers[mixer].agent.send(&AgentCommand::Reset);
             }
-            Trouble::AgentSlow { mixer, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.mixers[mixer].agent.tell(&AgentOrder::Slow(ms));
+            Fault::AgentSlow { mixer, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.mixers[mixer].agent.send(&AgentCommand::Slow(ms));
             }
-            Trouble::ClientsLeave { mixer } => {
-                self.recorder.record(&note(now));
-                self.mixers[mixer].clients.tell(&ClientsOrder::LeaveAll);
+            Fault::ClientsLeave { mixer } => {
+                self.recorder.record(&event(now));
+                self.mixers[mixer].clients.send(&ClientsCommand::LeaveAll);
             }
-            Trouble::ClientsBurst { mixer, count } => {
-                self.recorder.record(&note(now));
-                self.mixers[mixer].clients.tell(&ClientsOrder::Burst(count));
+            Fault::ClientsBurst { mixer, count } => {
+                self.recorder.record(&event(now));
+                self.mixers[mixer].clients.send(&ClientsCommand::Burst(count));
             }
-            Trouble::ClientsCrowd { mixer, count, ms } => {
-                self.recorder.record(&note(lasts(ms)));
-                self.mixers[mixer].clients.tell(&ClientsOrder::Crowd(count, ms));
+            Fault::ClientsCrowd { mixer, count, ms } => {
+                self.recorder.record(&event(end_after(ms)));
+                self.mixers[mixer].clients.send(&ClientsCommand::Crowd(count, ms));
             }
         }
         Ok(())
--- a/crates/soak/src/run/mixers.rs
+++ b/crates/soak/src/run/mixers.rs
@@ -1,92 +1,95 @@
-//! A run's part for mixers: started, looked at, signalled, handed over and ended as the platform does.
+//! The mixers of a run: starting, checking, signalling, replacing and ending them as the platform does.
 
 use std::time::Duration;
 
 use anyhow::{Context, Result};
 use rustix::process::Signal;
 
-use super::{Due, Run, Searcher, record_counters};
+use super::{Action, EndingProcess, Run, ScheduledAction, SearcherSlot, record_counters};
 use crate::agent;
 use crate::clock::now_ms;
-use crate::control::ClientsOrder;
-use crate::control::Listed;
-use crate::fleet::{MixerProcess, Preload, page, signal};
+use crate::control::{ClientsCommand, ListedSearcher};
+use crate::process::{ClockDelays, MixerProcess, Preload, fetch_page, send_signal};
 use crate::record::{Event, Status};
-use crate::settings::{self, NARROW};
+use crate::settings::{self, SMALL_BUFFER_BYTES};
 
-/// One look at the clock in so many, and for how long at most, in milliseconds: the platform names 150.
-const HOLDS: (u32, u32) = (3000, 140);
+/// Delays of threads after they read the clock: shorter than the 150 ms that the platform states.
+const CLOCK_DELAYS: ClockDelays = ClockDelays { one_in: 3000, max_ms: 140 };
+/// The time between the end of a process and the start of the next one.
+const RESTART_DELAY_MS: f64 = 50.0;
+/// The time for the last lines of the log of a process that has ended.
+const LOG_DELAY: Duration = Duration::from_millis(10);
+/// Recorded for a SIGKILL after the time limit of a SIGTERM.
+const KILL_AFTER_TERM: &str = "KILL after TERM";
 
 impl Run<'_> {
-    /// Notes that a mixer is ready or has ended, kills one that takes too long over its end, and starts the next process.
-    pub(super) fn look_at(&mut self, number: usize) -> Result<()> {
+    /// Records whether a mixer became ready or ended, kills one that takes too long to end, and schedules the next process.
+    pub(super) fn check_mixer(&mut self, number: usize) -> Result<()> {
         let now = now_ms();
-        self.look_at_the_one_before(number)?;
+        self.check_predecessor(number)?;
         let mixer = &mut self.mixers[number];
         let Some(process) = &mut mixer.process else { return Ok(()) };
         if let Some(status) = process.child.try_wait()? {
-            let (status, expected) = (status.code(), mixer.ends_by.is_some());
+            let (status, expected) = (status.code(), mixer.kill_at.is_some());
             self.recorder.record(&Event::Exited { at: now, mixer: number, status, expected });
-            // The log's last lines may still be on their way.
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(LOG_DELAY);
             let counters = process.log.counters();
             record_counters(&self.recorder, number, &counters);
-            (mixer.process, mixer.ends_by, mixer.ready) = (None, None, false);
-            mixer.clients.tell(&ClientsOrder::Front(false));
-            self.due.push((now + 50.0, Due::StartMixer(number)));
+            mixer.process = None;
+            mixer.kill_at = None;
+            mixer.is_ready = false;
+            mixer.clients.send(&ClientsCommand::SetInRotation(false));
+            let action = Action::StartMixer(number);
+            self.schedule.push(ScheduledAction { due_at: now + RESTART_DELAY_MS, action });
             return Ok(());
         }
-        if mixer.ends_by.is_some_and(|by| by <= now) {
-            self.recorder.record(&Event::Signalled {
-                at: now,
-                mixer: number,
-                signal: "KILL after TERM".to_owned(),
-            });
-            signal(&process.child, Signal::KILL);
-            mixer.ends_by = Some(f64::INFINITY);
+        if mixer.kill_at.is_some_and(|kill_at| kill_at <= now) {
+            let signal = KILL_AFTER_TERM.to_owned();
+            self.recorder.record(&Event::Signalled { at: now, mixer: number, signal });
+            send_signal(&process.child, Signal::KILL);
+            mixer.kill_at = Some(f64::INFINITY);
             return Ok(());
         }
-        if !mixer.ready
-            && mixer.ends_by.is_none()
-            && page(mixer.listen, "/-/ready").is_ok_and(|(status, _)| status == 200)
+        if !mixer.is_ready
+            && mixer.kill_at.is_none()
+            && fetch_page(mixer.listen, "/-/ready").is_ok_and(|(status, _)| status == 200)
         {
-            mixer.ready = true;
+            mixer.is_ready = true;
             self.recorder.record(&Event::Ready { at: now_ms(), mixer: number });
-            mixer.clients.tell(&ClientsOrder::Front(true));
+            mixer.clients.send(&ClientsCommand::SetInRotation(true));
         }
         Ok(())
     }
 
-    /// The same for a process whose successor runs already.
-    fn look_at_the_one_before(&mut self, number: usize) -> Result<()> {
+    /// The same for a process whose successor already runs.
+    fn check_predecessor(&mut self, number: usize) -> Result<()> {
         let now = now_ms();
-        let Some((process, ends_by)) = &mut self.mixers[number].before else { return Ok(()) };
+        let Some(EndingProcess { process, kill_at }) = &mut self.mixers[number].predecessor else {
+            return Ok(());
+        };
         if let Some(status) = process.child.try_wait()? {
             let status = status.code();
             self.recorder.record(&Event::Exited { at: now, mixer: number, status, expected: true });
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(LOG_DELAY);
             record_counters(&self.recorder, number, &process.log.counters());
-            self.mixers[number].before = None;
-        } else if *ends_by <= now {
-            self.recorder.record(&Event::Signalled {
-                at: now,
-                mixer: number,
-                signal: "KILL after TERM".to_owned(),
-            });
-            signal(&process.child, Signal::KILL);
-            *ends_by = f64::INFINITY;
+            self.mixers[number].predecessor = None;
+        } else if *kill_at <= now {
+            let signal = KILL_AFTER_TERM.to_owned();
+            self.recorder.record(&Event::Signalled { at: now, mixer: number, signal });
+            send_signal(&process.child, Signal::KILL);
+            *kill_at = f64::INFINITY;
         }
         Ok(())
     }
 
-    /// Starts the next process of a mixer beside the one that ends.
-    pub(super) fn take_over(&mut self, number: usize) -> Result<()> {
+    /// Starts the next process of a mixer while the current one still ends.
+    pub(super) fn start_successor(&mut self, number: usize) -> Result<()> {
         let mixer = &mut self.mixers[number];
-        // It may have ended by itself, and its successor have been started, before.
-        let Some(ends_by) = mixer.ends_by else { return Ok(()) };
-        mixer.clients.tell(&ClientsOrder::Front(false));
+        // The process may have ended already, and its successor been started.
+        let Some(kill_at) = mixer.kill_at else { return Ok(()) };
+        mixer.clients.send(&ClientsCommand::SetInRotation(false));
         if let Some(process) = mixer.process.take() {
-            mixer.before = Some((process, ends_by));
+            mixer.predecessor = Some(EndingProcess { process, kill_at });
             self.start_mixer(number)?;
         }
         Ok(())
@@ -100,9 +103,9 @@
         let log = folder.join(format!("{}-{}.log", mixer.name, mixer.processes));
         let preload = Preload {
             libraries: self.libraries.clone(),
-            notes: folder.join(format!("sends-{}-{}.jsonl", mixer.name, mixer.processes)),
-            send_buffer: self.options.narrow.then_some(NARROW),
-            holds: self.options.holds.then_some(HOLDS),
+            record: folder.join(format!("sends-{}-{}.jsonl", mixer.name, mixer.processes)),
+            send_buffer_bytes: self.options.small_buffers.then_some(SMALL_BUFFER_BYTES),
+            clock_delays: self.options.clock_delays.then_some(CLOCK_DELAYS),
         };
         self.recorder.record(&Event::Started { at: now_ms(), mixer: number });
         mixer.process = Some(MixerProcess::start(
@@ -111,50 +114,55 @@
             log,
             &preload,
         )?);
-        (mixer.ready, mixer.ends_by) = (false, None);
+        mixer.is_ready = false;
+        mixer.kill_at = None;
         Ok(())
     }
 
-    /// Writes a mixer's configuration as the platform does, whole or not at all.
+    /// Writes a mixer's configuration atomically, as the platform does.
     pub(super) fn write_config(&self, number: usize) -> Result<()> {
         let mixer = &self.mixers[number];
-        let up: Vec<Listed> =
-            self.searchers.iter().map(Searcher::listed).filter(|s| s.status != Status::Removed).collect();
-        let known = agent::list(0, true, &up.iter().collect::<Vec<_>>());
+        let listed: Vec<ListedSearcher> = self
+            .searchers
+            .iter()
+            .map(SearcherSlot::listed)
+            .filter(|searcher| searcher.status != Status::Removed)
+            .collect();
+        let known = agent::discovery_list(0, true, &listed.iter().collect::<Vec<_>>());
         let seed = self.options.seed * 1000 + u64::from(mixer.processes);
-        let config = settings::config(
+        let config = settings::mixer_config(
             &mixer.name,
             mixer.listen,
-            mixer.places[mixer.place],
+            mixer.discovery_addresses[mixer.discovery_index],
             seed,
             self.mixers.len(),
             &known,
         );
         let path = self.options.folder.join(format!("{}.json", mixer.name));
-        let new = path.with_extension("new");
-        std::fs::write(&new, config.to_string()).context("a configuration")?;
-        std::fs::rename(new, path)?;
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, config.to_string()).context("writing a configuration")?;
+        std::fs::rename(temporary, path)?;
         Ok(())
     }
 
     pub(super) fn signal_mixer(&mut self, number: usize, kind: Signal, name: &str) {
         if let Some(process) = &self.mixers[number].process {
             self.recorder.record(&Event::Signalled { at: now_ms(), mixer: number, signal: name.to_owned() });
-            signal(&process.child, kind);
+            send_signal(&process.child, kind);
         }
     }
 
-    /// Lets a mixer go on, whichever of its processes was stopped.
+    /// Resumes a mixer, whichever of its processes was stopped.
     pub(super) fn resume_mixer(&mut self, number: usize) {
-        if let Some((process, _)) = &self.mixers[number].before {
-            signal(&process.child, Signal::CONT);
+        if let Some(ending) = &self.mixers[number].predecessor {
+            send_signal(&ending.process.child, Signal::CONT);
         }
         self.signal_mixer(number, Signal::CONT, "CONT");
     }
 
-    /// Whether a mixer runs that has not been asked to end, and none ends beside it.
+    /// Whether a mixer's process runs that was not sent SIGTERM, and no predecessor is still ending.
     pub(super) fn may_end(&self, number: usize) -> bool {
         let mixer = &self.mixers[number];
-        mixer.process.is_some() && mixer.ends_by.is_none() && mixer.before.is_none()
+        mixer.process.is_some() && mixer.kill_at.is_none() && mixer.predecessor.is_none()
     }
 }
