--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Action, Decide, Ending, Event, Life};
+use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, SearcherStatus};
 use pewterwharf::logic::Mixer;
-use pewterwharf::report::{Beliefs, Known};
-use pewterwharf_terms::Terms;
+use pewterwharf::report::{MixerStatus, ObservedSearcher};
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
 
@@ -39,7 +39,7 @@
 
 pub struct Reducer {
     module: Mixer,
-    terms: Terms,
+    terms: MixerConfig,
     phase: Phase,
     clients_cap: usize,
     links_cap: usize,
@@ -73,19 +73,19 @@
 }
 
 impl Reducer {
-    pub fn new(terms: Terms, seed: u64, sockets: usize) -> Self {
+    pub fn new(terms: MixerConfig, seed: u64, sockets: usize) -> Self {
         let half = sockets.saturating_sub(OTHERS + CHANGING) / 2;
         let mut terms = terms;
-        for kind in &mut terms.types {
+        for kind in &mut terms.table_types {
             // How a second step travels on sockets is not stated, so none is opened.
-            kind.second_step = false;
+            kind.has_second_step = false;
         }
-        let names = terms.type_names.iter().cloned();
+        let names = terms.table_type_names.iter().cloned();
         let by_type = names.map(|name| ByType { name, ..ByType::default() }).collect();
         Self {
             module: terms.open(seed),
             terms,
-            phase: Phase::Opening,
+            phase: Phase::Starting,
             clients_cap: half,
             links_cap: half,
             clients: BTreeMap::new(),
@@ -118,27 +118,27 @@
 
     /// Share of the slices for which the decision module has a usable searcher.
     pub fn usable(&self) -> f64 {
-        self.module.usable()
+        self.module.usable_share()
     }
 
     /// What the decision module believes, and why it refused.
-    pub fn beliefs(&self) -> Beliefs {
-        self.module.beliefs()
+    pub fn beliefs(&self) -> MixerStatus {
+        self.module.status()
     }
 
     /// What the decision module knows of each searcher by itself.
-    pub fn searchers(&self) -> impl Iterator<Item = Known> {
-        self.module.known()
+    pub fn searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
+        self.module.observed_searchers()
     }
 
     /// Scans of each customer in the last seconds, and whether connections were lost while idle.
     pub fn used(&self) -> (&[usize], bool) {
-        self.module.used()
+        (self.module.recent_scans_by_customer(), self.module.idle_connections_lost())
     }
 
     /// The version of the list that is gone by, and the searchers in it that are up.
     pub fn list(&self) -> (u64, u32) {
-        let ready = self.srvs.values().filter(|s| s.life == Life::Ready).count();
+        let ready = self.srvs.values().filter(|s| s.life == SearcherStatus::Ready).count();
         (self.list_index, ready as u32)
     }
 
@@ -149,16 +149,16 @@
 
     /// Of each table type, the weight of parts that makes a whole answer, and the least for any.
     pub fn needs(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.terms.types.iter().map(|t| (t.need, t.floor))
+        self.terms.table_types.iter().map(|t| (t.required_weight, t.minimum_weight))
     }
 
     /// The names of table types, in the same order.
     pub fn type_names(&self) -> &[String] {
-        &self.terms.type_names
+        &self.terms.table_type_names
     }
 
     /// When it wants to be called at the latest.
-    pub fn next_due(&self) -> Option<f64> {
+    pub fn next_timer_at(&self) -> Option<f64> {
         self.due.first().map(|d| f64::from_bits(d.0))
     }
 
@@ -169,10 +169,11 @@
 
     /// The counts, with what is open now.
     pub fn counters(&self) -> Counters {
-        let beliefs = self.module.beliefs();
-        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] = beliefs.refused_in_all();
+        let beliefs = self.module.status();
+        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] =
+            beliefs.rejections_by_reason();
         let mut by_type = self.counters.by_type.clone();
-        by_type.iter_mut().zip(beliefs.refused).for_each(|(counts, door)| counts.door = door);
+        by_type.iter_mut().zip(beliefs.rejected).for_each(|(counts, door)| counts.door = door);
         Counters {
             by_type,
             door_nobody_up,
@@ -188,7 +189,7 @@
     }
 
     /// Where the first watch leads; it has the number 0.
-    pub fn watches(&mut self, at: SocketAddrV4) {
+    pub fn set_discovery(&mut self, at: SocketAddrV4) {
         self.discovery = Some(at);
     }
 
@@ -208,7 +209,7 @@
     }
 
     /// The list as it was held before the start: it counts once the watch has said what changed since, or is silent.
-    pub fn cached(&mut self, now: f64, list: List) {
+    pub fn set_cached_list(&mut self, now: f64, list: List) {
         self.cached = Some(list);
         self.add_due(now + HOLD_MS, Due::Cached);
     }
@@ -254,9 +255,9 @@
         match input {
             Input::List { .. } => 0,
             // What came on a link before its end goes before it.
-            Input::Frames { .. } | Input::LinkEnd { .. } => 1,
+            Input::Frames { .. } | Input::LinkClosed { .. } => 1,
             // One that came in this very step has to be known before its end.
-            Input::ClientEnd { conn } if self.clients.contains_key(conn) => 1,
+            Input::ClientDisconnected { conn } if self.clients.contains_key(conn) => 1,
             _ => 2,
         }
     }
@@ -275,7 +276,7 @@
         self.phase = phase;
         let (queries, clients) = (self.scans.len(), self.clients.len());
         match phase {
-            Phase::Opening => {}
+            Phase::Starting => {}
             Phase::Ready => info!("ready"),
             Phase::Draining { listening: true, .. } => {
                 info!("draining: {queries} queries, {clients} clients")
@@ -317,36 +318,36 @@
 
     fn take(&mut self, now: f64, input: Input) {
         match input {
-            Input::ClientOpen { conn } => self.client_open(now, conn),
-            Input::Asked { conn, ask, close } => self.asked(now, conn, ask, close),
-            Input::Begun { conn } => self.begun(now, conn),
-            Input::SentBehind { conn } => self.sent_behind(conn),
-            Input::ClientEnd { conn } => self.client_end(now, conn),
-            Input::Slow { conn } => self.slow(conn),
-            Input::Said { conn } => self.said(now, conn),
-            Input::Sends { conn } => self.sends(conn),
+            Input::ClientConnected { conn } => self.client_open(now, conn),
+            Input::Request { conn, ask, close } => self.asked(now, conn, ask, close),
+            Input::RequestStarted { conn } => self.begun(now, conn),
+            Input::MoreDataBuffered { conn } => self.sent_behind(conn),
+            Input::ClientDisconnected { conn } => self.client_end(now, conn),
+            Input::AnswerDelayed { conn } => self.slow(conn),
+            Input::AnswerWritten { conn } => self.said(now, conn),
+            Input::DataAfterLastAnswer { conn } => self.sends(conn),
             Input::ListenerClosed => self.deaf = true,
-            Input::AcceptFailed { is_full } => {
+            Input::AcceptFailed { out_of_descriptors } => {
                 self.counters.accepts_failed += 1;
-                if is_full {
+                if out_of_descriptors {
                     self.make_room(now);
                 }
             }
             Input::LinkUp { link } => self.link_up(now, link),
-            Input::LinkBlocked { link, took_some } => self.link_blocked(now, link, took_some),
-            Input::LinkHasRoom { link } => self.link_has_room(link),
-            Input::LinkEnd { link, written } => self.link_end(now, link, written),
-            Input::Frames { link, frames, bad } => {
+            Input::LinkBlocked { link, made_progress } => self.link_blocked(now, link, made_progress),
+            Input::LinkWritable { link } => self.link_has_room(link),
+            Input::LinkClosed { link, frames_written: written } => self.link_end(now, link, written),
+            Input::Frames { link, frames, error: bad } => {
                 frames.into_iter().for_each(|frame| self.frame(now, link, frame));
                 bad.into_iter().for_each(|why| self.bad_frame(now, link, &why));
             }
             Input::List { watch, list } => self.watched(now, watch, list),
-            Input::Reloaded(change) => self.reloaded(now, change),
+            Input::ConfigReloaded(change) => self.reloaded(now, change),
             Input::WatchLost => self.counters.watches_lost += 1,
-            Input::StoodStill => self.counters.pauses += 1,
-            Input::Heard(events) => self.events.extend(events),
+            Input::ProcessPaused => self.counters.pauses += 1,
+            Input::FleetEvents(events) => self.events.extend(events),
             Input::Stop => self.stop(now),
-            Input::Report => self.effects.push(Effect::Print(self.counters().to_string())),
+            Input::PrintCounters => self.effects.push(Effect::PrintCounters(self.counters().to_string())),
         }
     }
 
@@ -360,7 +361,7 @@
             Due::Retry(link) => self.retry_blocked(link),
             Due::Linger(conn) => self.linger(now, conn),
             Due::Quiet(conn) => self.quiet(now, conn),
-            Due::Cached => self.uncache(now),
+            Due::Cached => self.use_cached_list(now),
             Due::Overdue(_) | Due::Drained | Due::Unsent => {}
         }
     }
@@ -370,7 +371,7 @@
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             let mut calls: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
-            for action in self.module.turn(now, events) {
+            for action in self.module.handle_events(now, events) {
                 self.act(now, action, &mut calls);
             }
             for (srv, attempt_ids) in calls {
@@ -383,12 +384,14 @@
 
     fn act(&mut self, now: f64, action: Action, calls: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>) {
         match action {
-            Action::Dispatch { part, searcher, patience_ms } => {
-                if let Some(attempt_id) = self.dispatch(now, part, searcher, patience_ms) {
+            Action::Dispatch { part, searcher, timeout_ms } => {
+                if let Some(attempt_id) = self.dispatch(now, part, searcher, timeout_ms) {
                     calls.entry(searcher).or_default().push(attempt_id);
                 }
             }
-            Action::Cancel { part, dispatch } => self.give_up(now, (part, dispatch), Ending::Cancelled),
+            Action::Cancel { part, dispatch } => {
+                self.give_up(now, (part, dispatch), DispatchOutcome::Cancelled)
+            }
             Action::Complete { scan, whole } => {
                 let Some(held) = self.scans.get(&scan) else { return };
                 self.counters.scans_completed += 1;
@@ -398,13 +401,13 @@
                 }
                 let parts = held.parts.iter().filter_map(|id| self.parts.get(id));
                 let values = parts.filter_map(|p| p.value.as_deref().map(|v| (p.shard, v)));
-                let body = http::rows(whole, values);
+                let body = http::encode_rows(whole, values);
                 self.answer_scan(now, scan, 200, None, &body);
             }
-            Action::Throttle { scan, back_in_ms } => {
+            Action::Throttle { scan, retry_after_ms } => {
                 self.counters.scans_throttled += u64::from(self.scans.contains_key(&scan));
                 self.count_type(scan, |of| &mut of.throttled);
-                self.answer_scan(now, scan, 503, back_in_ms, b"throttled\n");
+                self.answer_scan(now, scan, 503, retry_after_ms, b"throttled\n");
             }
             Action::Abandon { scan } => {
                 self.counters.scans_abandoned += u64::from(self.scans.contains_key(&scan));
@@ -412,7 +415,7 @@
                 self.answer_scan(now, scan, 504, None, b"abandoned\n");
             }
             Action::Probe { searcher } => self.probe(now, searcher),
-            Action::Hangup { searcher } => self.hang_up_links(searcher),
+            Action::CloseIdleConnections { searcher } => self.hang_up_links(searcher),
             Action::WakeAt { at } => self.add_due(at, Due::Wake),
             Action::Subscribe => {} // the watch is always held
             Action::Log { line } => info!("{line}"),
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! The reducer's part for clients: their connections, what they ask, and the answers.
 
-use pewterwharf::interface::{Event, Repeat};
+use pewterwharf::interface::{Event, Idempotency};
 use tracing::debug;
 
 use super::Reducer;
@@ -127,7 +127,7 @@
             ClientCloseReason::LastAnswerGiven => &mut self.counters.clients_closed_after_last_answer,
         };
         *count += 1;
-        self.effects.push(Effect::HangUp { conn });
+        self.effects.push(Effect::CloseClient { conn });
     }
 
     pub(super) fn client_end(&mut self, now: f64, conn: u64) {
@@ -147,7 +147,7 @@
 
     fn drop_client(&mut self, conn: u64) {
         self.clients.remove(&conn);
-        self.effects.push(Effect::DropClient { conn });
+        self.effects.push(Effect::ReleaseClient { conn });
     }
 
     pub(super) fn asked(&mut self, now: f64, conn: u64, ask: Ask, close: bool) {
@@ -184,7 +184,7 @@
     /// The indices of the names that a scan gives.
     fn known(&self, ask: &ScanAsk) -> Result<(usize, usize), (u16, String)> {
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let table_type = index(&self.terms.type_names, &ask.table_type)
+        let table_type = index(&self.terms.table_type_names, &ask.table_type)
             .ok_or_else(|| (404, format!("no table type {:?}", ask.table_type)))?;
         let customer = match &ask.customer {
             _ if self.terms.customers.is_empty() => 0,
@@ -192,7 +192,7 @@
             Some(name) => index(&self.terms.customer_names, name)
                 .ok_or_else(|| (400, format!("no customer {name:?}")))?,
         };
-        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shards) {
+        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shard_count) {
             return Err((400, format!("no shard {}", part.shard)));
         }
         // Nothing but its name tells an answer's part.
@@ -224,17 +224,17 @@
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"closing\n");
+            return self.answer(now, conn, 503, self.terms.permissions.retry_after_ms, b"closing\n");
         }
-        if !rules::may_take_query(open, ask.parts.len(), self.terms.open_cap) {
+        if !rules::may_take_query(open, ask.parts.len(), self.terms.max_open) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, conn, 503, self.terms.permits.back_in_ms, b"full\n");
+            return self.answer(now, conn, 503, self.terms.permissions.retry_after_ms, b"full\n");
         }
         let id = self.id();
         self.scan_number = self.scan_number.wrapping_add(1);
-        let terms = &self.terms.types[table_type];
+        let terms = &self.terms.table_types[table_type];
         let (number, gone_at) = (
             self.scan_number,
             rules::query_deadline(now, ask.wait_ms, terms.query_timeout_ms, self.ends_at()),
@@ -242,11 +242,19 @@
         let work: Option<Vec<f64>> = ask.parts.iter().map(|p| p.work_ms).collect();
         let work_ms = work.map(|w| w.iter().sum());
         let retry = ask.retry;
-        self.events.push(Event::Scan { id, number, table_type, customer, gone_at, work_ms, retry });
-        let repeat_until = match self.terms.types[table_type].repeat {
-            Repeat::Replayable => f64::INFINITY,
-            Repeat::Keyed { window_ms } => now + window_ms,
-            Repeat::NonReplayable => f64::NEG_INFINITY,
+        self.events.push(Event::Scan {
+            id,
+            number,
+            table_type,
+            customer,
+            deadline_at: gone_at,
+            work_ms,
+            retry,
+        });
+        let repeat_until = match self.terms.table_types[table_type].idempotency {
+            Idempotency::Replayable => f64::INFINITY,
+            Idempotency::Keyed { window_ms } => now + window_ms,
+            Idempotency::NonReplayable => f64::NEG_INFINITY,
         };
         let mut parts = Vec::with_capacity(ask.parts.len());
         for part in &ask.parts {
@@ -333,7 +341,7 @@
         client.refused_behind += u32::from(rules::is_refused_before_others(client, drain_serves_until, now));
         client.sent_behind = false;
         (client.scan, client.since, client.standing) = (None, now, ClientStanding::Resting);
-        let bytes = http::answer(status, back_in_ms, body, last);
+        let bytes = http::encode_answer(status, back_in_ms, body, last);
         self.effects.push(Effect::Answer { conn, bytes, last });
         if last {
             client.standing = ClientStanding::Over;
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use oorandom::Rand64;
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
 use pewterwharf_mixer::inputs::{Effect, Input, Phase};
 use pewterwharf_mixer::reducer::Reducer;
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use serde_json::{Value, json};
 
 const START: f64 = 1_700_000_000_000.0;
@@ -100,7 +100,7 @@
 /// One day: what is still to happen, and the truth that the mixer is held against.
 struct Day {
     seed: Rand64,
-    terms: Terms,
+    terms: MixerConfig,
     reducer: Reducer,
     now: f64,
     to_come: BTreeMap<(u64, u64), Input>,
@@ -113,7 +113,7 @@
     links: HashMap<u64, (u8, Vec<Vec<String>>, bool)>,
     /// Links whose searcher takes no more for now.
     blocked: BTreeSet<u64>,
-    lives: Vec<Life>,
+    lives: Vec<SearcherStatus>,
     answers: usize,
 }
 
@@ -124,8 +124,8 @@
     }
 
     fn list(&mut self, whole: bool) -> Input {
-        let entries =
-            self.lives.iter().enumerate().filter(|e| !whole || *e.1 != Life::Gone).map(|(n, life)| Entry {
+        let entries = self.lives.iter().enumerate().filter(|e| !whole || *e.1 != SearcherStatus::Gone).map(
+            |(n, life)| Entry {
                 name: format!("s{n}"),
                 addr: std::net::SocketAddrV4::new([10, 0, 0, n as u8].into(), 80),
                 zone: "hall".into(),
@@ -133,7 +133,8 @@
                 since: 0.0,
                 life: *life,
                 age_ms: 0.0,
-            });
+            },
+        );
         self.count += 1;
         let list = List { index: self.count, whole, entries: entries.collect(), bad: Vec::new() };
         Input::List { watch: 0, list }
@@ -142,7 +143,7 @@
     fn step(&mut self, inputs: Vec<Input>) {
         for input in &inputs {
             match input {
-                Input::ClientEnd { conn } => {
+                Input::ClientDisconnected { conn } => {
                     if let Some(asked) = self.by_conn.remove(conn).and_then(|id| self.asked.get_mut(&id)) {
                         asked.over = true;
                     }
@@ -157,7 +158,7 @@
                 _ => {}
             }
         }
-        let room = |input: &Input| if let Input::LinkHasRoom { link } = input { Some(*link) } else { None };
+        let room = |input: &Input| if let Input::LinkWritable { link } = input { Some(*link) } else { None };
         let has_room: Vec<u64> = inputs.iter().filter_map(room).collect();
         let effects = self.reducer.step(self.now, inputs.into_iter().map(|i| (self.now, i)).collect());
         for effect in effects {
@@ -175,12 +176,13 @@
                 self.links.insert(link, (addr.ip().octets()[3], Vec::new(), false));
                 let late = within(&mut self.seed, 0.0, 400.0);
                 let up = chance(&mut self.seed, 0.85);
-                let input = if up { Input::LinkUp { link } } else { Input::LinkEnd { link, written: 0 } };
+                let input =
+                    if up { Input::LinkUp { link } } else { Input::LinkClosed { link, frames_written: 0 } };
                 self.at(self.now + late, input);
             }
             Effect::CloseLink { link } => {
                 let written = self.links.get(&link).map_or(0, |l| l.1.len() as u64);
-                self.at(self.now, Input::LinkEnd { link, written });
+                self.at(self.now, Input::LinkClosed { link, frames_written: written });
             }
             Effect::Send { link } => self.write(link),
             Effect::Answer { conn, bytes, .. } => self.answered(conn, &bytes),
@@ -197,17 +199,17 @@
                 self.written(link, &frame.bytes);
                 continue;
             }
-            self.reducer.not_begun(link);
+            self.reducer.return_frame(link);
             self.blocked.insert(link);
-            self.at(self.now, Input::LinkBlocked { link, took_some: false });
+            self.at(self.now, Input::LinkBlocked { link, made_progress: false });
             let later = within(&mut self.seed, 0.0, 600.0);
-            self.at(self.now + later, Input::LinkHasRoom { link });
+            self.at(self.now + later, Input::LinkWritable { link });
         }
     }
 
     fn written(&mut self, link: u64, bytes: &[u8]) {
         let text = String::from_utf8_lossy(&bytes[4..]).into_owned();
-        let permits = self.terms.permits.clone();
+        let permits = self.terms.permissions.clone();
         match text.as_bytes()[0] {
             b'K' => assert!(permits.cancel, "a part is given up where that is not allowed"),
             b'I' => assert!(permits.probe, "a probe where none is allowed"),
@@ -227,29 +229,29 @@
         for name in names {
             assert_eq!(
                 self.lives[usize::from(srv)],
-                Life::Ready,
+                SearcherStatus::Ready,
                 "{name} goes to one that drains or is gone"
             );
             let id = name.split('.').next().unwrap_or_default();
             let asked = self.asked.get(id).unwrap_or_else(|| panic!("{name} was never asked for"));
             assert!(!asked.over, "{name} is sent for a scan that is over");
-            let kind = &self.terms.types[asked.kind];
+            let kind = &self.terms.table_types[asked.kind];
             let sent = self.sent.entry(name.clone()).or_default();
             let may_have_run = sent.0.iter().filter(|s| !s.2).map(|s| s.0).reduce(f64::min);
-            match kind.repeat {
-                pewterwharf::interface::Repeat::NonReplayable => {
+            match kind.idempotency {
+                pewterwharf::interface::Idempotency::NonReplayable => {
                     assert!(may_have_run.is_none(), "{name} may run twice");
                 }
-                pewterwharf::interface::Repeat::Keyed { window_ms } => {
+                pewterwharf::interface::Idempotency::Keyed { window_ms } => {
                     assert!(
                         may_have_run.is_none_or(|at| self.now <= at + window_ms),
                         "{name} past its window"
                     );
                 }
-                pewterwharf::interface::Repeat::Replayable => {}
+                pewterwharf::interface::Idempotency::Replayable => {}
             }
             sent.0.push((self.now, link, false));
-            assert!(sent.0.len() <= permits.dispatches as usize, "{name} is sent too often");
+            assert!(sent.0.len() <= permits.max_dispatches as usize, "{name} is sent too often");
             let take = within(&mut self.seed, 1.0, 600.0);
             let verdict = match self.seed.rand_range(0..20) {
                 0..=13 => Some(Verdict::Ok),
@@ -261,7 +263,7 @@
                 let frame = Frame::Part { id: name, verdict, value: "v".into(), busy: None };
                 let twice = chance(&mut self.seed, 0.05);
                 for _ in 0..=u8::from(twice) {
-                    let input = Input::Frames { link, frames: vec![frame.clone()], bad: None };
+                    let input = Input::Frames { link, frames: vec![frame.clone()], error: None };
                     self.at(self.now + take, input);
                 }
             }
@@ -270,7 +272,7 @@
             // It breaks; the last frame may not have gone out whole.
             let whole = self.links[&link].1.len() as u64;
             let written = whole - u64::from(chance(&mut self.seed, 0.5));
-            self.at(self.now, Input::LinkEnd { link, written });
+            self.at(self.now, Input::LinkClosed { link, frames_written: written });
         }
     }
 
@@ -281,7 +283,7 @@
         asked.over = true;
         self.answers += 1;
         assert!(self.now <= asked.by + 1.0, "{id} is answered after its time");
-        let (text, kind) = (String::from_utf8_lossy(bytes), &self.terms.types[asked.kind]);
+        let (text, kind) = (String::from_utf8_lossy(bytes), &self.terms.table_types[asked.kind]);
         let names: Vec<String> = (0..asked.parts).map(|n| format!("{id}.{n}")).collect();
         let open = |name: &String| self.sent.get(name).is_some_and(|s| s.0.iter().any(|d| !d.2));
         if text.starts_with("HTTP/1.1 200") {
@@ -289,10 +291,16 @@
             let had =
                 names.iter().filter(|n| self.values.contains(*n)).count() as f64 / f64::from(asked.parts);
             assert!(rows <= had + 1e-6, "{id} is answered with what no searcher gave");
-            assert!(rows + 1e-3 >= kind.floor.min(kind.need), "{id} is answered under the floor");
-            assert!(!text.contains("\"exact\":true") || rows + 1e-3 >= kind.need, "{id} is called whole");
+            assert!(
+                rows + 1e-3 >= kind.minimum_weight.min(kind.required_weight),
+                "{id} is answered under the floor"
+            );
+            assert!(
+                !text.contains("\"exact\":true") || rows + 1e-3 >= kind.required_weight,
+                "{id} is called whole"
+            );
         } else if text.starts_with("HTTP/1.1 503") {
-            let unsafe_kind = kind.repeat == pewterwharf::interface::Repeat::NonReplayable;
+            let unsafe_kind = kind.idempotency == pewterwharf::interface::Idempotency::NonReplayable;
             assert!(!unsafe_kind || !names.iter().any(open), "{id} is throttled and may have run");
         }
     }
@@ -300,7 +308,7 @@
     /// What ends of links and answers prove, just before the mixer hears of it.
     fn proves(&mut self, input: &Input) {
         match input {
-            Input::LinkEnd { link, written } => {
+            Input::LinkClosed { link, frames_written: written } => {
                 let Some(held) = self.links.get(link) else { return };
                 for name in held.1.iter().skip(*written as usize).flatten() {
                     let sent = self.sent.get_mut(name).into_iter().flat_map(|s| s.0.iter_mut());
@@ -322,10 +330,10 @@
     fn play(number: u128) -> usize {
         let mut seed = Rand64::new(number);
         let settings = settings(&mut seed);
-        let terms = Terms::of_json(&settings).unwrap_or_else(|why| panic!("{why:#}: {settings}"));
+        let terms = MixerConfig::from_json(&settings).unwrap_or_else(|why| panic!("{why:#}: {settings}"));
         let reducer = Reducer::new(terms.clone(), seed.rand_u64(), 400);
         let mut day = Self {
-            lives: vec![Life::Ready; seed.rand_range(1..6) as usize],
+            lives: vec![SearcherStatus::Ready; seed.rand_range(1..6) as usize],
             seed,
             terms,
             reducer,
@@ -349,7 +357,10 @@
             match day.seed.rand_range(0..20) {
                 0 => {
                     let n = day.seed.rand_range(0..day.lives.len() as u64) as usize;
-                    day.lives[n] = *one_of(&mut day.seed, &[Life::Draining, Life::Gone, Life::Ready]);
+                    day.lives[n] = *one_of(
+                        &mut day.seed,
+                        &[SearcherStatus::Draining, SearcherStatus::Gone, SearcherStatus::Ready],
+                    );
                     let whole = chance(&mut day.seed, 0.3);
                     let list = day.list(whole);
                     day.step(vec![list]);
@@ -358,7 +369,7 @@
                     let conns: BTreeSet<u64> = day.by_conn.keys().copied().collect();
                     let conns: Vec<u64> = conns.into_iter().collect();
                     let conn = *one_of(&mut day.seed, &conns);
-                    day.step(vec![Input::ClientEnd { conn }]);
+                    day.step(vec![Input::ClientDisconnected { conn }]);
                 }
                 _ => {
                     conn += 1;
@@ -378,11 +389,11 @@
     }
 
     fn ask(&mut self, conn: u64) {
-        let kind = self.seed.rand_range(0..self.terms.types.len() as u64) as usize;
+        let kind = self.seed.rand_range(0..self.terms.table_types.len() as u64) as usize;
         let parts = self.seed.rand_range(1..u64::from(SHARDS) + 1) as u32;
         let wait_ms = within(&mut self.seed, 20.0, 4000.0).floor();
         let id = format!("q{conn}");
-        let by = self.now + wait_ms.min(self.terms.types[kind].query_timeout_ms);
+        let by = self.now + wait_ms.min(self.terms.table_types[kind].query_timeout_ms);
         self.asked.insert(id.clone(), Asked { kind, parts, by, over: false });
         self.by_conn.insert(conn, id.clone());
         let weight = 1.0 / f64::from(parts);
@@ -395,7 +406,10 @@
             text: "find".to_owned(),
             parts: (0..parts).map(|shard| PartAsk { shard, weight, work_ms: None }).collect(),
         };
-        self.step(vec![Input::ClientOpen { conn }, Input::Asked { conn, ask: Ask::Scan(ask), close: false }]);
+        self.step(vec![
+            Input::ClientConnected { conn },
+            Input::Request { conn, ask: Ask::Scan(ask), close: false },
+        ]);
     }
 
     /// All that is due by now, in its order; now and then several in one step.
@@ -404,7 +418,7 @@
         loop {
             let next = self.to_come.first_key_value().map(|e| f64::from_bits(e.0.0));
             let due =
-                next.into_iter().chain(self.reducer.next_due()).reduce(f64::min).filter(|at| *at <= end);
+                next.into_iter().chain(self.reducer.next_timer_at()).reduce(f64::min).filter(|at| *at <= end);
             let Some(at) = due else { break };
             self.now = at.max(START);
             let mut inputs = Vec::new();
