--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames and records of wire 'lichen-5113': little-endian, packed, no padding.
+//! Frames and records of the simulator's protocol 'lichen-5113': little-endian, packed, without padding.
 
 use std::io::{ErrorKind, Read};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -7,85 +7,132 @@
 use byteorder::{ByteOrder, LE, ReadBytesExt, WriteBytesExt};
 use pewterwharf::interface::{Action, DispatchOutcome, ListKind, ListedSearcher, SearcherStatus};
 
-/// A batch as it came in; its records keep their order.
+/// Length of a batch header: number, body length, record count and time.
+const HEADER_BYTES: usize = 20;
+/// Length of a reply header: number, record count and body length.
+const REPLY_HEADER_BYTES: usize = 12;
+/// Number of searcher lists that can be stored.
+const MAX_LISTS: u32 = 16;
+
+/// Codes of the records in a batch.
+mod record {
+    pub const CREATE: u8 = 1;
+    pub const LIST_UPDATE: u8 = 2;
+    pub const SCAN_OR_PART: u8 = 3;
+    pub const DISPATCH_STARTED: u8 = 4;
+    pub const DISPATCH_ENDED: u8 = 5;
+    pub const CLIENT_TIMED_OUT: u8 = 6;
+    pub const WAKE: u8 = 7;
+    pub const PROBE_ENDED: u8 = 8;
+    pub const DATAGRAM: u8 = 9;
+    pub const EXIT: u8 = 10;
+    pub const LIST: u8 = 11;
+    pub const FOR_MIXER: u8 = 12;
+}
+
+/// Codes of the records in a reply.
+mod action {
+    pub const DISPATCH: u8 = 65;
+    pub const THROTTLE: u8 = 66;
+    pub const ABANDON: u8 = 67;
+    pub const CANCEL: u8 = 68;
+    pub const WAKE_AT: u8 = 69;
+    pub const PROBE: u8 = 70;
+    pub const CLOSE_IDLE_CONNECTIONS: u8 = 71;
+    pub const LOG: u8 = 73;
+    pub const SUBSCRIBE: u8 = 75;
+    pub const COMPLETE: u8 = 77;
+    pub const FOR_MIXER: u8 = 78;
+}
+
+/// A received batch with its records in order.
 #[derive(Debug)]
 pub struct Batch {
     pub number: u32,
+    /// Simulated time in milliseconds.
     pub now: f64,
     pub records: Vec<Record>,
 }
 
-/// A record of a batch, in the wire's order of fields.
+/// A record of a batch, with the fields in the order of the protocol.
 #[derive(Debug)]
 pub enum Record {
-    At(u32),
+    /// The following records are for this mixer.
+    ForMixer(u32),
     Create {
         seed: u64,
         settings: String,
     },
-    Table {
+    /// A searcher list, stored under a number that other records refer to.
+    List {
         slot: u32,
-        lines: Vec<ListedSearcher>,
+        searchers: Vec<ListedSearcher>,
     },
-    PeersKnown {
+    /// The mixer receives the list stored under this number.
+    ListUpdate {
         kind: ListKind,
         slot: u32,
     },
-    Knock(Knock),
+    ScanOrPart(ScanOrPart),
+    /// The mixer's process has ended.
     Exit,
-    Begun,
-    Settled {
+    DispatchStarted,
+    DispatchEnded {
         part: u64,
         dispatch: u8,
         searcher: SocketAddrV4,
-        ending: DispatchOutcome,
+        outcome: DispatchOutcome,
         took_ms: f64,
-        report: Vec<f32>,
+        load_report: Vec<f32>,
     },
-    TimedOutClient {
+    ClientTimedOut {
         scan: u64,
     },
+    /// A message from another mixer.
     Datagram,
-    Pong {
+    ProbeEnded {
         searcher: SocketAddrV4,
         took_ms: f64,
-        ending: DispatchOutcome,
+        outcome: DispatchOutcome,
     },
-    Wakeup,
+    Wake,
 }
 
-/// A scan, or a part of one where `slab` is not below zero.
+/// A scan, or a part of one if `shard` is not negative.
 #[derive(Debug)]
-pub struct Knock {
+pub struct ScanOrPart {
     pub id: u64,
     pub table_type: u8,
     pub customer: u32,
     pub key: u64,
-    pub gone_at: f64,
+    pub deadline_at: f64,
     pub work_ms: f64,
     pub number: f32,
-    pub slab: f32,
-    pub measure: f32,
+    pub shard: f32,
+    pub weight: f32,
     pub flags: u8,
 }
 
-/// Reads one frame; `None` where the input ends between frames.
+/// Reads one frame; `None` if the input ends before it.
+///
+/// # Errors
+/// If reading fails, the input ends inside the frame, or a record is malformed.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>> {
-    let mut head = [0u8; 20];
-    let mut have = 0;
-    while have < head.len() {
-        match input.read(&mut head[have..]) {
-            Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => bail!("the input ends inside a batch header ({have} of {} bytes)", head.len()),
-            Ok(n) => have += n,
+    let mut header = [0u8; HEADER_BYTES];
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..]) {
+            Ok(0) if filled == 0 => return Ok(None),
+            Ok(0) => bail!("the input ends inside a batch header ({filled} of {} bytes)", header.len()),
+            Ok(count) => filled += count,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e).context("reading a batch header"),
         }
     }
-    let number = LE::read_u32(&head[0..]);
-    let len = LE::read_u32(&head[4..]);
-    let count = LE::read_u32(&head[8..]);
-    let now = LE::read_f64(&head[12..]);
+    let number = LE::read_u32(&header[0..]);
+    let len = LE::read_u32(&header[4..]);
+    let count = LE::read_u32(&header[8..]);
+    let now = LE::read_f64(&header[12..]);
     ensure!(now.is_finite(), "batch {number}: the clock is not a number");
     let mut body = Vec::new();
     input.take(u64::from(len)).read_to_end(&mut body).context("reading a batch")?;
@@ -100,104 +147,111 @@
     Ok(Some(Batch { number, now, records }))
 }
 
-fn read_record(r: &mut &[u8]) -> Result<Record> {
-    let code = r.read_u8().context("cut short")?;
-    read_fields(r, code).with_context(|| format!("code {code}"))
+fn read_record(input: &mut &[u8]) -> Result<Record> {
+    let code = input.read_u8().context("cut short")?;
+    read_fields(input, code).with_context(|| format!("code {code}"))
 }
 
-fn read_fields(r: &mut &[u8], code: u8) -> Result<Record> {
+fn read_fields(input: &mut &[u8], code: u8) -> Result<Record> {
     Ok(match code {
-        1 => {
-            let seed = r.read_u64::<LE>()?;
-            let n = r.read_u32::<LE>()? as usize;
-            let settings = std::str::from_utf8(bytes(r, n)?).context("the settings are not text")?.to_owned();
+        record::CREATE => {
+            let seed = input.read_u64::<LE>()?;
+            let n = input.read_u32::<LE>()? as usize;
+            let settings =
+                std::str::from_utf8(bytes(input, n)?).context("the settings are not text")?.to_owned();
             Record::Create { seed, settings }
         }
-        2 => {
-            let kind = match r.read_u8()? {
+        record::LIST_UPDATE => {
+            let kind = match input.read_u8()? {
                 0 => ListKind::Changes,
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
                 other => bail!("list kind {other} is unknown"),
             };
-            let _revision = r.read_u32::<LE>()?;
-            Record::PeersKnown { kind, slot: r.read_u32::<LE>()? }
+            let _revision = input.read_u32::<LE>()?;
+            Record::ListUpdate { kind, slot: input.read_u32::<LE>()? }
         }
-        3 => Record::Knock(Knock {
-            id: r.read_u64::<LE>()?,
-            table_type: r.read_u8()?,
-            customer: r.read_u32::<LE>()?,
-            key: r.read_u64::<LE>()?,
-            gone_at: finite(r)?,
-            work_ms: finite(r)?,
-            number: r.read_f32::<LE>()?,
-            slab: r.read_f32::<LE>()?,
-            measure: r.read_f32::<LE>()?,
-            flags: r.read_u8()?,
+        record::SCAN_OR_PART => Record::ScanOrPart(ScanOrPart {
+            id: input.read_u64::<LE>()?,
+            table_type: input.read_u8()?,
+            customer: input.read_u32::<LE>()?,
+            key: input.read_u64::<LE>()?,
+            deadline_at: finite(input)?,
+            work_ms: finite(input)?,
+            number: input.read_f32::<LE>()?,
+            shard: input.read_f32::<LE>()?,
+            weight: input.read_f32::<LE>()?,
+            flags: input.read_u8()?,
         }),
-        4 => {
-            let _ = (r.read_u64::<LE>()?, r.read_u8()?, address(r)?, r.read_f64::<LE>()?);
-            Record::Begun
+        record::DISPATCH_STARTED => {
+            let _part = input.read_u64::<LE>()?;
+            let _dispatch = input.read_u8()?;
+            let _searcher = address(input)?;
+            let _at = input.read_f64::<LE>()?;
+            Record::DispatchStarted
         }
-        5 => {
-            let (part, dispatch, searcher) = (r.read_u64::<LE>()?, r.read_u8()?, address(r)?);
-            let ending = ending(r)?;
-            let took_ms = finite(r)?;
-            let _over = r.read_u8()?;
-            let report = load_report(r)?;
-            Record::Settled { part, dispatch, searcher, ending, took_ms, report }
+        record::DISPATCH_ENDED => {
+            let part = input.read_u64::<LE>()?;
+            let dispatch = input.read_u8()?;
+            let searcher = address(input)?;
+            let outcome = outcome(input)?;
+            let took_ms = finite(input)?;
+            let _over = input.read_u8()?;
+            let load_report = load_report(input)?;
+            Record::DispatchEnded { part, dispatch, searcher, outcome, took_ms, load_report }
         }
-        6 => Record::TimedOutClient { scan: r.read_u64::<LE>()? },
-        7 => {
-            r.read_u64::<LE>()?;
-            Record::Wakeup
+        record::CLIENT_TIMED_OUT => Record::ClientTimedOut { scan: input.read_u64::<LE>()? },
+        record::WAKE => {
+            input.read_u64::<LE>()?;
+            Record::Wake
         }
-        8 => {
-            let (searcher, took_ms) = (address(r)?, finite(r)?);
-            let ending = ending(r)?;
-            load_report(r)?;
-            Record::Pong { searcher, took_ms, ending }
+        record::PROBE_ENDED => {
+            let searcher = address(input)?;
+            let took_ms = finite(input)?;
+            let outcome = outcome(input)?;
+            load_report(input)?;
+            Record::ProbeEnded { searcher, took_ms, outcome }
         }
-        9 => {
-            r.read_u32::<LE>()?;
-            let n = r.read_u16::<LE>()? as usize;
-            bytes(r, n)?;
+        record::DATAGRAM => {
+            input.read_u32::<LE>()?;
+            let n = input.read_u16::<LE>()? as usize;
+            bytes(input, n)?;
             Record::Datagram
         }
-        10 => Record::Exit,
-        11 => {
-            let slot = r.read_u32::<LE>()?;
-            ensure!(slot < 16, "list number {slot} is over 15");
-            let n = r.read_u32::<LE>()?;
-            let lines = (0..n).map(|_| entry(r)).collect::<Result<_>>()?;
-            Record::Table { slot, lines }
+        record::EXIT => Record::Exit,
+        record::LIST => {
+            let slot = input.read_u32::<LE>()?;
+            ensure!(slot < MAX_LISTS, "list number {slot} is over 15");
+            let n = input.read_u32::<LE>()?;
+            let searchers = (0..n).map(|_| searcher(input)).collect::<Result<_>>()?;
+            Record::List { slot, searchers }
         }
-        12 => Record::At(r.read_u32::<LE>()?),
+        record::FOR_MIXER => Record::ForMixer(input.read_u32::<LE>()?),
         _ => bail!("no such record"),
     })
 }
 
-fn bytes<'a>(r: &mut &'a [u8], n: usize) -> Result<&'a [u8]> {
-    let (head, tail) = r.split_at_checked(n).context("cut short")?;
-    *r = tail;
+fn bytes<'a>(input: &mut &'a [u8], n: usize) -> Result<&'a [u8]> {
+    let (head, tail) = input.split_at_checked(n).context("cut short")?;
+    *input = tail;
     Ok(head)
 }
 
-fn finite(r: &mut &[u8]) -> Result<f64> {
-    let value = r.read_f64::<LE>()?;
+fn finite(input: &mut &[u8]) -> Result<f64> {
+    let value = input.read_f64::<LE>()?;
     ensure!(value.is_finite(), "a time is not a number");
     Ok(value)
 }
 
-fn address(r: &mut &[u8]) -> Result<SocketAddrV4> {
+fn address(input: &mut &[u8]) -> Result<SocketAddrV4> {
     let mut ip = [0u8; 4];
-    r.read_exact(&mut ip)?;
-    Ok(SocketAddrV4::new(Ipv4Addr::from(ip), r.read_u16::<LE>()?))
+    input.read_exact(&mut ip)?;
+    Ok(SocketAddrV4::new(Ipv4Addr::from(ip), input.read_u16::<LE>()?))
 }
 
-fn ending(r: &mut &[u8]) -> Result<DispatchOutcome> {
-    Ok(match r.read_u16::<LE>()? {
+fn outcome(input: &mut &[u8]) -> Result<DispatchOutcome> {
+    Ok(match input.read_u16::<LE>()? {
         0 => DispatchOutcome::Error,
         1 => DispatchOutcome::Ok,
         2 => DispatchOutcome::Full,
@@ -210,29 +264,29 @@
     })
 }
 
-/// The values of a load report, in the order that the settings name.
-fn load_report(r: &mut &[u8]) -> Result<Vec<f32>> {
-    let n = r.read_u8()?;
-    (0..n).map(|_| Ok(r.read_f32::<LE>()?)).collect()
+/// The values of a load report, in the order given in the settings.
+fn load_report(input: &mut &[u8]) -> Result<Vec<f32>> {
+    let n = input.read_u8()?;
+    (0..n).map(|_| Ok(input.read_f32::<LE>()?)).collect()
 }
 
-fn entry(r: &mut &[u8]) -> Result<ListedSearcher> {
-    let cell = u32::from(r.read_u16::<LE>()?);
-    let since = finite(r)?;
-    let _kind = r.read_u16::<LE>()?;
-    let zone = r.read_u16::<LE>()?;
-    let _weight = r.read_f32::<LE>()?;
-    let searcher = address(r)?;
-    let life = match r.read_u8()? {
+fn searcher(input: &mut &[u8]) -> Result<ListedSearcher> {
+    let cell = u32::from(input.read_u16::<LE>()?);
+    let started_at = finite(input)?;
+    let _kind = input.read_u16::<LE>()?;
+    let zone = input.read_u16::<LE>()?;
+    let _weight = input.read_f32::<LE>()?;
+    let searcher = address(input)?;
+    let status = match input.read_u8()? {
         0 => SearcherStatus::Gone,
         1 => SearcherStatus::Ready,
         2 => SearcherStatus::Draining,
         other => bail!("state {other} of a searcher is unknown"),
     };
-    Ok(ListedSearcher { searcher, cell, zone, started_at: since, status: life })
+    Ok(ListedSearcher { searcher, cell, zone, started_at, status })
 }
 
-/// A reply that grows record by record.
+/// Encoder of a reply frame.
 #[derive(Debug, Default)]
 pub struct Reply {
     number: u32,
@@ -253,12 +307,12 @@
         }
     }
 
-    /// Adds one mixer's actions.
+    /// Appends one mixer's actions; a mixer without actions adds nothing.
     pub fn actions(&mut self, mixer: u32, actions: &[Action]) {
         if actions.is_empty() {
             return;
         }
-        self.record(78, &[&mixer.to_le_bytes()]);
+        self.record(action::FOR_MIXER, &[&mixer.to_le_bytes()]);
         for action in actions {
             self.action(action);
         }
@@ -267,39 +321,50 @@
     fn action(&mut self, action: &Action) {
         match action {
             Action::Dispatch { part, searcher, timeout_ms } => {
-                self.record(65, &[&part.to_le_bytes(), &packed(searcher), &timeout_ms.to_le_bytes()]);
+                self.record(
+                    action::DISPATCH,
+                    &[&part.to_le_bytes(), &encode_address(searcher), &timeout_ms.to_le_bytes()],
+                );
             }
             Action::Throttle { scan, retry_after_ms } => {
-                self.record(66, &[&scan.to_le_bytes(), &retry_after_ms.unwrap_or(0.0).to_le_bytes()]);
+                self.record(
+                    action::THROTTLE,
+                    &[&scan.to_le_bytes(), &retry_after_ms.unwrap_or(0.0).to_le_bytes()],
+                );
+            }
+            Action::Abandon { scan } => self.record(action::ABANDON, &[&scan.to_le_bytes()]),
+            Action::Cancel { part, dispatch } => {
+                self.record(action::CANCEL, &[&part.to_le_bytes(), &[*dispatch]])
+            }
+            Action::WakeAt { at } => self.record(action::WAKE_AT, &[&at.to_le_bytes(), &0u64.to_le_bytes()]),
+            Action::Probe { searcher } => self.record(action::PROBE, &[&encode_address(searcher)]),
+            Action::CloseIdleConnections { searcher } => {
+                self.record(action::CLOSE_IDLE_CONNECTIONS, &[&encode_address(searcher)])
             }
-            Action::Abandon { scan } => self.record(67, &[&scan.to_le_bytes()]),
-            Action::Cancel { part, dispatch } => self.record(68, &[&part.to_le_bytes(), &[*dispatch]]),
-            Action::WakeAt { at } => self.record(69, &[&at.to_le_bytes(), &0u64.to_le_bytes()]),
-            Action::Probe { searcher } => self.record(70, &[&packed(searcher)]),
-            Action::CloseIdleConnections { searcher } => self.record(71, &[&packed(searcher)]),
             Action::Log { line } => {
                 let text = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
-                self.record(73, &[&(text.len() as u16).to_le_bytes(), text]);
+                self.record(action::LOG, &[&(text.len() as u16).to_le_bytes(), text]);
             }
-            Action::Subscribe => self.record(75, &[&[1]]),
+            Action::Subscribe => self.record(action::SUBSCRIBE, &[&[1]]),
             Action::Complete { scan, whole } => {
-                self.record(77, &[&scan.to_le_bytes(), &[u8::from(*whole)]]);
+                self.record(action::COMPLETE, &[&scan.to_le_bytes(), &[u8::from(*whole)]]);
             }
         }
     }
 
-    /// The frame, ready to be written.
+    /// Encodes the frame.
     pub fn finish(self) -> Vec<u8> {
-        let mut frame = Vec::with_capacity(12 + self.body.len());
-        for word in [self.number, self.count, self.body.len() as u32] {
-            frame.write_u32::<LE>(word).expect("a vector takes all");
+        let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
+        for field in [self.number, self.count, self.body.len() as u32] {
+            frame.write_u32::<LE>(field).expect("writing to a vector cannot fail");
         }
         frame.extend_from_slice(&self.body);
         frame
     }
 }
 
-fn packed(searcher: &SocketAddrV4) -> [u8; 6] {
+/// Encodes an address as four octets and a port.
+fn encode_address(searcher: &SocketAddrV4) -> [u8; 6] {
     let mut out = [0u8; 6];
     out[..4].copy_from_slice(&searcher.ip().octets());
     LE::write_u16(&mut out[4..], searcher.port());
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bench adapter: the simulator's wire on one side, one independent decision module per mixer on the other.
+//! Adapter to the simulator: decodes its wire protocol and runs one independent decision module per mixer.
 
 pub mod codec;
 pub mod host;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,16 +1,19 @@
-//! Reads batches on standard input and writes one reply per batch on standard output.
+//! Reads batches from standard input and writes one reply per batch to standard output.
 
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
 use pewterwharf_simhost::{codec, host::Host};
 
-fn serve() -> anyhow::Result<()> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+/// Size of the input and of the output buffer.
+const BUFFER_BYTES: usize = 1 << 16;
+
+fn run() -> anyhow::Result<()> {
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     let mut host = Host::default();
     while let Some(batch) = codec::read_batch(&mut input)? {
-        let reply = host.batch(batch)?;
+        let reply = host.process(batch)?;
         output.write_all(&reply.finish())?;
         output.flush()?;
     }
@@ -18,7 +21,7 @@
 }
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("pewterwharf-simhost: {error:#}");
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simhost/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The wire page's byte examples, read and written, and frames that must be turned away.
+//! Decoding and encoding of the byte examples in the protocol documentation, and rejection of malformed frames.
 
 use insta::assert_snapshot;
 use pewterwharf::interface::Action;
@@ -6,11 +6,11 @@
 use pewterwharf_simhost::host::Host;
 use pewterwharf_terms::MixerConfig;
 
-const AT: &str = "0c03000000";
-const KNOCK: &str = "03c4913a5d37a204000000000000640ad2557c3bf0910000000020e6c0400000000000002840\
+const FOR_MIXER: &str = "0c03000000";
+const PART: &str = "03c4913a5d37a204000000000000640ad2557c3bf0910000000020e6c0400000000000002840\
                      00005643000000000000003e01";
-const TIMED_OUT: &str = "06192b6f0e55220e00";
-const WAKEUP: &str = "074d00000000000000";
+const CLIENT_TIMED_OUT: &str = "06192b6f0e55220e00";
+const WAKE: &str = "074d00000000000000";
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -28,7 +28,7 @@
     frame
 }
 
-fn read(frame: &[u8]) -> String {
+fn decode(frame: &[u8]) -> String {
     match read_batch(&mut &frame[..]) {
         Ok(Some(batch)) => format!("{} at {}: {:#?}", batch.number, batch.now, batch.records),
         Ok(None) => "end of input".to_owned(),
@@ -37,36 +37,36 @@
 }
 
 #[test]
-fn the_page_s_batches_are_read() {
-    let two = frame(&[AT, KNOCK, WAKEUP, "0c05000000", TIMED_OUT]);
+fn documented_batches_are_decoded() {
+    let two = frame(&[FOR_MIXER, PART, WAKE, "0c05000000", CLIENT_TIMED_OUT]);
     assert_eq!(two[..20], bytes("0c0000004f0000000500000000000000206ec040"));
-    let table = "0b 00000000 02000000
+    let searchers = "0b 00000000 02000000
         0000 0000000000000000 0000 0000 0000803f 0a124a07 8b13 01
         0000 0000000000d4b740 0000 0100 0000c03f 0a9011f2 b413 01";
-    let settled = "05c4913a5d37a20400000a124a078b130100000000000080324001 00";
-    let list = frame(&[AT, table, "0202290000000000 0000", settled]);
-    assert_snapshot!(format!("{}\n{}\n{}", read(&two), read(&list), read(&[])));
+    let dispatch_ended = "05c4913a5d37a20400000a124a078b130100000000000080324001 00";
+    let list = frame(&[FOR_MIXER, searchers, "0202290000000000 0000", dispatch_ended]);
+    assert_snapshot!(format!("{}\n{}\n{}", decode(&two), decode(&list), decode(&[])));
 }
 
 #[test]
-fn malformed_frames_are_turned_away() {
-    let whole = frame(&[AT, KNOCK]);
-    let mut longer = whole.clone();
-    longer[8] = 1;
+fn malformed_frames_are_rejected() {
+    let valid = frame(&[FOR_MIXER, PART]);
+    let mut wrong_count = valid.clone();
+    wrong_count[8] = 1;
     let cases = [
-        read(&whole[..7]),
-        read(&whole[..whole.len() - 1]),
-        read(&frame(&[AT, "63"])),
-        read(&frame(&[AT, "0207290000000000 0000"])),
-        read(&frame(&[AT, &KNOCK[..40]])),
-        read(&frame(&[AT, "080a124a078b1300000000008032400900 00"])),
-        read(&longer),
+        decode(&valid[..7]),
+        decode(&valid[..valid.len() - 1]),
+        decode(&frame(&[FOR_MIXER, "63"])),
+        decode(&frame(&[FOR_MIXER, "0207290000000000 0000"])),
+        decode(&frame(&[FOR_MIXER, &PART[..40]])),
+        decode(&frame(&[FOR_MIXER, "080a124a078b1300000000008032400900 00"])),
+        decode(&wrong_count),
     ];
     assert_snapshot!(cases.join("\n"));
 }
 
 #[test]
-fn the_page_s_replies_are_written() {
+fn documented_replies_are_encoded() {
     let mut reply = Reply::to(12);
     let searcher = "10.18.74.7:5003".parse().expect("an address");
     reply.actions(
@@ -92,41 +92,41 @@
     something.new=1,2\n";
 
 #[test]
-fn settings_are_read_or_turned_away() {
-    let open = |text: &str| match MixerConfig::from_text(text) {
+fn valid_and_invalid_settings() {
+    let parse = |text: &str| match MixerConfig::from_text(text) {
         Ok(_) => "opened".to_owned(),
         Err(error) => format!("{error:#}"),
     };
     let cases = [
-        open(SETTINGS),
-        open(&SETTINGS.replace("slo_ms=800.0", "slo_ms=soon")),
-        open(&SETTINGS.replace("=pure", "=perhaps")),
-        open(&SETTINGS.replace("zone=0", "zone=")),
-        open(&SETTINGS.replace("rules.fall_ms=1000.0\n", "")),
-        open("no pair"),
+        parse(SETTINGS),
+        parse(&SETTINGS.replace("slo_ms=800.0", "slo_ms=soon")),
+        parse(&SETTINGS.replace("=pure", "=perhaps")),
+        parse(&SETTINGS.replace("zone=0", "zone=")),
+        parse(&SETTINGS.replace("rules.fall_ms=1000.0\n", "")),
+        parse("no pair"),
     ];
     assert_snapshot!(cases.join("\n"));
 }
 
 #[test]
-fn a_mixer_killed_and_begun_anew_in_one_batch_answers_for_the_new_one_alone() {
+fn mixer_restarted_within_one_batch() {
     let length = format!("{:08x}", (SETTINGS.len() as u32).swap_bytes());
     let text: String = SETTINGS.bytes().map(|b| format!("{b:02x}")).collect();
     let create = format!("010700000000000000{length}{text}");
     let mut host = Host::default();
-    let mut play = |records: &[&str]| {
+    let mut process = |records: &[&str]| {
         let batch = read_batch(&mut &frame(records)[..]).expect("well formed").expect("a batch");
-        match host.batch(batch) {
+        match host.process(batch) {
             Ok(reply) => format!("{} bytes", reply.finish().len()),
             Err(error) => format!("error: {error:#}"),
         }
     };
     let cases = [
-        play(&[AT, &create]),
-        play(&[AT, KNOCK, "0a", &create]),
-        play(&[AT, TIMED_OUT, "0a"]),
-        play(&[AT, WAKEUP]),
-        play(&[WAKEUP]),
+        process(&[FOR_MIXER, &create]),
+        process(&[FOR_MIXER, PART, "0a", &create]),
+        process(&[FOR_MIXER, CLIENT_TIMED_OUT, "0a"]),
+        process(&[FOR_MIXER, WAKE]),
+        process(&[WAKE]),
     ];
     assert_snapshot!(cases.join("\n"));
 }
