--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -1,4 +1,4 @@
-//! When an address is announced, and the order of a drain.
+//! When addresses are announced, depreferenced and withdrawn, and the order of a drain.
 
 use std::fmt::Write;
 
@@ -36,181 +36,183 @@
     }
 }
 
-/// Of two table types, the share that is usable.
-fn usable(one: f64, two: f64) -> Health {
+/// Health with these servable shares of two table types.
+fn usable(first: f64, second: f64) -> Health {
     Health {
         phase: Phase::Ready,
-        servable_shares: vec![one, two],
+        servable_shares: vec![first, second],
         rejected_share: 0.0,
         has_client_capacity: true,
         list_age_ms: 0.0,
     }
 }
 
+/// An announcer with a simulated clock and a log of its effects.
 struct Fixture {
     announcer: Announcer,
     now: f64,
-    out: String,
+    log: String,
 }
 
 impl Fixture {
     fn new() -> Self {
-        let mut fixture = Self { announcer: Announcer::new(config()), now: 0.0, out: String::new() };
-        fixture.tell(Input::Sessions(1));
+        let mut fixture = Self { announcer: Announcer::new(config()), now: 0.0, log: String::new() };
+        fixture.step(Input::Sessions(1));
         fixture
     }
 
-    /// Announced, and quiet for long.
+    /// All addresses announced, with no change in the last minute.
     fn ready() -> Self {
         let mut fixture = Self::new();
-        fixture.tell(Input::Health(usable(1.0, 1.0)));
-        fixture.pass(120_000.0);
-        fixture.out.clear();
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(120_000.0);
+        fixture.log.clear();
         fixture.now = 0.0;
         fixture.announcer = fixture.announcer.clone();
         fixture.now = 120_000.0;
         fixture
     }
 
-    fn tell(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         for effect in self.announcer.step(self.now, input) {
-            let told = match effect {
+            let line = match effect {
                 Effect::SetState { prefix, state, reason } => format!("{prefix} {state:?}: {reason:?}"),
                 Effect::DrainComplete => "scans may stop".to_owned(),
             };
-            let _ = writeln!(self.out, "{:>7.0} {told}", self.now);
+            let _ = writeln!(self.log, "{:>7.0} {line}", self.now);
         }
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.announcer.next_timer() <= end {
             self.now = self.announcer.next_timer().max(self.now);
-            self.tell(Input::Timer);
+            self.step(Input::Timer);
         }
         self.now = end;
     }
 }
 
 #[test]
-fn it_is_announced_once_it_serves_and_withdrawn_when_nothing_is_usable() {
+fn announced_when_servable_and_withdrawn_when_not() {
     let mut fixture = Fixture::new();
-    fixture.pass(10_000.0);
-    fixture.tell(Input::Health(usable(1.0, 1.0)));
-    fixture.pass(60_000.0);
-    fixture.out += "one table type is unusable: its addresses go, the other's stays\n";
-    fixture.tell(Input::Health(usable(1.0, 0.0)));
-    fixture.pass(60_000.0);
-    fixture.out += "no searcher is usable\n";
-    fixture.tell(Input::Health(usable(0.0, 0.0)));
-    fixture.pass(60_000.0);
-    fixture.out += "half is back, then enough\n";
-    fixture.tell(Input::Health(usable(0.7, 0.7)));
-    fixture.pass(60_000.0);
-    fixture.tell(Input::Health(usable(0.95, 0.95)));
-    fixture.pass(60_000.0);
-    assert_snapshot!(fixture.out);
+    fixture.advance(10_000.0);
+    fixture.step(Input::Health(usable(1.0, 1.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "one table type is unusable: its addresses go, the other's stays\n";
+    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "no searcher is usable\n";
+    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "half is back, then enough\n";
+    fixture.step(Input::Health(usable(0.7, 0.7)));
+    fixture.advance(60_000.0);
+    fixture.step(Input::Health(usable(0.95, 0.95)));
+    fixture.advance(60_000.0);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn a_stale_list_full_places_and_a_pressed_door_depreference() {
+fn reasons_to_depreference() {
     let mut fixture = Fixture::ready();
-    let sound = usable(1.0, 1.0);
+    let healthy = usable(1.0, 1.0);
     let worse = [
-        Health { list_age_ms: 31_000.0, ..sound.clone() },
-        Health { has_client_capacity: false, ..sound.clone() },
-        Health { rejected_share: 0.6, ..sound.clone() },
+        Health { list_age_ms: 31_000.0, ..healthy.clone() },
+        Health { has_client_capacity: false, ..healthy.clone() },
+        Health { rejected_share: 0.6, ..healthy.clone() },
     ];
     for health in worse {
-        fixture.tell(Input::Health(health));
-        fixture.pass(5_000.0);
-        fixture.tell(Input::Health(sound.clone()));
-        fixture.pass(120_000.0);
+        fixture.step(Input::Health(health));
+        fixture.advance(5_000.0);
+        fixture.step(Input::Health(healthy.clone()));
+        fixture.advance(120_000.0);
     }
-    assert_snapshot!(fixture.out);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn a_last_announcer_is_kept_on_mere_suspicion_only() {
+fn last_announcer_is_withdrawn_only_if_nothing_is_servable() {
     let mut fixture = Fixture::ready();
-    fixture.tell(Input::Health(usable(0.3, 0.3)));
-    fixture.pass(10_000.0);
-    fixture.out += "another announces it too\n";
-    fixture.tell(Input::OtherAnnouncer(prefix(1), true));
-    fixture.pass(10_000.0);
-    fixture.out += "that other is gone\n";
-    fixture.tell(Input::OtherAnnouncer(prefix(1), false));
-    fixture.pass(10_000.0);
-    fixture.out += "nothing at all is usable\n";
-    fixture.tell(Input::Health(usable(0.0, 0.0)));
-    fixture.pass(10_000.0);
-    assert_snapshot!(fixture.out);
+    fixture.step(Input::Health(usable(0.3, 0.3)));
+    fixture.advance(10_000.0);
+    fixture.log += "another announces it too\n";
+    fixture.step(Input::OtherAnnouncer(prefix(1), true));
+    fixture.advance(10_000.0);
+    fixture.log += "that other is gone\n";
+    fixture.step(Input::OtherAnnouncer(prefix(1), false));
+    fixture.advance(10_000.0);
+    fixture.log += "nothing at all is usable\n";
+    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.advance(10_000.0);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn searchers_that_flap_do_not_make_routes_flap() {
+fn flapping_searchers_do_not_flap_routes() {
     let mut fixture = Fixture::ready();
     for _ in 0..120 {
-        fixture.tell(Input::Health(usable(0.0, 0.0)));
-        fixture.pass(400.0);
-        fixture.tell(Input::Health(usable(1.0, 1.0)));
-        fixture.pass(600.0);
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(400.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(600.0);
     }
-    fixture.out += "slowly, for ten minutes\n";
-    let before = fixture.out.lines().count();
+    fixture.log += "slowly, for ten minutes\n";
+    let before = fixture.log.lines().count();
     for _ in 0..40 {
-        fixture.tell(Input::Health(usable(0.0, 0.0)));
-        fixture.pass(5_000.0);
-        fixture.tell(Input::Health(usable(1.0, 1.0)));
-        fixture.pass(10_000.0);
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(5_000.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(10_000.0);
     }
-    let changes = fixture.out.lines().count() - before;
+    let changes = fixture.log.lines().count() - before;
     assert!((20..=2 * 6 * 10).contains(&changes), "{changes} in ten minutes");
-    assert!(fixture.out.starts_with("slowly"), "{}", fixture.out);
+    assert!(fixture.log.starts_with("slowly"), "{}", fixture.log);
 }
 
 #[test]
-fn a_drain_goes_in_its_order_and_is_cut_short_where_nobody_listens() {
+fn drain_order_and_shortened_drains() {
     let mut out = String::new();
     let mut drain = |name: &str, then: &dyn Fn(&mut Fixture)| {
         let mut fixture = Fixture::ready();
-        fixture.tell(Input::Drain);
+        fixture.step(Input::Drain);
         then(&mut fixture);
-        fixture.pass(60_000.0);
-        out += &format!("{name}\n{}", fixture.out);
+        fixture.advance(60_000.0);
+        out += &format!("{name}\n{}", fixture.log);
     };
     drain("alone", &|_| {});
     drain("health gets better and worse meanwhile", &|fixture| {
-        fixture.tell(Input::Health(usable(0.0, 0.0)));
-        fixture.pass(1500.0);
-        fixture.tell(Input::Health(usable(1.0, 1.0)));
-        fixture.tell(Input::Drain);
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(1500.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Drain);
     });
     drain("asked a second time", &|fixture| {
-        fixture.pass(500.0);
-        fixture.tell(Input::DrainNow);
+        fixture.advance(500.0);
+        fixture.step(Input::DrainNow);
     });
     drain("the last session is lost", &|fixture| {
-        fixture.pass(2500.0);
-        fixture.tell(Input::Sessions(0));
+        fixture.advance(2500.0);
+        fixture.step(Input::Sessions(0));
     });
     let mut fixture = Fixture::new();
-    fixture.tell(Input::Drain);
-    out += &format!("before anything was announced\n{}", fixture.out);
+    fixture.step(Input::Drain);
+    out += &format!("before anything was announced\n{}", fixture.log);
     assert_snapshot!(out);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(500) })]
 
-    /// Scans may stop once, after every withdrawal; a drain makes nothing better; with nothing usable the address is gone
-    /// in time; a minute sees no more changes for the better than are stated.
+    /// The drain completes once and after every withdrawal, improves no address, and with nothing servable an address is
+    /// withdrawn in time. The limit on improvements per minute holds.
     #[test]
-    fn whatever_happens_the_order_is_kept(
+    fn invariants_for_any_sequence_of_inputs(
         events in proptest::collection::vec((0u8..12, 0.0f64..4000.0, 0.0f64..1.2), 1..80),
     ) {
         let (mut announcer, mut now) = (Announcer::new(config()), 0.0);
-        let (mut stopped, mut drains) = (false, false);
+        let mut stopped = false;
+        let mut drains = false;
         let mut states = [RouteState::Withdrawn; 2];
         let mut better: Vec<f64> = Vec::new();
         let mut unusable_since = Some(0.0);
@@ -241,17 +243,17 @@
                     match effect {
                         Effect::SetState { prefix: at, state, .. } => {
                             let address = usize::from(at == prefix(1));
-                            prop_assert!(!stopped, "a change after the end");
+                            prop_assert!(!stopped, "a change after the drain is complete");
                             let old = std::mem::replace(&mut states[address], state);
-                            prop_assert!(!drains || state < old, "a drain made it better");
+                            prop_assert!(!drains || state < old, "a drain improved an address");
                             if state > old {
                                 better.push(now);
                                 let last = better.iter().filter(|at| **at > now - 60_000.0).count();
-                                prop_assert!(last <= 6, "{last} changes for the better in a minute");
+                                prop_assert!(last <= 6, "{last} improvements in a minute");
                             }
                         }
                         Effect::DrainComplete => {
-                            prop_assert!(!std::mem::replace(&mut stopped, true), "stopped twice");
+                            prop_assert!(!std::mem::replace(&mut stopped, true), "completed twice");
                             prop_assert_eq!(states, [RouteState::Withdrawn; 2]);
                         }
                     }
@@ -265,50 +267,56 @@
     }
 }
 
-/// Who else announces: nobody, unless it is sure.
 #[test]
-fn a_route_that_may_be_the_mixers_own_is_nobody_elses() {
+fn doubtful_routes_are_not_of_another_announcer() {
     let id = "10.0.0.1".parse().expect("an identifier");
     let hop = |last: u8| Some(format!("192.0.2.{last}").parse().expect("an address"));
     let own = hop(1);
-    let by = |seen: ObservedRoute| is_other_announcer(&seen, id, own);
+    let is_other = |route: ObservedRoute| is_other_announcer(&route, id, own);
     let other = ObservedRoute { next_hop: hop(2), ..ObservedRoute::default() };
-    assert!(by(other), "another next hop and no own AS in the path");
-    assert!(!by(ObservedRoute { next_hop: own, ..other }), "the own next hop");
-    assert!(!by(ObservedRoute { own_as_in_path: true, ..other }), "its path leads through the own AS");
-    assert!(!by(ObservedRoute { graceful_shutdown: true, ..other }), "itself a last resort");
-    assert!(!by(ObservedRoute::default()), "it says nothing of itself");
-    let reflected = |last: u8| Some(format!("10.0.0.{last}").parse().expect("an identifier"));
+    assert!(is_other(other), "another next hop and no own AS in the path");
+    assert!(!is_other(ObservedRoute { next_hop: own, ..other }), "the mixer's own next hop");
+    assert!(!is_other(ObservedRoute { own_as_in_path: true, ..other }), "own AS in the path");
+    assert!(!is_other(ObservedRoute { graceful_shutdown: true, ..other }), "depreferenced itself");
+    assert!(!is_other(ObservedRoute::default()), "no attributes");
+    let originator = |last: u8| Some(format!("10.0.0.{last}").parse().expect("an identifier"));
     assert!(
-        by(ObservedRoute { originator_id: reflected(2), own_as_in_path: true, ..other }),
-        "a reflector names another"
+        is_other(ObservedRoute { originator_id: originator(2), own_as_in_path: true, ..other }),
+        "ORIGINATOR_ID of another"
+    );
+    assert!(
+        !is_other(ObservedRoute { originator_id: originator(1), ..other }),
+        "ORIGINATOR_ID of this mixer"
     );
-    assert!(!by(ObservedRoute { originator_id: reflected(1), ..other }), "a reflector names this mixer");
 }
 
 #[test]
-fn a_table_type_is_served_as_far_as_what_it_needs_is_usable() {
-    // Whole with three fifths of its parts, and no answer under two.
+fn servable_share_of_need() {
+    // Complete with three fifths of the parts, no answer below two fifths.
     assert_eq!(
         [0.0, 0.3, 0.4, 0.6, 1.0].map(|usable| servable_share(usable, 0.6, 0.4)),
         [0.0, 0.0, 0.4 / 0.6, 1.0, 1.0]
     );
-    assert_eq!(servable_share(0.99, 1.0, 1.0), 0.0, "one that needs all fails without");
+    assert_eq!(servable_share(0.99, 1.0, 1.0), 0.0, "a type that needs all parts");
     assert_eq!(servable_share(1.0 - 1e-12, 1.0, 1.0), 1.0 - 1e-12);
     assert_eq!(servable_share(0.5, 0.0, 0.0), 0.5);
 }
 
-/// Two that announce the same, both cut to a third of their searchers at once, and told of each other late.
+/// Two mixers announce the same address and lose most of their searchers at the same time, each learning of the other's
+/// route late. They must not withdraw because of each other.
 #[test]
-fn two_that_fall_together_do_not_leave_nobody() {
-    let keep = || {
+fn two_announcers_failing_together() {
+    let announcer = || {
         let mut config = config();
         config.addresses.remove(0);
         Announcer::new(config)
     };
-    let (mut both, mut states) = ([keep(), keep()], [RouteState::Withdrawn; 2]);
-    let mut told = [false; 2]; // whether each knows of the other
-    let (mut nobody_since, mut longest, mut alone) = (None, 0.0f64, 0);
+    let mut both = [announcer(), announcer()];
+    let mut states = [RouteState::Withdrawn; 2];
+    let mut knows_other = [false; 2];
+    let mut withdrawn_since = None;
+    let mut longest_ms = 0.0f64;
+    let mut announced_steps = 0;
     let mut share = 1.0;
     for ms in 0..600 {
         let now = f64::from(ms) * 100.0;
@@ -318,7 +326,7 @@
         for me in 0..2 {
             let mut effects = both[me].step(now, Input::Sessions(1));
             effects.extend(both[me].step(now, Input::Health(usable(share, share))));
-            effects.extend(both[me].step(now, Input::OtherAnnouncer(prefix(1), told[me])));
+            effects.extend(both[me].step(now, Input::OtherAnnouncer(prefix(1), knows_other[me])));
             for effect in effects {
                 if let Effect::SetState { state, .. } = effect {
                     states[me] = state;
@@ -326,36 +334,36 @@
             }
         }
         if ms % 5 == 0 {
-            // What the other announces as more than a last resort, half a second late.
-            told = [1, 0].map(|other: usize| states[other] == RouteState::Announced);
+            // Routes that are not depreferenced, learned up to half a second late.
+            knows_other = [1, 0].map(|other: usize| states[other] == RouteState::Announced);
         }
         if states == [RouteState::Withdrawn; 2] {
-            let since = *nobody_since.get_or_insert(now);
-            longest = longest.max(if ms >= 200 { now - since } else { 0.0 });
+            let since = *withdrawn_since.get_or_insert(now);
+            longest_ms = longest_ms.max(if ms >= 200 { now - since } else { 0.0 });
         } else {
-            nobody_since = None;
-            alone += 1;
+            withdrawn_since = None;
+            announced_steps += 1;
         }
     }
-    assert!(alone > 0 && longest <= 5500.0, "nobody for {longest} ms");
+    assert!(announced_steps > 0 && longest_ms <= 5500.0, "not announced for {longest_ms} ms");
     assert_eq!(states, [RouteState::Depreferenced; 2]);
 }
 
 #[test]
-fn what_stays_in_the_operators_file_keeps_its_standing() {
+fn configuration_change_keeps_the_state_of_remaining_addresses() {
     let mut fixture = Fixture::ready();
     let mut new = config();
     new.addresses.remove(0);
     new.addresses.push(ServiceAddress { prefix: prefix(2), table_types: vec![1], keep_last: false });
     new.down_delay_ms = 100.0;
-    fixture.tell(Input::Configure(new.clone()));
-    fixture.pass(60_000.0);
-    fixture.out += "the second table type is unusable; worse lasts 100 ms now\n";
-    fixture.tell(Input::Health(usable(1.0, 0.0)));
-    fixture.pass(60_000.0);
-    fixture.out += "in a drain, a new address stays where it is\n";
-    fixture.tell(Input::Drain);
-    fixture.tell(Input::Configure(config()));
-    fixture.pass(60_000.0);
-    assert_snapshot!(fixture.out);
+    fixture.step(Input::Configure(new.clone()));
+    fixture.advance(60_000.0);
+    fixture.log += "the second table type is unusable; worse lasts 100 ms now\n";
+    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "in a drain, a new address stays where it is\n";
+    fixture.step(Input::Drain);
+    fixture.step(Input::Configure(config()));
+    fixture.advance(60_000.0);
+    assert_snapshot!(fixture.log);
 }
--- a/crates/bgp/tests/fuzz.rs
+++ b/crates/bgp/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Byte streams as a peer may send them, into the reader and the sessions behind it. The kept corpus is in `corpus.txt`, a
-//! stream a line, in hexadecimal: each was kept because it did something that none before it did.
+//! Fuzzing of the decoder and the sessions with byte streams as a peer may send them. The corpus in `corpus.txt` has one
+//! stream per line in hexadecimal; each stream shows behaviour that no earlier one shows.
 //!
-//! CI runs the corpus and a stated number of mutants of it, from one seed. For longer, and to keep what is new:
+//! CI runs the corpus and a fixed number of mutants of it from one seed. To run longer and extend the corpus:
 //! `FUZZ=2000000 cargo test --release -p pewterwharf-bgp --test fuzz -- --ignored`.
 
 use std::collections::BTreeSet;
@@ -19,10 +19,10 @@
 use pewterwharf_bgp::session::{self, Direction};
 use pewterwharf_bgp::speaker::{AttributeConfig, Effect, Input, PeerConfig, Speaker, SpeakerConfig};
 
-/// Mutants that CI runs.
-const IN_CI: u32 = 20_000;
-/// A stream is no longer than this.
-const STREAM: usize = 3 * MAX_MESSAGE_LEN;
+/// Number of mutants in CI.
+const CI_MUTANTS: u32 = 20_000;
+/// Maximum length of a stream in bytes.
+const MAX_STREAM_LEN: usize = 3 * MAX_MESSAGE_LEN;
 
 fn net(text: &str) -> IpNet {
     text.parse().expect("a prefix")
@@ -73,33 +73,33 @@
     }
 }
 
-/// Runs one stream as a connection that the mixer opened, with scarcely enough searchers, and says what it did. What must
-/// hold whatever comes is asserted on the way.
+/// Runs one stream on a connection that the mixer opened, while the mixer can serve only part of its data, and returns a
+/// summary of the behaviour. Invariants that hold for any input are asserted.
 fn run(stream: &[u8]) -> String {
     let mut speaker = Speaker::new(&config(), 1);
-    let mut did = String::new();
+    let mut summary = String::new();
     let mut watch = WatchedPrefixes::default();
     let mut closed = false;
-    let mut step = |speaker: &mut Speaker, now: f64, input: Input, did: &mut String| {
+    let mut step = |speaker: &mut Speaker, now: f64, input: Input, summary: &mut String| {
         for effect in speaker.step(now, input) {
             match effect {
                 Effect::Send(_, _, bytes) => {
-                    assert!(!closed, "sent after the end");
+                    assert!(!closed, "sent after the connection was closed");
                     assert!(
                         message::message_length(&bytes) == Ok(Some(bytes.len())),
-                        "what is sent is whole"
+                        "sent an incomplete message"
                     );
                     let sent = message::decode(&bytes, true, &WatchedPrefixes::default())
-                        .expect("it is well formed");
+                        .expect("sent a valid message");
                     match sent {
-                        Message::Notification(told) => {
-                            let _ = write!(did, " !{}/{}", told.code, told.subcode);
+                        Message::Notification(notification) => {
+                            let _ = write!(summary, " !{}/{}", notification.code, notification.subcode);
                         }
                         Message::Update(routes) => {
-                            let _ = write!(did, " >{}-{}", routes.announced, routes.withdrawn);
+                            let _ = write!(summary, " >{}-{}", routes.announced, routes.withdrawn);
                         }
                         other => {
-                            let _ = write!(did, " >{}", &format!("{other:?}")[..4]);
+                            let _ = write!(summary, " >{}", &format!("{other:?}")[..4]);
                         }
                     }
                 }
@@ -117,13 +117,13 @@
         has_client_capacity: true,
         list_age_ms: 0.0,
     };
-    step(&mut speaker, 0.0, Input::Configure(Box::new(config())), &mut did);
-    step(&mut speaker, 0.0, Input::Announce(announce::Input::Health(health(1.0))), &mut did);
-    step(&mut speaker, 2.0, Input::Timer, &mut did);
-    step(&mut speaker, 2.0, Input::Announce(announce::Input::Health(health(0.3))), &mut did);
-    step(&mut speaker, 4.0, Input::Timer, &mut did);
+    step(&mut speaker, 0.0, Input::Configure(Box::new(config())), &mut summary);
+    step(&mut speaker, 0.0, Input::Announce(announce::Input::Health(health(1.0))), &mut summary);
+    step(&mut speaker, 2.0, Input::Timer, &mut summary);
+    step(&mut speaker, 2.0, Input::Announce(announce::Input::Health(health(0.3))), &mut summary);
+    step(&mut speaker, 4.0, Input::Timer, &mut summary);
     let session = |input| Input::Session(0, input);
-    step(&mut speaker, 5.0, session(session::Input::Connected(Direction::Out)), &mut did);
+    step(&mut speaker, 5.0, session(session::Input::Connected(Direction::Out)), &mut summary);
     let watch = WatchedPrefixes {
         prefixes: config().announce.addresses.iter().map(|a| a.prefix).collect(),
         own_asn: 64_512,
@@ -144,7 +144,7 @@
                             assert!(routes.watched.len() <= 2 * watch.prefixes.len(), "{routes:?}");
                             assert!(u64::from(routes.announced + routes.withdrawn) <= MAX_MESSAGE_LEN as u64);
                             let _ = write!(
-                                did,
+                                summary,
                                 " <{}-{}x{}w{}",
                                 routes.announced.min(3),
                                 routes.withdrawn.min(3),
@@ -161,29 +161,29 @@
             Err(refusal) => session::Input::Malformed(Direction::Out, refusal),
         };
         now += 10.0;
-        if step(&mut speaker, now, session(input), &mut did) {
+        if step(&mut speaker, now, session(input), &mut summary) {
             break;
         }
     }
-    // The peer says nothing more: the session, if there is one, ends by its own clock, and all ends.
+    // The peer sends nothing more: a session ends when its hold timer expires.
     for _ in 0..50 {
         let due = speaker.next_timer();
         if !due.is_finite() || due > 60_000.0 {
             break;
         }
         now = now.max(due);
-        if step(&mut speaker, now, Input::Timer, &mut did) {
+        if step(&mut speaker, now, Input::Timer, &mut summary) {
             break;
         }
     }
-    let shown = speaker.status(now);
-    assert!(shown.peers.len() == 1 && shown.changes.len() <= pewterwharf_bgp::speaker::MAX_RECENT_CHANGES);
-    let others = shown.addresses.iter().filter(|a| a.other_announcer).count();
-    let _ = write!(did, " {:?} others {others}", shown.peers[0].state);
-    did
+    let status = speaker.status(now);
+    assert!(status.peers.len() == 1 && status.changes.len() <= pewterwharf_bgp::speaker::MAX_RECENT_CHANGES);
+    let others = status.addresses.iter().filter(|a| a.other_announcer).count();
+    let _ = write!(summary, " {:?} others {others}", status.peers[0].state);
+    summary
 }
 
-/// Streams to begin with: what a sound peer says.
+/// Initial streams: messages of a conforming peer.
 fn seeds() -> Vec<Vec<u8>> {
     let open = Open {
         asn: 64_513,
@@ -193,13 +193,13 @@
         four_octets: true,
         route_refresh: true,
     };
-    let update = |last: bool, v6: bool| {
+    let update = |graceful_shutdown: bool, v6: bool| {
         let attributes = Attributes {
             as_path: vec![64_513, 7],
             next_hop: if v6 { "2001:db8::9".parse() } else { "192.0.2.9".parse() }.expect("an address"),
             med: Some(1),
             local_pref: None,
-            communities: if last { vec![message::GRACEFUL_SHUTDOWN] } else { vec![9] },
+            communities: if graceful_shutdown { vec![message::GRACEFUL_SHUTDOWN] } else { vec![9] },
             large_communities: vec![(1, 1, 1)],
         };
         let announced =
@@ -208,47 +208,48 @@
         Update { withdrawn, announced, attributes: Some(attributes) }.encode(true).concat()
     };
     let up = [open.encode(), message::encode_keepalive()].concat();
-    let then = |more: &[u8]| [&up[..], more].concat();
+    let established_then = |more: &[u8]| [&up[..], more].concat();
     vec![
         up.clone(),
-        then(&update(false, false)),
-        then(&update(true, false)),
-        then(&update(false, true)),
-        then(&message::encode_route_refresh(Family::V6)),
-        then(&Notification::shutdown("bye").encode()),
+        established_then(&update(false, false)),
+        established_then(&update(true, false)),
+        established_then(&update(false, true)),
+        established_then(&message::encode_route_refresh(Family::V6)),
+        established_then(&Notification::shutdown("bye").encode()),
         Open { four_octets: false, route_refresh: false, families: vec![Family::V4], ..open }.encode(),
     ]
 }
 
-fn mutate(chance: &mut Rand32, corpus: &[Vec<u8>]) -> Vec<u8> {
-    let pick = |chance: &mut Rand32| &corpus[chance.rand_range(0..corpus.len() as u32) as usize];
-    let mut bytes = pick(chance).clone();
-    for _ in 0..chance.rand_range(1..5) {
-        let at = chance.rand_range(0..bytes.len().max(1) as u32) as usize;
-        match chance.rand_range(0..6) {
-            0 if at < bytes.len() => bytes[at] ^= 1 << chance.rand_range(0..8),
-            1 if at < bytes.len() => bytes[at] = chance.rand_u32() as u8,
+fn mutate(rng: &mut Rand32, corpus: &[Vec<u8>]) -> Vec<u8> {
+    let pick = |rng: &mut Rand32| &corpus[rng.rand_range(0..corpus.len() as u32) as usize];
+    let mut bytes = pick(rng).clone();
+    for _ in 0..rng.rand_range(1..5) {
+        let at = rng.rand_range(0..bytes.len().max(1) as u32) as usize;
+        match rng.rand_range(0..6) {
+            0 if at < bytes.len() => bytes[at] ^= 1 << rng.rand_range(0..8),
+            1 if at < bytes.len() => bytes[at] = rng.rand_u32() as u8,
             2 if at < bytes.len() => drop(bytes.remove(at)),
-            3 => bytes
-                .insert(at.min(bytes.len()), [0, 1, 4, 0x40, 0xC0, 0xFF][chance.rand_range(0..6) as usize]),
+            3 => {
+                bytes.insert(at.min(bytes.len()), [0, 1, 4, 0x40, 0xC0, 0xFF][rng.rand_range(0..6) as usize])
+            }
             4 => bytes.truncate(at.max(1)),
             _ => {
-                let other = pick(chance).clone();
-                let from = chance.rand_range(0..other.len() as u32) as usize;
+                let other = pick(rng).clone();
+                let from = rng.rand_range(0..other.len() as u32) as usize;
                 bytes.extend(&other[from..]);
             }
         }
     }
-    // A message whose length no longer fits is read no further: mostly it is made to fit.
-    if chance.rand_float() < 0.8 {
-        fit(&mut bytes);
+    // A message with a wrong length ends the session, so the lengths are corrected in most mutants.
+    if rng.rand_float() < 0.8 {
+        fix_lengths(&mut bytes);
     }
-    bytes.truncate(STREAM);
+    bytes.truncate(MAX_STREAM_LEN);
     bytes
 }
 
-/// Sets the lengths in the headers to where the next marker begins.
-fn fit(bytes: &mut [u8]) {
+/// Sets the length in each header to the distance to the next marker.
+fn fix_lengths(bytes: &mut [u8]) {
     let starts: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at..].starts_with(&[0xFF; 16])).collect();
     for (nth, start) in starts.iter().enumerate() {
         let end = starts.get(nth + 1).copied().unwrap_or(bytes.len());
@@ -262,7 +263,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus.txt"))
 }
 
-fn corpus() -> Vec<Vec<u8>> {
+fn read_corpus() -> Vec<Vec<u8>> {
     let text = std::fs::read_to_string(corpus_file()).expect("the corpus");
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
     text.lines().map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect()
@@ -272,28 +273,28 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Whether it did something that was not seen before; all that it did is seen from then on.
-fn new_in(did: &str, seen: &mut BTreeSet<String>) -> bool {
-    let words: Vec<&str> = did.split_whitespace().collect();
+/// Whether a summary contains behaviour that was not seen before; adds it to the seen behaviour.
+fn is_new(summary: &str, seen: &mut BTreeSet<String>) -> bool {
+    let words: Vec<&str> = summary.split_whitespace().collect();
     let before = seen.len();
     seen.extend(words.into_iter().map(str::to_owned));
     seen.len() > before
 }
 
-/// Runs so many mutants; those that did something new.
+/// Runs `count` mutants and returns those with new behaviour.
 fn search(count: u32, seed: u64, from: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
-    let mut chance = Rand32::new(seed);
+    let mut rng = Rand32::new(seed);
     let mut seen = BTreeSet::new();
     for stream in &from {
-        new_in(&run(stream), &mut seen);
+        is_new(&run(stream), &mut seen);
     }
     let mut corpus = from;
     let mut found = Vec::new();
     for _ in 0..count {
-        let stream = mutate(&mut chance, &corpus);
-        let did = std::panic::catch_unwind(|| run(&stream));
-        let Ok(did) = did else { panic!("this stream breaks a promise: {}", hex(&stream)) };
-        if new_in(&did, &mut seen) {
+        let stream = mutate(&mut rng, &corpus);
+        let summary = std::panic::catch_unwind(|| run(&stream));
+        let Ok(summary) = summary else { panic!("this stream violates an invariant: {}", hex(&stream)) };
+        if is_new(&summary, &mut seen) {
             corpus.push(stream.clone());
             found.push(stream);
         }
@@ -302,38 +303,38 @@
 }
 
 #[test]
-fn the_corpus_and_mutants_of_it_keep_what_is_promised() {
-    let corpus = corpus();
+fn corpus_and_mutants() {
+    let corpus = read_corpus();
     assert!(corpus.len() >= 50, "the corpus has {} streams", corpus.len());
-    // None was kept for nothing.
+    // At least nine tenths of the streams have to show new behaviour, or the corpus is out of date.
     let mut seen = BTreeSet::new();
-    let idle = corpus.iter().filter(|stream| !new_in(&run(stream), &mut seen)).count();
-    assert!(idle * 10 <= corpus.len(), "{idle} of {} streams do nothing new", corpus.len());
-    search(IN_CI, 23, corpus);
+    let redundant = corpus.iter().filter(|stream| !is_new(&run(stream), &mut seen)).count();
+    assert!(redundant * 10 <= corpus.len(), "{redundant} of {} streams show nothing new", corpus.len());
+    search(CI_MUTANTS, 23, corpus);
 }
 
-/// What a sound peer says does what it should: else the fuzzing looks at nothing.
+/// The initial streams have to be processed as intended, or fuzzing would not reach the code behind them.
 #[test]
-fn what_a_sound_peer_says_gets_through() {
-    let did: Vec<String> = seeds().iter().map(|stream| run(stream)).collect();
-    insta::assert_snapshot!(did.join("\n"));
+fn seed_streams() {
+    let summaries: Vec<String> = seeds().iter().map(|stream| run(stream)).collect();
+    insta::assert_snapshot!(summaries.join("\n"));
 }
 
 #[test]
-#[ignore = "as long as it is given; keeps what is new"]
-fn for_long() {
+#[ignore = "runs as many mutants as FUZZ states and extends the corpus"]
+fn extend_corpus() {
     let count = std::env::var("FUZZ").ok().and_then(|n| n.parse().ok()).unwrap_or(200_000);
-    let mut kept = if corpus_file().exists() { corpus() } else { Vec::new() };
-    if kept.is_empty() {
-        kept = seeds();
+    let mut corpus = if corpus_file().exists() { read_corpus() } else { Vec::new() };
+    if corpus.is_empty() {
+        corpus = seeds();
     }
-    let found = search(count, 29, kept.clone());
+    let found = search(count, 29, corpus.clone());
     println!("{} new among {count}", found.len());
-    kept.extend(found);
-    // Short ones first, and only what does something that none before it does.
-    kept.sort_by_key(Vec::len);
+    corpus.extend(found);
+    // Short streams first, and only those with behaviour that no earlier one shows.
+    corpus.sort_by_key(Vec::len);
     let mut seen = BTreeSet::new();
-    kept.retain(|stream| stream.len() <= 1500 && new_in(&run(stream), &mut seen));
-    let lines: Vec<String> = kept.iter().map(|stream| hex(stream) + "\n").collect();
+    corpus.retain(|stream| stream.len() <= 1500 && is_new(&run(stream), &mut seen));
+    let lines: Vec<String> = corpus.iter().map(|stream| hex(stream) + "\n").collect();
     std::fs::write(corpus_file(), lines.concat()).expect("the corpus is written");
 }
--- a/crates/bgp/tests/message.rs
+++ b/crates/bgp/tests/message.rs
@@ -1,4 +1,4 @@
-//! The codec: what is written reads back, what can't be is refused with the right code, noise never panics.
+//! The codec: round trips, error codes of malformed messages, and random input that must not panic.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -34,7 +34,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(600) })]
 
     #[test]
-    fn opens_read_back(asn in 1u32.., hold in prop_oneof![Just(0u16), 3u16..], id in 1u32.., v6: bool, refresh: bool) {
+    fn open_round_trip(asn in 1u32.., hold in prop_oneof![Just(0u16), 3u16..], id in 1u32.., v6: bool, refresh: bool) {
         let mut families = vec![Family::V4];
         families.extend(v6.then_some(Family::V6));
         let open = Open { asn, hold_time_s: hold, bgp_id: id.into(), families, four_octets: true, route_refresh: refresh };
@@ -42,7 +42,7 @@
     }
 
     #[test]
-    fn routes_read_back_whatever_their_number(
+    fn update_round_trip_of_any_size(
         withdrawn in proptest::collection::btree_set(net(), 0..400),
         announced in proptest::collection::btree_set(net(), 0..400),
         path in proptest::collection::vec(any::<u32>(), 0..300),
@@ -54,28 +54,29 @@
             announced: announced.clone(),
             attributes: Some(attributes(path, vec![message::GRACEFUL_SHUTDOWN])),
         };
-        let (mut gone, mut told) = (Vec::new(), Vec::new());
+        let mut decoded_withdrawn = Vec::new();
+        let mut decoded_announced = Vec::new();
         for bytes in update.encode(four_octets) {
             prop_assert!(bytes.len() <= MAX_MESSAGE_LEN);
             prop_assert_eq!(message::message_length(&bytes), Ok(Some(bytes.len())));
-            let (w, a) = decode_prefixes(&bytes).expect("it can be read");
-            let counted = message::decode(&bytes, four_octets, &WatchedPrefixes::default());
-            let routes = UpdateSummary { announced: a.len() as u32, withdrawn: w.len() as u32, ..UpdateSummary::default() };
-            prop_assert_eq!(counted, Ok(Message::Update(routes)));
-            gone.extend(w);
-            told.extend(a);
+            let (withdrawn, announced) = decode_prefixes(&bytes).expect("a valid UPDATE");
+            let decoded = message::decode(&bytes, four_octets, &WatchedPrefixes::default());
+            let routes = UpdateSummary { announced: announced.len() as u32, withdrawn: withdrawn.len() as u32, ..UpdateSummary::default() };
+            prop_assert_eq!(decoded, Ok(Message::Update(routes)));
+            decoded_withdrawn.extend(withdrawn);
+            decoded_announced.extend(announced);
         }
-        gone.sort();
-        told.sort();
-        prop_assert_eq!((gone, told), (withdrawn, announced));
+        decoded_withdrawn.sort();
+        decoded_announced.sort();
+        prop_assert_eq!((decoded_withdrawn, decoded_announced), (withdrawn, announced));
     }
 
-    /// Any bytes, and any message with bytes changed, are read or refused.
+    /// Decoding random bytes, and messages with some bytes changed, does not panic.
     #[test]
-    fn noise_is_read_or_refused(
+    fn random_bytes_do_not_panic(
         noise in proptest::collection::vec(any::<u8>(), 0..200),
         kind in 0u8..7,
-        turned in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
+        changed in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
     ) {
         let mut framed = vec![0xFF; 16];
         framed.extend(((HEADER_LEN + noise.len()) as u16).to_be_bytes());
@@ -86,7 +87,7 @@
         let announced = vec!["10.0.0.0/8".parse().expect("a prefix"), "2001:db8::/32".parse().expect("a prefix")];
         let update = Update { withdrawn: vec![], announced, attributes: Some(attributes(vec![1, 70_000], vec![3])) };
         for mut bytes in update.encode(true) {
-            for (at, byte) in &turned {
+            for (at, byte) in &changed {
                 let at = at.index(bytes.len());
                 bytes[at] = *byte;
             }
@@ -96,16 +97,17 @@
     }
 }
 
-fn told(bytes: &[u8]) -> String {
+/// The decoded message or the error as text.
+fn outcome(bytes: &[u8]) -> String {
     match message::decode(bytes, true, &WatchedPrefixes::default()) {
         Ok(Message::Update(routes)) => format!("{routes:?}"),
         Ok(message) => format!("{message:?}"),
-        Err(MessageError(told)) => format!("{told} {:?}", told.data),
+        Err(MessageError(reply)) => format!("{reply} {:?}", reply.data),
     }
 }
 
 #[test]
-fn what_can_t_be_read_is_refused_with_the_code_that_the_rfc_names() {
+fn malformed_messages_give_the_error_codes_of_the_rfcs() {
     let open = Open {
         asn: 70_000,
         hold_time_s: 90,
@@ -117,30 +119,30 @@
     let with = |at: usize, byte: u8| {
         let mut bytes = open.encode();
         bytes[at] = byte;
-        told(&bytes)
+        outcome(&bytes)
     };
     assert_eq!(with(3, 0), "1/1 connection not synchronised []");
     assert_eq!(with(18, 9), "1/3 bad message type [9]");
     assert_eq!(with(16, 99), "1/2 bad message length [99, 45]");
     assert_eq!(with(19, 3), "2/1 unsupported version [0, 4]");
     let hold = Open { hold_time_s: 2, ..open.clone() };
-    assert_eq!(told(&hold.encode()), "2/6 unacceptable hold time []");
-    let nobody = Open { bgp_id: Ipv4Addr::UNSPECIFIED, ..open.clone() };
-    assert_eq!(told(&nobody.encode()), "2/3 bad BGP identifier []");
+    assert_eq!(outcome(&hold.encode()), "2/6 unacceptable hold time []");
+    let no_id = Open { bgp_id: Ipv4Addr::UNSPECIFIED, ..open.clone() };
+    assert_eq!(outcome(&no_id.encode()), "2/3 bad BGP identifier []");
     assert_eq!(with(29, 1), "2/4 unsupported optional parameter []");
-    let bed = Notification::shutdown("off to bed");
+    let shutdown = Notification::shutdown("off to bed");
     assert_eq!(
-        message::decode(&bed.encode(), true, &WatchedPrefixes::default()),
-        Ok(Message::Notification(bed))
+        message::decode(&shutdown.encode(), true, &WatchedPrefixes::default()),
+        Ok(Message::Notification(shutdown))
     );
-    let words = Notification::shutdown(&"é".repeat(200));
-    assert_eq!(words.shutdown_text().map(str::len), Some(254));
+    let long = Notification::shutdown(&"é".repeat(200));
+    assert_eq!(long.shutdown_text().map(str::len), Some(254));
     assert_eq!(Notification::shutdown("off to bed").to_string(), "6/2 administrative shutdown: off to bed");
 }
 
 #[test]
-fn faulty_attributes_withdraw_their_routes_and_leave_the_session() {
-    // One prefix; ORIGIN, an empty AS_PATH, NEXT_HOP; each turned faulty in its own way.
+fn malformed_attributes_are_treated_as_withdrawal() {
+    // An UPDATE with one prefix and the attributes ORIGIN, an empty AS_PATH and NEXT_HOP, each made invalid in turn.
     let update = |attributes: &[u8]| {
         let mut bytes = vec![0xFF; 16];
         let length = (HEADER_LEN + 4 + attributes.len() + 2) as u16;
@@ -149,36 +151,32 @@
         bytes.extend((attributes.len() as u16).to_be_bytes());
         bytes.extend(attributes);
         bytes.extend([8, 10]);
-        told(&bytes)
+        outcome(&bytes)
     };
-    let sound = [0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 10, 0, 0, 1];
+    let valid = [0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 10, 0, 0, 1];
     let routes = |announced, withdrawn, faulty_attributes| {
         format!("{:?}", UpdateSummary { announced, withdrawn, faulty_attributes, watched: Vec::new() })
     };
-    assert_eq!(update(&sound), routes(1, 0, 0));
-    assert_eq!(update(&sound[..7]), routes(0, 1, 1), "no next hop");
-    assert_eq!(update(&[&sound[..3], &[9], &sound[4..]].concat()), routes(0, 1, 1), "an origin that is none");
-    assert_eq!(update(&[&sound[..], &[0x40, 1, 1, 0]].concat()), routes(1, 0, 1), "an origin told twice");
-    assert_eq!(update(&[&sound[..], &[0x80, 4, 9, 0]].concat()), routes(0, 1, 1), "one that ends too soon");
+    assert_eq!(update(&valid), routes(1, 0, 0));
+    assert_eq!(update(&valid[..7]), routes(0, 1, 1), "no next hop");
+    assert_eq!(update(&[&valid[..3], &[9], &valid[4..]].concat()), routes(0, 1, 1), "invalid ORIGIN");
+    assert_eq!(update(&[&valid[..], &[0x40, 1, 1, 0]].concat()), routes(1, 0, 1), "duplicate ORIGIN");
+    assert_eq!(update(&[&valid[..], &[0x80, 4, 9, 0]].concat()), routes(0, 1, 1), "truncated attribute");
+    assert_eq!(update(&[&valid[..], &[0xC0, 99, 2, 1, 2]].concat()), routes(1, 0, 0), "unknown attribute");
     assert_eq!(
-        update(&[&sound[..], &[0xC0, 99, 2, 1, 2]].concat()),
-        routes(1, 0, 0),
-        "one that nobody knows"
-    );
-    assert_eq!(
-        update(&[&sound[..], &[0xC0, 8, 3, 1, 2, 3]].concat()),
+        update(&[&valid[..], &[0xC0, 8, 3, 1, 2, 3]].concat()),
         routes(0, 1, 1),
         "communities of three bytes"
     );
 }
 
-/// What is watched is told with whose it is; what is faulty counts as gone; the rest is only counted.
+/// Routes to watched prefixes are reported with their attributes; other routes are only counted.
 #[test]
-fn watched_prefixes_are_told_of_and_no_others() {
+fn only_watched_prefixes_are_reported() {
     let net = |text: &str| -> IpNet { text.parse().expect("a prefix") };
     let watch =
         WatchedPrefixes { prefixes: vec![net("198.51.100.1/32"), net("2001:db8::1/128")], own_asn: 64_512 };
-    let read = |update: &Update| {
+    let decode = |update: &Update| {
         let mut watched = Vec::new();
         for bytes in update.encode(true) {
             match message::decode(&bytes, true, &watch) {
@@ -194,15 +192,15 @@
         attributes: Some(attributes(vec![1, 64_512], vec![message::GRACEFUL_SHUTDOWN])),
     };
     let hop = update.attributes.as_ref().map(|a| a.next_hop);
-    let seen =
+    let observed =
         ObservedRoute { next_hop: hop, originator_id: None, own_as_in_path: true, graceful_shutdown: true };
-    assert_eq!(read(&update), [(net("198.51.100.1/32"), Some(seen)), (net("2001:db8::1/128"), None)]);
+    assert_eq!(decode(&update), [(net("198.51.100.1/32"), Some(observed)), (net("2001:db8::1/128"), None)]);
     update.attributes = Some(attributes(vec![1, 2], vec![]));
     assert_eq!(
-        read(&update)[0],
+        decode(&update)[0],
         (
             net("198.51.100.1/32"),
-            Some(ObservedRoute { own_as_in_path: false, graceful_shutdown: false, ..seen })
+            Some(ObservedRoute { own_as_in_path: false, graceful_shutdown: false, ..observed })
         )
     );
 }
--- a/crates/bgp/tests/rib.rs
+++ b/crates/bgp/tests/rib.rs
@@ -1,4 +1,4 @@
-//! AdjRibOut out: the trie against a plain map, and what a peer is told.
+//! The prefix trie compared with a map, and the updates sent from an Adj-RIB-Out.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Few bits, so that prefixes cover each other often.
+/// Prefixes of few bits, so that they often contain each other.
 fn net() -> impl Strategy<Value = IpNet> {
     let v4 = (0u32..64, 0u8..=8)
         .prop_map(|(a, l)| ipnet::Ipv4Net::new((a << 24).into(), l).expect("a length").into());
@@ -18,7 +18,7 @@
     prop_oneof![v4, v6].prop_map(|n: IpNet| n.trunc())
 }
 
-fn with(med: u32) -> Attributes {
+fn with_med(med: u32) -> Attributes {
     let next_hop = IpAddr::V4(Ipv4Addr::LOCALHOST);
     Attributes {
         as_path: vec![1],
@@ -34,8 +34,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(800) })]
 
     #[test]
-    fn the_trie_is_a_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
-        let (mut trie, mut map) = (Trie::default(), BTreeMap::new());
+    fn trie_behaves_like_a_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
+        let mut trie = Trie::default();
+        let mut map = BTreeMap::new();
         for (at, value) in steps {
             match value {
                 Some(value) => prop_assert_eq!(trie.insert(&at, value), map.insert(at, value)),
@@ -51,30 +52,32 @@
         }
     }
 
-    /// Whatever changes in between, a peer that has taken all holds what is wanted, and is told no more than that.
+    /// After any sequence of changes, a peer that has received all updates has exactly the wanted routes.
     #[test]
-    fn a_peer_holds_what_is_wanted(
+    fn peer_ends_up_with_the_wanted_routes(
         steps in proptest::collection::vec((net(), proptest::option::of(0u32..3), 0u8..12), 1..80),
     ) {
-        let (mut routes, mut wanted, mut peer) = (AdjRibOut::default(), BTreeMap::new(), BTreeMap::new());
-        let take = |routes: &mut AdjRibOut, peer: &mut BTreeMap<IpNet, Attributes>| {
+        let mut routes = AdjRibOut::default();
+        let mut wanted = BTreeMap::new();
+        let mut peer = BTreeMap::new();
+        let send_updates = |routes: &mut AdjRibOut, peer: &mut BTreeMap<IpNet, Attributes>| {
             for update in routes.take_updates() {
-                update.withdrawn.iter().for_each(|at| assert!(peer.remove(at).is_some(), "{at} was not held"));
+                update.withdrawn.iter().for_each(|at| assert!(peer.remove(at).is_some(), "{at} was not sent before"));
                 let attributes = update.attributes.clone();
                 update.announced.iter().for_each(|at| {
-                    peer.insert(*at, attributes.clone().expect("they have some"));
+                    peer.insert(*at, attributes.clone().expect("announced routes have attributes"));
                 });
             }
             assert!(!routes.has_pending() && routes.take_updates().is_empty());
         };
         for (at, med, then) in steps {
-            routes.set(at, med.map(with));
+            routes.set(at, med.map(with_med));
             match med {
-                Some(med) => drop(wanted.insert(at, with(med))),
+                Some(med) => drop(wanted.insert(at, with_med(med))),
                 None => drop(wanted.remove(&at)),
             }
             match then {
-                0..=2 => take(&mut routes, &mut peer),
+                0..=2 => send_updates(&mut routes, &mut peer),
                 3 => {
                     routes.session_lost();
                     peer.clear();
@@ -83,10 +86,10 @@
                 _ => {}
             }
         }
-        take(&mut routes, &mut peer);
+        send_updates(&mut routes, &mut peer);
         prop_assert_eq!(&peer, &wanted);
-        let mut held = routes.advertised();
-        held.sort();
-        prop_assert_eq!(held, wanted.into_keys().collect::<Vec<_>>());
+        let mut advertised = routes.advertised();
+        advertised.sort();
+        prop_assert_eq!(advertised, wanted.into_keys().collect::<Vec<_>>());
     }
 }
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -1,4 +1,4 @@
-//! The state machine: every event in every state, collisions, timers, damping.
+//! The session state machine: every event in every state, collisions, timers, flap damping.
 
 use std::fmt::Write;
 use std::net::Ipv4Addr;
@@ -36,8 +36,9 @@
     }
 }
 
-fn told(effects: &[Effect]) -> String {
-    let words = effects.iter().map(|effect| match effect {
+/// The effects as text.
+fn describe(effects: &[Effect]) -> String {
+    let texts = effects.iter().map(|effect| match effect {
         Effect::Connect => "connect".to_owned(),
         Effect::Send(direction, bytes) => match message::decode(bytes, true, &WatchedPrefixes::default()) {
             Ok(Message::Open(_)) => format!("{direction:?} OPEN"),
@@ -48,14 +49,14 @@
         Effect::Close(direction) => format!("close {direction:?}"),
         Effect::Refuse(direction) => format!("refuse {direction:?}"),
         Effect::Up { direction, families, .. } => format!("up {direction:?} {families:?}"),
-        Effect::Down(why) => format!("down: {why}"),
+        Effect::Down(reason) => format!("down: {reason}"),
         Effect::RefreshRequested(family) => format!("refresh {family:?}"),
         Effect::WatchedRoute(at, seen) => format!("watched {at} {seen:?}"),
     });
-    words.collect::<Vec<_>>().join(", ")
+    texts.collect::<Vec<_>>().join(", ")
 }
 
-/// A session brought to a state by a connection that it opened itself.
+/// A session in a state that it reached over a connection opened by itself.
 fn at(state: State) -> Session {
     let mut session = Session::new(config(), 1);
     let inputs = [
@@ -66,7 +67,7 @@
         (State::Established, Input::Received(Direction::Out, Message::Keepalive)),
     ];
     for (reached, input) in inputs {
-        // Active lies off the direction to those after it.
+        // Active is not on the path to the later states.
         if reached <= state && (reached != State::Active || state == State::Active) {
             session.step(0.0, input);
         }
@@ -107,14 +108,14 @@
             let mut session = at(state);
             let now = if event == Input::Timer { 86_400_000.0 } else { 1.0 };
             let effects = session.step(now, event.clone());
-            let _ = writeln!(out, "    {state:?} -> {:?}: {}", session.state(), told(&effects));
+            let _ = writeln!(out, "    {state:?} -> {:?}: {}", session.state(), describe(&effects));
         }
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn of_two_connections_that_collide_the_higher_identifier_s_stays_in_both_orders() {
+fn collision_keeps_the_connection_of_the_higher_identifier() {
     let mut out = String::new();
     for (peer, first) in [(9, Direction::Out), (9, Direction::In), (0, Direction::Out), (0, Direction::In)] {
         let second = if first == Direction::Out { Direction::In } else { Direction::Out };
@@ -125,16 +126,20 @@
         let one = session.step(2.0, Input::Received(first, Message::Open(open(peer))));
         let two = session.step(3.0, Input::Received(second, Message::Open(open(peer))));
         let up = [Direction::Out, Direction::In]
-            .map(|direction| told(&session.step(4.0, Input::Received(direction, Message::Keepalive))));
-        let _ =
-            writeln!(out, "peer 10.0.0.{peer}, OPEN first {first:?}: {}; {}; {up:?}", told(&one), told(&two));
+            .map(|direction| describe(&session.step(4.0, Input::Received(direction, Message::Keepalive))));
+        let _ = writeln!(
+            out,
+            "peer 10.0.0.{peer}, OPEN first {first:?}: {}; {}; {up:?}",
+            describe(&one),
+            describe(&two)
+        );
         assert_eq!(session.state(), State::Established);
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn hold_times_of_nothing_and_of_three_seconds_are_kept() {
+fn hold_times_of_zero_and_three_seconds() {
     let mut out = String::new();
     for hold_time_s in [0, 3] {
         let mut session = at(State::OpenSent);
@@ -143,49 +148,54 @@
         let _ = writeln!(out, "hold {hold_time_s}: next timer at {:.0}", session.next_timer());
         while session.next_timer() < 10_000.0 && session.state() == State::Established {
             let at = session.next_timer();
-            let _ = writeln!(out, "    {at:.0}: {}", told(&session.step(at, Input::Timer)));
+            let _ = writeln!(out, "    {at:.0}: {}", describe(&session.step(at, Input::Timer)));
         }
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn a_peer_that_flaps_is_held_longer_from_the_third_time_on_and_forgiven_when_it_lives() {
+fn idle_hold_doubles_from_the_third_flap_on() {
     let mut session = Session::new(config(), 1);
-    let (mut now, mut out) = (0.0, String::new());
+    let mut now = 0.0;
+    let mut out = String::new();
     session.step(now, Input::Start);
-    for lived in [100.0, 100.0, 100.0, 100.0, 600_000.0, 100.0] {
+    for up_ms in [100.0, 100.0, 100.0, 100.0, 600_000.0, 100.0] {
         session.step(now, Input::Connected(Direction::Out));
         session.step(now, Input::Received(Direction::Out, Message::Open(open(9))));
         session.step(now, Input::Received(Direction::Out, Message::Keepalive));
-        now += lived;
+        now += up_ms;
         let effects = session.step(now, Input::Closed(Direction::Out));
-        let held = session.next_timer() - now;
-        let _ =
-            writeln!(out, "lived {lived}: {}; {} flaps, idle for {held:.0}", told(&effects), session.flaps());
-        // What comes in while it is idle is refused unseen.
+        let idle_ms = session.next_timer() - now;
+        let _ = writeln!(
+            out,
+            "lived {up_ms}: {}; {} flaps, idle for {idle_ms:.0}",
+            describe(&effects),
+            session.flaps()
+        );
+        // A connection accepted during the idle hold is refused without an OPEN.
         assert_eq!(session.step(now, Input::Connected(Direction::In)), [Effect::Refuse(Direction::In)]);
         now = session.next_timer();
-        let again = session.step(now, Input::Timer);
-        assert_eq!(again, [Effect::Connect]);
+        let effects = session.step(now, Input::Timer);
+        assert_eq!(effects, [Effect::Connect]);
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn a_million_routes_are_counted_and_end_the_session_at_its_limit() {
+fn session_ends_at_the_prefix_limit() {
     let mut session = at(State::Established);
-    let some = |announced, withdrawn| {
+    let update = |announced, withdrawn| {
         Message::Update(UpdateSummary { announced, withdrawn, ..UpdateSummary::default() })
     };
     for _ in 0..10 {
-        session.step(1.0, Input::Received(Direction::Out, some(200, 0)));
-        session.step(1.0, Input::Received(Direction::Out, some(0, 200)));
+        session.step(1.0, Input::Received(Direction::Out, update(200, 0)));
+        session.step(1.0, Input::Received(Direction::Out, update(0, 200)));
     }
     assert_eq!((session.state(), session.received_prefixes()), (State::Established, 0));
-    let effects = session.step(1.0, Input::Received(Direction::Out, some(1_000_000, 0)));
+    let effects = session.step(1.0, Input::Received(Direction::Out, update(1_000_000, 0)));
     assert_eq!(
-        told(&effects),
+        describe(&effects),
         "Out NOTIFICATION 6/1 most prefixes reached, close Out, down: we said 6/1 most prefixes reached"
     );
 }
@@ -193,14 +203,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(800) })]
 
-    /// Whatever comes in whatever order: one `Up` between two `Down`s, none while stopped, no connection is sent on
-    /// after it was closed, timers lie ahead, and a clock that steps back changes nothing.
+    /// For any order of events: `Up` and `Down` alternate, nothing is sent on a closed connection, and the state agrees
+    /// with the reported effects, also with a clock that steps back.
     #[test]
-    fn any_order_of_events_keeps_the_session_whole(
+    fn invariants_for_any_sequence_of_events(
         events in proptest::collection::vec((0u8..14, -2000.0f64..30_000.0), 1..60),
     ) {
         let mut session = Session::new(config(), 3);
-        let (mut now, mut up, mut is_open) = (0.0f64, false, [false; 2]);
+        let mut now = 0.0f64;
+        let mut up = false;
+        let mut is_open = [false; 2];
         for (event, step) in events {
             now += step;
             let direction = if event % 2 == 0 { Direction::Out } else { Direction::In };
@@ -215,18 +227,19 @@
                 12 => Input::Malformed(direction, MessageError(Notification::new(1, 1))),
                 _ => Input::Timer,
             };
-            let (came, before) = (input == Input::Connected(direction), is_open[direction as usize]);
-            is_open[direction as usize] |= came;
+            let accepted = input == Input::Connected(direction);
+            let was_open = is_open[direction as usize];
+            is_open[direction as usize] |= accepted;
             if input == Input::Closed(direction) {
                 is_open[direction as usize] = false;
             }
             for effect in session.step(now, input) {
                 match effect {
-                    Effect::Send(direction, _) => prop_assert!(is_open[direction as usize], "sent on a closed link"),
+                    Effect::Send(direction, _) => prop_assert!(is_open[direction as usize], "sent on a closed connection"),
                     Effect::Close(direction) => is_open[direction as usize] = false,
                     Effect::Refuse(refused) => {
-                        prop_assert!(came && refused == direction);
-                        is_open[direction as usize] = before;
+                        prop_assert!(accepted && refused == direction);
+                        is_open[direction as usize] = was_open;
                     }
                     Effect::Up { .. } => prop_assert!(!std::mem::replace(&mut up, true)),
                     Effect::Down(_) => prop_assert!(std::mem::replace(&mut up, false)),
@@ -238,9 +251,9 @@
     }
 }
 
-/// The operator's changes in each state: who speaks with whom ends the session, all else leaves it.
+/// A change of the AS number restarts the session, other changes leave it as it is.
 #[test]
-fn new_terms_in_every_state() {
+fn configuration_changes_in_every_state() {
     let mut out = String::new();
     type Change = fn(&mut SessionConfig);
     let changes: [(&str, Change); 4] = [
@@ -255,14 +268,14 @@
             let mut config = config();
             change(&mut config);
             let effects = session.step(1.0, Input::Configure(config));
-            let _ = writeln!(out, "{name:17} {state:?} -> {:?}: {}", session.state(), told(&effects));
+            let _ = writeln!(out, "{name:17} {state:?} -> {:?}: {}", session.state(), describe(&effects));
         }
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn a_peer_that_understands_it_is_asked_for_its_routes_again() {
+fn route_refresh_is_requested_only_when_established() {
     let mut session = at(State::Established);
     let effects = session.step(1.0, Input::RequestRefresh);
     assert_eq!(effects, [Effect::Send(Direction::Out, message::encode_route_refresh(Family::V4))]);
