--- a/crates/mixer/src/buffer.rs
+++ b/crates/mixer/src/buffer.rs
@@ -1,10 +1,10 @@
-//! A connection's one buffer: grown as needed, compacted in place.
+//! The read buffer of a connection: it grows as needed and is compacted in place.
 
 use std::io::{self, Read};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What many buffers may grow by in sum, beyond the first room that each has for itself.
+/// Memory that many buffers share. Each buffer's initial space is not counted.
 #[derive(Clone)]
 pub struct MemoryBudget(Arc<AtomicUsize>);
 
@@ -13,14 +13,13 @@
         Self(Arc::new(AtomicUsize::new(bytes)))
     }
 
-    /// What is left.
     pub fn remaining(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 
     pub(crate) fn try_reserve(&self, bytes: usize) -> bool {
-        let less = |left: usize| left.checked_sub(bytes);
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok()
+        let reduce = |remaining: usize| remaining.checked_sub(bytes);
+        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, reduce).is_ok()
     }
 
     pub(crate) fn release(&self, bytes: usize) {
@@ -30,62 +29,67 @@
 
 pub struct Buffer {
     data: Vec<u8>,
-    /// Bytes before this one are used up.
-    from: usize,
-    /// Bytes from this one on are not yet filled.
-    to: usize,
-    room: MemoryBudget,
+    /// Bytes before this index are consumed.
+    start: usize,
+    /// Bytes from this index on are not filled yet.
+    end: usize,
+    budget: MemoryBudget,
 }
 
 impl Buffer {
-    /// Room that a read finds at least: most messages come whole in it. Every buffer has this much.
-    const ROOM: usize = 2048;
+    /// The space that every buffer has, whatever the budget. Most messages fit into it whole.
+    const INITIAL_BYTES: usize = 2048;
 
-    pub fn new(room: &MemoryBudget) -> Self {
-        Self { data: Vec::new(), from: 0, to: 0, room: room.clone() }
+    pub fn new(budget: &MemoryBudget) -> Self {
+        Self { data: Vec::new(), start: 0, end: 0, budget: budget.clone() }
     }
 
-    /// What has come and is not used up.
+    /// The bytes that were read and are not consumed.
     pub fn bytes(&self) -> &[u8] {
-        &self.data[self.from..self.to]
+        &self.data[self.start..self.end]
     }
 
-    /// Reads once; the number of bytes that came, zero at the end. Out of memory if all have grown too much.
+    /// Reads once; the number of bytes read, zero at the end of the input.
+    ///
+    /// # Errors
+    /// `OutOfMemory` if the buffer has to grow and the budget is exhausted; otherwise the error of the input.
     pub fn fill(&mut self, input: &mut impl Read) -> io::Result<usize> {
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
-            if self.data.len() > Self::ROOM {
+        if self.start == self.end {
+            self.start = 0;
+            self.end = 0;
+            if self.data.len() > Self::INITIAL_BYTES {
                 self.shrink();
             }
         }
-        if self.data.len() - self.to < Self::ROOM && self.from > 0 {
-            self.data.copy_within(self.from..self.to, 0);
-            (self.from, self.to) = (0, self.to - self.from);
+        if self.data.len() - self.end < Self::INITIAL_BYTES && self.start > 0 {
+            self.data.copy_within(self.start..self.end, 0);
+            self.end -= self.start;
+            self.start = 0;
         }
-        if self.data.len() - self.to < Self::ROOM / 2 {
-            let size = (2 * self.data.len()).max(Self::ROOM);
-            if size > Self::ROOM && !self.room.try_reserve(size - self.data.len()) {
+        if self.data.len() - self.end < Self::INITIAL_BYTES / 2 {
+            let size = (2 * self.data.len()).max(Self::INITIAL_BYTES);
+            if size > Self::INITIAL_BYTES && !self.budget.try_reserve(size - self.data.len()) {
                 return Err(io::ErrorKind::OutOfMemory.into());
             }
             self.data.resize(size, 0);
         }
-        let read = loop {
-            match input.read(&mut self.data[self.to..]) {
+        let count = loop {
+            match input.read(&mut self.data[self.end..]) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 other => break other?,
             }
         };
-        self.to += read;
-        Ok(read)
+        self.end += count;
+        Ok(count)
     }
 
-    /// Uses bytes up.
+    /// Consumes up to `count` bytes.
     pub fn consume(&mut self, count: usize) {
-        self.from = self.from.saturating_add(count).min(self.to);
+        self.start = self.start.saturating_add(count).min(self.end);
     }
 
     fn shrink(&mut self) {
-        self.room.release(self.data.len().saturating_sub(Self::ROOM));
+        self.budget.release(self.data.len().saturating_sub(Self::INITIAL_BYTES));
         self.data = Vec::new();
     }
 }
--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -1,7 +1,7 @@
-//! Connections of clients: one thread accepts and reads them all, as a thread for each of hundreds that say
-//! nothing was measured to cost most of the CPU. Answers are written at once, from the service's own thread.
+//! Connections of clients. One thread accepts and reads them all: with a thread for each of hundreds of idle connections, most of
+//! the CPU time went to those threads. Answers are written at once, from the service's own thread.
 
-mod arrived;
+mod arrival_times;
 mod connection;
 
 use std::collections::HashMap;
@@ -19,28 +19,28 @@
 use tracing::debug;
 
 use crate::buffer::MemoryBudget;
+use crate::client_handle::{ClientHandle, Command, CommandSender, SharedConnection};
 use crate::inputs::Input;
-use crate::line::{Line, Order, Orders, Shared};
 use crate::messages::MessageSender;
 use crate::pauses::ArrivalTracker;
 use crate::stream::write_some;
-use connection::Conn;
+use connection::Connection;
 
-/// A client that takes no bytes for so long is given up.
-const STUCK: Duration = Duration::from_secs(5);
-/// How often it is looked for the stuck, while an answer waits.
-const LOOK: Duration = Duration::from_secs(1);
-/// How often the thread looks at the clock, so that a pause of the process shows.
-const LOOKS_EACH: Duration = Duration::from_millis(40);
-/// Events that are taken together.
-const EVENTS: usize = 256;
-/// After a failed accept (no descriptors left, say) the next one waits so long; the same where a connection can't be polled.
-const PAUSE: Duration = Duration::from_millis(20);
+/// A client that accepts no bytes of its answer for this long is disconnected.
+const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often stuck clients are looked for while an answer waits to be written.
+const STUCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest wait for events. The thread looks at the clock this often, so that a pause of the process is noticed.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(40);
+/// Events that are taken from one poll.
+const MAX_EVENTS: usize = 256;
+/// The delay after a failed accept (because no descriptor is left, say), and between reads of connections that can't be polled.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 const INTEREST: Interest = Interest::READABLE.add(Interest::WRITABLE);
 const LISTENER: Token = Token(0);
-const ORDERS: Token = Token(usize::MAX);
+const COMMANDS: Token = Token(usize::MAX);
 
-/// Whether it fails since the process has no descriptor left: only then does another client's leaving help.
+/// Whether an accept failed because the process has no descriptor left. Only then does it help to close another client.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
@@ -49,121 +49,144 @@
 pub struct Clients {
     poll: Poll,
     listener: Option<TcpListener>,
-    /// No more is accepted once those that wait to be are.
-    stopped: bool,
-    /// Connections that there may be, so that accepting never outruns the limit on descriptors.
-    places: usize,
-    conns: HashMap<u64, Conn>,
-    next: u64,
-    /// A place was left since connections were last accepted.
-    freed: bool,
-    /// No more is accepted until then.
-    pause: Option<Instant>,
-    /// Connections may wait to be accepted, which came no earlier.
+    /// The listener is closed once the connections that wait to be accepted are.
+    stopping: bool,
+    /// The number of connections that may be open, so that accepting never exceeds the limit on descriptors.
+    max_connections: usize,
+    connections: HashMap<u64, Connection>,
+    last_id: u64,
+    /// A connection has ended since connections were last accepted.
+    has_new_room: bool,
+    /// Nothing is accepted until then.
+    accept_paused_until: Option<Instant>,
+    /// Connections may wait to be accepted, none of which arrived earlier than this.
     waiting_since: Option<f64>,
-    /// Connections that could not be registered with the poll: they are looked at after each pause.
+    /// Connections that could not be registered with the poll. They are read after each delay.
     not_polled: Vec<u64>,
-    room: MemoryBudget,
-    orders: Orders,
-    given: Receiver<Order>,
+    budget: MemoryBudget,
+    commands: CommandSender,
+    received: Receiver<Command>,
     messages: MessageSender,
     arrivals: ArrivalTracker,
 }
 
 impl Clients {
+    /// # Errors
+    /// If the listener can't be polled.
     pub fn open(
         listener: std::net::TcpListener,
-        places: usize,
-        room: MemoryBudget,
+        max_connections: usize,
+        budget: MemoryBudget,
         messages: MessageSender,
     ) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(listener);
         let poll = Poll::new()?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let waker = Arc::new(Waker::new(poll.registry(), ORDERS)?);
-        let (to, given) = unbounded(); // no more than an answer and three words for each connection
-        let (listener, conns, orders) = (Some(listener), HashMap::new(), Orders { to, waker });
+        let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
+        // The service sends an answer and three further commands at most for each connection, so this channel needs no bound.
+        let (sender, received) = unbounded();
         let arrivals = ArrivalTracker::new(messages.now());
         Ok(Self {
             poll,
-            listener,
-            stopped: false,
-            places,
-            conns,
-            next: 0,
-            freed: false,
-            pause: None,
+            listener: Some(listener),
+            stopping: false,
+            max_connections,
+            connections: HashMap::new(),
+            last_id: 0,
+            has_new_room: false,
+            accept_paused_until: None,
             waiting_since: None,
             not_polled: Vec::new(),
-            room,
-            orders,
-            given,
+            budget,
+            commands: CommandSender { sender, waker },
+            received,
             messages,
             arrivals,
         })
     }
 
-    pub fn orders(&self) -> Orders {
-        self.orders.clone()
+    pub fn commands(&self) -> CommandSender {
+        self.commands.clone()
     }
 
-    /// Runs for as long as the program does.
+    /// Runs for as long as the process does.
+    ///
+    /// # Errors
+    /// If polling fails.
     pub fn run(mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         loop {
-            let look = self.conns.values().any(|c| !c.out.is_empty()).then_some(LOOK);
-            let pause = self.pause.map(|until| until.saturating_duration_since(Instant::now()));
-            let not_polled = (!self.not_polled.is_empty()).then_some(PAUSE);
-            let waits = look.into_iter().chain(pause).chain(not_polled);
-            let wait = waits.fold(LOOKS_EACH, Duration::min);
+            let has_waiting_answers = self.connections.values().any(|c| !c.unsent.is_empty());
+            let wait = self.poll_wait(has_waiting_answers);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 other => other?,
             }
-            let were_all_taken = events.iter().count() < EVENTS;
+            let were_all_taken = events.iter().count() < MAX_EVENTS;
             if self.arrivals.record_poll(self.messages.now(), wait.as_secs_f64() * 1000.0, were_all_taken) {
                 self.messages.send(Input::ProcessPaused);
             }
-            let mut ordered = false;
-            for event in &events {
-                match event.token() {
-                    LISTENER => self.accept(),
-                    ORDERS => ordered = true,
-                    Token(conn) => {
-                        if event.is_writable() {
-                            self.flush(conn as u64);
-                        }
-                        if event.is_read_closed() || event.is_error() {
-                            self.peer_ended(conn as u64);
-                        }
-                        self.read(conn as u64);
-                    }
-                }
+            let has_commands = self.handle_events(&events);
+            self.read_not_polled();
+            // After the events on connections: a command to read on must not report a request whose client has disconnected.
+            if has_commands {
+                self.run_commands();
             }
-            self.look_at_not_polled();
-            // After what has happened on connections: an order to read on tells of no request whose client has gone.
-            if ordered {
-                self.obey();
+            let pause_is_over = self.accept_paused_until.is_some_and(|until| until <= Instant::now());
+            if pause_is_over {
+                self.accept_paused_until = None;
             }
-            let paused = self.pause.is_some_and(|until| until <= Instant::now());
-            if paused {
-                self.pause = None;
-            }
-            if std::mem::take(&mut self.freed) || paused {
+            if std::mem::take(&mut self.has_new_room) || pause_is_over {
                 self.accept();
             }
-            if look.is_some() {
+            if has_waiting_answers {
                 self.flush_all();
-                let stuck = self.conns.iter().filter(|(_, c)| !c.out.is_empty() && c.since.elapsed() > STUCK);
-                for conn in stuck.map(|c| *c.0).collect::<Vec<_>>() {
-                    self.end(conn);
+                self.end_stuck();
+            }
+        }
+    }
+
+    fn poll_wait(&self, has_waiting_answers: bool) -> Duration {
+        let stuck_check = has_waiting_answers.then_some(STUCK_CHECK_INTERVAL);
+        let accept = self.accept_paused_until.map(|until| until.saturating_duration_since(Instant::now()));
+        let not_polled = (!self.not_polled.is_empty()).then_some(RETRY_DELAY);
+        let waits = stuck_check.into_iter().chain(accept).chain(not_polled);
+        waits.fold(MAX_POLL_WAIT, Duration::min)
+    }
+
+    /// Handles the events of one poll; whether commands have arrived.
+    fn handle_events(&mut self, events: &Events) -> bool {
+        let mut has_commands = false;
+        for event in events {
+            match event.token() {
+                LISTENER => self.accept(),
+                COMMANDS => has_commands = true,
+                Token(token) => {
+                    let conn = token as u64;
+                    if event.is_writable() {
+                        self.flush(conn);
+                    }
+                    if event.is_read_closed() || event.is_error() {
+                        self.peer_ended(conn);
+                    }
+                    self.read(conn);
                 }
             }
         }
+        has_commands
+    }
+
+    fn end_stuck(&mut self) {
+        let is_stuck = |c: &Connection| !c.unsent.is_empty() && c.write_progress_at.elapsed() > STUCK_TIMEOUT;
+        let stuck = self.connections.iter().filter(|(_, connection)| is_stuck(connection));
+        for conn in stuck.map(|(conn, _)| *conn).collect::<Vec<_>>() {
+            self.end(conn);
+        }
     }
 
-    /// Accepts who waits. Who is left waiting, or comes until all are accepted, may have come at any time from this turn on.
+    /// Accepts the connections that wait. Those left waiting, or that arrive until all are accepted, may have arrived at any time
+    /// from this turn on.
     fn accept(&mut self) {
         let since = *self.waiting_since.get_or_insert(self.arrivals.earliest_arrival());
         if self.accept_all(since) {
@@ -171,17 +194,17 @@
         }
     }
 
-    /// Accepts all that wait, which came no earlier than `since`; false if some may be left.
+    /// Accepts all waiting connections, which arrived no earlier than `since`; false if some may be left.
     fn accept_all(&mut self, since: f64) -> bool {
-        while self.conns.len() < self.places
-            && self.pause.is_none()
+        while self.connections.len() < self.max_connections
+            && self.accept_paused_until.is_none()
             && let Some(listener) = &self.listener
         {
             match listener.accept() {
                 Ok((stream, _)) => self.begin(stream, since),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    // Whoever waited to be accepted may have asked already: the listener goes after them.
-                    if self.stopped {
+                    // The listener is closed only now, as clients that waited to be accepted may have sent requests already.
+                    if self.stopping {
                         self.listener = None;
                         self.messages.send(Input::ListenerClosed);
                     }
@@ -190,50 +213,55 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
                     debug!("accept: {error}");
-                    self.messages
-                        .send(Input::AcceptFailed { out_of_descriptors: is_out_of_descriptors(&error) });
-                    self.pause = Some(Instant::now() + PAUSE);
+                    let out_of_descriptors = is_out_of_descriptors(&error);
+                    self.messages.send(Input::AcceptFailed { out_of_descriptors });
+                    self.accept_paused_until = Some(Instant::now() + RETRY_DELAY);
                 }
             }
         }
         false
     }
 
-    /// Takes up a connection that came no earlier than `since`.
+    /// Begins to serve a connection that arrived no earlier than `since`.
     fn begin(&mut self, mut stream: TcpStream, since: f64) {
         if let Err(error) = stream.set_nodelay(true) {
             debug!("a client's answers may wait for its acknowledgements: {error}");
         }
-        self.next += 1;
-        let conn = self.next;
+        self.last_id += 1;
+        let conn = self.last_id;
         let registered = self.poll.registry().register(&mut stream, Token(conn as usize), INTEREST);
         if let Err(error) = &registered {
             debug!("client {conn} can't be polled yet: {error}");
             self.not_polled.push(conn);
         }
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedConnection {
             stream,
-            owing: AtomicBool::new(false),
-            waits: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            awaits_answer: AtomicBool::new(false),
+            reader_waits: AtomicBool::new(false),
+            finished: AtomicBool::new(false),
         });
-        let line =
-            Line { conn, shared: shared.clone(), orders: self.orders.clone(), slow: false, over: false };
-        let held = Conn::new(shared, &self.room, since, registered.is_ok());
-        self.conns.insert(conn, held);
-        // The service knows the connection before anything else is told of it.
-        self.messages.client(conn, line);
+        let handle = ClientHandle {
+            conn,
+            shared: shared.clone(),
+            commands: self.commands.clone(),
+            written_by_reader: false,
+            finished: false,
+        };
+        let connection = Connection::new(shared, &self.budget, since, registered.is_ok());
+        self.connections.insert(conn, connection);
+        // The service has to know the connection before any other input names it.
+        self.messages.send_client_connected(conn, handle);
         self.read(conn);
     }
 
-    /// Tries again to register those that the poll does not tell of, and goes on with them meanwhile.
-    fn look_at_not_polled(&mut self) {
+    /// Tries again to register the connections that are not polled, and reads and writes them meanwhile.
+    fn read_not_polled(&mut self) {
         for conn in std::mem::take(&mut self.not_polled) {
-            let Some(held) = self.conns.get_mut(&conn) else { continue };
-            let descriptor = held.shared.stream.as_raw_fd();
+            let Some(connection) = self.connections.get_mut(&conn) else { continue };
+            let descriptor = connection.shared.stream.as_raw_fd();
             let token = Token(conn as usize);
             match self.poll.registry().register(&mut SourceFd(&descriptor), token, INTEREST) {
-                Ok(()) => held.is_polled = true,
+                Ok(()) => connection.is_polled = true,
                 Err(_) => self.not_polled.push(conn),
             }
             self.flush(conn);
@@ -241,66 +269,68 @@
         }
     }
 
-    fn obey(&mut self) {
-        while let Ok(order) = self.given.try_recv() {
-            match order {
-                Order::Write(conn, bytes, last) => {
-                    if let Some(held) = self.conns.get_mut(&conn) {
-                        held.since = Instant::now();
-                        held.out.extend_from_slice(&bytes);
-                        held.last |= last;
+    fn run_commands(&mut self) {
+        while let Ok(command) = self.received.try_recv() {
+            match command {
+                Command::Write { conn, bytes, last } => {
+                    if let Some(connection) = self.connections.get_mut(&conn) {
+                        connection.write_progress_at = Instant::now();
+                        connection.unsent.extend_from_slice(&bytes);
+                        connection.unsent_is_last |= last;
                     }
                     self.flush(conn);
                 }
-                Order::Resume(conn) => self.read(conn),
-                Order::Drop(conn) => {
-                    let Some(held) = self.conns.get_mut(&conn) else { continue };
-                    held.dropped = true;
-                    if held.out.is_empty() {
+                Command::Resume(conn) => self.read(conn),
+                Command::Release(conn) => {
+                    let Some(connection) = self.connections.get_mut(&conn) else { continue };
+                    connection.released = true;
+                    if connection.unsent.is_empty() {
                         self.end(conn);
                     }
                 }
-                Order::HangUp(conn) => {
-                    if let Some(held) = self.conns.get_mut(&conn) {
-                        held.hung = true;
+                Command::Close(conn) => {
+                    if let Some(connection) = self.connections.get_mut(&conn) {
+                        connection.closing = true;
                     }
                     self.read(conn);
                 }
-                Order::Leave(conn) => {
-                    if let Some(held) = self.conns.get_mut(&conn) {
-                        held.leaves = true;
+                Command::CloseFinished(conn) => {
+                    if let Some(connection) = self.connections.get_mut(&conn) {
+                        connection.closing_finished = true;
                     }
                     self.read(conn);
                 }
-                Order::StopListening => {
-                    self.stopped = true;
+                Command::StopListening => {
+                    self.stopping = true;
                     self.accept();
                 }
             }
         }
     }
 
-    /// Goes on with all answers that wait, though a write that failed for a moment is followed by no event.
+    /// Goes on with all answers that wait to be written, as no event follows a write that failed for a moment.
     fn flush_all(&mut self) {
-        let waiting = self.conns.iter().filter(|(_, conn)| !conn.out.is_empty()).map(|(conn, _)| *conn);
+        let waiting = self.connections.iter().filter(|(_, c)| !c.unsent.is_empty()).map(|(conn, _)| *conn);
         for conn in waiting.collect::<Vec<_>>() {
             self.flush(conn);
         }
     }
 
     fn flush(&mut self, conn: u64) {
-        let Some(held) = self.conns.get_mut(&conn).filter(|c| !c.out.is_empty()) else { return };
-        match write_some(&held.shared.stream, &held.out) {
+        let Some(connection) = self.connections.get_mut(&conn).filter(|c| !c.unsent.is_empty()) else {
+            return;
+        };
+        match write_some(&connection.shared.stream, &connection.unsent) {
             Ok(0) => return,
-            Ok(written) => drop(held.out.drain(..written)),
+            Ok(written) => drop(connection.unsent.drain(..written)),
             Err(_) => return self.end(conn),
         }
-        held.since = Instant::now();
-        if held.out.is_empty() {
-            held.out = Vec::new();
-            held.shared.said(held.last);
+        connection.write_progress_at = Instant::now();
+        if connection.unsent.is_empty() {
+            connection.unsent = Vec::new();
+            connection.shared.answer_written(connection.unsent_is_last);
             self.messages.send(Input::AnswerWritten { conn });
-            match held.dropped {
+            match connection.released {
                 true => self.end(conn),
                 false => self.read(conn),
             }
@@ -308,25 +338,26 @@
     }
 
     fn peer_ended(&mut self, conn: u64) {
-        if let Some(held) = self.conns.get_mut(&conn) {
-            held.peer_ended = true;
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.peer_ended = true;
         }
     }
 
     fn read(&mut self, conn: u64) {
-        let Some(held) = self.conns.get_mut(&conn) else { return };
-        if !held.read(conn, self.arrivals.earliest_arrival(), &self.messages) || held.leaves() {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let is_open = connection.read(conn, self.arrivals.earliest_arrival(), &self.messages);
+        if !is_open || connection.is_done_closing() {
             self.end(conn);
-        } else if std::mem::take(&mut held.more) {
-            self.orders.resume(conn);
+        } else if std::mem::take(&mut connection.may_have_more) {
+            self.commands.resume(conn);
         }
     }
 
-    /// Ends a connection and makes its place free.
+    /// Ends a connection, which makes room for another.
     fn end(&mut self, conn: u64) {
-        if self.conns.remove(&conn).is_some() {
+        if self.connections.remove(&conn).is_some() {
             self.messages.send(Input::ClientDisconnected { conn });
-            self.freed = true;
+            self.has_new_room = true;
         }
     }
 }
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -1,193 +1,213 @@
-//! One connection of a client, as the thread that reads holds it: what has come on it, and what is told of it when.
+//! One connection of a client, as the reading thread holds it: what has arrived on it, and what is reported of it when.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
-use super::arrived::Arrived;
+use super::arrival_times::ArrivalTimes;
 use crate::buffer::{Buffer, MemoryBudget};
+use crate::client_handle::SharedConnection;
 use crate::http::{Ask, Request, RequestParser};
 use crate::inputs::Input;
-use crate::line::Shared;
 use crate::messages::MessageSender;
 
-/// Bytes that are taken and passed over after a connection's last request, so that no reset overtakes its
-/// answer. Who sends more has had an answer and does not read it.
-const REST: usize = 64 * 1024;
-/// Bytes of one connection that are passed over in one turn, so that others have theirs.
-const TURN: usize = 64 * 1024;
+/// Bytes that are read and discarded after a connection's last request, so that no reset overtakes its answer. A client that sends
+/// more has had its answer and does not read it.
+const MAX_DISCARDED_BYTES: usize = 64 * 1024;
+/// Bytes of one connection that are discarded in one turn, so that other connections have theirs.
+const MAX_DISCARDED_BYTES_PER_TURN: usize = 64 * 1024;
+/// Bytes that are read ahead of the answer to the open request, to see whether the client is still connected.
+const MAX_READ_AHEAD_BYTES: usize = 4096;
 
-/// A request that has come whole and is not told of yet.
-pub(super) struct Taken {
+/// A request that has been read whole and is not reported yet.
+pub(super) struct PendingRequest {
     ask: Ask,
     /// The connection ends with its answer.
     close: bool,
-    /// It was sent no earlier.
+    /// It arrived no earlier than this.
     since: f64,
 }
 
 /// A connection, as the reading thread holds it.
-pub(super) struct Conn {
-    pub(super) shared: Arc<Shared>,
+pub(super) struct Connection {
+    pub(super) shared: Arc<SharedConnection>,
     pub(super) buffer: Buffer,
-    /// When what stands in the buffer came.
-    pub(super) arrived: Arrived,
-    /// The poll tells of it; else it is looked at again and again.
+    /// When the bytes in the buffer arrived.
+    pub(super) arrival_times: ArrivalTimes,
+    /// The poll reports its events. If not, it is read in every turn.
     pub(super) is_polled: bool,
-    /// Bytes may wait to be read, which came no earlier.
+    /// Bytes may wait to be read, none of which arrived earlier than this.
     pub(super) unread_since: Option<f64>,
-    pub(super) progress: RequestParser,
-    pub(super) begun: bool,
-    /// Bytes still passed over after the last request; without a limit where the mixer itself ends the connection, which gives its
-    /// client a time instead.
-    pub(super) over: Option<usize>,
-    /// It was told of that more came after the last answer.
-    pub(super) sends: bool,
+    pub(super) parser: RequestParser,
+    /// The beginning of a request was reported.
+    pub(super) start_reported: bool,
+    /// Set after the last request: how many more bytes are discarded. There is no limit where the mixer ends the connection, as its
+    /// client then has a limited time.
+    pub(super) discard_limit: Option<usize>,
+    /// It was reported that more arrived after the last answer.
+    pub(super) late_data_reported: bool,
     /// There may be more to read in another turn.
-    pub(super) more: bool,
-    /// Just accepted: whether it has ended already shows in the next turn.
-    pub(super) fresh: bool,
-    /// The client has ended its side: it has gone, whatever it sent before.
+    pub(super) may_have_more: bool,
+    /// The connection was just accepted. Whether it has ended already is only known in the next turn.
+    pub(super) just_accepted: bool,
+    /// The client has closed its side: it counts as disconnected, whatever it sent before.
     pub(super) peer_ended: bool,
-    /// A request that has come whole and is told of once it is known whether its client is still there.
-    pub(super) asked: Option<Taken>,
-    /// It was told that more was read behind the request that is open.
-    pub(super) told_behind: bool,
-    /// It ends once all that has come is told of.
-    pub(super) hung: bool,
-    /// It ends now that its last answer was given, whatever still comes.
-    pub(super) leaves: bool,
-    /// What waits to be written, since when, and whether the connection ends with it or after it.
-    pub(super) out: Vec<u8>,
-    pub(super) since: Instant,
-    pub(super) last: bool,
-    pub(super) dropped: bool,
+    /// A request that is reported once it is known whether its client is still connected.
+    pub(super) pending: Option<PendingRequest>,
+    /// It was reported that more was read behind the open request.
+    pub(super) buffered_data_reported: bool,
+    /// It ends once everything that has arrived is reported and answered.
+    pub(super) closing: bool,
+    /// It ends as its client has had its last answer and its time to close, whatever still arrives.
+    pub(super) closing_finished: bool,
+    /// The part of an answer that waits to be written.
+    pub(super) unsent: Vec<u8>,
+    /// When a write last made progress.
+    pub(super) write_progress_at: Instant,
+    /// The connection ends with the unsent answer.
+    pub(super) unsent_is_last: bool,
+    /// The service has released it: it ends once the answer is written.
+    pub(super) released: bool,
 }
 
-/// Bytes that are read ahead of the answer that is owed, to see whether the client is still there.
-const AHEAD: usize = 4096;
-
-impl Conn {
-    /// One that has just been accepted, and came no earlier than `since`; whether the poll tells of it.
-    pub(super) fn new(shared: Arc<Shared>, room: &MemoryBudget, since: f64, is_polled: bool) -> Self {
+impl Connection {
+    /// A connection that has just been accepted, and arrived no earlier than `since`.
+    pub(super) fn new(
+        shared: Arc<SharedConnection>,
+        budget: &MemoryBudget,
+        since: f64,
+        is_polled: bool,
+    ) -> Self {
         Self {
             shared,
-            buffer: Buffer::new(room),
-            arrived: Arrived::default(),
+            buffer: Buffer::new(budget),
+            arrival_times: ArrivalTimes::default(),
             is_polled,
             unread_since: Some(since),
-            progress: RequestParser::default(),
-            begun: false,
-            over: None,
-            sends: false,
-            more: false,
-            fresh: true,
+            parser: RequestParser::default(),
+            start_reported: false,
+            discard_limit: None,
+            late_data_reported: false,
+            may_have_more: false,
+            just_accepted: true,
             peer_ended: false,
-            asked: None,
-            told_behind: false,
-            hung: false,
-            leaves: false,
-            out: Vec::new(),
-            since: Instant::now(),
-            last: false,
-            dropped: false,
+            pending: None,
+            buffered_data_reported: false,
+            closing: false,
+            closing_finished: false,
+            unsent: Vec::new(),
+            write_progress_at: Instant::now(),
+            unsent_is_last: false,
+            released: false,
         }
     }
 
-    /// Whether it was hung up on and nothing of it is left: no request, no answer, and none that has begun to come. Once the last
-    /// answer is given the client has its time to read it and to close.
-    pub(super) fn leaves(&self) -> bool {
-        if self.shared.over.load(Ordering::SeqCst) {
-            return self.leaves && self.out.is_empty();
+    /// Whether it was to be closed and nothing of it is left: no request, no answer, and no beginning of a request. Once the last
+    /// answer is given, the client first has its time to read it and to close.
+    pub(super) fn is_done_closing(&self) -> bool {
+        if self.is_finished() {
+            return self.closing_finished && self.unsent.is_empty();
         }
-        let owing = self.shared.owing.load(Ordering::SeqCst);
-        let begun = self.over.is_none() && self.has_begun();
-        self.hung && !owing && self.asked.is_none() && !begun && self.out.is_empty()
+        let awaits_answer = self.awaits_answer();
+        let has_partial_request = self.discard_limit.is_none() && self.has_buffered_request();
+        self.closing
+            && !awaits_answer
+            && self.pending.is_none()
+            && !has_partial_request
+            && self.unsent.is_empty()
+    }
+
+    fn is_finished(&self) -> bool {
+        self.shared.finished.load(Ordering::SeqCst)
+    }
+
+    fn awaits_answer(&self) -> bool {
+        self.shared.awaits_answer.load(Ordering::SeqCst)
     }
 
-    /// Whether a request has begun to come: line ends between requests are none of one.
-    fn has_begun(&self) -> bool {
+    /// Whether the buffer holds at least the beginning of a request. Line ends between requests belong to none.
+    fn has_buffered_request(&self) -> bool {
         !self.buffer.bytes().iter().all(u8::is_ascii_whitespace)
     }
 
-    /// Reads all that has come, also ahead of an answer that is owed, and tells of a request whose turn it is; false at
-    /// the connection's end. A request is told of only once nothing more is there to read: guards against sending on
-    /// for a client that had left while it waited to be accepted, or for its turn.
+    /// Reads everything that has arrived, also ahead of the answer to the open request, and reports a request whose turn it is;
+    /// false at the connection's end. A request is reported only once nothing more is there to read. Otherwise parts would be sent
+    /// for a client that had disconnected while it waited to be accepted, or for its turn.
     ///
-    /// `since`: what the poll has found in this turn came no earlier.
+    /// `since`: whatever the poll has found in this turn arrived no earlier.
     pub(super) fn read(&mut self, conn: u64, since: f64, messages: &MessageSender) -> bool {
-        let fresh = std::mem::take(&mut self.fresh);
+        let just_accepted = std::mem::take(&mut self.just_accepted);
         self.unread_since.get_or_insert(since);
         if self.peer_ended {
-            if self.shared.owing.load(Ordering::SeqCst) {
+            if self.awaits_answer() {
                 return false;
             }
-            // What it sent is read all the same: a close over unread bytes would reset what it may still read.
-            self.asked = None;
-            self.pass_over(usize::MAX);
+            // What the client sent is still read: a close over unread bytes would reset answers that it may still read.
+            self.pending = None;
+            self.begin_discarding(usize::MAX);
         }
         loop {
-            if self.over.is_none() && self.shared.over.load(Ordering::SeqCst) {
-                self.pass_over(usize::MAX);
+            if self.discard_limit.is_none() && self.is_finished() {
+                self.begin_discarding(usize::MAX);
             }
-            if self.over.is_some() {
+            if self.discard_limit.is_some() {
                 return self.discard(conn, messages);
             }
-            if self.asked.is_none() {
-                self.take_up();
+            if self.pending.is_none() {
+                self.parse_next();
             }
-            let waits = self.asked.is_some() || self.shared.owing.load(Ordering::SeqCst);
-            if self.over.is_some() {
+            let is_waiting = self.pending.is_some() || self.awaits_answer();
+            if self.discard_limit.is_some() {
                 continue;
             }
-            if waits && self.buffer.bytes().len() >= AHEAD {
-                if fresh {
-                    self.more = true;
+            if is_waiting && self.buffer.bytes().len() >= MAX_READ_AHEAD_BYTES {
+                if just_accepted {
+                    self.may_have_more = true;
                     return true;
                 }
-                if !self.ask(conn, messages) {
+                if !self.report_request(conn, messages) {
                     return true;
                 }
-                continue; // who answers has to know that more waits
+                continue; // the service has to know that more is buffered
             }
             match self.fill(since) {
-                Ok(1..) => self.tell_behind(conn, messages),
+                Ok(1..) => self.report_buffered_data(conn, messages),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if self.ask(conn, messages) {
+                    if self.report_request(conn, messages) {
                         continue;
                     }
-                    if !waits && self.has_begun() && !self.begun {
-                        self.begun = true;
+                    if !is_waiting && self.has_buffered_request() && !self.start_reported {
+                        self.start_reported = true;
                         messages.send(Input::RequestStarted { conn });
                     }
                     return true;
                 }
                 Err(error) if error.kind() == ErrorKind::OutOfMemory => {
-                    if self.ask(conn, messages) {
+                    if self.report_request(conn, messages) {
                         continue;
                     }
-                    if waits {
+                    if is_waiting {
                         return true;
                     }
                     let ask = Ask::Unusable(503, "no room for so long a request".to_owned());
-                    self.over = Some(REST);
-                    self.asked = Some(Taken { ask, close: true, since });
+                    self.discard_limit = Some(MAX_DISCARDED_BYTES);
+                    self.pending = Some(PendingRequest { ask, close: true, since });
                 }
                 _ => return false,
             }
         }
     }
 
-    /// Reads once, and takes down when what was read may have come.
+    /// Reads once, and records when the bytes may have arrived.
     fn fill(&mut self, since: f64) -> io::Result<usize> {
         let read = self.buffer.fill(&mut &self.shared.stream);
         match &read {
             Ok(count) => {
                 let since = *self.unread_since.get_or_insert(since);
-                self.arrived.add(*count, since);
+                self.arrival_times.add(*count, since);
             }
-            // Nothing is left to read, and the poll tells of what comes from now on.
+            // Nothing is left to read, and the poll reports what arrives from now on.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.unread_since = (!self.is_polled).then_some(since);
             }
@@ -196,25 +216,25 @@
         read
     }
 
-    /// Discards what comes from now on, up to so many bytes.
-    fn pass_over(&mut self, bytes: usize) {
-        self.over = Some(bytes);
+    /// Discards whatever arrives from now on, up to that many bytes.
+    fn begin_discarding(&mut self, limit: usize) {
+        self.discard_limit = Some(limit);
         self.buffer.consume(usize::MAX);
     }
 
-    /// Reads and discards a turn's worth of what has come after the last request; false at the connection's end.
+    /// Reads and discards one turn's share of what has arrived after the last request; false at the connection's end.
     fn discard(&mut self, conn: u64, messages: &MessageSender) -> bool {
-        let mut turn = 0;
-        while turn < TURN {
+        let mut discarded = 0;
+        while discarded < MAX_DISCARDED_BYTES_PER_TURN {
             let mut bytes = [0; 4096];
             match (&self.shared.stream).read(&mut bytes) {
-                Ok(count) if count > 0 && self.over.is_some_and(|left| count < left) => {
-                    self.over = self.over.map(|left| left - count);
-                    self.still_sends(conn, messages);
-                    turn += count;
+                Ok(count) if count > 0 && self.discard_limit.is_some_and(|limit| count < limit) => {
+                    self.discard_limit = self.discard_limit.map(|limit| limit - count);
+                    self.report_late_data(conn, messages);
+                    discarded += count;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if !self.ask(conn, messages) {
+                    if !self.report_request(conn, messages) {
                         return true;
                     }
                 }
@@ -222,60 +242,62 @@
                 _ => return false,
             }
         }
-        self.more = true;
+        self.may_have_more = true;
         true
     }
 
-    /// Tells once that more came after the last answer.
-    fn still_sends(&mut self, conn: u64, messages: &MessageSender) {
-        if !self.sends && self.shared.over.load(Ordering::SeqCst) {
-            self.sends = true;
+    /// Reports once that more arrived after the last answer.
+    fn report_late_data(&mut self, conn: u64, messages: &MessageSender) {
+        if !self.late_data_reported && self.is_finished() {
+            self.late_data_reported = true;
             messages.send(Input::DataAfterLastAnswer { conn });
         }
     }
 
-    /// Takes up the request that has come, unless it has to wait for the last one's answer.
-    fn take_up(&mut self) {
-        if self.shared.owing.load(Ordering::SeqCst) && !self.buffer.bytes().is_empty() {
-            // Whoever answers looks at the one after it has changed the other.
-            self.shared.waits.store(true, Ordering::SeqCst);
-            if self.shared.owing.load(Ordering::SeqCst) {
+    /// Parses the next request from the buffer, unless it has to wait for the answer to the open one.
+    fn parse_next(&mut self) {
+        if self.awaits_answer() && !self.buffer.bytes().is_empty() {
+            // The answering thread clears `awaits_answer` before it looks at `reader_waits`: checked again after setting that.
+            self.shared.reader_waits.store(true, Ordering::SeqCst);
+            if self.awaits_answer() {
                 return;
             }
-            self.shared.waits.store(false, Ordering::SeqCst);
+            self.shared.reader_waits.store(false, Ordering::SeqCst);
         }
-        if self.shared.over.load(Ordering::SeqCst) {
-            return self.pass_over(usize::MAX); // that answer was the last
+        if self.is_finished() {
+            return self.begin_discarding(usize::MAX); // that answer was the last
         }
-        let Some(Request { ask, close, used }) = self.progress.parse(self.buffer.bytes()) else { return };
+        let Some(Request { ask, close, used }) = self.parser.parse(self.buffer.bytes()) else { return };
         self.buffer.consume(used);
-        let since = self.arrived.use_up(used).unwrap_or(f64::NEG_INFINITY);
-        self.begun = false;
+        let since = self.arrival_times.consume(used).unwrap_or(f64::NEG_INFINITY);
+        self.start_reported = false;
         if close {
-            self.pass_over(REST);
+            self.begin_discarding(MAX_DISCARDED_BYTES);
         }
-        self.asked = Some(Taken { ask, close, since });
+        self.pending = Some(PendingRequest { ask, close, since });
     }
 
-    /// Tells of the request that was taken up, and how long its client still waits.
-    fn ask(&mut self, conn: u64, messages: &MessageSender) -> bool {
-        let Some(Taken { mut ask, close, since }) = self.asked.take() else { return false };
-        if let Ask::Scan(query) = &mut ask {
-            query.wait_ms = (query.wait_ms - (messages.now() - since)).max(0.0);
+    /// Reports the pending request, with the time that its client still waits; false if there is none.
+    fn report_request(&mut self, conn: u64, messages: &MessageSender) -> bool {
+        let Some(PendingRequest { mut ask, close, since }) = self.pending.take() else { return false };
+        if let Ask::Scan(scan) = &mut ask {
+            scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
         }
-        self.shared.owing.store(true, Ordering::SeqCst);
-        self.told_behind = false;
-        // First, as it may be answered at once.
-        self.tell_behind(conn, messages);
+        self.shared.awaits_answer.store(true, Ordering::SeqCst);
+        self.buffered_data_reported = false;
+        // Before the request, as that may be answered at once.
+        self.report_buffered_data(conn, messages);
         messages.send(Input::Request { conn, ask, close });
         true
     }
 
-    /// Tells once that more was read behind the request that is open: its answer must not end the connection.
-    fn tell_behind(&mut self, conn: u64, messages: &MessageSender) {
-        let open = self.asked.is_none() && self.shared.owing.load(Ordering::SeqCst);
-        if open && self.over.is_none() && self.has_begun() && !self.told_behind {
-            self.told_behind = true;
+    /// Reports once that more was read behind the open request, whose answer then must not end the connection.
+    fn report_buffered_data(&mut self, conn: u64, messages: &MessageSender) {
+        let is_open = self.pending.is_none() && self.awaits_answer();
+        let is_new =
+            self.discard_limit.is_none() && self.has_buffered_request() && !self.buffered_data_reported;
+        if is_open && is_new {
+            self.buffered_data_reported = true;
             messages.send(Input::MoreDataBuffered { conn });
         }
     }
--- a/crates/mixer/src/clock.rs
+++ b/crates/mixer/src/clock.rs
@@ -1,32 +1,32 @@
-//! Unix time in milliseconds, as discovery gives it, that never goes backwards.
+//! Unix time in milliseconds, as discovery uses it, that never goes backwards.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Read from the system's clock once; from then on it goes by the monotonic one.
+/// Reads the system's clock once, and follows the monotonic clock from then on.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    unix_ms: f64,
+    origin_unix_ms: f64,
 }
 
 impl Clock {
     #[expect(
         clippy::disallowed_methods,
-        reason = "the one place where the wall clock is read, once: a step moves nothing"
+        reason = "the one place where the wall clock is read, once, so that a step of it has no effect"
     )]
     pub fn start() -> Self {
-        // Drills of a host whose clock is wrong say so here, as no process can be given a wall clock of its own.
-        let astray_ms =
+        // Drills simulate a host whose clock is wrong by this variable, as a process can't be given a wall clock of its own.
+        let offset_ms =
             std::env::var("PEWTERWHARF_DRILL_CLOCK_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(0.0);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { origin: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 + astray_ms }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { origin: Instant::now(), origin_unix_ms: unix_time.as_secs_f64() * 1000.0 + offset_ms }
     }
 
     pub fn now(&self) -> f64 {
-        self.unix_ms + self.origin.elapsed().as_secs_f64() * 1000.0
+        self.origin_unix_ms + self.origin.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// How long it is until a time, a day at most.
+    /// The time that is left until `at`, a day at most.
     pub fn until(&self, at: f64) -> Duration {
         Duration::from_secs_f64(((at - self.now()) / 1000.0).clamp(0.0, 86_400.0))
     }
--- a/crates/mixer/src/counters.rs
+++ b/crates/mixer/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a mixer has taken in, sent and answered.
+//! Counters of what a mixer has received, sent and answered. The names of the fields are the names of the metrics.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start.
+        /// Counters since the start.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// The scans of each table type: one that starves is seen here.
-            pub by_type: Vec<ByType>,
+            /// The scans of each table type. A type that starves shows here.
+            pub by_type: Vec<TableTypeCounters>,
         }
 
         impl fmt::Display for Counters {
@@ -24,37 +24,38 @@
 }
 
 counters! {
-    /// Scans taken, and what became of them: taken = completed + throttled + abandoned + gone + open.
+    /// Scans received, and their outcomes: taken = completed + throttled + abandoned + gone + open.
     scans_taken,
     scans_completed,
-    /// Of the completed, those marked whole.
+    /// Of the completed scans, those marked whole.
     scans_whole,
     scans_throttled,
-    /// Of the throttled, those turned away before the module, as the mixer held its full number.
+    /// Of the throttled scans, those rejected before the decision module saw them, as the mixer held its maximum of scans and parts.
     scans_turned_away,
-    /// Of the throttled, those that were sent behind others on a connection that was to close.
+    /// Of the throttled scans, those that were buffered behind other requests on a connection that was closing.
     scans_refused_at_end,
-    /// Of the throttled, those refused by the module's door, by what their first part met: no searcher that is up; none that
-    /// has room, those that are up being cold; what its searcher is believed to take; a part of ours that waits there; the limit on calls out there.
+    /// Of the throttled scans, those rejected by the decision module's admission control, by what their first part met: no searcher
+    /// that is up; only cold searchers without room; the estimated cost at its searcher; an old part of this mixer that waits at it;
+    /// the limit on open calls to it.
     door_nobody_up,
     door_cold,
     door_cost,
     door_old_part,
     door_limit,
     scans_abandoned,
-    /// Their client went away before the answer.
+    /// Their client disconnected before the answer.
     scans_gone,
     scans_open,
-    /// Of the abandoned, those that were still open at their time: none, if all is well.
+    /// Of the abandoned scans, those that were still open at their deadline: none, if all is well.
     scans_overdue,
-    /// Requests that could not be used, answered with a 4xx or 5xx.
+    /// Unusable requests, answered with a 4xx or 5xx status.
     requests_unusable,
     clients_accepted,
     clients_open,
     clients_dropped_for_room,
-    /// They sent no whole request in time.
+    /// Clients that sent no whole request in time.
     clients_slow,
-    /// Clients whose connection the mixer closed, by why.
+    /// Clients whose connection the mixer closed, by reason.
     clients_closed_for_room,
     clients_closed_crowded,
     clients_closed_draining,
@@ -62,7 +63,7 @@
     accepts_failed,
     dispatches,
     dispatches_further,
-    /// Of the further ones, those sent beside one that was still out, and the others by how the one before ended.
+    /// Of the further dispatches, those sent while an earlier one was open (hedges), and the others by the outcome of the one before.
     hedges,
     retries_after_none_sent,
     retries_after_error,
@@ -70,7 +71,7 @@
     retries_after_time_out,
     retries_after_connect_failed,
     retries_after_reset,
-    /// Attempts that were not sent, by why not at the moment of sending.
+    /// Attempts that were not sent, by the reason at the time of sending.
     sends_refused_query_over,
     sends_refused_client_left,
     sends_refused_time_is_up,
@@ -96,9 +97,9 @@
     links_opened,
     links_failed,
     links_open,
-    /// How often a searcher took no more of what waited for a link.
+    /// How often a searcher accepted no more bytes while something waited to be written.
     links_blocked,
-    /// Links by why they were closed, and those that ended by themselves.
+    /// Links closed by the mixer, by reason, and those that ended by themselves.
     links_closed_silent,
     links_closed_doubted,
     links_closed_for_room,
@@ -110,40 +111,40 @@
     lists,
     list_entries_bad,
     watches_lost,
-    /// Lists of a watch that a newer one has replaced.
+    /// Lists of a watch that a newer watch has replaced.
     lists_late,
-    /// Lists older than the one held: none takes a drain back.
+    /// Lists older than the one held. They do not undo a drain.
     lists_older,
     /// What must never happen: none, if all is well. See `src/reducer/rules.rs`.
     violations_send,
     violations_answer,
     violations_deadline,
     violations_unanswered,
-    /// Turns that came late as the process itself stood still.
+    /// Pauses of the process itself, noticed by turns that came late.
     pauses,
-    /// New configurations that were taken, and files that could not be used.
+    /// New configurations that were applied, and files that were unusable.
     reloads,
     reloads_failed,
 }
 
-/// What became of the scans of one table type: taken = completed + throttled + abandoned + gone + open.
+/// The outcomes of the scans of one table type: taken = completed + throttled + abandoned + gone + open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ByType {
+pub struct TableTypeCounters {
     pub name: String,
     pub taken: u64,
     pub completed: u64,
     pub throttled: u64,
-    /// Of the throttled, those refused by the door, in the order of its counters above.
-    pub door: [u64; REJECTION_REASONS],
+    /// Of the throttled scans, those rejected by admission control, in the order of its counters above.
+    pub rejected: [u64; REJECTION_REASONS],
     pub abandoned: u64,
     pub gone: u64,
 }
 
-impl fmt::Display for ByType {
+impl fmt::Display for TableTypeCounters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Self { name, taken, completed, throttled, door, abandoned, gone } = self;
-        let [nobody_up, cold, cost, old_part, limit] = *door;
-        let counts = [
+        let Self { name, taken, completed, throttled, rejected, abandoned, gone } = self;
+        let [nobody_up, cold, cost, old_part, limit] = *rejected;
+        let counters = [
             ("scans_taken", *taken),
             ("scans_completed", *completed),
             ("scans_throttled", *throttled),
@@ -155,6 +156,8 @@
             ("scans_abandoned", *abandoned),
             ("scans_gone", *gone),
         ];
-        counts.iter().try_for_each(|(count, number)| writeln!(f, "{count}{{table_type={name:?}}} {number}"))
+        counters
+            .iter()
+            .try_for_each(|(counter, count)| writeln!(f, "{counter}{{table_type={name:?}}} {count}"))
     }
 }
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Keeps a watch on the searcher list and hands on what it tells. One thread a watch, which never waits for one
-//! connection alone: while none can be trusted it begins others beside, and goes by the first that speaks.
+//! Watches the searcher list and forwards what discovery sends. Each watch is one thread, which never depends on a single connection:
+//! while none can be trusted, it opens others beside it and uses the first that sends something.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
@@ -19,218 +19,241 @@
 use crate::inputs::Input;
 use crate::messages::MessageSender;
 
-/// A watch sends an empty line every 2 s: one that has said nothing for so long is doubted, and others begin beside it. What it
-/// misses counts as told 6 s after it fell silent, so that a slow one of these still has over 3 s to speak.
-const QUIET: Duration = Duration::from_millis(2600);
-/// One that stops in the middle of a line is doubted after so long.
-const STOPPED: Duration = Duration::from_millis(100);
-/// A list comes whole in so long, or others begin beside it: one that comes byte by byte would renew its time with each. What it
-/// holds back counts as told 6 s after discovery had it.
-const WHOLE: Duration = Duration::from_millis(1000);
-/// While no watch can be trusted, another begins so often: discovery that returns is heard well within a drain's grace of
-/// 250 ms, whether it answers what had been asked or only what is asked then.
-const EVERY: Duration = Duration::from_millis(100);
-/// Of those that have not spoken, the eldest stays for as long as a doubted one (guards against a place that is slow to start), and
-/// the youngest gives way to the next (guards against one that answers nothing asked while it was down).
-const ATTEMPTS: usize = 2;
-/// How often a watch looks whether it still counts.
-const LOOK: Duration = Duration::from_millis(250);
+/// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no longer trusted, and
+/// others are opened beside it. What it misses counts as known 6 s after its last line, so a slow one of the others still has over
+/// 3 s to send it.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
+/// A connection that stops in the middle of a line is no longer trusted after this time.
+const LINE_TIMEOUT: Duration = Duration::from_millis(100);
+/// A list that is not whole after this time is no longer waited for alone: one that arrives byte by byte would renew its time with
+/// each byte. What it holds back counts as known 6 s after discovery had it.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
+/// While no connection can be trusted, another is opened this often. Discovery that returns is then heard well within the 250 ms of
+/// grace for a drain, whether it answers earlier requests or only new ones.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
+/// Connections that have sent nothing yet. The oldest is kept for up to [`SILENCE_TIMEOUT`], in case discovery is slow to start, and
+/// the youngest is replaced by the next, in case discovery answers no request that was sent while it was down.
+const MAX_ATTEMPTS: usize = 2;
+/// How often a watch checks whether it is still needed.
+const STATUS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_EVENTS: usize = 8;
 
-/// Longest line or list that is taken: thousands of searchers.
-const LONGEST: usize = 4 << 20;
+/// Longest line or list that is read. It holds thousands of searchers.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// The numbers of the watches that count: the one asked for last, and the one whose lists are gone by. An older
-/// one goes on until a newer has spoken, and no longer.
+/// The numbers of the watches that are needed: the newest, and the one whose lists are used. An older watch runs until a newer one
+/// has sent a list.
 #[derive(Default)]
-pub struct Watches {
-    pub wanted: AtomicU64,
-    pub heard: AtomicU64,
-    /// When a watch that counts last said anything, in whole milliseconds; zero before.
-    pub said: AtomicU64,
+pub struct WatchStatus {
+    pub newest: AtomicU64,
+    pub active: AtomicU64,
+    /// When a needed watch last received anything, in whole milliseconds; zero before.
+    pub last_received_ms: AtomicU64,
 }
 
-impl Watches {
-    fn count(&self, number: u64) -> bool {
-        self.wanted.load(Ordering::Acquire) == number || self.heard.load(Ordering::Acquire) == number
+impl WatchStatus {
+    fn is_needed(&self, number: u64) -> bool {
+        self.newest.load(Ordering::Acquire) == number || self.active.load(Ordering::Acquire) == number
     }
 }
 
-/// One watch: its number, where it leads, and the version held, if it is one of that place's own.
+/// A watch to be started.
 pub struct Watch {
     pub number: u64,
-    pub at: SocketAddrV4,
+    /// The address of discovery.
+    pub addr: SocketAddrV4,
+    /// The version of the list that is held, if it is one of this discovery service.
     pub index: Option<u64>,
 }
 
 impl Watch {
-    /// Watches for as long as it counts and the program runs.
-    pub fn run(self, watches: &Watches, messages: &MessageSender) {
+    /// Runs for as long as the watch is needed and the process runs.
+    pub fn run(self, status: &WatchStatus, messages: &MessageSender) {
         let poll = loop {
             match Poll::new() {
                 Ok(poll) => break poll,
                 // No descriptor is left for now.
                 Err(error) => warn!("no way to watch discovery: {error}"),
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(STATUS_CHECK_INTERVAL);
         };
-        let Self { number, at, index } = self;
-        let (room, wires, next_id, told) = (MemoryBudget::new(2 * LONGEST), BTreeMap::new(), 0, 0);
-        let mut telling = Telling { poll, number, at, index, room, wires, next_id, told, watches, messages };
-        if let Err(error) = telling.run() {
+        let Self { number, addr, index } = self;
+        let mut watch = RunningWatch {
+            poll,
+            number,
+            addr,
+            index,
+            budget: MemoryBudget::new(2 * MAX_LIST_BYTES),
+            connections: BTreeMap::new(),
+            last_id: 0,
+            lists_received: 0,
+            status,
+            messages,
+        };
+        if let Err(error) = watch.run() {
             debug!("watch {number} has ended: {error:#}");
         }
     }
 }
 
-/// A watch at work.
-struct Telling<'a> {
+struct RunningWatch<'a> {
     poll: Poll,
     number: u64,
-    at: SocketAddrV4,
+    addr: SocketAddrV4,
     index: Option<u64>,
-    room: MemoryBudget,
-    /// Its connections, the eldest first: at most one that has spoken, and attempts at a better one.
-    wires: BTreeMap<usize, Wire>,
-    next_id: usize,
-    /// Lists told so far.
-    told: u64,
-    watches: &'a Watches,
+    budget: MemoryBudget,
+    /// The oldest first: at most one that has sent a list, and attempts at a better one.
+    connections: BTreeMap<usize, Connection>,
+    last_id: usize,
+    lists_received: u64,
+    status: &'a WatchStatus,
     messages: &'a MessageSender,
 }
 
-impl Telling<'_> {
+impl RunningWatch<'_> {
     fn run(&mut self) -> Result<()> {
-        let mut events = Events::with_capacity(8);
-        let mut next = Instant::now();
-        while self.watches.count(self.number) {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        let mut next_attempt = Instant::now();
+        while self.status.is_needed(self.number) {
             let now = Instant::now();
-            let trusted = self.wires.values().filter_map(|w| w.trusted_until(now)).max();
-            if trusted.is_some() {
-                self.wires.retain(|_, wire| wire.spoken); // it speaks again: nobody else is needed
-            } else if now >= next {
-                next = now + EVERY;
+            let trusted_until = self.connections.values().filter_map(|c| c.trusted_until(now)).max();
+            if trusted_until.is_some() {
+                self.connections.retain(|_, connection| connection.has_list); // no other is needed
+            } else if now >= next_attempt {
+                next_attempt = now + ATTEMPT_INTERVAL;
                 self.attempt(now);
             }
-            let wait = trusted.unwrap_or(next).saturating_duration_since(now).min(LOOK);
+            let wait_until = trusted_until.unwrap_or(next_attempt);
+            let wait = wait_until.saturating_duration_since(now).min(STATUS_CHECK_INTERVAL);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 other => other?,
             }
             for event in &events {
-                self.turn(event.token().0)?;
+                self.handle_event(event.token().0)?;
             }
         }
         Ok(())
     }
 
-    /// Begins one more, in the place of another if there are too many.
+    /// Opens one more connection, in place of another if there are too many.
     fn attempt(&mut self, now: Instant) {
-        // A watch that a newer one is to replace leaves descriptors for that.
-        let newest = self.watches.wanted.load(Ordering::Acquire) == self.number;
-        let most = if newest { ATTEMPTS } else { 1 };
-        self.wires.retain(|_, wire| wire.spoken || now.duration_since(wire.since) < QUIET);
-        let open: Vec<usize> = self.wires.iter().filter(|w| !w.1.spoken).map(|w| *w.0).collect();
-        if open.len() >= most
-            && let Some(youngest) = open.last()
+        // A watch that a newer one is to replace leaves the descriptors to that.
+        let is_newest = self.status.newest.load(Ordering::Acquire) == self.number;
+        let max_attempts = if is_newest { MAX_ATTEMPTS } else { 1 };
+        self.connections.retain(|_, c| c.has_list || now.duration_since(c.opened_at) < SILENCE_TIMEOUT);
+        let attempts: Vec<usize> =
+            self.connections.iter().filter(|(_, c)| !c.has_list).map(|(id, _)| *id).collect();
+        if attempts.len() >= max_attempts
+            && let Some(youngest) = attempts.last()
         {
-            self.wires.remove(youngest);
+            self.connections.remove(youngest);
         }
-        self.next_id += 1;
-        debug!("asks discovery at {} for what came after {:?}", self.at, self.index);
-        match self.begin(now) {
-            Ok(wire) => drop(self.wires.insert(self.next_id, wire)),
-            Err(error) => debug!("discovery at {}: {error}", self.at),
+        self.last_id += 1;
+        debug!("requests from discovery at {} what came after {:?}", self.addr, self.index);
+        match self.connect(now) {
+            Ok(connection) => drop(self.connections.insert(self.last_id, connection)),
+            Err(error) => debug!("discovery at {}: {error}", self.addr),
         }
     }
 
-    fn begin(&self, now: Instant) -> Result<Wire> {
-        let mut stream = TcpStream::connect(SocketAddr::V4(self.at))?;
+    fn connect(&self, now: Instant) -> Result<Connection> {
+        let mut stream = TcpStream::connect(SocketAddr::V4(self.addr))?;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(self.next_id), interest)?;
-        let (buffer, text) = (Buffer::new(&self.room), Text::default());
-        let (stage, begun, spoken) = (Stage::Opening, None, false);
-        Ok(Wire { stream, buffer, stage, since: now, heard: now, begun, text, spoken })
+        self.poll.registry().register(&mut stream, Token(self.last_id), interest)?;
+        Ok(Connection {
+            stream,
+            buffer: Buffer::new(&self.budget),
+            stage: Stage::Connecting,
+            opened_at: now,
+            received_at: now,
+            partial_since: None,
+            text: ListText::default(),
+            has_list: false,
+        })
     }
 
-    /// Goes on with a connection on which something has happened; fails once nobody listens.
-    fn turn(&mut self, id: usize) -> Result<()> {
-        let Some(mut wire) = self.wires.remove(&id) else { return Ok(()) };
-        let (before, spoken) = (self.index, wire.spoken);
-        let end = wire.turn(self);
-        if wire.spoken && !spoken {
-            // What it says comes after all that the others have said.
-            self.wires.clear();
+    /// Handles an event on a connection; fails once the service has ended.
+    fn handle_event(&mut self, id: usize) -> Result<()> {
+        let Some(mut connection) = self.connections.remove(&id) else { return Ok(()) };
+        let index_before = self.index;
+        let had_list = connection.has_list;
+        let outcome = connection.handle_event(self);
+        if connection.has_list && !had_list {
+            // What it sends is newer than everything that the others have sent.
+            self.connections.clear();
         }
-        match end {
-            Ok(()) => drop(self.wires.insert(id, wire)),
+        match outcome {
+            Ok(()) => drop(self.connections.insert(id, connection)),
             Err(error) => {
-                debug!("discovery at {}: {error:#}, version {before:?} before", self.at);
-                ensure!(self.messages.send(Input::WatchLost), "nobody listens");
+                debug!("discovery at {}: {error:#}, version {index_before:?} before", self.addr);
+                ensure!(self.messages.send(Input::WatchLost), "the service has ended");
             }
         }
         Ok(())
     }
 
-    fn heard(&mut self, text: &[u8]) -> Result<()> {
+    fn receive_list(&mut self, text: &[u8]) -> Result<()> {
         let read = serde_json::from_slice(text).context("not JSON").and_then(|value| list(&value));
         let list = read.inspect_err(|error| warn!("discovery sent a line that can't be read: {error:#}"))?;
         self.index = Some(list.index);
-        self.told += 1;
+        self.lists_received += 1;
         self.messages.send(Input::List { watch: self.number, list });
         Ok(())
     }
 }
 
-/// How far a connection has come.
+/// What a connection expects next.
 enum Stage {
-    Opening,
-    /// The whole list is asked for first.
+    Connecting,
+    /// The head of the response with the whole list, which is requested first.
     ListHead,
     ListBody(BodyFraming),
+    /// The head of the watch's response.
     WatchHead,
-    Lines,
+    WatchLines,
 }
 
 /// One connection to discovery.
-struct Wire {
+struct Connection {
     stream: TcpStream,
     buffer: Buffer,
     stage: Stage,
-    since: Instant,
-    /// When anything last came.
-    heard: Instant,
-    /// Since when a list that is not whole has been coming.
-    begun: Option<Instant>,
-    text: Text,
-    /// It has told a list, or that there is nothing new.
-    spoken: bool,
+    opened_at: Instant,
+    /// When anything last arrived.
+    received_at: Instant,
+    /// Since when a list has been arriving that is not whole yet.
+    partial_since: Option<Instant>,
+    text: ListText,
+    /// It has sent a list, or that there is nothing new.
+    has_list: bool,
 }
 
-impl Wire {
-    /// Until when what it says is gone by and nobody else is asked.
+impl Connection {
+    /// Until when this connection is relied on alone.
     fn trusted_until(&self, now: Instant) -> Option<Instant> {
-        let until = match self.begun {
-            Some(begun) => (self.heard + STOPPED).min(begun + WHOLE),
-            None => self.heard + QUIET,
+        let until = match self.partial_since {
+            Some(since) => (self.received_at + LINE_TIMEOUT).min(since + LIST_TIMEOUT),
+            None => self.received_at + SILENCE_TIMEOUT,
         };
-        (self.spoken && until > now).then_some(until)
+        (self.has_list && until > now).then_some(until)
     }
 
-    fn ask(&mut self, path: &str, at: SocketAddrV4, stage: Stage) -> Result<()> {
-        let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n");
+    fn request(&mut self, path: &str, addr: SocketAddrV4, next: Stage) -> Result<()> {
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
         (&self.stream).write_all(request.as_bytes())?;
-        self.stage = stage;
+        self.stage = next;
         Ok(())
     }
 
-    fn watch(&mut self, telling: &Telling) -> Result<()> {
-        let after = telling.index.unwrap_or(0);
-        self.ask(&format!("/api/targets?watch=1&after={after}"), telling.at, Stage::WatchHead)
+    fn request_watch(&mut self, watch: &RunningWatch) -> Result<()> {
+        let after = watch.index.unwrap_or(0);
+        self.request(&format!("/api/targets?watch=1&after={after}"), watch.addr, Stage::WatchHead)
     }
 
-    /// Takes up what has come; why it ends, once it does.
-    fn turn(&mut self, telling: &mut Telling) -> Result<()> {
-        if matches!(self.stage, Stage::Opening) {
+    /// Handles an event. The error is the reason why the connection ends.
+    fn handle_event(&mut self, watch: &mut RunningWatch) -> Result<()> {
+        if matches!(self.stage, Stage::Connecting) {
             if let Some(error) = self.stream.take_error()? {
                 return Err(error.into());
             }
@@ -240,137 +263,153 @@
                 Err(error) => return Err(error.into()),
             }
             self.stream.set_nodelay(true)?;
-            match telling.index {
-                // Versions held are another place's: the whole list first, whatever it is numbered.
-                None => self.ask("/api/targets", telling.at, Stage::ListHead)?,
-                Some(_) => self.watch(telling)?,
+            match watch.index {
+                // A held list is numbered by another discovery service: the whole list is requested, whatever its version.
+                None => self.request("/api/targets", watch.addr, Stage::ListHead)?,
+                Some(_) => self.request_watch(watch)?,
             }
         }
         loop {
             match self.buffer.fill(&mut &self.stream) {
                 Ok(0) => break,
-                Ok(_) => {
-                    self.heard = Instant::now();
-                    let spoken = telling.told;
-                    self.take(telling)?;
-                    let partly = !self.buffer.bytes().is_empty() || self.text.begun();
-                    // One that is whole ends its time; a further one that has come partly begins its own.
-                    let since = self.begun.filter(|_| telling.told == spoken).unwrap_or(self.heard);
-                    self.begun = partly.then_some(since);
-                    ensure!(self.buffer.bytes().len() <= LONGEST, "over {LONGEST} bytes in one piece");
-                }
+                Ok(_) => self.process_read(watch)?,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) => return Err(error.into()),
             }
         }
-        if self.text.begun() {
-            telling.heard(&self.text.take())?;
+        if self.text.has_begun() {
+            watch.receive_list(&self.text.take())?;
         }
         bail!("it has ended")
     }
 
-    /// Takes what has come whole.
-    fn take(&mut self, telling: &mut Telling) -> Result<()> {
+    /// Processes the bytes of one read.
+    fn process_read(&mut self, watch: &mut RunningWatch) -> Result<()> {
+        self.received_at = Instant::now();
+        let lists_before = watch.lists_received;
+        self.parse_buffer(watch)?;
+        let has_partial = !self.buffer.bytes().is_empty() || self.text.has_begun();
+        // The time of a list ends with it; a further one that has arrived in part has its own.
+        let since =
+            self.partial_since.filter(|_| watch.lists_received == lists_before).unwrap_or(self.received_at);
+        self.partial_since = has_partial.then_some(since);
+        ensure!(self.buffer.bytes().len() <= MAX_LIST_BYTES, "over {MAX_LIST_BYTES} bytes in one piece");
+        Ok(())
+    }
+
+    /// Parses what has arrived completely.
+    fn parse_buffer(&mut self, watch: &mut RunningWatch) -> Result<()> {
         loop {
             match self.stage {
-                Stage::Opening => return Ok(()),
+                Stage::Connecting => return Ok(()),
                 Stage::ListHead | Stage::WatchHead => {
                     let head = http::parse_response_head(self.buffer.bytes()).map_err(Error::msg)?;
                     let Some(head) = head else { return Ok(()) };
-                    let (status, body) = (head.status, head.framing);
                     self.buffer.consume(head.used);
-                    ensure!(status == 200, "status {status}");
-                    self.stage = match self.stage {
-                        Stage::ListHead => Stage::ListBody(body),
-                        _ => Stage::Lines,
-                    };
-                    let watched = matches!(self.stage, Stage::Lines);
-                    ensure!(!watched || body == BodyFraming::Chunked, "the watch is not chunked");
+                    ensure!(head.status == 200, "status {}", head.status);
+                    if matches!(self.stage, Stage::ListHead) {
+                        self.stage = Stage::ListBody(head.framing);
+                    } else {
+                        self.stage = Stage::WatchLines;
+                        ensure!(head.framing == BodyFraming::Chunked, "the watch is not chunked");
+                    }
                 }
                 Stage::ListBody(BodyFraming::Length(length)) => {
-                    ensure!(length <= LONGEST, "a list over {LONGEST} bytes");
+                    ensure!(length <= MAX_LIST_BYTES, "a list over {MAX_LIST_BYTES} bytes");
                     let Some(body) = self.buffer.bytes().get(..length) else { return Ok(()) };
-                    telling.heard(body)?;
+                    watch.receive_list(body)?;
                     self.buffer.consume(length);
-                    self.spoken = true;
-                    self.watch(telling)?;
+                    self.has_list = true;
+                    self.request_watch(watch)?;
                 }
-                Stage::ListBody(BodyFraming::Chunked) | Stage::Lines => {
-                    let chunk = http::parse_chunk(self.buffer.bytes()).map_err(Error::msg)?;
-                    let Some(Chunk { data, used }) = chunk else { return Ok(()) };
-                    let (last, lines) = (data.is_empty(), matches!(self.stage, Stage::Lines));
-                    let data = data.to_vec();
-                    self.buffer.consume(used);
-                    ensure!(!(last && lines), "it has ended the watch");
-                    if lines {
-                        // An empty line is a word too: the list is as it was.
-                        telling.watches.said.store(telling.messages.now() as u64, Ordering::Release);
-                        self.lines(&data, telling)?;
-                    } else if !last {
-                        self.text.bytes.extend(data);
-                        ensure!(self.text.bytes.len() <= LONGEST, "a list over {LONGEST} bytes");
+                Stage::ListBody(BodyFraming::Chunked) => {
+                    let Some(data) = self.next_chunk()? else { return Ok(()) };
+                    let is_last = data.is_empty();
+                    if is_last {
+                        watch.receive_list(&self.text.take())?;
+                        self.has_list = true;
+                        self.request_watch(watch)?;
                     } else {
-                        telling.heard(&self.text.take())?;
-                        self.spoken = true;
-                        self.watch(telling)?;
+                        self.text.bytes.extend(data);
+                        ensure!(
+                            self.text.bytes.len() <= MAX_LIST_BYTES,
+                            "a list over {MAX_LIST_BYTES} bytes"
+                        );
                     }
                 }
+                Stage::WatchLines => {
+                    let Some(data) = self.next_chunk()? else { return Ok(()) };
+                    ensure!(!data.is_empty(), "it has ended the watch");
+                    // An empty line counts too: it states that the list has not changed.
+                    watch.status.last_received_ms.store(watch.messages.now() as u64, Ordering::Release);
+                    self.parse_lines(&data, watch)?;
+                }
             }
         }
     }
 
-    fn lines(&mut self, data: &[u8], telling: &mut Telling) -> Result<()> {
+    /// The data of the next chunk; `None` while it is incomplete.
+    fn next_chunk(&mut self) -> Result<Option<Vec<u8>>> {
+        let chunk = http::parse_chunk(self.buffer.bytes()).map_err(Error::msg)?;
+        let Some(Chunk { data, used }) = chunk else { return Ok(None) };
+        let data = data.to_vec();
+        self.buffer.consume(used);
+        Ok(Some(data))
+    }
+
+    fn parse_lines(&mut self, data: &[u8], watch: &mut RunningWatch) -> Result<()> {
         for byte in data {
             if let Some(text) = self.text.push(*byte) {
                 if !text.iter().all(u8::is_ascii_whitespace) {
-                    telling.heard(&text)?;
+                    watch.receive_list(&text)?;
                 }
-                self.spoken = true;
+                self.has_list = true;
             }
         }
-        ensure!(self.text.bytes.len() <= LONGEST, "a line over {LONGEST} bytes");
+        ensure!(self.text.bytes.len() <= MAX_LIST_BYTES, "a line over {MAX_LIST_BYTES} bytes");
         Ok(())
     }
 }
 
-/// The text of a list as it comes: a line, or several of one value that is indented.
+/// The text of a list as it arrives: one line, or several if the value is indented.
 #[derive(Default)]
-struct Text {
+struct ListText {
     bytes: Vec<u8>,
-    /// Brackets that are open, and whether it stands in a string, and behind a backslash there.
+    /// Number of open brackets.
     depth: usize,
-    string: bool,
-    escaped: bool,
-    /// Up to this length it was looked whether it can still become a value.
-    looked: usize,
+    in_string: bool,
+    after_backslash: bool,
+    /// The length at which the text was last parsed.
+    parsed_length: usize,
 }
 
-impl Text {
-    /// Takes one more byte; the text of a value or of an empty line once it has come whole.
+impl ListText {
+    /// Adds a byte. Returns the text of a value, or of an empty line, once that is complete.
     fn push(&mut self, byte: u8) -> Option<Vec<u8>> {
         self.bytes.push(byte);
         match byte {
-            b'\n' if self.depth == 0 || self.hopeless() => return Some(self.take()),
-            _ if self.escaped => self.escaped = false,
-            b'\\' => self.escaped = self.string,
-            b'"' => self.string = !self.string,
-            b'{' | b'[' if !self.string => self.depth += 1,
-            b'}' | b']' if !self.string => self.depth = self.depth.saturating_sub(1),
+            b'\n' if self.depth == 0 || self.is_invalid() => return Some(self.take()),
+            _ if self.after_backslash => self.after_backslash = false,
+            b'\\' => self.after_backslash = self.in_string,
+            b'"' => self.in_string = !self.in_string,
+            b'{' | b'[' if !self.in_string => self.depth += 1,
+            b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
             _ => {}
         }
         None
     }
 
-    /// Whether no further line can make a value of it. It is read anew only once it has doubled, as lists are long.
-    fn hopeless(&mut self) -> bool {
-        if self.bytes.len() < 2 * self.looked {
+    /// Whether no further line can complete the text to a value. As lists are long, the text is parsed again only once its length
+    /// has doubled.
+    fn is_invalid(&mut self) -> bool {
+        if self.bytes.len() < 2 * self.parsed_length {
             return false;
         }
-        self.looked = self.bytes.len();
+        self.parsed_length = self.bytes.len();
         serde_json::from_slice::<serde_json::Value>(&self.bytes).is_err_and(|error| !error.is_eof())
     }
 
-    fn begun(&self) -> bool {
+    fn has_begun(&self) -> bool {
         !self.bytes.iter().all(u8::is_ascii_whitespace)
     }
 
--- /dev/null
+++ b/crates/mixer/src/fleet.rs
@@ -0,0 +1,218 @@
+//! This mixer's membership in a fleet. What the mixer knows by itself is shared with the other mixers, and what is accepted of theirs
+//! becomes events of the decision module. Off unless the operator's file enables it: then there is no thread and no listener.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+use anyhow::{Context, Result, ensure};
+use pewterwharf_mesh::{LocalReport, LocalStatus, Mesh, MeshConfig, MeshHandle};
+use pewterwharf_replica::Advice;
+use pewterwharf_settings::{Fleet, Settings};
+use pewterwharf_terms::Start;
+use tracing::{info, warn};
+
+use crate::inputs::Input;
+use crate::messages::MessageSender;
+use crate::reducer::{ListStatus, RecentUsage, Reducer};
+
+/// How often changes are looked for that the other mixers do not know yet. It is well under the time of a probe.
+const SHARE_INTERVAL_MS: f64 = 50.0;
+/// A mark that persists is repeated this often, so that the others do not discard it as too old.
+const REPEAT_INTERVAL_MS: f64 = 700.0;
+/// How often the usage of customers is shared.
+const USAGE_INTERVAL_MS: f64 = 2000.0;
+/// The span over which the decision module counts the usage of customers.
+const USAGE_SPAN_MS: u32 = 5000;
+/// Fewer descriptors than this leave no room for clients, searchers and discovery.
+const MIN_DESCRIPTORS: usize = 32;
+
+/// What was shared of a searcher, and when.
+#[derive(Clone, Copy, PartialEq)]
+struct SharedReport {
+    status: LocalStatus,
+    at: f64,
+}
+
+/// This mixer's membership in its fleet, if it has one.
+pub struct FleetMember {
+    active: Option<ActiveMember>,
+    section: Option<Fleet>,
+}
+
+struct ActiveMember {
+    mesh: Mesh,
+    shared: BTreeMap<SocketAddrV4, SharedReport>,
+    shared_list: Option<ListStatus>,
+    lost_idle_connections: bool,
+    next_share_at: f64,
+    next_usage_at: f64,
+    /// Scans of each customer, as shared last.
+    shared_usage: Vec<usize>,
+}
+
+fn mesh_config(fleet: &Fleet, seed: u64) -> MeshConfig {
+    MeshConfig {
+        fleet: fleet.name.clone(),
+        local_name: fleet.me.clone(),
+        listen: fleet.listen,
+        peers: fleet.peers.iter().map(|p| (p.name.clone(), p.address)).collect(),
+        seed,
+        tombstone_ttl_ms: fleet.forget_ms,
+    }
+}
+
+impl FleetMember {
+    /// Begins to join the fleet. The descriptors that its links need are taken from `start`.
+    ///
+    /// # Errors
+    /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
+    pub fn open(settings: &Settings, start: &mut Start, messages: &MessageSender) -> Result<Self> {
+        let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, section: None }) };
+        let config = mesh_config(fleet, start.seed);
+        let left = start.sockets.saturating_sub(config.max_descriptors());
+        ensure!(
+            left >= MIN_DESCRIPTORS,
+            "fleet: its links take {} of limits.sockets={}, and {MIN_DESCRIPTORS} at least have to be left",
+            config.max_descriptors(),
+            start.sockets
+        );
+        start.sockets = left;
+        let messages = messages.clone();
+        let on_advice = move |advice: Vec<Advice>| {
+            messages.send(Input::FleetEvents(advice.into_iter().map(Advice::to_event).collect()));
+        };
+        let mesh =
+            Mesh::start(config, on_advice).with_context(|| format!("fleet listen {}", fleet.listen))?;
+        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.local_addr());
+        let active = ActiveMember {
+            mesh,
+            shared: BTreeMap::new(),
+            shared_list: None,
+            lost_idle_connections: false,
+            next_share_at: 0.0,
+            next_usage_at: 0.0,
+            shared_usage: Vec::new(),
+        };
+        Ok(Self { active: Some(active), section: Some(fleet.clone()) })
+    }
+
+    /// A handle for queries about what this mixer sees of its fleet.
+    pub fn handle(&self) -> Option<MeshHandle> {
+        self.active.as_ref().map(|member| member.mesh.handle())
+    }
+
+    /// Warns if the fleet section of the operator's file has changed, as that takes effect only at the next start.
+    pub fn settings_reloaded(&self, settings: &Settings) {
+        if settings.fleet != self.section {
+            warn!(target: "fleet", "fleet has changed in the operator's file: it counts from the next start");
+        }
+    }
+
+    /// When [`FleetMember::share`] has to be called again.
+    pub fn next_share_at(&self) -> f64 {
+        self.active.as_ref().map_or(f64::INFINITY, |member| member.next_share_at)
+    }
+
+    /// Shares what is new with the other mixers, if it is time.
+    pub fn share(&mut self, now: f64, reducer: &Reducer) {
+        if let Some(member) = self.active.as_mut().filter(|member| now >= member.next_share_at) {
+            member.next_share_at = now + SHARE_INTERVAL_MS;
+            member.share(now, reducer);
+        }
+    }
+
+    /// Counters, one a line; empty without a fleet.
+    pub fn counters(&self) -> String {
+        self.active.as_ref().map_or_else(String::new, |member| member.mesh.counters_text())
+    }
+
+    /// Tells the other mixers that this one was asked to end.
+    pub fn announce_end(&self) {
+        self.active.iter().for_each(|member| member.mesh.begin_shutdown());
+    }
+
+    /// Leaves the fleet and tells the other mixers.
+    pub fn leave(self) {
+        self.active.into_iter().for_each(|member| member.mesh.leave());
+    }
+}
+
+impl ActiveMember {
+    fn share(&mut self, now: f64, reducer: &Reducer) {
+        let mut reports = Vec::new();
+        let shared = self.collect_searchers(now, reducer, &mut reports);
+        let list = reducer.list_status();
+        if Some(list) != self.shared_list {
+            reports.push(LocalReport::List { index: list.index, ready: list.ready_searchers });
+        }
+        let RecentUsage { scans_by_customer, lost_idle_connections } = reducer.recent_usage();
+        if lost_idle_connections && !self.lost_idle_connections {
+            reports.push(LocalReport::IdleConnectionsLost { times: 1 });
+        }
+        let shares_usage = now >= self.next_usage_at && scans_by_customer != self.shared_usage;
+        if shares_usage {
+            let usage = scans_by_customer.iter().zip(reducer.customer_names()).enumerate();
+            let changed = usage.filter(|(nth, (scans, _))| self.shared_usage.get(*nth) != Some(*scans));
+            reports.extend(changed.map(|(_, (scans, name))| LocalReport::CustomerUsage {
+                customer: name.clone(),
+                scans: *scans as u32,
+                span_ms: USAGE_SPAN_MS,
+            }));
+        }
+        // What can't be sent now is found to be new again the next time.
+        if reports.is_empty() || self.mesh.publish(reports) {
+            self.shared = shared;
+            self.shared_list = Some(list);
+            self.lost_idle_connections = lost_idle_connections;
+            if shares_usage {
+                self.shared_usage = scans_by_customer.to_vec();
+                self.next_usage_at = now + USAGE_INTERVAL_MS;
+            }
+        }
+    }
+
+    /// Adds reports on the searchers whose state is new or has to be repeated; what is shared of all searchers once they are sent.
+    fn collect_searchers(
+        &self,
+        now: f64,
+        reducer: &Reducer,
+        reports: &mut Vec<LocalReport>,
+    ) -> BTreeMap<SocketAddrV4, SharedReport> {
+        let mut shared = BTreeMap::new();
+        for known in reducer.observed_searchers() {
+            let status = LocalStatus::from_report(&known);
+            let before = self.shared.get(&known.searcher).copied();
+            let is_unhealthy = status.marked || status.late;
+            let is_due = |before: SharedReport| {
+                before.status != status || is_unhealthy && now - before.at >= REPEAT_INTERVAL_MS
+            };
+            if before.is_none_or(is_due) {
+                let (latency_ratio, parts) = if known.marked {
+                    (known.evidence.relative_latency, known.evidence.parts)
+                } else {
+                    (known.overdue, 1)
+                };
+                reports.push(LocalReport::Searcher {
+                    address: known.searcher,
+                    status: Some(status),
+                    cold: known.cold,
+                    latency_ratio,
+                    parts,
+                });
+                shared.insert(known.searcher, SharedReport { status, at: now });
+            } else {
+                shared.extend(before.map(|before| (known.searcher, before)));
+            }
+        }
+        for removed in self.shared.keys().filter(|address| !shared.contains_key(address)) {
+            reports.push(LocalReport::Searcher {
+                address: *removed,
+                status: None,
+                cold: false,
+                latency_ratio: 0.0,
+                parts: 0,
+            });
+        }
+        shared
+    }
+}
--- a/crates/mixer/src/frame.rs
+++ b/crates/mixer/src/frame.rs
@@ -1,11 +1,12 @@
-//! Frames between mixers and searchers: a length, a letter, the rest.
+//! Frames between mixers and searchers: a length, a letter for the kind, and the body.
 
-/// Longest frame that is taken: a client's answer may hold 64 KiB and a part's value no more, with a line.
-const LONGEST: usize = 68 * 1024;
-/// An answer's line is shorter: an id, an end, a score and a load report.
-const LINE: usize = 4 * 1024;
+/// Longest frame that is accepted. A client's answer may hold 64 KiB, and so a part's value no more; its line comes on top.
+const MAX_FRAME_BYTES: usize = 68 * 1024;
+/// Longest line of an answer: an id, a status, a score and a load report.
+const MAX_LINE_BYTES: usize = 4 * 1024;
+const MAX_REASON_CHARS: usize = 200;
 
-/// How a searcher answered.
+/// How a searcher answered a part or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Ok,
@@ -13,61 +14,70 @@
     Full,
 }
 
-/// What a searcher sent.
+/// A frame from a searcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     Part {
         id: String,
         verdict: Verdict,
         value: String,
-        /// How busy the searcher says its cores are, 1 for all; none where its report does not tell.
+        /// The share of its cores that the searcher reports as busy, 1 for all; `None` if its report does not say.
         busy: Option<f64>,
     },
-    /// What a probe was answered; none where the words are unknown.
+    /// The answer to a probe; `None` if its status is unknown.
     Probe(Option<Verdict>),
-    /// It could not use the frame before, and closes the connection.
+    /// The searcher could not use the last frame, and closes the connection.
     Unusable(String),
 }
 
-/// Reads the first frame of these bytes and how long it is; none while it is not whole.
+/// Decodes the first frame of these bytes, and returns it with its length; `None` while it is incomplete.
+///
+/// # Errors
+/// If the bytes are no frame.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, String> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if !(1..=LONGEST).contains(&length) {
+    if !(1..=MAX_FRAME_BYTES).contains(&length) {
         return Err(format!("a frame of {length} bytes"));
     }
-    // What can't become a frame is told at once, however much of it is still to come.
+    // Bytes that can't become a frame are reported at once, however many are still to come.
     match rest.first() {
         None | Some(b'O' | b'I' | b'Z') => {}
         Some(letter) => return Err(format!("a frame of letter {:?}", char::from(*letter))),
     }
     let Some(frame) = rest.get(..length) else {
-        let endless = rest.len() > LINE && rest[0] == b'O' && !rest[..LINE].contains(&b'\n');
-        return if endless { Err("an answer's line that does not end".to_owned()) } else { Ok(None) };
+        let is_line_too_long =
+            rest.len() > MAX_LINE_BYTES && rest[0] == b'O' && !rest[..MAX_LINE_BYTES].contains(&b'\n');
+        if is_line_too_long {
+            return Err("an answer's line that does not end".to_owned());
+        }
+        return Ok(None);
     };
     let body = &frame[1..];
     let frame = match frame[0] {
-        b'O' => part(body)?,
+        b'O' => decode_part(body)?,
         b'I' => Frame::Probe(match body {
             b"200" => Some(Verdict::Ok),
             b"500" => Some(Verdict::Error),
             _ => None,
         }),
-        _ => Frame::Unusable(String::from_utf8_lossy(body).chars().take(200).collect()),
+        _ => Frame::Unusable(String::from_utf8_lossy(body).chars().take(MAX_REASON_CHARS).collect()),
     };
     Ok(Some((frame, 4 + length)))
 }
 
-/// A line of four words, of which the report may be anything: a good answer may bring one that can't be read.
-fn part(body: &[u8]) -> Result<Frame, String> {
-    let split = body.iter().position(|b| *b == b'\n').ok_or("an answer without a line")?;
-    let mut words = body[..split].split(|b| *b == b' ').filter(|word| !word.is_empty());
-    let (Some(id), Some(end), Some(score), Some(report)) =
+/// Decodes a part's answer: a line of four words, and the value. The last word, the load report, may be anything, as a good answer
+/// may come with an unreadable report.
+fn decode_part(body: &[u8]) -> Result<Frame, String> {
+    let line_length = body.iter().position(|b| *b == b'\n').ok_or("an answer without a line")?;
+    let line = &body[..line_length];
+    let mut words = line.split(|b| *b == b' ').filter(|word| !word.is_empty());
+    let (Some(id), Some(status), Some(score), Some(report)) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(format!("an answer's line is {:?}", String::from_utf8_lossy(&body[..split])));
+        return Err(format!("an answer's line is {:?}", String::from_utf8_lossy(line)));
     };
-    let verdict = match end {
+    let verdict = match status {
         b"200" => Verdict::Ok,
         b"500" => Verdict::Error,
         b"503" => Verdict::Full,
@@ -77,21 +87,22 @@
         return Err(format!("an answer of score {:?}", String::from_utf8_lossy(score)));
     }
     let id = std::str::from_utf8(id).map_err(|_| "an answer's id is not text")?;
-    let value = std::str::from_utf8(&body[split + 1..]).map_err(|_| "a value is not text")?;
-    // Longer than told, it runs into the length of the frame behind it.
+    let value = std::str::from_utf8(&body[line_length + 1..]).map_err(|_| "a value is not text")?;
+    // If a frame is shorter than its stated length, the length of the next frame becomes part of the value.
     if value.chars().any(|c| c.is_control() && !c.is_whitespace()) {
         return Err("a value with control characters".to_owned());
     }
-    Ok(Frame::Part { id: id.to_owned(), verdict, value: value.to_owned(), busy: busy(report) })
+    Ok(Frame::Part { id: id.to_owned(), verdict, value: value.to_owned(), busy: busy_share(report) })
 }
 
-/// Words of a load report for the busy share: the protocol's own, and the settings'.
-const BUSY: [&str; 2] = ["util", "load_share"];
+/// Names under which a load report gives the busy share: the protocol's, and the settings'.
+const BUSY_SHARE_NAMES: [&str; 2] = ["util", "load_share"];
 
-/// The busy share in a report like `inflight=7,util=0.61`; what can't be read or can't be is no word on it.
-fn busy(report: &[u8]) -> Option<f64> {
+/// The busy share in a report like `inflight=7,util=0.61`; `None` if it is missing, unreadable or impossible.
+fn busy_share(report: &[u8]) -> Option<f64> {
     let pairs = std::str::from_utf8(report).ok()?.split(',').filter_map(|pair| pair.split_once('='));
-    let share: f64 = pairs.filter(|(name, _)| BUSY.contains(name)).find_map(|(_, v)| v.parse().ok())?;
+    let mut shares = pairs.filter(|(name, _)| BUSY_SHARE_NAMES.contains(name));
+    let share: f64 = shares.find_map(|(_, value)| value.parse().ok())?;
     (share.is_finite() && share >= 0.0).then_some(share)
 }
 
@@ -104,23 +115,23 @@
     pub text: &'a str,
 }
 
-pub fn encode_call(pieces: &[CallPart]) -> Vec<u8> {
+pub fn encode_call(parts: &[CallPart]) -> Vec<u8> {
     let mut body = Vec::new();
-    for CallPart { id, shard, wait_ms, text } in pieces {
+    for CallPart { id, shard, wait_ms, text } in parts {
         body.extend_from_slice(format!("{id} {shard} d={wait_ms} {}\n{text}", text.len()).as_bytes());
     }
-    framed(b'D', &body)
+    encode(b'D', &body)
 }
 
 pub fn encode_cancel(id: &str) -> Vec<u8> {
-    framed(b'K', id.as_bytes())
+    encode(b'K', id.as_bytes())
 }
 
 pub fn encode_probe() -> Vec<u8> {
-    framed(b'I', &[])
+    encode(b'I', &[])
 }
 
-fn framed(letter: u8, body: &[u8]) -> Vec<u8> {
+fn encode(letter: u8, body: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(5 + body.len());
     frame.extend_from_slice(&(body.len() as u32 + 1).to_be_bytes());
     frame.push(letter);
--- a/crates/mixer/src/lib.rs
+++ b/crates/mixer/src/lib.rs
@@ -1,16 +1,16 @@
-//! A mixer on sockets, round the decision module.
+//! A mixer on sockets, around the decision module.
 
-pub mod announcing;
+pub mod announcer;
 pub mod buffer;
 pub mod client;
+pub mod client_handle;
 pub mod clock;
-pub mod copies;
 pub mod counters;
 pub mod discovery;
+pub mod fleet;
 pub mod frame;
 pub mod http;
 pub mod inputs;
-pub mod line;
 pub mod link;
 pub mod listener;
 pub mod log;
--- a/crates/mixer/src/link.rs
+++ b/crates/mixer/src/link.rs
@@ -1,5 +1,4 @@
-//! A connection to a searcher as the service holds it: frames are written as far as the searcher takes them, and nobody waits for
-//! the rest.
+//! A connection to a searcher as the service holds it. Frames are written as far as the searcher accepts them, and no write waits.
 
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
@@ -12,165 +11,170 @@
 use crate::buffer::MemoryBudget;
 use crate::stream::write_some;
 
-/// What the service and the thread that reads share of a link.
+/// What the service and the reading thread share of a link.
 pub struct Shared {
     pub stream: TcpStream,
-    /// The service has more to write, and is to be told when there is room for it.
-    awaits_room: AtomicBool,
+    /// The service has more to write, and the reading thread has to report when the link is writable.
+    is_blocked: AtomicBool,
 }
 
 impl Shared {
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, awaits_room: AtomicBool::new(false) }
+        Self { stream, is_blocked: AtomicBool::new(false) }
     }
 
-    /// Whether the service is to be told that there is room; it has to be, as it is said once.
-    pub fn take_awaits_room(&self) -> bool {
-        self.awaits_room.swap(false, Ordering::SeqCst)
+    /// Whether the service is to be told that the link is writable. The caller has to tell it, as this returns true once.
+    pub fn take_blocked(&self) -> bool {
+        self.is_blocked.swap(false, Ordering::SeqCst)
     }
 
-    /// Writes what is taken now; how much that was. Short of all, the reader tells once there is room.
+    /// Writes what the searcher accepts now; the number of bytes. If that is not all, the reading thread reports when there is room.
     fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         let mut written = 0;
         loop {
             written += write_some(&self.stream, &bytes[written..])?;
             if written == bytes.len() {
-                self.awaits_room.store(false, Ordering::SeqCst);
+                self.is_blocked.store(false, Ordering::SeqCst);
                 return Ok(written);
             }
-            // Room that came before this was set has been passed over: it is looked for once more.
-            if self.awaits_room.swap(true, Ordering::SeqCst) {
+            // Room that came before this was set has not been reported: the write is tried once more.
+            if self.is_blocked.swap(true, Ordering::SeqCst) {
                 return Ok(written);
             }
         }
     }
 }
 
-/// What became of a frame that was to be written.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    Whole,
-    /// Its rest follows once there is room.
-    Partly,
-    /// Nothing of the rest was taken.
+pub enum WriteOutcome {
+    /// The frame is written completely.
+    Complete,
+    /// The rest of the frame follows once there is room.
+    Partial,
+    /// None of the rest was accepted.
     Stalled,
-    /// Not a byte was taken: it can be withdrawn.
+    /// No byte was accepted: the frame can be withdrawn.
     NotBegun,
-    /// The link ends, and its reader tells of it.
+    /// The link has ended, which the reading thread reports.
     Failed,
 }
 
+/// The part of the memory budget that a partly written frame takes.
+struct Reservation {
+    budget: MemoryBudget,
+    bytes: usize,
+}
+
 /// A link, as the service holds it.
 #[derive(Default)]
 pub struct Link {
-    /// Absent until it is up.
+    /// Absent until the link is up.
     shared: Option<Arc<Shared>>,
     closed: bool,
-    /// The rest of the frame that has begun.
+    /// The rest of a partly written frame.
     rest: Vec<u8>,
-    /// What the rests of all links may take, and how much of it this one holds.
-    room: Option<(MemoryBudget, usize)>,
-    /// Frames that were written whole.
-    pub written: u64,
+    reservation: Option<Reservation>,
+    /// Number of frames that were written completely.
+    pub frames_written: u64,
 }
 
 impl Link {
-    pub fn up(&mut self, shared: Arc<Shared>) {
+    pub fn set_up(&mut self, shared: Arc<Shared>) {
         self.shared = Some(shared);
         if self.closed {
             self.close();
         }
     }
 
-    /// Whether nothing can be written until the reader has told that there is room.
-    pub fn awaits_room(&self) -> bool {
-        self.shared.as_ref().is_some_and(|shared| shared.awaits_room.load(Ordering::SeqCst))
+    /// Whether nothing can be written until the reading thread reports that there is room.
+    pub fn is_blocked(&self) -> bool {
+        self.shared.as_ref().is_some_and(|shared| shared.is_blocked.load(Ordering::SeqCst))
     }
 
-    /// Lets the next write be tried though nobody has told of room.
+    /// Lets the next write be tried although no room was reported.
     pub fn retry(&self) {
         if let Some(shared) = &self.shared {
-            shared.awaits_room.store(false, Ordering::SeqCst);
+            shared.is_blocked.store(false, Ordering::SeqCst);
         }
     }
 
-    /// Whether a frame has begun and is not whole.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_frame(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Writes a frame, behind which nothing else may wait. `room` is what the rests of all links may take: where it does not do, the
-    /// link ends.
-    pub fn write(&mut self, frame: Vec<u8>, room: &MemoryBudget) -> Written {
-        match self.put(&frame) {
+    /// Writes a frame; no partly written one may be left. `budget` is what the partly written frames of all links may take. If it is
+    /// exhausted, the link ends.
+    pub fn write(&mut self, frame: Vec<u8>, budget: &MemoryBudget) -> WriteOutcome {
+        match self.try_write(&frame) {
             Ok(count) if count == frame.len() => {
-                self.written += 1;
-                Written::Whole
+                self.frames_written += 1;
+                WriteOutcome::Complete
             }
-            Ok(0) => Written::NotBegun,
+            Ok(0) => WriteOutcome::NotBegun,
             Ok(count) => {
-                if !room.try_reserve(frame.len()) {
+                if !budget.try_reserve(frame.len()) {
                     return self.fail(&ErrorKind::OutOfMemory.into());
                 }
-                self.room = Some((room.clone(), frame.len()));
+                self.reservation = Some(Reservation { budget: budget.clone(), bytes: frame.len() });
                 self.rest = frame;
                 self.rest.drain(..count);
-                Written::Partly
+                WriteOutcome::Partial
             }
             Err(error) => self.fail(&error),
         }
     }
 
-    /// Goes on with the frame that has begun.
-    pub fn write_rest(&mut self) -> Written {
+    /// Goes on with the partly written frame.
+    pub fn write_rest(&mut self) -> WriteOutcome {
         let rest = std::mem::take(&mut self.rest);
-        match self.put(&rest) {
+        match self.try_write(&rest) {
             Ok(count) if count == rest.len() => {
-                self.give_room_back();
-                self.written += 1;
-                Written::Whole
+                self.release_reservation();
+                self.frames_written += 1;
+                WriteOutcome::Complete
             }
             Ok(count) => {
                 self.rest = rest;
                 self.rest.drain(..count);
-                if count > 0 { Written::Partly } else { Written::Stalled }
+                if count > 0 { WriteOutcome::Partial } else { WriteOutcome::Stalled }
             }
             Err(error) => {
-                self.give_room_back();
+                self.release_reservation();
                 self.fail(&error)
             }
         }
     }
 
-    fn put(&self, bytes: &[u8]) -> io::Result<usize> {
+    fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self.shared.as_deref().filter(|_| !self.closed) {
             Some(shared) => shared.write(bytes),
             None => Err(ErrorKind::NotConnected.into()),
         }
     }
 
-    fn give_room_back(&mut self) {
-        if let Some((room, bytes)) = self.room.take() {
-            room.release(bytes);
+    fn release_reservation(&mut self) {
+        if let Some(Reservation { budget, bytes }) = self.reservation.take() {
+            budget.release(bytes);
         }
     }
 
-    fn fail(&mut self, error: &io::Error) -> Written {
-        debug!("a link takes no more: {error}");
+    fn fail(&mut self, error: &io::Error) -> WriteOutcome {
+        debug!("writing to a link failed: {error}");
         self.close();
-        Written::Failed
+        WriteOutcome::Failed
     }
 
     pub fn close(&mut self) {
         self.closed = true;
         if let Some(shared) = &self.shared {
-            let _ = shared.stream.shutdown(Shutdown::Both); // it may have ended already
+            let _ = shared.stream.shutdown(Shutdown::Both); // fails if it has ended already
         }
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.give_room_back();
+        self.release_reservation();
     }
 }
--- a/crates/mixer/src/listener.rs
+++ b/crates/mixer/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of clients: its port may still be held by the process before.
+//! The listener for clients, whose port may still be held by the previous process.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -7,42 +7,42 @@
 use anyhow::{Context, Result, ensure};
 use signal_hook::iterator::Signals;
 
-use crate::signals::is_end;
+use crate::signals::is_stop;
 
-/// The process before may hold the port for a while after the platform has begun the next one: it is waited for, well within the
-/// 30 s in which a mixer has to be ready, and looked at so often.
-const HELD: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(20);
+/// The previous process may hold the port for a while after the platform has started the next one. It is waited for well within the
+/// 30 s after which a mixer has to be ready.
+const PORT_TIMEOUT: Duration = Duration::from_secs(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens there, once the port is free, and says which signals came meanwhile.
+/// Listens at an address once its port is free. Returns the listener, and the signals that arrived meanwhile.
 ///
 /// # Errors
-/// If the port can't be had, or if it is asked to end before.
-pub fn listen(at: SocketAddr, signals: &mut Signals) -> Result<(TcpListener, Vec<i32>)> {
+/// If the port can't be had, or the process is asked to end before.
+pub fn listen(addr: SocketAddr, signals: &mut Signals) -> Result<(TcpListener, Vec<i32>)> {
     let since = Instant::now();
-    let mut missed = Vec::new();
+    let mut missed_signals = Vec::new();
     loop {
-        match TcpListener::bind(at) {
-            Err(error) if error.kind() == ErrorKind::AddrInUse && since.elapsed() < HELD => {
-                missed.extend(signals.pending());
+        match TcpListener::bind(addr) {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && since.elapsed() < PORT_TIMEOUT => {
+                missed_signals.extend(signals.pending());
                 ensure!(
-                    !missed.iter().any(|signal| is_end(*signal)),
-                    "asked to end while listen={at} was held by another"
+                    !missed_signals.iter().any(|signal| is_stop(*signal)),
+                    "asked to end while listen={addr} was held by another"
                 );
-                std::thread::sleep(LOOK);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             bound => {
-                let listener = bound.with_context(|| format!("listen={at}"))?;
-                return Ok((listener, missed));
+                let listener = bound.with_context(|| format!("listen={addr}"))?;
+                return Ok((listener, missed_signals));
             }
         }
     }
 }
 
-/// The address that a listener has got, where its port was left open.
+/// The address of a listener, whose port the system may have chosen.
 ///
 /// # Errors
 /// If the system does not tell.
-pub fn local(listener: &TcpListener) -> Result<SocketAddr> {
+pub fn local_addr(listener: &TcpListener) -> Result<SocketAddr> {
     listener.local_addr().context("the listener's address")
 }
--- a/crates/mixer/src/log.rs
+++ b/crates/mixer/src/log.rs
@@ -1,7 +1,7 @@
-//! Standard error, written by one thread: whoever logs neither waits for its reader nor fails with it.
+//! Log output to standard error, written by one thread: code that logs neither waits for a reader nor fails with it.
 //!
-//! Lines go through a bounded queue. While nobody reads them the queue fills and further lines are dropped and counted; a write
-//! that fails (its reader has gone, its disk is full) loses that text alone.
+//! Texts go through a bounded queue. While nobody reads them the queue fills, and further texts are dropped and counted. A write that
+//! fails (the reader is gone, the disk is full) loses that text alone.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
@@ -11,29 +11,29 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing_subscriber::fmt::MakeWriter;
 
-use crate::messages::{STACK, spawn};
+use crate::messages::{STACK_BYTES, spawn};
 
 /// Texts that may wait to be written.
-const WAITING: usize = 128;
-/// Longest text that is kept, so that what waits is bounded in bytes as well.
-const LONGEST: usize = 32 * 1024;
-/// At the end what waits gets so long to be written.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+const MAX_QUEUED_TEXTS: usize = 128;
+/// Longer texts are cut off, so that the queue is bounded in bytes as well.
+const MAX_TEXT_BYTES: usize = 32 * 1024;
+/// At the end of the process, queued texts have this long to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 static QUEUE: OnceLock<Sender<Queued>> = OnceLock::new();
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 enum Queued {
     Text(Vec<u8>),
-    /// Answered once all before it is written.
+    /// Answered once everything before it is written.
     Flush(Sender<()>),
 }
 
-/// Starts the thread that writes. Where none is to be had, whoever logs writes.
+/// Starts the thread that writes. If it can't be started, the logging threads write themselves.
 pub fn start() {
-    let (to, texts) = bounded(WAITING);
-    if spawn("log", STACK, move || write_all(&texts)).is_ok() {
-        let _ = QUEUE.set(to); // the first thread serves
+    let (sender, texts) = bounded(MAX_QUEUED_TEXTS);
+    if spawn("log", STACK_BYTES, move || write_all(&texts)).is_ok() {
+        let _ = QUEUE.set(sender); // fails if a thread was started before, which then writes
     }
 }
 
@@ -52,11 +52,11 @@
 
 /// Writes a text to standard error without waiting for it.
 pub fn print(text: &str) {
-    keep(text.as_bytes());
+    enqueue(text.as_bytes());
 }
 
-fn keep(text: &[u8]) {
-    let text = &text[..text.len().min(LONGEST)];
+fn enqueue(text: &[u8]) {
+    let text = &text[..text.len().min(MAX_TEXT_BYTES)];
     match QUEUE.get() {
         None => write(text),
         Some(queue) => {
@@ -67,28 +67,28 @@
     }
 }
 
-/// Texts that were dropped so far, as nobody read.
+/// The number of texts dropped because nobody read the log.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Waits a little for what was logged to be written, at the end of the program.
+/// Waits a little for queued texts to be written, at the end of the process.
 pub fn flush() {
     let (done, written) = bounded(1);
     if let Some(queue) = QUEUE.get()
-        && queue.send_timeout(Queued::Flush(done), LAST_WORDS).is_ok()
+        && queue.send_timeout(Queued::Flush(done), FLUSH_TIMEOUT).is_ok()
     {
-        let _ = written.recv_timeout(LAST_WORDS); // or nobody reads
+        let _ = written.recv_timeout(FLUSH_TIMEOUT); // fails if nobody reads the log
     }
 }
 
-/// What log lines are written to.
+/// Writes log lines to the queue.
 #[derive(Clone, Copy, Default)]
-pub struct Lines;
+pub struct LogWriter;
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, text: &[u8]) -> io::Result<usize> {
-        keep(text);
+        enqueue(text);
         Ok(text.len())
     }
 
@@ -97,7 +97,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
+impl<'a> MakeWriter<'a> for LogWriter {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts a mixer on what `ROUTER_CONFIG` names.
+//! Starts a mixer with the configuration that `ROUTER_CONFIG` names.
 
 use std::process::ExitCode;
 
@@ -12,44 +12,52 @@
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-fn said(variable: &str) -> Option<String> {
-    std::env::var(variable).ok()
+fn env_var(name: &str) -> Option<String> {
+    std::env::var(name).ok()
 }
 
-fn file() -> Result<(String, String)> {
-    let path = said("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
+/// The platform's configuration file.
+struct ConfigFile {
+    path: String,
+    text: String,
+}
+
+fn read_config_file() -> Result<ConfigFile> {
+    let path = env_var("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
     let text = std::fs::read_to_string(&path).with_context(|| format!("reading {path}"))?;
-    Ok((path, text))
+    Ok(ConfigFile { path, text })
 }
 
-/// The operator's own file, where one is named.
-fn settings() -> Result<Settings> {
-    let Some(path) = said("PEWTERWHARF_SETTINGS") else { return Ok(Settings::default()) };
+/// Reads the operator's own file, if one is named.
+fn read_settings() -> Result<Settings> {
+    let Some(path) = env_var("PEWTERWHARF_SETTINGS") else { return Ok(Settings::default()) };
     let text = std::fs::read_to_string(&path).with_context(|| format!("reading {path}"))?;
-    Settings::read(&text).map_err(|fault| anyhow!("{path}:{fault}"))
+    Settings::read(&text).map_err(|error| anyhow!("{path}:{error}"))
 }
 
-fn again(start: &Start) -> Result<Change> {
-    let (path, text) = file()?;
-    start.again(&text, said).with_context(|| format!("in {path}"))
+/// Reads the configuration again, for a mixer that was started with `start`.
+fn reload_config(start: &Start) -> Result<Change> {
+    let ConfigFile { path, text } = read_config_file()?;
+    start.again(&text, env_var).with_context(|| format!("in {path}"))
 }
 
 fn run() -> Result<()> {
     let signals = signals::register_handlers()?;
-    let (path, text) = file()?;
-    let mut start = Start::read(&text, said).with_context(|| format!("in {path}"))?;
+    let ConfigFile { path, text } = read_config_file()?;
+    let mut start = Start::read(&text, env_var).with_context(|| format!("in {path}"))?;
     start.hold_to(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
-    Service::open(start, &settings()?, signals, Reloaders { config: again, settings })?.run()
+    let reloaders = Reloaders { config: reload_config, settings: read_settings };
+    Service::open(start, &read_settings()?, signals, reloaders)?.run()
 }
 
-/// Lines go to standard error; `RUST_LOG` names the level, or targets with theirs, and `RUST_LOG_FORM=json` makes each
-/// line an object.
+/// Logs to standard error. `RUST_LOG` sets the level, or targets with their levels; with `RUST_LOG_FORM=json` each line is a JSON
+/// object.
 fn start_log() {
     log::start();
-    let asked = said("RUST_LOG").and_then(|asked| asked.parse::<Targets>().ok());
-    let targets = asked.unwrap_or_else(|| Targets::new().with_default(LevelFilter::WARN));
-    let lines = tracing_subscriber::fmt::layer().with_writer(log::Lines).with_ansi(false);
-    let lines = match said("RUST_LOG_FORM").as_deref() {
+    let targets = env_var("RUST_LOG").and_then(|targets| targets.parse::<Targets>().ok());
+    let targets = targets.unwrap_or_else(|| Targets::new().with_default(LevelFilter::WARN));
+    let lines = tracing_subscriber::fmt::layer().with_writer(log::LogWriter).with_ansi(false);
+    let lines = match env_var("RUST_LOG_FORM").as_deref() {
         Some("json") => lines.json().boxed(),
         _ => lines.boxed(),
     };
@@ -58,10 +66,10 @@
 
 fn main() -> ExitCode {
     start_log();
-    let ended = run();
-    if let Err(error) = &ended {
+    let result = run();
+    if let Err(error) = &result {
         tracing::error!("{error:#}");
     }
     log::flush();
-    if ended.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from the threads to the service, and the sending end of their channel.
+//! Messages from the other threads to the service, and the sending end of their channel.
 
 use std::io;
 use std::sync::Arc;
@@ -8,40 +8,49 @@
 use crossbeam_channel::{Sender, bounded};
 use pewterwharf_settings::Settings;
 
+use crate::client_handle::ClientHandle;
 use crate::clock::Clock;
 use crate::inputs::Input;
-use crate::line::Line;
 use crate::link;
 
-/// Stack of the threads of which there is one each.
-pub(crate) const STACK: usize = 256 * 1024;
+/// Stack size of the threads. There is one thread of each kind.
+pub(crate) const STACK_BYTES: usize = 256 * 1024;
 
 /// A message of a thread to the service.
 pub(crate) enum Message {
-    /// A client's connection.
-    Client(f64, u64, Line),
-    /// A link that is up.
-    Link(f64, u64, Arc<link::Shared>),
-    Input(f64, Input),
-    /// No route leads here any more.
-    RoutesLeft,
-    /// Somebody asks at the console what the module believes.
-    Beliefs(Sender<String>),
-    /// The operator's own file was read anew; why it can't be used.
-    Settings(Result<Box<Settings>, String>),
+    ClientConnected {
+        at: f64,
+        conn: u64,
+        handle: ClientHandle,
+    },
+    LinkUp {
+        at: f64,
+        link: u64,
+        shared: Arc<link::Shared>,
+    },
+    Input {
+        at: f64,
+        input: Input,
+    },
+    /// No route leads to this mixer any more.
+    RoutesWithdrawn,
+    /// The console requests the status of the decision module.
+    StatusRequested(Sender<String>),
+    /// The operator's own file was read again, or the reason why it is unusable.
+    SettingsReloaded(Result<Box<Settings>, String>),
 }
 
-/// Sends messages to the service, stamped by the clock that all go by.
+/// Sends messages to the service, with the time by the clock that all threads share.
 #[derive(Clone)]
 pub struct MessageSender {
-    pub(crate) to: Sender<Message>,
+    pub(crate) sender: Sender<Message>,
     pub(crate) clock: Clock,
 }
 
 impl MessageSender {
-    /// Sends an input that has happened now; false once nobody receives.
+    /// Sends an input that has happened now; false once the service has ended.
     pub fn send(&self, input: Input) -> bool {
-        self.to.send(Message::Input(self.clock.now(), input)).is_ok()
+        self.sender.send(Message::Input { at: self.clock.now(), input }).is_ok()
     }
 
     /// The time by the service's clock.
@@ -49,28 +58,30 @@
         self.clock.now()
     }
 
-    pub fn link(&self, link: u64, shared: Arc<link::Shared>) {
-        let _ = self.to.send(Message::Link(self.clock.now(), link, shared)); // or the program has ended
+    pub fn send_link_up(&self, link: u64, shared: Arc<link::Shared>) {
+        let at = self.clock.now();
+        let _ = self.sender.send(Message::LinkUp { at, link, shared }); // fails once the service has ended
     }
 
-    /// What the module believes; nothing, if the service does not answer in time.
-    pub fn beliefs(&self) -> Option<String> {
-        const PATIENCE: Duration = Duration::from_secs(2);
-        let (to, told) = bounded(1);
-        self.to.send_timeout(Message::Beliefs(to), PATIENCE).ok()?;
-        told.recv_timeout(PATIENCE).ok()
+    /// Requests the status of the decision module; `None` if the service does not answer in time.
+    pub fn request_status(&self) -> Option<String> {
+        const TIMEOUT: Duration = Duration::from_secs(2);
+        let (sender, answer) = bounded(1);
+        self.sender.send_timeout(Message::StatusRequested(sender), TIMEOUT).ok()?;
+        answer.recv_timeout(TIMEOUT).ok()
     }
 
-    pub fn may_stop(&self) {
-        let _ = self.to.send(Message::RoutesLeft); // or the program has ended
+    pub fn send_routes_withdrawn(&self) {
+        let _ = self.sender.send(Message::RoutesWithdrawn); // fails once the service has ended
     }
 
-    pub fn client(&self, conn: u64, line: Line) {
-        let _ = self.to.send(Message::Client(self.clock.now(), conn, line)); // or the program has ended
+    pub fn send_client_connected(&self, conn: u64, handle: ClientHandle) {
+        let at = self.clock.now();
+        let _ = self.sender.send(Message::ClientConnected { at, conn, handle }); // fails once the service has ended
     }
 }
 
-/// A thread with a small stack.
-pub fn spawn(name: &str, stack: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    Builder::new().name(name.to_owned()).stack_size(stack).spawn(run).map(drop)
+/// Starts a thread with a small stack.
+pub fn spawn(name: &str, stack_bytes: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    Builder::new().name(name.to_owned()).stack_size(stack_bytes).spawn(run).map(drop)
 }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -1,111 +1,130 @@
-//! All state of a mixer and every change to it: inputs in, effects out, no I/O. It owns the scans, their
-//! dispatches, the links to searchers and the decision module, and decides nothing that the module decides.
+//! All state of a mixer and every change to it: inputs in, effects out, no I/O. The reducer owns the scans, their attempts, the
+//! links to searchers and the decision module. It takes none of the decisions that are the module's.
+//!
+//! All times are milliseconds since the Unix epoch by the service's clock (see [`crate::clock`]).
 
 mod attempts;
 mod clients;
 mod drain;
 mod frames;
-mod held;
 mod links;
 mod lists;
 mod rules;
+mod state;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, SearcherStatus};
+use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, SearcherStatus, TableType};
 use pewterwharf::logic::Mixer;
 use pewterwharf::report::{MixerStatus, ObservedSearcher};
 use pewterwharf_terms::Terms;
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
 
-use crate::counters::{ByType, Counters};
+use crate::counters::{Counters, TableTypeCounters};
 use crate::http;
 use crate::inputs::{Effect, Input, Phase};
-use held::{Attempt, AttemptId, Client, Due, Link, Part, Scan, Searcher};
 use rules::Violation;
+use state::{Attempt, AttemptId, Client, Link, Part, Scan, ScheduledTimer, Searcher, Timer};
+
+/// After a warning, further ones are logged at the debug level for this long.
+const WARNING_INTERVAL_MS: f64 = 1000.0;
+/// A new process waits this long for the watch's first list before it uses the list held before its start. A change that the agent
+/// knows counts as known to the mixer from its first moment, and an agent that is up answers at once.
+const CACHED_LIST_DELAY_MS: f64 = 1500.0;
+/// Connections of clients that may be accepted while others are being closed.
+const CLIENTS_IN_TRANSITION: usize = 8;
+/// File descriptors for everything but clients and searchers: twelve once started, three more for each of two watches while they
+/// connect again, and two for a watch that ends.
+const OTHER_DESCRIPTORS: usize = 20;
+
+/// The list in use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListStatus {
+    pub index: u64,
+    pub ready_searchers: u32,
+}
 
-/// After a warning, further ones are told at the debug level for so long.
-const QUIET_MS: f64 = 1000.0;
-/// So long a new process waits for the watch's first word before it goes by the list that it held: what the agent has counts as
-/// told from the first moment, and an agent that is up answers at once.
-const HOLD_MS: f64 = 1500.0;
-/// Connections of clients that may come while others are on their way out.
-const CHANGING: usize = 8;
-/// Descriptors for everything but clients and searchers: twelve once started, three more for each of two watches while they
-/// are asked anew, and two of one that ends.
-const OTHERS: usize = 20;
+/// What the decision module has counted in the last seconds.
+#[derive(Clone, Copy, Debug)]
+pub struct RecentUsage<'a> {
+    /// Scans of each customer, in the order of [`Reducer::customer_names`].
+    pub scans_by_customer: &'a [usize],
+    pub lost_idle_connections: bool,
+}
 
 pub struct Reducer {
     module: Mixer,
     terms: Terms,
     phase: Phase,
-    clients_cap: usize,
-    links_cap: usize,
+    max_clients: usize,
+    max_links: usize,
     clients: BTreeMap<u64, Client>,
     scans: BTreeMap<u64, Scan>,
-    /// The ids of requests that are open.
-    asked: HashSet<String>,
+    open_request_ids: HashSet<String>,
     parts: HashMap<u64, Part>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// By the address that the module knows them by.
-    srvs: BTreeMap<SocketAddrV4, Searcher>,
-    names: HashMap<String, SocketAddrV4>,
+    /// By the address under which the decision module knows them.
+    searchers: BTreeMap<SocketAddrV4, Searcher>,
+    /// The keys of `searchers`.
+    keys_by_name: HashMap<String, SocketAddrV4>,
     links: BTreeMap<u64, Link>,
     list_index: u64,
-    /// The list as held before the start, until the watch speaks or has been silent for long.
-    cached: Option<List>,
-    /// The watch whose lists are gone by, and the newest.
-    watch: u64,
-    watch_wanted: u64,
-    /// Where the newest watch leads.
+    /// The list held before the start, until the watch sends one or has sent none for long.
+    cached_list: Option<List>,
+    /// The watch whose lists are used.
+    active_watch: u64,
+    newest_watch: u64,
+    /// The address of the newest watch.
     discovery: Option<SocketAddrV4>,
-    due: BTreeSet<(u64, Due)>,
-    ids: u64,
+    timers: BTreeSet<ScheduledTimer>,
+    last_id: u64,
     scan_number: u32,
-    quiet_until: f64,
-    /// Nobody waits to be accepted, and nobody comes any more.
-    deaf: bool,
+    warns_again_at: f64,
+    /// No client waits to be accepted, and none can connect any more.
+    listener_closed: bool,
+    /// What the decision module has not been told yet.
     events: Vec<Event>,
     effects: Vec<Effect>,
     counters: Counters,
 }
 
 impl Reducer {
+    /// `sockets`: the limit on open file descriptors.
     pub fn new(terms: Terms, seed: u64, sockets: usize) -> Self {
-        let half = sockets.saturating_sub(OTHERS + CHANGING) / 2;
+        let half = sockets.saturating_sub(OTHER_DESCRIPTORS + CLIENTS_IN_TRANSITION) / 2;
         let mut terms = terms;
-        for kind in &mut terms.types {
-            // How a second step travels on sockets is not stated, so none is opened.
-            kind.has_second_step = false;
+        for table_type in &mut terms.types {
+            // The protocol does not state how a second step is sent, so none is started.
+            table_type.has_second_step = false;
         }
         let names = terms.type_names.iter().cloned();
-        let by_type = names.map(|name| ByType { name, ..ByType::default() }).collect();
+        let by_type = names.map(|name| TableTypeCounters { name, ..TableTypeCounters::default() }).collect();
         Self {
             module: terms.open(seed),
             terms,
             phase: Phase::Starting,
-            clients_cap: half,
-            links_cap: half,
+            max_clients: half,
+            max_links: half,
             clients: BTreeMap::new(),
             scans: BTreeMap::new(),
-            asked: HashSet::new(),
+            open_request_ids: HashSet::new(),
             parts: HashMap::new(),
             attempts: BTreeMap::new(),
-            srvs: BTreeMap::new(),
-            names: HashMap::new(),
+            searchers: BTreeMap::new(),
+            keys_by_name: HashMap::new(),
             links: BTreeMap::new(),
             list_index: 0,
-            cached: None,
-            watch: 0,
-            watch_wanted: 0,
+            cached_list: None,
+            active_watch: 0,
+            newest_watch: 0,
             discovery: None,
-            due: BTreeSet::new(),
-            ids: 0,
+            timers: BTreeSet::new(),
+            last_id: 0,
             scan_number: 0,
-            quiet_until: 0.0,
-            deaf: false,
+            warns_again_at: 0.0,
+            listener_closed: false,
             events: Vec::new(),
             effects: Vec::new(),
             counters: Counters { by_type, ..Counters::default() },
@@ -116,64 +135,62 @@
         self.phase
     }
 
-    /// Share of the slices for which the decision module has a usable searcher.
-    pub fn usable(&self) -> f64 {
+    /// The share of the slices for which the decision module has a usable searcher.
+    pub fn usable_slice_share(&self) -> f64 {
         self.module.usable_share()
     }
 
-    /// What the decision module believes, and why it refused.
-    pub fn beliefs(&self) -> MixerStatus {
+    /// What the decision module believes of the searchers, and why it rejected scans.
+    pub fn module_status(&self) -> MixerStatus {
         self.module.status()
     }
 
-    /// What the decision module knows of each searcher by itself.
-    pub fn searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
+    /// What the decision module has observed of each searcher itself.
+    pub fn observed_searchers(&self) -> impl Iterator<Item = ObservedSearcher> {
         self.module.observed_searchers()
     }
 
-    /// Scans of each customer in the last seconds, and whether connections were lost while idle.
-    pub fn used(&self) -> (&[usize], bool) {
-        (self.module.recent_scans_by_customer(), self.module.idle_connections_lost())
+    pub fn recent_usage(&self) -> RecentUsage<'_> {
+        RecentUsage {
+            scans_by_customer: self.module.recent_scans_by_customer(),
+            lost_idle_connections: self.module.idle_connections_lost(),
+        }
     }
 
-    /// The version of the list that is gone by, and the searchers in it that are up.
-    pub fn list(&self) -> (u64, u32) {
-        let ready = self.srvs.values().filter(|s| s.life == SearcherStatus::Ready).count();
-        (self.list_index, ready as u32)
+    pub fn list_status(&self) -> ListStatus {
+        let ready = self.searchers.values().filter(|s| s.life == SearcherStatus::Ready).count();
+        ListStatus { index: self.list_index, ready_searchers: ready as u32 }
     }
 
-    /// The names of customers, in the order of their counts.
     pub fn customer_names(&self) -> &[String] {
         &self.terms.customer_names
     }
 
-    /// Of each table type, the weight of parts that makes a whole answer, and the least for any.
-    pub fn needs(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.terms.types.iter().map(|t| (t.required_weight, t.minimum_weight))
+    pub fn table_types(&self) -> &[TableType] {
+        &self.terms.types
     }
 
-    /// The names of table types, in the same order.
+    /// The names of the table types, in the same order.
     pub fn type_names(&self) -> &[String] {
         &self.terms.type_names
     }
 
-    /// When it wants to be called at the latest.
+    /// When [`Reducer::step`] has to be called next, if nothing happens before.
     pub fn next_timer_at(&self) -> Option<f64> {
-        self.due.first().map(|d| f64::from_bits(d.0))
+        self.timers.first().map(|scheduled| scheduled.at())
     }
 
-    /// Connections of clients that there can be: a few more than are kept, as the idle leave for others.
-    pub fn client_places(&self) -> usize {
-        self.clients_cap + CHANGING
+    /// The number of client connections that may be open at a time: a few more than are kept, as idle ones are closed for others.
+    pub fn max_client_connections(&self) -> usize {
+        self.max_clients + CLIENTS_IN_TRANSITION
     }
 
-    /// The counts, with what is open now.
+    /// The counters, with what is open now.
     pub fn counters(&self) -> Counters {
-        let beliefs = self.module.status();
-        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] =
-            beliefs.rejections_by_reason();
+        let status = self.module.status();
+        let [door_nobody_up, door_cold, door_cost, door_old_part, door_limit] = status.rejections_by_reason();
         let mut by_type = self.counters.by_type.clone();
-        by_type.iter_mut().zip(beliefs.rejected).for_each(|(counts, door)| counts.door = door);
+        by_type.iter_mut().zip(status.rejected).for_each(|(counts, rejected)| counts.rejected = rejected);
         Counters {
             by_type,
             door_nobody_up,
@@ -188,91 +205,97 @@
         }
     }
 
-    /// Where the first watch leads; it has the number 0.
-    pub fn set_discovery(&mut self, at: SocketAddrV4) {
-        self.discovery = Some(at);
+    /// Sets the address of the first watch, which has the number 0.
+    pub fn set_discovery(&mut self, addr: SocketAddrV4) {
+        self.discovery = Some(addr);
     }
 
-    /// How much of everything is held, for those who watch that nothing grows with the day.
+    /// The sizes of all collections, for tests that nothing grows over time.
     pub fn sizes(&self) -> [(&'static str, usize); 9] {
         [
             ("clients", self.clients.len()),
             ("scans", self.scans.len()),
-            ("asked", self.asked.len()),
+            ("asked", self.open_request_ids.len()),
             ("parts", self.parts.len()),
             ("attempts", self.attempts.len()),
-            ("searchers", self.srvs.len()),
-            ("names", self.names.len()),
+            ("searchers", self.searchers.len()),
+            ("names", self.keys_by_name.len()),
             ("links", self.links.len()),
-            ("due", self.due.len()),
+            ("due", self.timers.len()),
         ]
     }
 
-    /// The list as it was held before the start: it counts once the watch has said what changed since, or is silent.
+    /// Sets the list held before the start. It is applied once the watch has sent the changes since, or nothing for a while.
     pub fn set_cached_list(&mut self, now: f64, list: List) {
-        self.cached = Some(list);
-        self.add_due(now + HOLD_MS, Due::Cached);
+        self.cached_list = Some(list);
+        self.add_timer(now + CACHED_LIST_DELAY_MS, Timer::CachedList);
     }
 
-    /// Takes in what has happened, each with its time, and says what to do about it. Changes to the list go
-    /// before all else, as drains count from their telling; then what ends: nothing goes out for a client, or on a link, whose
-    /// end has come but stands behind others.
+    /// Applies inputs, each with its time, and fires the timers that are due; the effects to carry out.
+    ///
+    /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of clients and links are next:
+    /// nothing is sent for a client that has disconnected or on a link that has closed, even if that stands behind other inputs.
     pub fn step(&mut self, now: f64, inputs: Vec<(f64, Input)>) -> Vec<Effect> {
         let mut ranked: Vec<(u8, f64, Input)> =
             inputs.into_iter().map(|(at, input)| (self.rank(&input), at, input)).collect();
-        ranked.sort_by_key(|i| i.0); // stable: within a rank the order of their coming
+        ranked.sort_by_key(|i| i.0); // stable: inputs of one rank keep their order
         for (_, at, input) in ranked {
-            // What waits for a link goes out now, however long ago the link came up.
+            // Frames that wait for a link are sent now, however long ago the link came up.
             let at = if matches!(input, Input::LinkUp { .. }) { now } else { at.min(now) };
-            self.take(at, input);
+            self.apply(at, input);
         }
-        let mut overdue = Vec::new();
-        while self.due.first().is_some_and(|d| f64::from_bits(d.0) <= now)
-            && let Some((_, due)) = self.due.pop_first()
+        let mut overdue_scans = Vec::new();
+        while self.timers.first().is_some_and(|scheduled| scheduled.at() <= now)
+            && let Some(scheduled) = self.timers.pop_first()
         {
-            match due {
-                Due::Overdue(scan) => overdue.push(scan),
-                due => self.fall_due(now, due),
+            match scheduled.timer {
+                Timer::ScanDeadline(scan) => overdue_scans.push(scan),
+                timer => self.fire(now, timer),
             }
         }
-        self.turns(now);
-        // The module ends its scans before their time; after a pause of the machine that is now.
-        for scan in overdue.into_iter().filter(|scan| self.scans.contains_key(scan)).collect::<Vec<_>>() {
+        self.run_module(now);
+        self.abandon_overdue(now, overdue_scans);
+        self.run_module(now);
+        self.continue_drain(now);
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Abandons scans whose deadline has passed. The decision module ends its scans before that, which after a pause of the machine
+    /// is only now.
+    fn abandon_overdue(&mut self, now: f64, scans: Vec<u64>) {
+        let still_open: Vec<u64> = scans.into_iter().filter(|scan| self.scans.contains_key(scan)).collect();
+        for scan in still_open {
             self.warn(now, "a scan was still open at its time");
             self.counters.scans_overdue += 1;
             self.counters.scans_abandoned += 1;
-            self.count_type(scan, |of| &mut of.abandoned);
+            self.count_for_type(scan, |counts| &mut counts.abandoned);
             self.events.push(Event::ClientGone { scan });
             self.answer_scan(now, scan, 504, None, b"the time is up\n");
         }
-        self.turns(now);
-        self.end_drain(now);
-        std::mem::take(&mut self.effects)
     }
 
-    /// Which inputs of one step go first.
+    /// The order in which the inputs of one step are applied.
     fn rank(&self, input: &Input) -> u8 {
         match input {
             Input::List { .. } => 0,
-            // What came on a link before its end goes before it.
+            // Frames that arrived on a link before its end keep their place before it.
             Input::Frames { .. } | Input::LinkClosed { .. } => 1,
-            // One that came in this very step has to be known before its end.
+            // A client that connected in this step has to be known before its end.
             Input::ClientDisconnected { conn } if self.clients.contains_key(conn) => 1,
             _ => 2,
         }
     }
 
-    /// Warns at most once in a while, so that a flood outside is none in the log.
+    /// Logs a warning. Further ones within a while are logged at the debug level, so that no flood from outside floods the log.
     fn warn(&mut self, now: f64, line: &str) {
-        if now < self.quiet_until {
+        if now < self.warns_again_at {
             return debug!("{line}");
         }
-        self.quiet_until = now + QUIET_MS;
+        self.warns_again_at = now + WARNING_INTERVAL_MS;
         warn!("{line}");
     }
 
-    /// Goes on to another phase of the program.
-    fn enter(&mut self, phase: Phase) {
+    fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
         let (queries, clients) = (self.scans.len(), self.clients.len());
         match phase {
@@ -287,7 +310,7 @@
     }
 
     /// Counts and logs what must never happen.
-    fn violated(&mut self, violation: Violation, what: &str) {
+    fn report_violation(&mut self, violation: Violation, what: &str) {
         let count = match violation {
             Violation::Send => &mut self.counters.violations_send,
             Violation::Answer => &mut self.counters.violations_answer,
@@ -298,35 +321,35 @@
         error!("rule violated, {violation}: {what}");
     }
 
-    /// What is still owed as the process ends.
-    fn count_unanswered(&mut self) {
-        let owed: Vec<u64> =
+    /// Reports the clients that still await an answer when the process ends.
+    fn report_unanswered(&mut self) {
+        let unanswered: Vec<u64> =
             self.clients.iter().filter(|(_, client)| client.awaits_answer).map(|(conn, _)| *conn).collect();
-        for conn in owed {
-            self.violated(Violation::Unanswered, &format!("client {conn} as the process ends"));
+        for conn in unanswered {
+            self.report_violation(Violation::Unanswered, &format!("client {conn} as the process ends"));
         }
     }
 
-    fn add_due(&mut self, at: f64, due: Due) {
-        self.due.insert((at.max(0.0).to_bits(), due));
+    fn add_timer(&mut self, at: f64, timer: Timer) {
+        self.timers.insert(ScheduledTimer::new(at, timer));
     }
 
-    fn id(&mut self) -> u64 {
-        self.ids += 1;
-        self.ids
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn take(&mut self, now: f64, input: Input) {
+    fn apply(&mut self, now: f64, input: Input) {
         match input {
-            Input::ClientConnected { conn } => self.client_open(now, conn),
-            Input::Request { conn, ask, close } => self.asked(now, conn, ask, close),
-            Input::RequestStarted { conn } => self.begun(now, conn),
-            Input::MoreDataBuffered { conn } => self.sent_behind(conn),
-            Input::ClientDisconnected { conn } => self.client_end(now, conn),
-            Input::AnswerDelayed { conn } => self.slow(conn),
-            Input::AnswerWritten { conn } => self.said(now, conn),
-            Input::DataAfterLastAnswer { conn } => self.sends(conn),
-            Input::ListenerClosed => self.deaf = true,
+            Input::ClientConnected { conn } => self.client_connected(now, conn),
+            Input::Request { conn, ask, close } => self.receive_request(now, conn, ask, close),
+            Input::RequestStarted { conn } => self.request_started(now, conn),
+            Input::MoreDataBuffered { conn } => self.more_data_buffered(conn),
+            Input::ClientDisconnected { conn } => self.client_disconnected(now, conn),
+            Input::AnswerDelayed { conn } => self.answer_delayed(conn),
+            Input::AnswerWritten { conn } => self.answer_written(now, conn),
+            Input::DataAfterLastAnswer { conn } => self.data_after_last_answer(conn),
+            Input::ListenerClosed => self.listener_closed = true,
             Input::AcceptFailed { out_of_descriptors } => {
                 self.counters.accepts_failed += 1;
                 if out_of_descriptors {
@@ -335,90 +358,102 @@
             }
             Input::LinkUp { link } => self.link_up(now, link),
             Input::LinkBlocked { link, made_progress } => self.link_blocked(now, link, made_progress),
-            Input::LinkWritable { link } => self.link_has_room(link),
-            Input::LinkClosed { link, frames_written: written } => self.link_end(now, link, written),
-            Input::Frames { link, frames, error: bad } => {
-                frames.into_iter().for_each(|frame| self.frame(now, link, frame));
-                bad.into_iter().for_each(|why| self.bad_frame(now, link, &why));
+            Input::LinkWritable { link } => self.link_writable(link),
+            Input::LinkClosed { link, frames_written } => self.link_closed(now, link, frames_written),
+            Input::Frames { link, frames, error } => {
+                for frame in frames {
+                    self.receive_frame(now, link, frame);
+                }
+                if let Some(reason) = error {
+                    self.reject_frame(now, link, &reason);
+                }
             }
-            Input::List { watch, list } => self.watched(now, watch, list),
-            Input::ConfigReloaded(change) => self.reloaded(now, change),
+            Input::List { watch, list } => self.receive_list(now, watch, list),
+            Input::ConfigReloaded(change) => self.reload_config(now, change),
             Input::WatchLost => self.counters.watches_lost += 1,
             Input::ProcessPaused => self.counters.pauses += 1,
             Input::FleetEvents(events) => self.events.extend(events),
             Input::Stop => self.stop(now),
-            Input::PrintCounters => self.effects.push(Effect::PrintCounters(self.counters().to_string())),
+            Input::PrintCounters => {
+                let text = self.counters().to_string();
+                self.effects.push(Effect::PrintCounters(text));
+            }
         }
     }
 
-    fn fall_due(&mut self, now: f64, due: Due) {
-        match due {
-            Due::Wake => self.events.push(Event::Wake),
-            Due::TimedOut(attempt_id) => self.time_out(now, attempt_id),
-            Due::ProbeTimedOut { link, number } => self.time_out_probe(now, link, number),
-            Due::Idle(link) => self.close_idle(now, link),
-            Due::Stuck(link) => self.close_stuck(now, link),
-            Due::Retry(link) => self.retry_blocked(link),
-            Due::Linger(conn) => self.linger(now, conn),
-            Due::Quiet(conn) => self.quiet(now, conn),
-            Due::Cached => self.use_cached_list(now),
-            Due::Overdue(_) | Due::Drained | Due::Unsent => {}
+    fn fire(&mut self, now: f64, timer: Timer) {
+        match timer {
+            Timer::ModuleWakeup => self.events.push(Event::Wake),
+            Timer::AttemptTimeout(attempt_id) => self.time_out(now, attempt_id),
+            Timer::ProbeTimeout { link, number } => self.time_out_probe(now, link, number),
+            Timer::LinkIdle(link) => self.close_if_idle(now, link),
+            Timer::LinkStuck(link) => self.close_if_stuck(now, link),
+            Timer::LinkWriteRetry(link) => self.retry_blocked(link),
+            Timer::ClientLinger(conn) => self.close_finished_client(now, conn),
+            Timer::ClientIdle(conn) => self.check_idle_client(now, conn),
+            Timer::CachedList => self.use_cached_list(now),
+            // Handled by every step.
+            Timer::ScanDeadline(_) | Timer::DrainStep | Timer::UnsentAttempts => {}
         }
     }
 
-    /// Hands the module what has happened until nothing new comes of what it does.
-    fn turns(&mut self, now: f64) {
+    /// Tells the decision module what has happened and carries out its actions, until those cause no new events.
+    fn run_module(&mut self, now: f64) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
-            let mut calls: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
+            let mut dispatched: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
             for action in self.module.handle_events(now, events) {
-                self.act(now, action, &mut calls);
+                self.perform(now, action, &mut dispatched);
             }
-            for (srv, attempt_ids) in calls {
-                for call in attempt_ids.chunks(self.terms.layout.parts_per_call.max(1) as usize) {
-                    self.send(now, srv, call);
+            let parts_per_call = self.terms.layout.parts_per_call.max(1) as usize;
+            for (searcher, attempt_ids) in dispatched {
+                for call in attempt_ids.chunks(parts_per_call) {
+                    self.queue_call(now, searcher, call);
                 }
             }
         }
     }
 
-    fn act(&mut self, now: f64, action: Action, calls: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>) {
+    /// Performs an action of the decision module. Dispatches are collected by searcher, as several may be sent in one call.
+    fn perform(&mut self, now: f64, action: Action, dispatched: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>) {
         match action {
             Action::Dispatch { part, searcher, timeout_ms } => {
                 if let Some(attempt_id) = self.dispatch(now, part, searcher, timeout_ms) {
-                    calls.entry(searcher).or_default().push(attempt_id);
+                    dispatched.entry(searcher).or_default().push(attempt_id);
                 }
             }
             Action::Cancel { part, dispatch } => {
-                self.give_up(now, (part, dispatch), DispatchOutcome::Cancelled)
-            }
-            Action::Complete { scan, whole } => {
-                let Some(held) = self.scans.get(&scan) else { return };
-                self.counters.scans_completed += 1;
-                self.counters.scans_whole += u64::from(whole);
-                if let Some(counts) = self.counters.by_type.get_mut(held.table_type) {
-                    counts.completed += 1;
-                }
-                let parts = held.parts.iter().filter_map(|id| self.parts.get(id));
-                let values = parts.filter_map(|p| p.value.as_deref().map(|v| (p.shard, v)));
-                let body = http::encode_rows(whole, values);
-                self.answer_scan(now, scan, 200, None, &body);
+                self.cancel_attempt(now, AttemptId { part, number: dispatch }, DispatchOutcome::Cancelled);
             }
+            Action::Complete { scan, whole } => self.complete_scan(now, scan, whole),
             Action::Throttle { scan, retry_after_ms } => {
                 self.counters.scans_throttled += u64::from(self.scans.contains_key(&scan));
-                self.count_type(scan, |of| &mut of.throttled);
+                self.count_for_type(scan, |counts| &mut counts.throttled);
                 self.answer_scan(now, scan, 503, retry_after_ms, b"throttled\n");
             }
             Action::Abandon { scan } => {
                 self.counters.scans_abandoned += u64::from(self.scans.contains_key(&scan));
-                self.count_type(scan, |of| &mut of.abandoned);
+                self.count_for_type(scan, |counts| &mut counts.abandoned);
                 self.answer_scan(now, scan, 504, None, b"abandoned\n");
             }
             Action::Probe { searcher } => self.probe(now, searcher),
-            Action::CloseIdleConnections { searcher } => self.hang_up_links(searcher),
-            Action::WakeAt { at } => self.add_due(at, Due::Wake),
-            Action::Subscribe => {} // the watch is always held
+            Action::CloseIdleConnections { searcher } => self.close_idle_links(searcher),
+            Action::WakeAt { at } => self.add_timer(at, Timer::ModuleWakeup),
+            Action::Subscribe => {} // a watch is always open
             Action::Log { line } => info!("{line}"),
         }
     }
+
+    fn complete_scan(&mut self, now: f64, scan: u64, whole: bool) {
+        let Some(query) = self.scans.get(&scan) else { return };
+        self.counters.scans_completed += 1;
+        self.counters.scans_whole += u64::from(whole);
+        if let Some(counts) = self.counters.by_type.get_mut(query.table_type) {
+            counts.completed += 1;
+        }
+        let parts = query.parts.iter().filter_map(|id| self.parts.get(id));
+        let values = parts.filter_map(|p| p.value.as_deref().map(|v| (p.shard, v)));
+        let body = http::encode_rows(whole, values);
+        self.answer_scan(now, scan, 200, None, &body);
+    }
 }
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -1,4 +1,4 @@
-//! The reducer's part for attempts: a part of a query on its way to a searcher, from the module's wish to its one ending.
+//! Attempts: from the decision module's dispatch of a part to a searcher, to the one outcome of that dispatch.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -7,43 +7,47 @@
 use tracing::debug;
 
 use super::Reducer;
-use super::held::{Attempt, AttemptId, Awaits, Due, Queued};
 use super::rules::SendRefusal;
+use super::state::{Attempt, AttemptId, ExpectedAnswer, QueuedFrame, Timer};
 use crate::frame::{Frame, Verdict};
 
 impl Reducer {
+    /// Starts an attempt of a part; `None` if it is not to be sent.
     pub(super) fn dispatch(
         &mut self,
         now: f64,
-        part: u64,
-        srv: SocketAddrV4,
-        patience_ms: f64,
+        part_id: u64,
+        searcher: SocketAddrV4,
+        timeout_ms: f64,
     ) -> Option<AttemptId> {
-        let Some(held) = self.parts.get_mut(&part) else {
+        let Some(part) = self.parts.get_mut(&part_id) else {
             self.warn(now, "a part that is over was dispatched");
             return None;
         };
-        let attempt_id = (part, held.sent);
-        held.sent = held.sent.saturating_add(1);
-        let (until, name, retries) = (now + patience_ms, held.name.clone(), held.last_ending);
+        let attempt_id = AttemptId { part: part_id, number: part.attempts };
+        part.attempts = part.attempts.saturating_add(1);
+        let wait_until = now + timeout_ms;
+        let part_name = part.name.clone();
+        let last_outcome = part.last_outcome;
         self.counters.dispatches += 1;
-        if attempt_id.1 > 0 {
-            self.count_retry(&name, attempt_id.1, retries);
+        if attempt_id.number > 0 {
+            self.count_retry(&part_name, attempt_id.number, last_outcome);
         }
-        self.attempts
-            .insert(attempt_id, Attempt { name, link: 0, call: 0, srv, sent_at: now, until, frame: None });
-        if u32::from(attempt_id.1) >= self.terms.permits.max_dispatches {
+        let attempt =
+            Attempt { part_name, link: 0, call: 0, searcher, dispatched_at: now, wait_until, frame: None };
+        self.attempts.insert(attempt_id, attempt);
+        if u32::from(attempt_id.number) >= self.terms.permits.max_dispatches {
             self.refuse_send(now, attempt_id, SendRefusal::AttemptsUsedUp);
             return None;
         }
-        self.add_due(until, Due::TimedOut(attempt_id));
+        self.add_timer(wait_until, Timer::AttemptTimeout(attempt_id));
         Some(attempt_id)
     }
 
-    /// Counts a further attempt by how the part's last one ended; one that is still out makes it a hedge.
-    fn count_retry(&mut self, name: &str, number: u8, last_ending: Option<DispatchOutcome>) {
+    /// Counts a further attempt by how the part's last one ended. If that is still open, this one is a hedge.
+    fn count_retry(&mut self, part_name: &str, number: u8, last_outcome: Option<DispatchOutcome>) {
         self.counters.dispatches_further += 1;
-        let count = match last_ending {
+        let count = match last_outcome {
             None => &mut self.counters.hedges,
             Some(DispatchOutcome::Ok | DispatchOutcome::Cancelled | DispatchOutcome::Moot) => {
                 &mut self.counters.retries_after_none_sent
@@ -55,67 +59,76 @@
             Some(DispatchOutcome::Reset) => &mut self.counters.retries_after_reset,
         };
         *count += 1;
-        debug!("{name}: attempt {number} after {last_ending:?}");
+        debug!("{part_name}: attempt {number} after {last_outcome:?}");
     }
 
-    /// Sends a call on the first link with room, or on a new one.
-    pub(super) fn send(&mut self, now: f64, srv: SocketAddrV4, attempt_ids: &[AttemptId]) {
-        let names: Vec<&Rc<str>> =
-            attempt_ids.iter().filter_map(|l| Some(&self.attempts.get(l)?.name)).collect();
-        let links = self.links_to(srv);
-        let fits = |id: &&u64| {
+    /// Queues a call on the first link with room, or on a new one.
+    pub(super) fn queue_call(&mut self, now: f64, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) {
+        let part_names: Vec<&Rc<str>> =
+            attempt_ids.iter().filter_map(|id| Some(&self.attempts.get(id)?.part_name)).collect();
+        let usable_links = self.usable_links(searcher);
+        let has_room = |id: &&u64| {
             self.links.get(id).is_some_and(|link| {
-                link.calls.len() < self.terms.calls_per_link
-                    // An answer to an earlier dispatch of a part must not be taken for this one's.
-                    && !names.iter().any(|name| link.out.get(*name).is_some_and(|o| *o != Awaits::Copy))
+                // An answer to an earlier attempt of a part must not be taken for the answer to this one.
+                let expects_other = |name: &&Rc<str>| {
+                    link.expected.get(*name).is_some_and(|other| *other != ExpectedAnswer::Duplicate)
+                };
+                link.open_calls.len() < self.terms.calls_per_link && !part_names.iter().any(expects_other)
             })
         };
-        let link = links.iter().find(fits).copied().or_else(|| self.connect(now, srv));
-        let Some(id) = link else {
-            attempt_ids
-                .iter()
-                .for_each(|attempt_id| self.end_attempt(now, *attempt_id, DispatchOutcome::ConnectFailed));
+        let link_id = usable_links.iter().find(has_room).copied().or_else(|| self.connect(now, searcher));
+        let Some(link_id) = link_id else {
+            for attempt_id in attempt_ids {
+                self.end_attempt(now, *attempt_id, DispatchOutcome::ConnectFailed);
+            }
             return;
         };
-        let call = self.id();
+        let call = self.next_id();
         for attempt_id in attempt_ids {
             let Some(attempt) = self.attempts.get_mut(attempt_id) else { continue };
-            (attempt.link, attempt.call) = (id, call);
-            if let Some(link) = self.links.get_mut(&id) {
-                *link.calls.entry(call).or_default() += 1;
-                link.out.insert(attempt.name.clone(), Awaits::Answer(*attempt_id));
+            attempt.link = link_id;
+            attempt.call = call;
+            if let Some(link) = self.links.get_mut(&link_id) {
+                *link.open_calls.entry(call).or_default() += 1;
+                link.expected.insert(attempt.part_name.clone(), ExpectedAnswer::Attempt(*attempt_id));
             }
         }
-        self.enqueue(id, Queued::Call(call, attempt_ids.to_vec()));
+        self.enqueue(link_id, QueuedFrame::Call { call, attempt_ids: attempt_ids.to_vec() });
     }
 
     pub(super) fn time_out(&mut self, now: f64, attempt_id: AttemptId) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
-        // What still waits for its connection was never sent.
-        let ending = if attempt.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::Moot };
-        let (link, sent_at) = (attempt.link, attempt.sent_at);
-        self.give_up(now, attempt_id, ending);
-        self.doubt(link, sent_at);
+        // An attempt that still waits for its connection was never sent.
+        let outcome = if attempt.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::Moot };
+        let (link_id, dispatched_at) = (attempt.link, attempt.dispatched_at);
+        self.cancel_attempt(now, attempt_id, outcome);
+        self.check_silent(link_id, dispatched_at);
     }
 
-    /// Stops waiting for a dispatch, and tells its searcher where that may be done.
-    pub(super) fn give_up(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome) {
+    /// Ends an attempt that is no longer waited for, and tells its searcher where the deployment allows that.
+    pub(super) fn cancel_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.terms.permits.cancel {
-            let (link, name) = (attempt.link, attempt.name.clone());
-            self.enqueue(link, Queued::GiveUp(name));
+            let (link_id, part_name) = (attempt.link, attempt.part_name.clone());
+            self.enqueue(link_id, QueuedFrame::Cancel(part_name));
         }
-        self.end_attempt(now, attempt_id, ending);
+        self.end_attempt(now, attempt_id, outcome);
     }
 
-    pub(super) fn end_attempt(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome) {
-        self.end_reported(now, attempt_id, ending, None);
+    pub(super) fn end_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
+        self.end_attempt_with_load(now, attempt_id, outcome, None);
     }
 
-    /// The one ending of a dispatch, with the busy share that its searcher reported.
-    fn end_reported(&mut self, now: f64, attempt_id: AttemptId, ending: DispatchOutcome, busy: Option<f64>) {
+    /// Records and reports the one outcome of an attempt, with the busy share that its searcher reported.
+    fn end_attempt_with_load(
+        &mut self,
+        now: f64,
+        attempt_id: AttemptId,
+        outcome: DispatchOutcome,
+        busy: Option<f64>,
+    ) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else { return };
-        let count = match ending {
+        let count = match outcome {
             DispatchOutcome::Ok => &mut self.counters.ended_ok,
             DispatchOutcome::Error => &mut self.counters.ended_error,
             DispatchOutcome::Full => &mut self.counters.ended_full,
@@ -126,82 +139,93 @@
             DispatchOutcome::Moot => &mut self.counters.ended_moot,
         };
         *count += 1;
-        if let Some(part) = self.parts.get_mut(&attempt_id.0) {
-            part.last_ending = Some(ending);
-            if attempt.frame.is_some() && ending.never_ran() {
+        let was_sent = attempt.frame.is_some();
+        if let Some(part) = self.parts.get_mut(&attempt_id.part) {
+            part.last_outcome = Some(outcome);
+            if was_sent && outcome.never_ran() {
                 part.may_have_run = part.may_have_run.saturating_sub(1);
             }
         }
-        let took_ms = now - attempt.sent_at;
-        debug!("{}: attempt {} ended as {ending:?} after {took_ms:.1} ms", attempt.name, attempt_id.1);
+        let took_ms = now - attempt.dispatched_at;
+        let AttemptId { part, number } = attempt_id;
+        debug!("{}: attempt {number} ended as {outcome:?} after {took_ms:.1} ms", attempt.part_name);
         if let Some(link) = self.links.get_mut(&attempt.link) {
-            link.over(&attempt.name, attempt.frame.is_some());
-            if let Some(left) = link.calls.get_mut(&attempt.call) {
-                *left -= 1;
-                if *left == 0 {
-                    link.calls.remove(&attempt.call);
-                    // Where it never went out, nothing waits for that any more.
-                    link.queue
-                        .retain(|queued| !matches!(queued, Queued::Call(call, _) if *call == attempt.call));
+            link.finish_attempt(&attempt.part_name, was_sent);
+            if let Some(unfinished) = link.open_calls.get_mut(&attempt.call) {
+                *unfinished -= 1;
+                if *unfinished == 0 {
+                    link.open_calls.remove(&attempt.call);
+                    // If the call was never sent, it need not be any more.
+                    link.queue.retain(
+                        |queued| !matches!(queued, QueuedFrame::Call { call, .. } if *call == attempt.call),
+                    );
                 }
             }
-            self.rest(now, attempt.link);
+            self.check_idle(now, attempt.link);
         }
-        let (part, dispatch) = attempt_id;
-        self.events.push(Event::DispatchEnded {
-            part,
-            dispatch,
-            searcher: attempt.srv,
-            outcome: ending,
-            took_ms,
-            busy,
-        });
+        let searcher = attempt.searcher;
+        self.events.push(Event::DispatchEnded { part, dispatch: number, searcher, outcome, took_ms, busy });
     }
 
-    pub(super) fn frame(&mut self, now: f64, id: u64, frame: Frame) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        (link.heard_at, link.silent) = (now, false);
+    pub(super) fn receive_frame(&mut self, now: f64, link_id: u64, frame: Frame) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        link.last_received_at = now;
+        link.silent = false;
         match frame {
-            Frame::Part { id: name, verdict, value, busy } => match link.out.get_mut(name.as_str()) {
-                Some(held) if let Some(attempt_id) = held.attempt_id() => {
-                    *held = Awaits::Copy;
-                    let ending = match verdict {
-                        Verdict::Ok => DispatchOutcome::Ok,
-                        Verdict::Error => DispatchOutcome::Error,
-                        Verdict::Full => DispatchOutcome::Full,
-                    };
-                    if let Some(part) =
-                        self.parts.get_mut(&attempt_id.0).filter(|_| ending == DispatchOutcome::Ok)
-                    {
-                        part.value.get_or_insert(value);
-                    }
-                    self.end_reported(now, attempt_id, ending, busy.filter(|_| self.terms.busy_at.is_some()));
-                }
-                Some(_) => self.counters.answers_stale += 1,
-                None => self.bad_frame(now, id, &format!("an answer for {name}, which never went out on it")),
-            },
-            // Where probes are not allowed, their answers tell nothing.
-            Frame::Probe(None) if self.terms.permits.probe => {
-                self.bad_frame(now, id, "a probe's answer of unknown words");
-            }
-            Frame::Probe(verdict) => {
-                let Some(probe) = link.probes.pop_front() else {
+            Frame::Part { id: part_name, verdict, value, busy } => {
+                let Some(expected) = link.expected.get_mut(part_name.as_str()) else {
+                    let reason = format!("an answer for {part_name}, which never went out on it");
+                    return self.reject_frame(now, link_id, &reason);
+                };
+                let Some(attempt_id) = expected.attempt_id() else {
                     self.counters.answers_stale += 1;
                     return;
                 };
-                if !probe.over {
-                    let ending = if verdict == Some(Verdict::Error) {
-                        DispatchOutcome::Error
-                    } else {
-                        DispatchOutcome::Ok
-                    };
-                    self.counters.probes_ok += u64::from(ending == DispatchOutcome::Ok);
-                    let (searcher, took_ms) = (link.srv, now - probe.sent_at);
-                    self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
-                }
-                self.rest(now, id);
+                *expected = ExpectedAnswer::Duplicate;
+                self.receive_answer(now, attempt_id, verdict, value, busy);
+            }
+            // Without permission to probe, answers to probes carry no information.
+            Frame::Probe(None) if self.terms.permits.probe => {
+                self.reject_frame(now, link_id, "a probe's answer of unknown words");
             }
-            Frame::Unusable(why) => self.bad_frame(now, id, &format!("Z: {why}")),
+            Frame::Probe(verdict) => self.receive_probe_answer(now, link_id, verdict),
+            Frame::Unusable(reason) => self.reject_frame(now, link_id, &format!("Z: {reason}")),
+        }
+    }
+
+    fn receive_answer(
+        &mut self,
+        now: f64,
+        attempt_id: AttemptId,
+        verdict: Verdict,
+        value: String,
+        busy: Option<f64>,
+    ) {
+        let outcome = match verdict {
+            Verdict::Ok => DispatchOutcome::Ok,
+            Verdict::Error => DispatchOutcome::Error,
+            Verdict::Full => DispatchOutcome::Full,
+        };
+        if let Some(part) = self.parts.get_mut(&attempt_id.part).filter(|_| outcome == DispatchOutcome::Ok) {
+            part.value.get_or_insert(value);
+        }
+        let busy = busy.filter(|_| self.terms.busy_at.is_some());
+        self.end_attempt_with_load(now, attempt_id, outcome, busy);
+    }
+
+    fn receive_probe_answer(&mut self, now: f64, link_id: u64, verdict: Option<Verdict>) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        let Some(probe) = link.probes.pop_front() else {
+            self.counters.answers_stale += 1;
+            return;
+        };
+        if !probe.reported {
+            let outcome =
+                if verdict == Some(Verdict::Error) { DispatchOutcome::Error } else { DispatchOutcome::Ok };
+            self.counters.probes_ok += u64::from(outcome == DispatchOutcome::Ok);
+            let (searcher, took_ms) = (link.searcher, now - probe.sent_at);
+            self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
         }
+        self.check_idle(now, link_id);
     }
 }
