--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,125 +1,138 @@
-//! The reducer's part for clients: their connections, what they ask, and the answers.
+//! Clients: their connections, their requests, and the answers.
 
 use pewterwharf::interface::{Event, Idempotency};
 use tracing::debug;
 
 use super::Reducer;
-use super::held::{Client, ClientStanding, Due, Part, Scan};
 use super::rules::{self, ClientCloseReason, Violation};
-use crate::counters::ByType;
-use crate::http::{self, Ask, ScanAsk};
+use super::state::{Client, ClientState, Part, Scan, Timer};
+use crate::counters::TableTypeCounters;
+use crate::http::{self, Ask, PartAsk, ScanAsk};
 use crate::inputs::{Effect, Phase};
 
-/// A client that has no request open may be let go of after so long: the protocol's time. One that has begun a
-/// request must have come to its end by then.
-const QUIET_MS: f64 = 2000.0;
-/// A client asks as soon as it is connected: after so long it is one that does not, the machine's own halts aside.
-const FRESH_MS: f64 = 100.0;
+/// The protocol's time after which a client without an open request may be disconnected. A client that has begun a request must
+/// have sent all of it by then.
+const IDLE_MS: f64 = 2000.0;
+/// Clients send a request as soon as they are connected: one that has sent none for this long will not, unless the machine paused.
+const FIRST_REQUEST_MS: f64 = 100.0;
 const REQUEST_TIMEOUT: u16 = 408;
-/// Requests in a row that can't be used, after which the connection ends: a mistake is told more than once.
-const FAULTS: u32 = 3;
+/// Unusable requests in a row after which the connection ends. A client gets more than one answer that explains its mistake.
+const MAX_UNUSABLE_REQUESTS: u32 = 3;
+
+/// Why a request is rejected: the status of its answer and the reason.
+struct Rejection {
+    status: u16,
+    reason: String,
+}
+
+/// The indices of the names that a request gives.
+struct ScanIds {
+    table_type: usize,
+    customer: usize,
+}
 
 impl Reducer {
-    pub(super) fn client_open(&mut self, now: f64, conn: u64) {
+    pub(super) fn client_connected(&mut self, now: f64, conn: u64) {
         self.counters.clients_accepted += 1;
         self.clients.insert(conn, Client::new(now));
-        self.add_due(now + QUIET_MS, Due::Quiet(conn));
-        // Who is on its way out has been counted out already.
-        if self.clients.values().filter(|c| !c.hung).count() > self.clients_cap {
+        self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
+        // Clients that are being closed are not counted, as their places will be free.
+        if self.clients.values().filter(|c| !c.closing).count() > self.max_clients {
             self.make_room(now);
         }
-        // It waited to be accepted as listening ended: it stays if it has asked by now.
+        // It waited to be accepted when listening ended: it is served if it has sent a request by now.
         if matches!(self.phase, Phase::Draining { listening: false, .. }) {
-            self.hang_up(now, conn, ClientCloseReason::Draining);
+            self.close_client(now, conn, ClientCloseReason::Draining);
         }
     }
 
-    pub(super) fn begun(&mut self, now: f64, conn: u64) {
-        let begins = |c: &&mut Client| c.scan.is_none() && c.standing != ClientStanding::Over;
-        if let Some(client) = self.clients.get_mut(&conn).filter(begins) {
-            (client.standing, client.since) = (ClientStanding::New, now);
-            self.rest_client(now, conn);
+    pub(super) fn request_started(&mut self, now: f64, conn: u64) {
+        let is_open = |c: &&mut Client| c.scan.is_none() && c.state != ClientState::Finished;
+        if let Some(client) = self.clients.get_mut(&conn).filter(is_open) {
+            client.state = ClientState::AwaitingRequest;
+            client.state_since = now;
+            self.start_idle_timer(now, conn);
         }
     }
 
-    pub(super) fn sent_behind(&mut self, conn: u64) {
+    pub(super) fn more_data_buffered(&mut self, conn: u64) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.sent_behind = true;
+            client.has_buffered_data = true;
         }
     }
 
-    /// Sets the time at which a client that asks nothing is looked at.
-    fn rest_client(&mut self, now: f64, conn: u64) {
-        if let Some(client) = self.clients.get_mut(&conn).filter(|c| !c.watched) {
-            client.watched = true;
-            self.add_due(now + QUIET_MS, Due::Quiet(conn));
+    fn start_idle_timer(&mut self, now: f64, conn: u64) {
+        if let Some(client) = self.clients.get_mut(&conn).filter(|c| !c.idle_timer_set) {
+            client.idle_timer_set = true;
+            self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
         }
     }
 
-    /// Who has not asked in its time is answered so; who rests leaves once half of the places are taken.
-    pub(super) fn quiet(&mut self, now: f64, conn: u64) {
-        let crowded = 2 * self.clients.len() > self.clients_cap;
+    /// Answers a client whose request is not complete in time. An idle client is closed once half of the places are taken.
+    pub(super) fn check_idle_client(&mut self, now: f64, conn: u64) {
+        let crowded = 2 * self.clients.len() > self.max_clients;
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.watched = false;
-        // One that was hung up on while it began a request still has its time to end it.
-        let rests = client.hung && client.standing != ClientStanding::New;
-        if client.scan.is_some() || client.standing == ClientStanding::Over || rests {
+        client.idle_timer_set = false;
+        // A client that had begun a request when its connection began to close still has its time to complete it.
+        let is_closing = client.closing && client.state != ClientState::AwaitingRequest;
+        if client.scan.is_some() || client.state == ClientState::Finished || is_closing {
             return;
         }
-        if now < client.since + QUIET_MS {
-            client.watched = true;
-            let at = client.since + QUIET_MS;
-            return self.add_due(at, Due::Quiet(conn));
+        let idle_at = client.state_since + IDLE_MS;
+        if now < idle_at {
+            client.idle_timer_set = true;
+            return self.add_timer(idle_at, Timer::ClientIdle(conn));
         }
-        match client.standing {
-            ClientStanding::New => self.answer_incomplete_request(now, conn),
-            ClientStanding::Resting if crowded => {
+        match client.state {
+            ClientState::AwaitingRequest => self.answer_incomplete_request(now, conn),
+            ClientState::Idle if crowded => {
                 self.counters.clients_dropped_for_room += 1;
-                self.hang_up(now, conn, ClientCloseReason::Crowded);
+                self.close_client(now, conn, ClientCloseReason::Crowded);
             }
-            _ => self.rest_client(now, conn),
+            _ => self.start_idle_timer(now, conn),
         }
     }
 
-    /// Answers a client whose request has not come whole in its time.
+    /// Answers a client whose request is not complete in time.
     pub(super) fn answer_incomplete_request(&mut self, now: f64, conn: u64) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.close = true;
+        client.close_after_answer = true;
         self.counters.clients_slow += 1;
         self.answer(now, conn, REQUEST_TIMEOUT, None, b"no whole request in time\n");
     }
 
-    /// Gives up the client that matters least: one that has had its last answer, else one that has had time to
-    /// ask and did not, else one at rest, else one that has just come; of these the one that stands so for longest.
+    /// Closes the least important client: one that has had its last answer, else one that has sent no request in time, else an idle
+    /// one, else one that has just connected. Among these, the one that has been in its state for longest.
     pub(super) fn make_room(&mut self, now: f64) {
-        let free = self.clients.iter().filter(|c| c.1.scan.is_none() && !c.1.hung);
-        let rank = |c: &Client| match c.standing {
-            ClientStanding::Over => 0,
-            ClientStanding::New if now - c.since >= FRESH_MS => 1,
-            ClientStanding::Resting => 2,
-            ClientStanding::New => 3,
+        let candidates = self.clients.iter().filter(|(_, c)| c.scan.is_none() && !c.closing);
+        let rank = |c: &Client| match c.state {
+            ClientState::Finished => 0,
+            ClientState::AwaitingRequest if now - c.state_since >= FIRST_REQUEST_MS => 1,
+            ClientState::Idle => 2,
+            ClientState::AwaitingRequest => 3,
         };
-        if let Some(conn) = free.min_by_key(|c| (rank(c.1), c.1.since.max(0.0).to_bits())).map(|c| *c.0) {
+        let first = candidates.min_by_key(|(_, c)| (rank(c), c.state_since.max(0.0).to_bits()));
+        if let Some(conn) = first.map(|(conn, _)| *conn) {
             self.counters.clients_dropped_for_room += 1;
-            self.hang_up(now, conn, ClientCloseReason::Room);
+            self.close_client(now, conn, ClientCloseReason::Room);
         }
     }
 
-    /// Whether a further client would get a place: one is free, or somebody who waits for nothing would leave it.
-    pub fn places_left(&self) -> bool {
-        self.clients.len() < self.clients_cap || self.clients.values().any(|c| c.scan.is_none() && !c.hung)
+    /// Whether a further client would get a place: one is free, or a client that waits for nothing can be closed.
+    pub fn has_room_for_client(&self) -> bool {
+        self.clients.len() < self.max_clients || self.clients.values().any(|c| c.scan.is_none() && !c.closing)
     }
 
-    /// Takes no more from a client, where the rules allow it now. What it has sent by then is still read, and answered as the last.
-    pub(super) fn hang_up(&mut self, now: f64, conn: u64, reason: ClientCloseReason) {
+    /// Closes a client's connection if the rules allow it now. Requests that it has sent by then are still read and answered.
+    pub(super) fn close_client(&mut self, now: f64, conn: u64, reason: ClientCloseReason) {
         let draining = self.is_draining();
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if !rules::may_close_client(client, reason, draining, now) {
             return;
         }
-        client.hung = true;
-        client.hung_until.get_or_insert(rules::serves_behind_until(now));
-        debug!("client {conn} is hung up on: {reason}");
+        client.closing = true;
+        client.serves_buffered_until.get_or_insert(rules::serves_buffered_until(now));
+        debug!("client {conn} is closed: {reason}");
         let count = match reason {
             ClientCloseReason::Room => &mut self.counters.clients_closed_for_room,
             ClientCloseReason::Crowded => &mut self.counters.clients_closed_crowded,
@@ -130,45 +143,42 @@
         self.effects.push(Effect::CloseClient { conn });
     }
 
-    pub(super) fn client_end(&mut self, now: f64, conn: u64) {
+    pub(super) fn client_disconnected(&mut self, now: f64, conn: u64) {
         let Some(client) = self.clients.get(&conn) else { return };
         let scan = client.scan;
-        self.drop_client(conn);
+        self.clients.remove(&conn);
+        self.effects.push(Effect::ReleaseClient { conn });
         if let Some(scan) = scan {
             self.counters.scans_gone += 1;
-            self.count_type(scan, |of| &mut of.gone);
+            self.count_for_type(scan, |counts| &mut counts.gone);
             if let Some(query) = self.scans.get(&scan) {
-                debug!("query {}: client {conn} has gone after {:.1} ms", query.name, now - query.taken_at);
+                let after_ms = now - query.received_at;
+                debug!("query {}: client {conn} disconnected after {after_ms:.1} ms", query.request_id);
             }
-            self.forget(scan);
+            self.remove_scan(scan);
             self.events.push(Event::ClientGone { scan });
         }
     }
 
-    fn drop_client(&mut self, conn: u64) {
-        self.clients.remove(&conn);
-        self.effects.push(Effect::ReleaseClient { conn });
-    }
-
-    pub(super) fn asked(&mut self, now: f64, conn: u64, ask: Ask, close: bool) {
-        let open = |c: &&mut Client| c.standing != ClientStanding::Over && c.scan.is_none();
-        let Some(client) = self.clients.get_mut(&conn).filter(open) else { return };
-        client.close |= close;
+    pub(super) fn receive_request(&mut self, now: f64, conn: u64, ask: Ask, close: bool) {
+        let is_open = |c: &&mut Client| c.state != ClientState::Finished && c.scan.is_none();
+        let Some(client) = self.clients.get_mut(&conn).filter(is_open) else { return };
+        client.close_after_answer |= close;
         client.awaits_answer = true;
-        client.faults += 1; // unless it turns out to be none
+        client.unusable_requests += 1; // reset if the request turns out to be usable
         match ask {
-            Ask::Scan(ask) => match self.known(&ask) {
-                Ok((table_type, customer)) => self.scan(now, conn, ask, table_type, customer),
-                Err((status, why)) => self.unusable(now, conn, status, &why),
+            Ask::Scan(ask) => match self.check_scan(&ask) {
+                Ok(ids) => self.receive_scan(now, conn, ask, &ids),
+                Err(rejection) => self.reject_request(now, conn, &rejection),
             },
-            Ask::Unusable(status, why) => self.unusable(now, conn, status, &why),
-            page => self.page(now, conn, &page),
+            Ask::Unusable(status, reason) => self.reject_request(now, conn, &Rejection { status, reason }),
+            page => self.answer_page(now, conn, &page),
         }
     }
 
-    fn page(&mut self, now: f64, conn: u64, page: &Ask) {
+    fn answer_page(&mut self, now: f64, conn: u64, page: &Ask) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.faults = 0;
+            client.unusable_requests = 0;
         }
         match page {
             Ask::Ready if matches!(self.phase, Phase::Ready) => self.answer(now, conn, 200, None, b"ready\n"),
@@ -181,76 +191,76 @@
         }
     }
 
-    /// The indices of the names that a scan gives.
-    fn known(&self, ask: &ScanAsk) -> Result<(usize, usize), (u16, String)> {
-        let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let table_type = index(&self.terms.type_names, &ask.table_type)
-            .ok_or_else(|| (404, format!("no table type {:?}", ask.table_type)))?;
+    /// Checks the names, shards and id that a scan gives.
+    fn check_scan(&self, ask: &ScanAsk) -> Result<ScanIds, Rejection> {
+        let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let table_type = index_of(&self.terms.type_names, &ask.table_type).ok_or_else(|| Rejection {
+            status: 404,
+            reason: format!("no table type {:?}", ask.table_type),
+        })?;
         let customer = match &ask.customer {
             _ if self.terms.customers.is_empty() => 0,
-            None => return Err((400, "Req-Owner is missing".to_owned())),
-            Some(name) => index(&self.terms.customer_names, name)
-                .ok_or_else(|| (400, format!("no customer {name:?}")))?,
+            None => return Err(Rejection { status: 400, reason: "Req-Owner is missing".to_owned() }),
+            Some(name) => index_of(&self.terms.customer_names, name)
+                .ok_or_else(|| Rejection { status: 400, reason: format!("no customer {name:?}") })?,
         };
         if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shards) {
-            return Err((400, format!("no shard {}", part.shard)));
+            return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
         }
-        // Nothing but its name tells an answer's part.
-        match self.asked.contains(&ask.id) {
-            true => Err((409, format!("the request {} is still open", ask.id))),
-            false => Ok((table_type, customer)),
+        // Answers of searchers carry nothing but the part's name, which is made of the request's id.
+        if self.open_request_ids.contains(&ask.id) {
+            return Err(Rejection { status: 409, reason: format!("the request {} is still open", ask.id) });
         }
+        Ok(ScanIds { table_type, customer })
     }
 
-    fn unusable(&mut self, now: f64, conn: u64, status: u16, why: &str) {
+    fn reject_request(&mut self, now: f64, conn: u64, rejection: &Rejection) {
+        let Rejection { status, reason } = rejection;
         self.counters.requests_unusable += 1;
-        debug!("a request was answered {status}: {why}");
+        debug!("a request was answered {status}: {reason}");
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.close |= client.faults >= FAULTS;
+            client.close_after_answer |= client.unusable_requests >= MAX_UNUSABLE_REQUESTS;
         }
-        self.answer(now, conn, status, None, format!("{why}\n").as_bytes());
+        self.answer(now, conn, *status, None, format!("{reason}\n").as_bytes());
     }
 
-    fn scan(&mut self, now: f64, conn: u64, ask: ScanAsk, table_type: usize, customer: usize) {
+    /// Takes a scan, or answers it at once if it can't be taken now.
+    fn receive_scan(&mut self, now: f64, conn: u64, ask: ScanAsk, ids: &ScanIds) {
         self.counters.scans_taken += 1;
-        self.counters.by_type[table_type].taken += 1;
+        self.counters.by_type[ids.table_type].taken += 1;
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.faults = 0;
+            client.unusable_requests = 0;
         }
         let open = self.scans.len() + self.parts.len();
         let drain_serves_until = self.drain_serves_until(now);
-        let refused = |client: &Client| rules::is_refused_before_others(client, drain_serves_until, now);
-        if self.clients.get(&conn).is_some_and(refused) {
+        let is_refused = |client: &Client| rules::is_buffered_refused(client, drain_serves_until, now);
+        if self.clients.get(&conn).is_some_and(is_refused) {
             self.counters.scans_throttled += 1;
-            self.counters.by_type[table_type].throttled += 1;
+            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
             return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"closing\n");
         }
         if !rules::may_take_query(open, ask.parts.len(), self.terms.open_cap) {
             self.counters.scans_throttled += 1;
-            self.counters.by_type[table_type].throttled += 1;
+            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
             return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"full\n");
         }
-        let id = self.id();
+        self.start_scan(now, conn, ask, ids);
+    }
+
+    fn start_scan(&mut self, now: f64, conn: u64, ask: ScanAsk, ids: &ScanIds) {
+        let &ScanIds { table_type, customer } = ids;
+        let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
-        let terms = &self.terms.types[table_type];
-        let (number, gone_at) = (
-            self.scan_number,
-            rules::query_deadline(now, ask.wait_ms, terms.query_timeout_ms, self.ends_at()),
-        );
+        let number = self.scan_number;
+        let query_timeout_ms = self.terms.types[table_type].query_timeout_ms;
+        let answers_until = self.drain_answers_until();
+        let deadline_at = rules::query_deadline(now, ask.wait_ms, query_timeout_ms, answers_until);
         let work: Option<Vec<f64>> = ask.parts.iter().map(|p| p.work_ms).collect();
         let work_ms = work.map(|w| w.iter().sum());
         let retry = ask.retry;
-        self.events.push(Event::Scan {
-            id,
-            number,
-            table_type,
-            customer,
-            deadline_at: gone_at,
-            work_ms,
-            retry,
-        });
+        self.events.push(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry });
         let repeat_until = match self.terms.types[table_type].idempotency {
             Idempotency::Replayable => f64::INFINITY,
             Idempotency::Keyed { window_ms } => now + window_ms,
@@ -258,128 +268,144 @@
         };
         let mut parts = Vec::with_capacity(ask.parts.len());
         for part in &ask.parts {
-            let at = self.id();
-            parts.push(at);
-            self.events.push(Event::Part { id: at, number, shard: part.shard, weight: part.weight });
-            let name = format!("{}.{}", ask.id, part.shard).into();
-            let part = Part {
-                scan: id,
-                name,
-                shard: part.shard,
-                sent: 0,
-                may_have_run: 0,
-                repeat_until,
-                last_ending: None,
-                value: None,
-            };
-            self.parts.insert(at, part);
+            parts.push(self.start_part(id, number, &ask.id, part, repeat_until));
         }
         debug!(
             "query {} of client {conn}: class {}, {} parts, {:.0} ms",
             ask.id,
             ask.table_type,
             parts.len(),
-            gone_at - now
+            deadline_at - now
         );
-        self.asked.insert(ask.id.clone());
+        self.open_request_ids.insert(ask.id.clone());
         let query = Scan {
             conn,
-            name: ask.id,
+            request_id: ask.id,
             text: ask.text,
             table_type,
-            deadline_at: gone_at,
-            taken_at: now,
+            deadline_at,
+            received_at: now,
             parts,
         };
         self.scans.insert(id, query);
-        self.add_due(gone_at, Due::Overdue(id));
+        self.add_timer(deadline_at, Timer::ScanDeadline(id));
         if let Some(client) = self.clients.get_mut(&conn) {
             client.scan = Some(id);
         }
     }
 
+    /// Adds one part of a scan; its id.
+    fn start_part(
+        &mut self,
+        scan: u64,
+        scan_number: u32,
+        request_id: &str,
+        ask: &PartAsk,
+        repeat_until: f64,
+    ) -> u64 {
+        let id = self.next_id();
+        self.events.push(Event::Part { id, number: scan_number, shard: ask.shard, weight: ask.weight });
+        let part = Part {
+            scan,
+            name: format!("{request_id}.{}", ask.shard).into(),
+            shard: ask.shard,
+            attempts: 0,
+            may_have_run: 0,
+            repeat_until,
+            last_outcome: None,
+            value: None,
+        };
+        self.parts.insert(id, part);
+        id
+    }
+
     /// Gives a scan its final answer.
     pub(super) fn answer_scan(
         &mut self,
         now: f64,
         scan: u64,
         status: u16,
-        back_in_ms: Option<f64>,
+        retry_after_ms: Option<f64>,
         body: &[u8],
     ) {
         let Some(query) = self.scans.get(&scan) else { return };
         let conn = query.conn;
         let reason = String::from_utf8_lossy(if status == 200 { b"served" } else { body.trim_ascii_end() });
-        let took_ms = now - query.taken_at;
-        debug!("query {} of client {conn} is answered {status} after {took_ms:.1} ms: {reason}", query.name);
-        self.forget(scan);
-        self.answer(now, conn, status, back_in_ms, body);
+        let took_ms = now - query.received_at;
+        debug!(
+            "query {} of client {conn} is answered {status} after {took_ms:.1} ms: {reason}",
+            query.request_id
+        );
+        self.remove_scan(scan);
+        self.answer(now, conn, status, retry_after_ms, body);
     }
 
-    /// Counts one more of what became of the scans of a table type.
-    pub(super) fn count_type(&mut self, scan: u64, of: fn(&mut ByType) -> &mut u64) {
-        let held = self.scans.get(&scan).map(|s| s.table_type);
-        if let Some(counts) = held.and_then(|kind| self.counters.by_type.get_mut(kind)) {
-            *of(counts) += 1;
+    /// Adds one to a count of the scan's table type.
+    pub(super) fn count_for_type(&mut self, scan: u64, count: fn(&mut TableTypeCounters) -> &mut u64) {
+        let table_type = self.scans.get(&scan).map(|s| s.table_type);
+        if let Some(counts) = table_type.and_then(|table_type| self.counters.by_type.get_mut(table_type)) {
+            *count(counts) += 1;
         }
     }
 
-    /// Forgets a scan and its parts; dispatches that are out end by themselves.
-    fn forget(&mut self, scan: u64) {
+    /// Removes a scan and its parts. Its open attempts end by themselves.
+    fn remove_scan(&mut self, scan: u64) {
         let Some(scan) = self.scans.remove(&scan) else { return };
-        self.asked.remove(&scan.name);
+        self.open_request_ids.remove(&scan.request_id);
         for id in scan.parts {
             self.parts.remove(&id);
         }
     }
 
-    fn answer(&mut self, now: f64, conn: u64, status: u16, back_in_ms: Option<f64>, body: &[u8]) {
+    fn answer(&mut self, now: f64, conn: u64, status: u16, retry_after_ms: Option<f64>, body: &[u8]) {
         let drain_serves_until = self.drain_serves_until(now);
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        let awaited = std::mem::take(&mut client.awaits_answer);
+        let was_awaited = std::mem::take(&mut client.awaits_answer);
         let last = rules::is_last_answer(client, drain_serves_until, now);
-        client.refused_behind += u32::from(rules::is_refused_before_others(client, drain_serves_until, now));
-        client.sent_behind = false;
-        (client.scan, client.since, client.standing) = (None, now, ClientStanding::Resting);
-        let bytes = http::encode_answer(status, back_in_ms, body, last);
+        client.buffered_refused += u32::from(rules::is_buffered_refused(client, drain_serves_until, now));
+        client.has_buffered_data = false;
+        client.scan = None;
+        client.state_since = now;
+        client.state = ClientState::Idle;
+        let bytes = http::encode_answer(status, retry_after_ms, body, last);
         self.effects.push(Effect::Answer { conn, bytes, last });
         if last {
-            client.standing = ClientStanding::Over;
-            self.add_due(now + rules::LINGER_MS, Due::Linger(conn));
+            client.state = ClientState::Finished;
+            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(conn));
         } else {
-            self.rest_client(now, conn);
+            self.start_idle_timer(now, conn);
         }
-        // Who has begun a request and does not end it is told so too.
-        if !awaited && status != REQUEST_TIMEOUT {
-            self.violated(Violation::Answer, &format!("client {conn}, status {status}"));
+        // An incomplete request is answered although it awaits no answer yet.
+        if !was_awaited && status != REQUEST_TIMEOUT {
+            self.report_violation(Violation::Answer, &format!("client {conn}, status {status}"));
         }
     }
 
-    /// An answer is on its way for longer: its client's time to close begins once it is written.
-    pub(super) fn slow(&mut self, conn: u64) {
+    /// An answer is still being written: its client's time to close begins once that is done.
+    pub(super) fn answer_delayed(&mut self, conn: u64) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.slow = true;
+            client.answer_delayed = true;
         }
     }
 
-    pub(super) fn said(&mut self, now: f64, conn: u64) {
+    pub(super) fn answer_written(&mut self, now: f64, conn: u64) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        (client.slow, client.since) = (false, now);
-        if client.standing == ClientStanding::Over {
-            self.add_due(now + rules::LINGER_MS, Due::Linger(conn));
+        client.answer_delayed = false;
+        client.state_since = now;
+        if client.state == ClientState::Finished {
+            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(conn));
         }
     }
 
-    /// It still sends after its last answer.
-    pub(super) fn sends(&mut self, conn: u64) {
+    pub(super) fn data_after_last_answer(&mut self, conn: u64) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.sends = true;
+            client.still_sends = true;
         }
     }
 
-    /// Ends the connection of a client that has had its last answer and its time to close. While draining, one that still sends
-    /// has until it closes, or until the end.
-    pub(super) fn linger(&mut self, now: f64, conn: u64) {
-        self.hang_up(now, conn, ClientCloseReason::LastAnswerGiven);
+    /// Closes the connection of a client that has had its last answer and its time to close. While draining, a client that still
+    /// sends may stay until it closes, or until the end.
+    pub(super) fn close_finished_client(&mut self, now: f64, conn: u64) {
+        self.close_client(now, conn, ClientCloseReason::LastAnswerGiven);
     }
 }
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -1,27 +1,27 @@
-//! The reducer's part for the end of the program: from the signal on new connections are served for a while, all that was taken is
-//! answered, and the process ends by the time at which the platform would end it.
+//! Draining: after the signal new connections are served for a while, every request that was taken is answered, and the process
+//! ends before the platform would kill it.
 
 use pewterwharf::interface::Event;
 
 use super::Reducer;
-use super::held::{Client, ClientStanding, Due};
-use super::rules::{self, ClientCloseReason};
+use super::rules::{self, ClientCloseReason, DrainTimes};
+use super::state::{Client, ClientState, Timer};
 use crate::inputs::{Effect, Phase};
 
 impl Reducer {
-    /// Until when what was sent behind requests is served, once the mixer drains.
+    /// Until when buffered requests are served, if the mixer drains.
     pub(super) fn drain_serves_until(&self, now: f64) -> Option<f64> {
         match self.phase {
             Phase::Starting | Phase::Ready => None,
             Phase::Draining { listen_until, until, .. } => {
-                Some(rules::drain_serves_behind_until(listen_until, until))
+                Some(rules::drain_serves_buffered_until(listen_until, until))
             }
             Phase::Closed => Some(now),
         }
     }
 
-    /// By when all has to be answered, once the mixer drains.
-    pub(super) fn ends_at(&self) -> Option<f64> {
+    /// When everything has to be answered, if the mixer drains.
+    pub(super) fn drain_answers_until(&self) -> Option<f64> {
         match self.phase {
             Phase::Draining { until, .. } => Some(rules::drain_answers_until(until)),
             _ => None,
@@ -32,52 +32,59 @@
         matches!(self.phase, Phase::Draining { .. } | Phase::Closed)
     }
 
+    /// Begins to drain. A second request to stop ends all open queries at once.
     pub(super) fn stop(&mut self, now: f64) {
         match self.phase {
             Phase::Closed => {}
             Phase::Draining { .. } => {
-                // Asked twice: whoever asks does not want to wait.
-                for scan in self.scans.keys().copied().collect::<Vec<_>>() {
-                    self.counters.scans_abandoned += 1;
-                    self.count_type(scan, |of| &mut of.abandoned);
-                    self.events.push(Event::ClientGone { scan });
-                    self.answer_scan(now, scan, 504, None, b"the mixer ends\n");
-                }
+                self.abandon_all(now);
                 self.phase =
                     Phase::Draining { listen_until: now, listening: true, until: now + rules::LINGER_MS };
             }
             Phase::Starting | Phase::Ready => {
-                let longest = self.terms.types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
-                let (listen_until, until) = rules::drain_times(now, longest);
-                self.enter(Phase::Draining { listen_until, listening: true, until });
-                self.add_due(listen_until, Due::Drained);
+                let longest_ms = self.terms.types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
+                let DrainTimes { listen_until, until } = rules::drain_times(now, longest_ms);
+                self.enter_phase(Phase::Draining { listen_until, listening: true, until });
+                self.add_timer(listen_until, Timer::DrainStep);
                 self.end_queries_by(rules::drain_answers_until(until));
-                self.hang_up_idle(now, false);
+                self.close_idle_clients(now, false);
             }
         }
     }
 
-    /// Has queries whose deadline is later answered by then.
+    fn abandon_all(&mut self, now: f64) {
+        for scan in self.scans.keys().copied().collect::<Vec<_>>() {
+            self.counters.scans_abandoned += 1;
+            self.count_for_type(scan, |counts| &mut counts.abandoned);
+            self.events.push(Event::ClientGone { scan });
+            self.answer_scan(now, scan, 504, None, b"the mixer ends\n");
+        }
+    }
+
+    /// Brings the deadline of all queries forward to `until`.
     fn end_queries_by(&mut self, until: f64) {
         let later = self.scans.iter().filter(|(_, query)| query.deadline_at > until);
         let later: Vec<u64> = later.map(|(id, _)| *id).collect();
-        later.into_iter().for_each(|id| self.add_due(until, Due::Overdue(id)));
+        for scan in later {
+            self.add_timer(until, Timer::ScanDeadline(scan));
+        }
     }
 
-    /// Ends the program once new connections come no more and all that was taken is answered.
-    pub(super) fn end_drain(&mut self, now: f64) {
+    /// Takes the next steps of draining that are due. The process ends once no new connections can come and every request taken is
+    /// answered.
+    pub(super) fn continue_drain(&mut self, now: f64) {
         let Phase::Draining { listen_until, listening, until } = self.phase else { return };
         if now < listen_until {
             return;
         }
         if listening {
-            self.enter(Phase::Draining { listen_until, listening: false, until });
+            self.enter_phase(Phase::Draining { listen_until, listening: false, until });
             self.effects.push(Effect::StopListening);
-            self.hang_up_idle(now, true);
+            self.close_idle_clients(now, true);
         }
         let answers_until = rules::drain_answers_until(until);
         if now < answers_until {
-            self.add_due(answers_until, Due::Drained);
+            self.add_timer(answers_until, Timer::DrainStep);
         } else {
             self.answer_incomplete_requests(now);
         }
@@ -86,37 +93,45 @@
         }
         let ends_at = self.drain_ends_at(listen_until, until);
         if ends_at <= now {
-            self.enter(Phase::Closed);
-            self.count_unanswered();
+            self.enter_phase(Phase::Closed);
+            self.report_unanswered();
         } else {
-            self.add_due(ends_at, Due::Drained);
+            self.add_timer(ends_at, Timer::DrainStep);
         }
     }
 
-    /// When the process may end, if nothing more comes.
+    /// When the process may end if nothing more happens.
     fn drain_ends_at(&self, listen_until: f64, until: f64) -> f64 {
-        if !self.deaf {
-            return until; // who waits to be accepted is waited for
+        if !self.listener_closed {
+            return until; // clients may still wait to be accepted
         }
         if self.clients.is_empty() {
             return listen_until;
         }
-        let ends = self.clients.values().map(|client| rules::client_holds_end_until(client, until));
-        ends.fold(listen_until + rules::LINGER_MS, f64::max)
+        let delays = self.clients.values().map(|client| rules::client_delays_end_until(client, until));
+        delays.fold(listen_until + rules::LINGER_MS, f64::max)
     }
 
-    /// Answers clients whose requests have not come whole: the platform waits no longer.
+    /// Answers clients whose requests are incomplete, as the platform waits no longer.
     fn answer_incomplete_requests(&mut self, now: f64) {
-        let incomplete = |client: &Client| client.standing == ClientStanding::New && client.scan.is_none();
-        let clients: Vec<u64> = self.clients.iter().filter(|c| incomplete(c.1)).map(|c| *c.0).collect();
-        clients.into_iter().for_each(|conn| self.answer_incomplete_request(now, conn));
+        let is_incomplete =
+            |client: &Client| client.state == ClientState::AwaitingRequest && client.scan.is_none();
+        let clients = self.clients.iter().filter(|(_, client)| is_incomplete(client));
+        let conns: Vec<u64> = clients.map(|(conn, _)| *conn).collect();
+        for conn in conns {
+            self.answer_incomplete_request(now, conn);
+        }
     }
 
-    /// Hangs up on those that wait for nothing. Who has just come, or is in the midst of asking, goes last: a new connection
-    /// is not closed without an answer while clients may still come.
-    fn hang_up_idle(&mut self, now: f64, new_too: bool) {
-        let goes = |c: &Client| new_too || c.standing == ClientStanding::Resting;
-        let idle: Vec<u64> = self.clients.iter().filter(|c| goes(c.1)).map(|c| *c.0).collect();
-        idle.into_iter().for_each(|conn| self.hang_up(now, conn, ClientCloseReason::Draining));
+    /// Closes the connections of clients that wait for nothing. Those that have just connected or are sending a request are closed
+    /// only with `include_awaiting`, at the end of listening: while clients may still connect, no new connection is closed without
+    /// an answer.
+    fn close_idle_clients(&mut self, now: f64, include_awaiting: bool) {
+        let is_due = |client: &Client| include_awaiting || client.state == ClientState::Idle;
+        let clients = self.clients.iter().filter(|(_, client)| is_due(client));
+        let conns: Vec<u64> = clients.map(|(conn, _)| *conn).collect();
+        for conn in conns {
+            self.close_client(now, conn, ClientCloseReason::Draining);
+        }
     }
 }
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -1,5 +1,5 @@
-//! The reducer's part for frames: what goes out on a link next, worked out right before its first byte and not before. Until then
-//! whatever waits can be withdrawn, and is told the time that is left at the write.
+//! Frames: what is written next on a link. A frame is produced right before its first byte is written and not earlier. Until then
+//! whatever is queued can be withdrawn, and the time left that a frame states is that at the write.
 
 use std::collections::BTreeSet;
 
@@ -7,155 +7,165 @@
 use tracing::debug;
 
 use super::Reducer;
-use super::held::{AttemptId, Due, LinkStanding, Queued};
-use super::rules::{self, LinkCloseReason, SendRefusal, Violation};
+use super::rules::{self, LinkCloseReason, SendRefusal, SendRequest, Violation};
+use super::state::{AttemptId, LinkState, QueuedFrame, Timer};
 use crate::frame::{self, CallPart};
 use crate::inputs::Effect;
 
-/// A link that takes nothing is tried again after so long, then after twice as long each time: its reader tells of room, but not of
-/// a write that failed for a moment.
-const FIRST_RETRY_MS: f64 = 10.0;
+/// The first delay after which a write on a blocked link is tried again. It doubles each time. The reading thread reports that a
+/// link is writable again, but not that a write failed for a moment.
+const FIRST_WRITE_RETRY_MS: f64 = 10.0;
 
 /// A frame whose first byte is to be written now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     pub bytes: Vec<u8>,
-    /// The clients for whom it is: it may not begin once one of them has left.
+    /// The clients that it is sent for. Writing must not begin once one of them has disconnected.
     pub clients: Vec<u64>,
 }
 
 impl Outgoing {
-    fn of_no_client(bytes: Vec<u8>) -> Self {
+    fn without_clients(bytes: Vec<u8>) -> Self {
         Self { bytes, clients: Vec::new() }
     }
 }
 
 impl Reducer {
-    /// Has something wait for its write on a link.
-    pub(super) fn enqueue(&mut self, id: u64, queued: Queued) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+    /// Queues a frame on a link.
+    pub(super) fn enqueue(&mut self, link_id: u64, queued: QueuedFrame) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
         match queued {
-            // Before what is new: it frees its searcher.
-            Queued::GiveUp(name) => link.give_ups.push_back(name),
+            // Written before new calls, as it frees capacity of the searcher.
+            QueuedFrame::Cancel(part_name) => link.cancels.push_back(part_name),
             queued => link.queue.push_back(queued),
         }
-        if link.standing == LinkStanding::Up {
-            self.effects.push(Effect::Send { link: id });
+        if link.state == LinkState::Up {
+            self.effects.push(Effect::Send { link: link_id });
         }
     }
 
-    /// The frame that is to be written next on a link, of what may be sent now; none if nothing waits for it. Before a link is closed
-    /// it tells only what is given up. `left`: clients whose connections are known to have ended, whatever was told of them so far.
+    /// The next frame to write on a link, with only what may be sent now; `None` if nothing is queued. A closing link still sends
+    /// cancellations, and nothing else. `disconnected`: clients whose connections have ended, whether or not an input has reported
+    /// that.
     ///
-    /// Its first byte has to go out at once, as it tells the time that is left at `now`, and only while none of its clients has left;
-    /// else it is to be [taken back](Self::return_frame).
-    pub fn next_frame(&mut self, now: f64, id: u64, left: &[u64]) -> Option<Outgoing> {
+    /// The first byte has to be written at once, as the frame states the time left at `now`, and only while none of its clients has
+    /// disconnected. Otherwise the frame has to be [returned](Self::return_frame).
+    pub fn next_frame(&mut self, now: f64, link_id: u64, disconnected: &[u64]) -> Option<Outgoing> {
         loop {
-            let link = self.links.get_mut(&id)?;
-            let queued = match link.standing {
-                LinkStanding::Opening => None,
-                LinkStanding::Up => link.next_queued(),
-                LinkStanding::Closing => link.next_give_up(),
+            let link = self.links.get_mut(&link_id)?;
+            let queued = match link.state {
+                LinkState::Opening => None,
+                LinkState::Up => link.next_queued(),
+                LinkState::Closing => link.next_cancel(),
             };
-            let (outgoing, latest) = match queued? {
-                Queued::Probe => (self.probe_frame(id).map(Outgoing::of_no_client), Queued::Probe),
-                Queued::GiveUp(name) => {
-                    (Some(Outgoing::of_no_client(frame::encode_cancel(&name))), Queued::GiveUp(name))
+            let (outgoing, queued) = match queued? {
+                QueuedFrame::Probe => {
+                    (self.probe_frame(link_id).map(Outgoing::without_clients), QueuedFrame::Probe)
                 }
-                Queued::Call(call, attempt_ids) => {
-                    let sent = self.hand_over_call(now, id, call, attempt_ids, left);
+                QueuedFrame::Cancel(part_name) => {
+                    let frame = Outgoing::without_clients(frame::encode_cancel(&part_name));
+                    (Some(frame), QueuedFrame::Cancel(part_name))
+                }
+                QueuedFrame::Call { call, attempt_ids } => {
+                    let attempt_ids = self.take_sendable(now, link_id, call, attempt_ids, disconnected);
                     if !self.events.is_empty() {
-                        self.add_due(now, Due::Unsent);
+                        self.add_timer(now, Timer::UnsentAttempts);
                     }
-                    (self.call_frame(now, &sent), Queued::Call(call, sent))
+                    (self.call_frame(now, &attempt_ids), QueuedFrame::Call { call, attempt_ids })
                 }
             };
-            if let (Some(outgoing), Some(link)) = (outgoing, self.links.get_mut(&id)) {
-                link.frames += 1;
-                link.latest = Some(latest);
+            if let (Some(outgoing), Some(link)) = (outgoing, self.links.get_mut(&link_id)) {
+                link.frames_begun += 1;
+                link.last_frame = Some(queued);
                 return Some(outgoing);
             }
         }
     }
 
-    /// Takes back the frame given last for a link: not a byte of it was taken, and it waits on.
-    pub fn return_frame(&mut self, id: u64) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let Some(queued) = link.latest.take() else { return };
-        link.frames -= 1;
+    /// Returns the frame that was handed out last for a link and of which no byte was written. It is queued again.
+    pub fn return_frame(&mut self, link_id: u64) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        let Some(queued) = link.last_frame.take() else { return };
+        link.frames_begun -= 1;
         match &queued {
-            Queued::Probe => {
-                let number = Some(link.frames);
-                link.probes.iter_mut().filter(|probe| probe.frame == number).for_each(|p| p.frame = None);
+            QueuedFrame::Probe => {
+                let number = Some(link.frames_begun);
+                for probe in link.probes.iter_mut().filter(|probe| probe.frame == number) {
+                    probe.frame = None;
+                }
             }
-            Queued::GiveUp(_) => {}
-            Queued::Call(_, attempt_ids) => {
+            QueuedFrame::Cancel(_) => {}
+            QueuedFrame::Call { attempt_ids, .. } => {
                 for attempt_id in attempt_ids {
                     if let Some(attempt) = self.attempts.get_mut(attempt_id) {
                         attempt.frame = None;
                     }
-                    if let Some(part) = self.parts.get_mut(&attempt_id.0) {
+                    if let Some(part) = self.parts.get_mut(&attempt_id.part) {
                         part.may_have_run = part.may_have_run.saturating_sub(1);
                     }
                 }
             }
         }
         match queued {
-            Queued::GiveUp(name) => link.give_ups.push_front(name),
+            QueuedFrame::Cancel(part_name) => link.cancels.push_front(part_name),
             queued => link.queue.push_front(queued),
         }
     }
 
-    /// A searcher takes no more: one that goes on so for as long as a connection may take to come up has its link closed.
-    pub(super) fn link_blocked(&mut self, now: f64, id: u64, made_progress: bool) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+    /// A searcher accepts no more bytes. If that lasts as long as a connection may take to come up, its link is closed.
+    pub(super) fn link_blocked(&mut self, now: f64, link_id: u64, made_progress: bool) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
         let still_blocked = link.blocked_since.is_some() && !made_progress;
-        link.retry_ms = if still_blocked { 2.0 * link.retry_ms } else { FIRST_RETRY_MS };
-        let retry_at = now + link.retry_ms;
+        link.write_retry_ms = if still_blocked { 2.0 * link.write_retry_ms } else { FIRST_WRITE_RETRY_MS };
+        let retry_at = now + link.write_retry_ms;
         if !still_blocked {
             link.blocked_since = Some(now);
             self.counters.links_blocked += 1;
-            debug!("link {id} to {}: takes no more, {} calls and probes wait", link.addr, link.queue.len());
-            self.add_due(now + self.terms.connect_timeout_ms, Due::Stuck(id));
+            debug!(
+                "link {link_id} to {}: blocked, {} calls and probes are queued",
+                link.addr,
+                link.queue.len()
+            );
+            self.add_timer(now + self.terms.connect_timeout_ms, Timer::LinkStuck(link_id));
         }
-        self.add_due(retry_at, Due::Retry(id));
+        self.add_timer(retry_at, Timer::LinkWriteRetry(link_id));
     }
 
-    pub(super) fn retry_blocked(&mut self, id: u64) {
-        if self.links.get(&id).is_some_and(|link| link.blocked_since.is_some()) {
-            self.effects.push(Effect::RetryWrite { link: id });
+    pub(super) fn retry_blocked(&mut self, link_id: u64) {
+        if self.links.get(&link_id).is_some_and(|link| link.blocked_since.is_some()) {
+            self.effects.push(Effect::RetryWrite { link: link_id });
         }
     }
 
-    pub(super) fn link_has_room(&mut self, id: u64) {
-        if let Some(link) = self.links.get_mut(&id) {
+    pub(super) fn link_writable(&mut self, link_id: u64) {
+        if let Some(link) = self.links.get_mut(&link_id) {
             link.blocked_since = None;
         }
     }
 
-    pub(super) fn close_stuck(&mut self, now: f64, id: u64) {
-        let since = self.links.get(&id).and_then(|link| link.blocked_since);
+    pub(super) fn close_if_stuck(&mut self, now: f64, link_id: u64) {
+        let since = self.links.get(&link_id).and_then(|link| link.blocked_since);
         if since.is_some_and(|since| now >= since + self.terms.connect_timeout_ms) {
-            self.close_link(id, LinkCloseReason::Stuck);
+            self.close_link(link_id, LinkCloseReason::Stuck);
         }
     }
 
-    /// The attempts of a call that may still be sent, noted as such. The others end unsent.
-    fn hand_over_call(
+    /// The attempts of a call that may be sent now, marked as sent. The others end unsent.
+    fn take_sendable(
         &mut self,
         now: f64,
-        link: u64,
+        link_id: u64,
         call: u64,
         attempt_ids: Vec<AttemptId>,
-        left: &[u64],
+        disconnected: &[u64],
     ) -> Vec<AttemptId> {
-        let waits = |id: &AttemptId| self.attempts.get(id).is_some_and(|attempt| attempt.call == call);
-        let waiting: Vec<AttemptId> = attempt_ids.into_iter().filter(waits).collect();
+        let is_open = |id: &AttemptId| self.attempts.get(id).is_some_and(|attempt| attempt.call == call);
+        let open: Vec<AttemptId> = attempt_ids.into_iter().filter(is_open).collect();
         let mut sent = Vec::new();
-        for attempt_id in waiting {
-            match self.may_send(now, link, attempt_id, left) {
+        for attempt_id in open {
+            match self.may_send(now, link_id, attempt_id, disconnected) {
                 Ok(()) => {
-                    self.hand_over(now, link, attempt_id);
+                    self.mark_sent(now, link_id, attempt_id);
                     sent.push(attempt_id);
                 }
                 Err(refusal) => self.refuse_send(now, attempt_id, refusal),
@@ -164,62 +174,70 @@
         sent
     }
 
-    /// The frame of these attempts; none if there are none.
+    /// The frame of a call with these attempts; `None` if there are none.
     fn call_frame(&self, now: f64, attempt_ids: &[AttemptId]) -> Option<Outgoing> {
-        let piece = |id: &AttemptId| {
-            let (attempt, part) = (self.attempts.get(id)?, self.parts.get(&id.0)?);
+        let call_part = |id: &AttemptId| {
+            let attempt = self.attempts.get(id)?;
+            let part = self.parts.get(&id.part)?;
             let text = &self.scans.get(&part.scan)?.text;
-            let wait_ms = (attempt.until - now).max(1.0) as u64;
+            let wait_ms = (attempt.wait_until - now).max(1.0) as u64;
             Some(CallPart { id: &part.name, shard: part.shard, wait_ms, text })
         };
-        let pieces: Vec<CallPart> = attempt_ids.iter().filter_map(piece).collect();
-        if pieces.is_empty() {
+        let call_parts: Vec<CallPart> = attempt_ids.iter().filter_map(call_part).collect();
+        if call_parts.is_empty() {
             return None;
         }
-        let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.0)?.scan)?.conn);
+        let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.part)?.scan)?.conn);
         let clients: BTreeSet<u64> = attempt_ids.iter().filter_map(client).collect();
-        Some(Outgoing { bytes: frame::encode_call(&pieces), clients: clients.into_iter().collect() })
+        Some(Outgoing { bytes: frame::encode_call(&call_parts), clients: clients.into_iter().collect() })
     }
 
-    fn may_send(&self, now: f64, link: u64, attempt_id: AttemptId, left: &[u64]) -> Result<(), SendRefusal> {
+    fn may_send(
+        &self,
+        now: f64,
+        link_id: u64,
+        attempt_id: AttemptId,
+        disconnected: &[u64],
+    ) -> Result<(), SendRefusal> {
         let attempt = self.attempts.get(&attempt_id).ok_or(SendRefusal::QueryOver)?;
-        let link = self.links.get(&link).ok_or(SendRefusal::SearcherNotReady)?;
-        let part = self.parts.get(&attempt_id.0).ok_or(SendRefusal::QueryOver)?;
+        let link = self.links.get(&link_id).ok_or(SendRefusal::SearcherNotReady)?;
+        let part = self.parts.get(&attempt_id.part).ok_or(SendRefusal::QueryOver)?;
         let query = self.scans.get(&part.scan).ok_or(SendRefusal::QueryOver)?;
-        let searcher = self.srvs.get(&attempt.srv);
-        rules::may_send(
+        let request = SendRequest {
             part,
-            attempt_id.1,
-            attempt.until,
-            self.terms.permits.max_dispatches,
-            searcher,
+            number: attempt_id.number,
+            wait_until: attempt.wait_until,
+            max_attempts: self.terms.permits.max_dispatches,
+            searcher: self.searchers.get(&attempt.searcher),
             link,
-            now,
-        )?;
-        if left.contains(&query.conn) { Err(SendRefusal::ClientLeft) } else { Ok(()) }
+        };
+        rules::may_send(&request, now)?;
+        if disconnected.contains(&query.conn) { Err(SendRefusal::ClientLeft) } else { Ok(()) }
     }
 
-    /// Notes that an attempt goes out with the next frame of a link.
-    fn hand_over(&mut self, now: f64, link: u64, attempt_id: AttemptId) {
-        let frame = self.links.get(&link).map(|link| link.frames);
+    /// Records that an attempt is sent with the next frame of a link.
+    fn mark_sent(&mut self, now: f64, link_id: u64, attempt_id: AttemptId) {
+        let frame = self.links.get(&link_id).map(|link| link.frames_begun);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return };
         attempt.frame = frame;
-        let (until, searcher, decided_at) = (attempt.until, attempt.srv, attempt.sent_at);
-        let Some(part) = self.parts.get_mut(&attempt_id.0) else { return };
+        let wait_until = attempt.wait_until;
+        let Some(part) = self.parts.get_mut(&attempt_id.part) else { return };
         part.may_have_run += 1;
-        let (name, number) = (part.name.clone(), attempt_id.1);
+        let part_name = part.name.clone();
         debug!(
-            "{name}: attempt {number} goes to {searcher} on link {link} with {:.0} ms, {:.1} ms after it was decided",
-            until - now,
-            now - decided_at
+            "{part_name}: attempt {} goes to {} on link {link_id} with {:.0} ms, {:.1} ms after it was decided",
+            attempt_id.number,
+            attempt.searcher,
+            wait_until - now,
+            now - attempt.dispatched_at
         );
-        let deadline_at = self.scans.get(&part.scan).map_or(until, |query| query.deadline_at);
-        if !rules::is_within_deadline(until, deadline_at) {
-            self.violated(Violation::Deadline, &name);
+        let deadline_at = self.scans.get(&part.scan).map_or(wait_until, |query| query.deadline_at);
+        if !rules::is_within_deadline(wait_until, deadline_at) {
+            self.report_violation(Violation::Deadline, &part_name);
         }
     }
 
-    /// Ends an attempt that is not sent, and counts why.
+    /// Ends an attempt that is not sent, and counts the reason.
     pub(super) fn refuse_send(&mut self, now: f64, attempt_id: AttemptId, refusal: SendRefusal) {
         let count = match refusal {
             SendRefusal::QueryOver => &mut self.counters.sends_refused_query_over,
@@ -233,12 +251,12 @@
             SendRefusal::SearcherMoved => &mut self.counters.sends_refused_searcher_moved,
         };
         *count += 1;
-        let name = self.attempts.get(&attempt_id).map_or_else(|| "?".into(), |a| a.name.clone());
-        debug!("{name}: attempt {} is not sent: {refusal}", attempt_id.1);
+        let part_name = self.attempts.get(&attempt_id).map_or_else(|| "?".into(), |a| a.part_name.clone());
+        debug!("{part_name}: attempt {} is not sent: {refusal}", attempt_id.number);
         if refusal.is_violation() {
-            self.violated(Violation::Send, &format!("{name}: {refusal}"));
+            self.report_violation(Violation::Send, &format!("{part_name}: {refusal}"));
         }
-        if !refusal.is_called_off() {
+        if !refusal.is_cancelled_by_module() {
             self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
         }
     }
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -1,4 +1,4 @@
-//! The reducer's part for links: connections to searchers, what waits for them, probes on them, and why they close.
+//! Links: connections to searchers, probes on them, and the reasons why they close.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -7,153 +7,160 @@
 use tracing::debug;
 
 use super::Reducer;
-use super::held::{AttemptId, Awaits, Due, Link, LinkStanding, Probe, Queued};
 use super::rules::{self, LinkCloseReason};
+use super::state::{AttemptId, ExpectedAnswer, Link, LinkState, Probe, QueuedFrame, Timer};
 use crate::frame;
 use crate::inputs::Effect;
 
-/// Part of the searchers' idle time after which a link is closed here, so that no dispatch meets a close.
-const IDLE: f64 = 0.8;
+/// A link is closed here after this share of the time after which searchers close idle connections, so that no call meets a close.
+const IDLE_SHARE: f64 = 0.8;
 
 impl Reducer {
-    pub(super) fn bad_frame(&mut self, now: f64, link: u64, why: &str) {
+    /// Closes a link after an unusable frame.
+    pub(super) fn reject_frame(&mut self, now: f64, link_id: u64, reason: &str) {
         self.counters.frames_bad += 1;
-        if let Some(at) = self.links.get(&link) {
-            let line = format!("a link to {} is closed after {why}", at.addr);
+        if let Some(link) = self.links.get(&link_id) {
+            let line = format!("a link to {} is closed after {reason}", link.addr);
             self.warn(now, &line);
         }
-        self.close_link(link, LinkCloseReason::Unusable);
+        self.close_link(link_id, LinkCloseReason::Unusable);
     }
 
-    pub(super) fn probe(&mut self, now: f64, srv: SocketAddrV4) {
+    pub(super) fn probe(&mut self, now: f64, searcher: SocketAddrV4) {
         self.counters.probes += 1;
-        let Some(id) = self.links_to(srv).first().copied().or_else(|| self.connect(now, srv)) else {
-            let ending = DispatchOutcome::ConnectFailed;
-            return self.events.push(Event::ProbeEnded { searcher: srv, outcome: ending, took_ms: 0.0 });
+        let usable_link = self.usable_links(searcher).first().copied();
+        let Some(link_id) = usable_link.or_else(|| self.connect(now, searcher)) else {
+            let outcome = DispatchOutcome::ConnectFailed;
+            return self.events.push(Event::ProbeEnded { searcher, outcome, took_ms: 0.0 });
         };
-        let number = self.id();
-        self.add_due(now + self.terms.connect_timeout_ms, Due::ProbeTimedOut { link: id, number });
-        let Some(link) = self.links.get_mut(&id) else { return };
-        link.probes.push_back(Probe { number, sent_at: now, frame: None, over: false });
-        self.enqueue(id, Queued::Probe);
+        let number = self.next_id();
+        self.add_timer(now + self.terms.connect_timeout_ms, Timer::ProbeTimeout { link: link_id, number });
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        link.probes.push_back(Probe { number, sent_at: now, frame: None, reported: false });
+        self.enqueue(link_id, QueuedFrame::Probe);
     }
 
-    pub(super) fn time_out_probe(&mut self, now: f64, link: u64, number: u64) {
-        let Some(at) = self.links.get_mut(&link) else { return };
-        let Some(probe) = at.probes.iter_mut().find(|p| p.number == number && !p.over) else { return };
-        probe.over = true;
-        // No connection in time is told as that, whichever of the two clocks rings first.
-        let ending =
+    pub(super) fn time_out_probe(&mut self, now: f64, link_id: u64, number: u64) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        let Some(probe) = link.probes.iter_mut().find(|p| p.number == number && !p.reported) else { return };
+        probe.reported = true;
+        // A connection that does not come up in time is reported as failed, whichever of the two timeouts fires first.
+        let outcome =
             if probe.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::ConnectFailed };
-        let (searcher, sent_at, took_ms) = (at.srv, probe.sent_at, now - probe.sent_at);
-        self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
-        self.doubt(link, sent_at);
+        let (searcher, sent_at, took_ms) = (link.searcher, probe.sent_at, now - probe.sent_at);
+        self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
+        self.check_silent(link_id, sent_at);
     }
 
-    /// A link on which nothing has come since a time-out's sending may be cut off without a word, and would
-    /// stay so for as long as the system tries. Others are opened; it closes once nothing is out on it.
-    pub(super) fn doubt(&mut self, id: u64, sent_at: f64) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        link.silent |= link.standing == LinkStanding::Up && link.heard_at < sent_at;
+    /// Marks a link as silent if nothing has arrived since something was sent that timed out. It may have been cut off without a
+    /// close, and the system would keep it for as long as it retransmits. Other links are opened, and this one closes once nothing
+    /// is open on it.
+    pub(super) fn check_silent(&mut self, link_id: u64, sent_at: f64) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        link.silent |= link.state == LinkState::Up && link.last_received_at < sent_at;
         if link.silent {
-            self.close_link(id, LinkCloseReason::Silent);
+            self.close_link(link_id, LinkCloseReason::Silent);
         }
     }
 
-    /// Closes the idle links to a searcher.
-    pub(super) fn hang_up_links(&mut self, srv: SocketAddrV4) {
-        for link in self.links_to(srv) {
-            self.close_link(link, LinkCloseReason::Doubted);
+    pub(super) fn close_idle_links(&mut self, searcher: SocketAddrV4) {
+        for link_id in self.usable_links(searcher) {
+            self.close_link(link_id, LinkCloseReason::Doubted);
         }
     }
 
-    /// The links that new calls and probes to a searcher may go on.
-    pub(super) fn links_to(&self, srv: SocketAddrV4) -> Vec<u64> {
-        let Some(srv) = self.srvs.get(&srv) else { return Vec::new() };
-        let leads = |l: &Link| l.standing != LinkStanding::Closing && !l.silent && l.addr == srv.addr;
-        srv.links.iter().copied().filter(|id| self.links.get(id).is_some_and(leads)).collect()
+    /// The links to a searcher on which new calls and probes may be sent.
+    pub(super) fn usable_links(&self, searcher: SocketAddrV4) -> Vec<u64> {
+        let Some(searcher) = self.searchers.get(&searcher) else { return Vec::new() };
+        let is_usable =
+            |link: &Link| link.state != LinkState::Closing && !link.silent && link.addr == searcher.addr;
+        searcher.links.iter().copied().filter(|id| self.links.get(id).is_some_and(is_usable)).collect()
     }
 
-    pub(super) fn connect(&mut self, now: f64, srv: SocketAddrV4) -> Option<u64> {
-        let addr = self.srvs.get(&srv)?.addr;
-        if self.links.len() >= self.links_cap {
-            let idle = self.links.iter().find(|l| l.1.idle()).map(|l| *l.0);
+    /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is none.
+    pub(super) fn connect(&mut self, now: f64, searcher: SocketAddrV4) -> Option<u64> {
+        let addr = self.searchers.get(&searcher)?.addr;
+        if self.links.len() >= self.max_links {
+            let idle = self.links.iter().find(|(_, link)| link.is_idle()).map(|(id, _)| *id);
             self.close_link(idle?, LinkCloseReason::Room);
         }
-        let id = self.id();
+        let link_id = self.next_id();
         let link = Link {
-            srv,
+            searcher,
             addr,
-            standing: LinkStanding::Opening,
+            state: LinkState::Opening,
             queue: VecDeque::new(),
-            give_ups: VecDeque::new(),
-            latest: None,
+            cancels: VecDeque::new(),
+            last_frame: None,
             blocked_since: None,
-            retry_ms: 0.0,
-            frames: 0,
-            calls: BTreeMap::new(),
-            out: HashMap::new(),
-            over: VecDeque::new(),
+            write_retry_ms: 0.0,
+            frames_begun: 0,
+            open_calls: BTreeMap::new(),
+            expected: HashMap::new(),
+            finished_names: VecDeque::new(),
             probes: VecDeque::new(),
-            heard_at: now,
+            last_received_at: now,
             silent: false,
             idle_since: now,
-            watched: false,
+            idle_timer_set: false,
         };
-        self.links.insert(id, link);
-        self.srvs.get_mut(&srv)?.links.push(id);
-        debug!("link {id} to {addr}: opened, one of {}", self.srvs.get(&srv)?.links.len());
-        self.effects.push(Effect::Connect { link: id, addr });
-        Some(id)
+        self.links.insert(link_id, link);
+        let links = &mut self.searchers.get_mut(&searcher)?.links;
+        links.push(link_id);
+        debug!("link {link_id} to {addr}: opened, one of {}", links.len());
+        self.effects.push(Effect::Connect { link: link_id, addr });
+        Some(link_id)
     }
 
-    pub(super) fn link_up(&mut self, now: f64, id: u64) {
+    pub(super) fn link_up(&mut self, now: f64, link_id: u64) {
         self.counters.links_opened += 1;
-        let Some(link) = self.links.get_mut(&id) else { return };
-        if link.standing == LinkStanding::Opening {
-            (link.standing, link.heard_at) = (LinkStanding::Up, now);
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        if link.state == LinkState::Opening {
+            link.state = LinkState::Up;
+            link.last_received_at = now;
             let waiting = link.queue.len();
-            self.effects.extend((0..waiting).map(|_| Effect::Send { link: id }));
-            self.rest(now, id);
+            self.effects.extend((0..waiting).map(|_| Effect::Send { link: link_id }));
+            self.check_idle(now, link_id);
         }
     }
 
-    /// Notes when a link came to rest, and sets the time at which it is closed for that.
-    pub(super) fn rest(&mut self, now: f64, id: u64) {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.calls.is_empty()) else { return };
+    /// Starts the idle timer of a link that has become idle, or closes the link if it must not be used again.
+    pub(super) fn check_idle(&mut self, now: f64, link_id: u64) {
+        let Some(link) = self.links.get_mut(&link_id).filter(|link| link.open_calls.is_empty()) else {
+            return;
+        };
         if link.silent {
-            return self.close_link(id, LinkCloseReason::Silent);
+            return self.close_link(link_id, LinkCloseReason::Silent);
         }
-        if !link.idle() {
+        if !link.is_idle() {
             return;
         }
         link.idle_since = now;
-        if self.srvs.get(&link.srv).is_none_or(|s| s.addr != link.addr) {
-            self.close_link(id, LinkCloseReason::Moved);
-        } else if !link.watched {
-            link.watched = true;
-            self.add_due(now + IDLE * self.terms.idle_ms, Due::Idle(id));
+        if self.searchers.get(&link.searcher).is_none_or(|searcher| searcher.addr != link.addr) {
+            self.close_link(link_id, LinkCloseReason::Moved);
+        } else if !link.idle_timer_set {
+            link.idle_timer_set = true;
+            self.add_timer(now + IDLE_SHARE * self.terms.idle_ms, Timer::LinkIdle(link_id));
         }
     }
 
-    pub(super) fn close_idle(&mut self, now: f64, id: u64) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        link.watched = false;
-        let until = link.idle_since + IDLE * self.terms.idle_ms;
-        if link.idle() && now >= until {
-            self.close_link(id, LinkCloseReason::Idle);
-        } else if link.idle() {
-            link.watched = true;
-            self.add_due(until, Due::Idle(id));
+    pub(super) fn close_if_idle(&mut self, now: f64, link_id: u64) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        link.idle_timer_set = false;
+        let until = link.idle_since + IDLE_SHARE * self.terms.idle_ms;
+        if link.is_idle() && now >= until {
+            self.close_link(link_id, LinkCloseReason::Idle);
+        } else if link.is_idle() {
+            link.idle_timer_set = true;
+            self.add_timer(until, Timer::LinkIdle(link_id));
         }
     }
 
-    pub(super) fn close_link(&mut self, id: u64, reason: LinkCloseReason) {
-        let Some(link) = self.links.get_mut(&id).filter(|link| rules::may_close_link(link, reason)) else {
-            return;
-        };
-        link.standing = LinkStanding::Closing;
-        debug!("link {id} to {}: closed, {reason}", link.addr);
+    pub(super) fn close_link(&mut self, link_id: u64, reason: LinkCloseReason) {
+        let may_close = |link: &&mut Link| rules::may_close_link(link, reason);
+        let Some(link) = self.links.get_mut(&link_id).filter(may_close) else { return };
+        link.state = LinkState::Closing;
+        debug!("link {link_id} to {}: closed, {reason}", link.addr);
         let count = match reason {
             LinkCloseReason::Silent => &mut self.counters.links_closed_silent,
             LinkCloseReason::Doubted => &mut self.counters.links_closed_doubted,
@@ -165,40 +172,41 @@
             LinkCloseReason::Ended => &mut self.counters.links_ended,
         };
         *count += 1;
-        self.effects.push(Effect::CloseLink { link: id });
+        self.effects.push(Effect::CloseLink { link: link_id });
     }
 
-    /// The frame of the probe that has waited longest for a link; none if nobody waits for it any more.
-    pub(super) fn probe_frame(&mut self, id: u64) -> Option<Vec<u8>> {
-        let link = self.links.get_mut(&id)?;
-        link.probes.retain(|p| p.frame.is_some() || !p.over);
+    /// The frame of the probe that has waited longest on a link; `None` if no probe is waited for any more.
+    pub(super) fn probe_frame(&mut self, link_id: u64) -> Option<Vec<u8>> {
+        let link = self.links.get_mut(&link_id)?;
+        link.probes.retain(|p| p.frame.is_some() || !p.reported);
         let probe = link.probes.iter_mut().find(|p| p.frame.is_none())?;
-        probe.frame = Some(link.frames);
+        probe.frame = Some(link.frames_begun);
         Some(frame::encode_probe())
     }
 
-    /// What was out on a link ends with it: it may have run only if its frame was written whole.
-    pub(super) fn link_end(&mut self, now: f64, id: u64, written: u64) {
-        let failed = self.links.get(&id).is_some_and(|l| l.standing == LinkStanding::Opening);
+    /// Ends everything that is open on a closed link. An attempt may have run only if its frame was written completely.
+    pub(super) fn link_closed(&mut self, now: f64, link_id: u64, frames_written: u64) {
+        let failed = self.links.get(&link_id).is_some_and(|link| link.state == LinkState::Opening);
         self.counters.links_failed += u64::from(failed);
-        self.close_link(id, LinkCloseReason::Ended);
-        let Some(link) = self.links.remove(&id) else { return };
-        if let Some(srv) = self.srvs.get_mut(&link.srv) {
-            srv.links.retain(|l| *l != id);
+        self.close_link(link_id, LinkCloseReason::Ended);
+        let Some(link) = self.links.remove(&link_id) else { return };
+        if let Some(searcher) = self.searchers.get_mut(&link.searcher) {
+            searcher.links.retain(|id| *id != link_id);
         }
-        let told = |frame: Option<u64>| match frame {
-            Some(frame) if frame < written => DispatchOutcome::Reset,
+        let outcome_of = |frame: Option<u64>| match frame {
+            Some(frame) if frame < frames_written => DispatchOutcome::Reset,
             _ => DispatchOutcome::ConnectFailed,
         };
-        for probe in link.probes.iter().filter(|p| !p.over) {
-            let (searcher, ending, took_ms) = (link.srv, told(probe.frame), now - probe.sent_at);
-            self.events.push(Event::ProbeEnded { searcher, outcome: ending, took_ms });
+        for probe in link.probes.iter().filter(|p| !p.reported) {
+            let (searcher, outcome, took_ms) = (link.searcher, outcome_of(probe.frame), now - probe.sent_at);
+            self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
         }
-        let mut attempt_ids: Vec<AttemptId> = link.out.into_values().filter_map(Awaits::attempt_id).collect();
+        let mut attempt_ids: Vec<AttemptId> =
+            link.expected.into_values().filter_map(ExpectedAnswer::attempt_id).collect();
         attempt_ids.sort_unstable();
         for attempt_id in attempt_ids {
-            let ending = told(self.attempts.get(&attempt_id).and_then(|f| f.frame));
-            self.end_attempt(now, attempt_id, ending);
+            let outcome = outcome_of(self.attempts.get(&attempt_id).and_then(|attempt| attempt.frame));
+            self.end_attempt(now, attempt_id, outcome);
         }
     }
 }
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -1,6 +1,7 @@
-//! The reducer's part for the searcher list: which list counts, what it changes, and the configuration that names its place.
+//! The searcher list: which list is used and what it changes, and the configuration that names the place of discovery.
 
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 
 use pewterwharf::interface::{DispatchOutcome, Event, ListKind, ListedSearcher, SearcherStatus};
 use pewterwharf_terms::Change;
@@ -8,61 +9,68 @@
 use tracing::info;
 
 use super::Reducer;
-use super::held::Searcher;
 use super::rules::LinkCloseReason;
+use super::state::Searcher;
 use crate::inputs::{Effect, Phase};
 
-/// What a list is against the one that is held.
+/// How a list relates to the one that is held.
 #[derive(Clone, Copy, PartialEq)]
-enum News {
+enum ListAge {
     Newer,
-    /// Of the same place, by its number.
+    /// From the same discovery service, with a smaller version.
     Older,
-    /// The first of another place: its versions are numbered anew, and it may not have heard all that the last one told.
-    OtherPlace,
+    /// The first from another discovery service. Its versions are numbered independently, and it may not know of all changes that
+    /// the previous one reported.
+    OtherService,
+}
+
+/// A searcher's process that was reported to drain or to be gone.
+struct Departure {
+    started_at: f64,
+    life: SearcherStatus,
 }
 
 impl Reducer {
-    /// A list counts unless a newer watch has spoken (that one may number its versions differently), or one
-    /// that never spoke has been replaced since.
-    pub(super) fn watched(&mut self, now: f64, watch: u64, list: List) {
-        if watch != self.watch && watch != self.watch_wanted {
+    /// Handles a list from a watch. It is ignored if a newer watch has sent one (which may number its versions differently), or if
+    /// its watch was replaced before it sent any.
+    pub(super) fn receive_list(&mut self, now: f64, watch: u64, list: List) {
+        if watch != self.active_watch && watch != self.newest_watch {
             self.counters.lists_late += 1;
             return;
         }
-        let mut news = News::Newer;
-        if watch > self.watch {
-            self.watch = watch;
+        let mut age = ListAge::Newer;
+        if watch > self.active_watch {
+            self.active_watch = watch;
             info!("watch {watch} has spoken");
             self.effects.push(Effect::WatchActivated { watch });
-            news = News::OtherPlace;
+            age = ListAge::OtherService;
         } else if list.index < self.list_index {
             self.counters.lists_older += 1;
-            news = News::Older;
+            age = ListAge::Older;
         }
         match list.whole {
-            true => self.cached = None,
+            true => self.cached_list = None,
             false => self.use_cached_list(now),
         }
-        // Who came after an older list was made is not gone for not being in it.
-        let whole = list.whole && news != News::Older;
-        self.listed(now, list, if whole { ListKind::Full } else { ListKind::Changes }, news);
+        // A searcher that is missing in an older list may have been added since.
+        let whole = list.whole && age != ListAge::Older;
+        self.apply_list(now, list, if whole { ListKind::Full } else { ListKind::Changes }, age);
     }
 
-    /// Goes by the list held before the start, unless a newer has come.
+    /// Applies the list held before the start, unless a newer one has arrived.
     pub(super) fn use_cached_list(&mut self, now: f64) {
-        if let Some(list) = self.cached.take() {
-            self.listed(now, list, ListKind::Cached, News::Newer);
+        if let Some(list) = self.cached_list.take() {
+            self.apply_list(now, list, ListKind::Cached, ListAge::Newer);
         }
     }
 
-    /// A new configuration moves the watch; what else it changes counts from the next start.
-    pub(super) fn reloaded(&mut self, now: f64, change: Result<Change, String>) {
+    /// Applies a new configuration: a new place of discovery at once, anything else at the next start.
+    pub(super) fn reload_config(&mut self, now: f64, change: Result<Change, String>) {
         let change = match change {
             Ok(change) => change,
-            Err(why) => {
+            Err(reason) => {
                 self.counters.reloads_failed += 1;
-                return self.warn(now, &format!("the configuration stays as it is: {why}"));
+                return self.warn(now, &format!("the configuration stays as it is: {reason}"));
             }
         };
         self.counters.reloads += 1;
@@ -72,88 +80,107 @@
             self.warn(now, &format!("{keys} changed in the configuration: they count from the next start"));
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
-            self.watch_wanted += 1;
-            self.effects.push(Effect::StartWatch { number: self.watch_wanted, addr: change.discovery });
+            self.newest_watch += 1;
+            self.effects.push(Effect::StartWatch { number: self.newest_watch, addr: change.discovery });
         }
     }
 
-    fn listed(&mut self, now: f64, list: List, kind: ListKind, news: News) {
+    fn apply_list(&mut self, now: f64, list: List, kind: ListKind, age: ListAge) {
         self.counters.lists += 1;
         self.counters.list_entries_bad += list.bad.len() as u64;
-        self.list_index = if news == News::Older { self.list_index } else { list.index };
-        list.bad.iter().for_each(|why| self.warn(now, &format!("discovery: {why}")));
-        let left = |s: &Searcher| match news {
-            News::Newer => false,
-            News::OtherPlace => s.life == SearcherStatus::Draining,
-            News::Older => s.life != SearcherStatus::Ready,
-        };
-        let left: HashMap<String, (f64, SearcherStatus)> =
-            self.srvs.values().filter(|s| left(s)).map(|s| (s.name.clone(), (s.since, s.life))).collect();
-        let mut ready = Vec::new();
+        self.list_index = if age == ListAge::Older { self.list_index } else { list.index };
+        for reason in &list.bad {
+            self.warn(now, &format!("discovery: {reason}"));
+        }
+        let departures = self.departures_unknown_to(age);
+        let mut were_ready = Vec::new();
         if kind != ListKind::Changes {
-            ready.extend(self.srvs.iter().filter(|s| s.1.life == SearcherStatus::Ready).map(|s| *s.0));
-            self.srvs.values_mut().for_each(|s| s.life = SearcherStatus::Gone);
+            were_ready
+                .extend(self.searchers.iter().filter(|s| s.1.life == SearcherStatus::Ready).map(|s| *s.0));
+            self.searchers.values_mut().for_each(|s| s.life = SearcherStatus::Gone);
         }
-        let mut lines = Vec::with_capacity(list.entries.len());
+        let mut listed = Vec::with_capacity(list.entries.len());
         for mut entry in list.entries {
-            // A drain was told: a list made before that, or by another place that has not heard of it, takes nothing back.
-            if let Some((since, life)) = left.get(&entry.name)
+            if let Some(departure) = departures.get(&entry.name)
                 && entry.life == SearcherStatus::Ready
-                && entry.since <= *since
+                && entry.since <= departure.started_at
             {
-                entry.life = *life;
+                entry.life = departure.life;
             }
-            lines.extend(self.entry(entry));
+            listed.extend(self.update_searcher(entry));
         }
-        ready.iter().filter_map(|key| self.srvs.get(key)).for_each(Searcher::log_if_left);
-        // What waits for a connection to one that takes nothing new is not sent.
-        let unsent = self.attempts.iter().filter(|(_, f)| f.frame.is_none());
-        let off =
-            unsent.filter(|(_, f)| self.srvs.get(&f.srv).is_none_or(|s| s.life != SearcherStatus::Ready));
-        for attempt_id in off.map(|f| *f.0).collect::<Vec<_>>() {
-            self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
+        were_ready.iter().filter_map(|key| self.searchers.get(key)).for_each(Searcher::log_if_left);
+        self.end_unsent_to_departed(now);
+        self.events.push(Event::List { kind, searchers: listed });
+        // Searchers that are gone and have no open links are removed, as each release brings new ones.
+        self.searchers.retain(|_, s| s.life != SearcherStatus::Gone || !s.links.is_empty());
+        self.keys_by_name.retain(|_, key| self.searchers.contains_key(key));
+        if self.phase == Phase::Starting && self.searchers.values().any(|s| s.life == SearcherStatus::Ready) {
+            self.enter_phase(Phase::Ready);
         }
-        self.events.push(Event::List { kind, searchers: lines });
-        // Who is gone and has nothing open is forgotten, as releases bring new ones.
-        self.srvs.retain(|_, s| s.life != SearcherStatus::Gone || !s.links.is_empty());
-        self.names.retain(|_, key| self.srvs.contains_key(key));
-        if self.phase == Phase::Starting && self.srvs.values().any(|s| s.life == SearcherStatus::Ready) {
-            self.enter(Phase::Ready);
+    }
+
+    /// The departures, by name, that a list of this age may not know of. A drain that was reported is not undone by a list that was
+    /// made before it, or by another discovery service that has not learned of it.
+    fn departures_unknown_to(&self, age: ListAge) -> HashMap<String, Departure> {
+        let is_unknown = |searcher: &&Searcher| match age {
+            ListAge::Newer => false,
+            ListAge::OtherService => searcher.life == SearcherStatus::Draining,
+            ListAge::Older => searcher.life != SearcherStatus::Ready,
+        };
+        let unknown = self.searchers.values().filter(is_unknown);
+        unknown.map(|s| (s.name.clone(), Departure { started_at: s.started_at, life: s.life })).collect()
+    }
+
+    /// Ends the attempts that still wait for a connection to a searcher that takes no new calls.
+    fn end_unsent_to_departed(&mut self, now: f64) {
+        let unsent = self.attempts.iter().filter(|(_, attempt)| attempt.frame.is_none());
+        let to_departed = unsent.filter(|(_, attempt)| {
+            self.searchers
+                .get(&attempt.searcher)
+                .is_none_or(|searcher| searcher.life != SearcherStatus::Ready)
+        });
+        for attempt_id in to_departed.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
         }
     }
 
-    /// A searcher is known by its name; the module knows it by the first address under which it was listed.
-    pub(super) fn entry(&mut self, entry: Entry) -> Option<ListedSearcher> {
+    /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first address under which it was
+    /// listed in the decision module.
+    fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
         let Entry { name, addr, zone, cell, since, life, .. } = entry;
-        let key = match self.names.get(&name) {
+        let key = match self.keys_by_name.get(&name) {
             Some(key) => *key,
             None if life == SearcherStatus::Gone => return None,
-            None => {
-                let mut key = addr;
-                while self.srvs.contains_key(&key) {
-                    key.set_port(key.port().wrapping_add(1));
-                }
-                self.names.insert(name.clone(), key);
-                let srv = Searcher { name, addr, life, since, links: Vec::new() };
-                self.srvs.insert(key, srv);
-                key
-            }
+            None => self.add_searcher(Searcher { name, addr, life, started_at: since, links: Vec::new() }),
         };
         let zone = self.terms.zones.iter().position(|z| *z == zone).unwrap_or(self.terms.zones.len()) as u16;
-        let srv = self.srvs.get_mut(&key)?;
-        let was_ready = srv.life == SearcherStatus::Ready;
-        (srv.life, srv.since) = (life, since);
+        let searcher = self.searchers.get_mut(&key)?;
+        let was_ready = searcher.life == SearcherStatus::Ready;
+        searcher.life = life;
+        searcher.started_at = since;
         if was_ready {
-            srv.log_if_left();
+            searcher.log_if_left();
         }
-        if srv.addr != addr && life != SearcherStatus::Gone {
-            info!("{} has moved from {} to {addr}", srv.name, srv.addr);
-            srv.addr = addr;
-            // Links to where it was take nothing new, and close once nothing is out on them.
-            for link in srv.links.clone() {
+        if searcher.addr != addr && life != SearcherStatus::Gone {
+            info!("{} has moved from {} to {addr}", searcher.name, searcher.addr);
+            searcher.addr = addr;
+            // Links to the former address get nothing new, and close once nothing is open on them.
+            for link in searcher.links.clone() {
                 self.close_link(link, LinkCloseReason::Moved);
             }
         }
         Some(ListedSearcher { searcher: key, cell, zone, started_at: since, status: life })
     }
+
+    /// Adds a searcher under the first free address from its own on, by which the decision module knows it.
+    fn add_searcher(&mut self, searcher: Searcher) -> SocketAddrV4 {
+        let mut key = searcher.addr;
+        while self.searchers.contains_key(&key) {
+            key.set_port(key.port().wrapping_add(1));
+        }
+        self.keys_by_name.insert(searcher.name.clone(), key);
+        self.searchers.insert(key, searcher);
+        key
+    }
 }
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -1,47 +1,47 @@
-//! The one place that decides whether something may be sent, repeated, closed, answered as the last or ended *now*.
+//! The one place that decides whether something may be sent, repeated, closed, answered as the last answer, or ended *now*.
 //!
-//! Pure functions over what the reducer holds. The other parts of the reducer ask here right before they act, carry out what is
-//! allowed, and count what is refused by its reason. What must never be asked for at all is a [`Violation`]: it is counted
-//! and logged as an error wherever it is met, in release builds too, and tests hold its counters at zero.
+//! All functions are pure functions of the reducer's state. The other modules of the reducer call them right before they act, carry
+//! out what is allowed, and count each refusal by its reason. What must never be requested at all is a [`Violation`]: it is counted
+//! and logged as an error in every build, and tests check that its counters stay at zero.
 
 use std::fmt;
 
 use pewterwharf::interface::SearcherStatus;
 
-use super::held::{Client, ClientStanding, Link, LinkStanding, Part, Searcher};
+use super::state::{Client, ClientState, Link, LinkState, Part, Searcher};
 
-/// While draining, new connections are served for so long: past the 0.4 s in which they may still come.
+/// A draining mixer serves new connections for this long. Clients may still open some for 0.4 s.
 pub(super) const LISTEN_MS: f64 = 600.0;
-/// Clients get so long to close after their last answer before their connection ends.
+/// Time that a client has to close its connection after its last answer.
 pub(super) const LINGER_MS: f64 = 300.0;
-/// The platform ends a mixer no sooner than its longest query timeout after it was told to, and this one where that is longer,
-/// and 0.7 s.
-const LONGEST_MS: f64 = 3000.0;
-/// All queries are answered so long before the end at the latest: the process may have been held up as it was told to end.
-const ANSWERED_BEFORE_MS: f64 = 150.0;
-/// What a searcher is told may be more than its client has left by so much.
+/// The platform ends a mixer at the earliest this long, or its longest query timeout if that is shorter, plus 0.7 s after it asked
+/// the mixer to end.
+const MAX_DRAIN_QUERY_MS: f64 = 3000.0;
+/// All queries are answered this long before the latest end, as the process may have been paused when it was asked to end.
+const ANSWERED_BEFORE_END_MS: f64 = 150.0;
+/// The time that a searcher is given may exceed what its client has left by this much.
 const DEADLINE_SLACK_MS: f64 = 150.0;
 
 /// Why an attempt is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendRefusal {
-    /// Its query was answered, or its client has gone.
+    /// Its query was answered, or its client has disconnected.
     QueryOver,
-    /// Its client's connection has ended, though nobody has told so yet.
+    /// Its client's connection has ended, although no input has reported that yet.
     ClientLeft,
-    /// What it would be waited for is over.
+    /// The time to wait for its answer is over.
     TimeIsUp,
-    /// The part's answer has come from another attempt.
+    /// Another attempt has brought the part's answer.
     PartAnswered,
-    /// An earlier attempt may have run and the class allows none after it.
+    /// An earlier attempt may have run, and the table type allows no repeats.
     MayHaveRun,
-    /// An earlier attempt may have run and the window for repeats is over.
+    /// An earlier attempt may have run, and the window for repeats is over.
     WindowPassed,
     /// More attempts than the deployment allows.
     AttemptsUsedUp,
     /// The searcher drains or is gone.
     SearcherNotReady,
-    /// The link leads to where the searcher was.
+    /// The link leads to the searcher's former address.
     SearcherMoved,
 }
 
@@ -62,35 +62,40 @@
 }
 
 impl SendRefusal {
-    /// Whether the decision module should not have asked for it, whatever happened while the attempt waited for its link.
+    /// Whether the decision module should not have requested the attempt, whatever happened while it waited for its link.
     pub(super) fn is_violation(self) -> bool {
         matches!(self, Self::MayHaveRun)
     }
 
-    /// Whether the decision module calls the attempt off by itself.
-    pub(super) fn is_called_off(self) -> bool {
+    /// Whether the decision module cancels the attempt by itself.
+    pub(super) fn is_cancelled_by_module(self) -> bool {
         matches!(self, Self::QueryOver | Self::ClientLeft | Self::PartAnswered)
     }
 }
 
-/// Whether the attempt with this number of a part, waited for until then, may be sent to a searcher on a link now, its first byte as
-/// well as the rest.
-pub(super) fn may_send(
-    part: &Part,
-    number: u8,
-    until: f64,
-    allowed: u32,
-    searcher: Option<&Searcher>,
-    link: &Link,
-    now: f64,
-) -> Result<(), SendRefusal> {
-    if u32::from(number) >= allowed {
+/// An attempt that is about to be sent on a link.
+pub(super) struct SendRequest<'a> {
+    pub(super) part: &'a Part,
+    /// The number of the attempt among those of its part.
+    pub(super) number: u8,
+    /// Until when its answer is waited for.
+    pub(super) wait_until: f64,
+    /// The number of attempts that the deployment allows for a part.
+    pub(super) max_attempts: u32,
+    pub(super) searcher: Option<&'a Searcher>,
+    pub(super) link: &'a Link,
+}
+
+/// Whether an attempt may be sent now.
+pub(super) fn may_send(request: &SendRequest, now: f64) -> Result<(), SendRefusal> {
+    let part = request.part;
+    if u32::from(request.number) >= request.max_attempts {
         return Err(SendRefusal::AttemptsUsedUp);
     }
     if part.value.is_some() {
         return Err(SendRefusal::PartAnswered);
     }
-    if now >= until {
+    if now >= request.wait_until {
         return Err(SendRefusal::TimeIsUp);
     }
     if part.may_have_run > 0 && part.repeat_until == f64::NEG_INFINITY {
@@ -99,20 +104,20 @@
     if part.may_have_run > 0 && now >= part.repeat_until {
         return Err(SendRefusal::WindowPassed);
     }
-    let searcher =
-        searcher.filter(|s| s.life == SearcherStatus::Ready).ok_or(SendRefusal::SearcherNotReady)?;
-    if searcher.addr != link.addr {
+    let is_ready = |searcher: &&Searcher| searcher.life == SearcherStatus::Ready;
+    let searcher = request.searcher.filter(is_ready).ok_or(SendRefusal::SearcherNotReady)?;
+    if searcher.addr != request.link.addr {
         return Err(SendRefusal::SearcherMoved);
     }
     Ok(())
 }
 
-/// Why a client's connection is closed, or is to be once what it sent is answered.
+/// Why a client's connection is closed, at once or after the answers to what it has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCloseReason {
-    /// Others need its place.
+    /// Another client needs its place.
     Room,
-    /// It rests, and half of the places are taken.
+    /// It is idle, and half of the places are taken.
     Crowded,
     /// The mixer drains.
     Draining,
@@ -123,94 +128,109 @@
 impl fmt::Display for ClientCloseReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::Room => "others need its place",
-            Self::Crowded => "it rests while places are scarce",
+            Self::Room => "another client needs its place",
+            Self::Crowded => "it is idle while places are scarce",
             Self::Draining => "the mixer drains",
-            Self::LastAnswerGiven => "it had its last answer and its time",
+            Self::LastAnswerGiven => "it had its last answer and its time to close",
         })
     }
 }
 
-/// Whether a client's connection may be closed now for that reason. One that awaits an answer may not.
+/// Whether a client's connection may be closed now for that reason. A client with an open scan may not.
 pub(super) fn may_close_client(client: &Client, reason: ClientCloseReason, draining: bool, now: f64) -> bool {
     if client.scan.is_some() {
         return false;
     }
-    let over = client.standing == ClientStanding::Over;
+    let is_finished = client.state == ClientState::Finished;
     match reason {
-        ClientCloseReason::Room | ClientCloseReason::Crowded => !client.hung,
-        ClientCloseReason::Draining => !over && !client.hung,
+        ClientCloseReason::Room | ClientCloseReason::Crowded => !client.closing,
+        ClientCloseReason::Draining => !is_finished && !client.closing,
         ClientCloseReason::LastAnswerGiven => {
-            // While draining, one that still sends has until it closes, or until the end.
-            let stays = client.slow || (client.sends && draining);
-            over && !stays && now >= client.since + LINGER_MS
+            // While draining, a client that still sends may stay until it closes, or until the end.
+            let stays = client.answer_delayed || (client.still_sends && draining);
+            is_finished && !stays && now >= client.state_since + LINGER_MS
         }
     }
 }
 
-/// Once hung up on, a client has what was read behind its request answered for so long: several slow ones, and no flood for ever.
-const BEHIND_MS: f64 = 1000.0;
+/// Requests that were buffered when their client's connection began to close are served for this long. That is enough for several
+/// slow ones, and a client that floods is not served for ever.
+const SERVE_BUFFERED_MS: f64 = 1000.0;
 
-/// Until when a client that is hung up on at `now` has what was read behind its request answered.
-pub(super) fn serves_behind_until(now: f64) -> f64 {
-    now + BEHIND_MS
+/// Until when the buffered requests of a client are served whose connection begins to close at `now`.
+pub(super) fn serves_buffered_until(now: f64) -> f64 {
+    now + SERVE_BUFFERED_MS
 }
 
-/// The same for the clients of a draining mixer: half of the time up to its end; the rest is for them to read it.
-pub(super) fn drain_serves_behind_until(listen_until: f64, until: f64) -> f64 {
-    let began = listen_until - LISTEN_MS;
-    began + (until - began) / 2.0
+/// The same for all clients of a draining mixer: half of the time up to its end. The other half is for reading the answers.
+pub(super) fn drain_serves_buffered_until(listen_until: f64, until: f64) -> f64 {
+    let began_at = listen_until - LISTEN_MS;
+    began_at + (until - began_at) / 2.0
 }
 
-/// Requests of a client that are refused after that, so that what was read is answered, and no flood is.
-const REFUSED_BEHIND: u32 = 16;
+/// Buffered requests of a client that are refused after that time. More would keep a client that floods connected.
+const MAX_BUFFERED_REFUSED: u32 = 16;
 
-/// Until when what a client sent behind its request is answered as usual, while the mixer drains or once it was hung up on.
+/// Until when the buffered requests of a client are served, if the mixer drains or the connection is closing.
 pub(super) fn serves_until(client: &Client, drain_serves_until: Option<f64>) -> Option<f64> {
-    drain_serves_until.into_iter().chain(client.hung_until).reduce(f64::min)
+    drain_serves_until.into_iter().chain(client.serves_buffered_until).reduce(f64::min)
 }
 
-/// Whether an answer to a client ends its connection. While draining (then until when what was read behind is served is given), or
-/// once hung up on, one whose further requests were read already has them answered first: served for a while, then some refused.
+/// Whether an answer to a client ends its connection. While the mixer drains (`drain_serves_until` is given) or the connection is
+/// closing, requests that were read already are answered first: served for a while, then some of them refused.
 pub(super) fn is_last_answer(client: &Client, drain_serves_until: Option<f64>, now: f64) -> bool {
-    let Some(until) = serves_until(client, drain_serves_until) else { return client.close };
-    let over = now >= until && client.refused_behind >= REFUSED_BEHIND;
-    client.close || !client.sent_behind || over
+    let Some(until) = serves_until(client, drain_serves_until) else { return client.close_after_answer };
+    let is_flooding = now >= until && client.buffered_refused >= MAX_BUFFERED_REFUSED;
+    client.close_after_answer || !client.has_buffered_data || is_flooding
+}
+
+/// Whether a query is refused because more requests are buffered behind it and the time to serve those is over.
+pub(super) fn is_buffered_refused(client: &Client, drain_serves_until: Option<f64>, now: f64) -> bool {
+    client.has_buffered_data && serves_until(client, drain_serves_until).is_some_and(|until| now >= until)
 }
 
-/// Whether a query is refused as it stands before others of a client whose time to have them served is over.
-pub(super) fn is_refused_before_others(client: &Client, drain_serves_until: Option<f64>, now: f64) -> bool {
-    client.sent_behind && serves_until(client, drain_serves_until).is_some_and(|until| now >= until)
+/// The schedule of a drain.
+pub(super) struct DrainTimes {
+    /// Until when new connections are served.
+    pub(super) listen_until: f64,
+    /// When everything has to be answered, as the platform waits no longer.
+    pub(super) until: f64,
 }
 
-/// When the end of a mixer asked to end at `now` begins and is over at the latest: until when new connections are served, and by
-/// when all has to be answered as the platform waits no longer.
-pub(super) fn drain_times(now: f64, longest_query_timeout_ms: f64) -> (f64, f64) {
-    (now + LISTEN_MS, now + longest_query_timeout_ms.min(LONGEST_MS) + LISTEN_MS)
+/// The schedule of a mixer that is asked to end at `now`.
+pub(super) fn drain_times(now: f64, longest_query_timeout_ms: f64) -> DrainTimes {
+    DrainTimes {
+        listen_until: now + LISTEN_MS,
+        until: now + longest_query_timeout_ms.min(MAX_DRAIN_QUERY_MS) + LISTEN_MS,
+    }
 }
 
-/// By when the queries of a draining mixer are answered whose end is at `until` at the latest; what is left is for slow clients.
+/// When all queries of a draining mixer are answered that ends at `until` at the latest. The remaining time is for slow clients.
 pub(super) fn drain_answers_until(until: f64) -> f64 {
-    until - ANSWERED_BEFORE_MS
+    until - ANSWERED_BEFORE_END_MS
 }
 
-/// Until when a client holds up the end of a draining mixer that stopped listening; `until`: by when the platform ends the process.
+/// Until when a client delays the end of a draining mixer that no longer listens. `until`: when the platform ends the process.
 ///
-/// Each client that has not had its last answer was hung up on by then. The thread that reads tells of its end, unless a request of it
-/// has begun to come, which may not be known here yet. What is not yet written, and who still sends, holds the end up as well.
-pub(super) fn client_holds_end_until(client: &Client, until: f64) -> f64 {
-    let is_over = client.standing == ClientStanding::Over;
-    if is_over && !client.slow && !client.sends { client.since + LINGER_MS } else { until }
+/// Every client without a last answer is being closed by then. The reading thread reports its end, unless a request has begun to
+/// arrive, which may not be known here yet. An answer that is not written yet, and a client that still sends, delay the end as well.
+pub(super) fn client_delays_end_until(client: &Client, until: f64) -> f64 {
+    let is_finished = client.state == ClientState::Finished;
+    if is_finished && !client.answer_delayed && !client.still_sends {
+        client.state_since + LINGER_MS
+    } else {
+        until
+    }
 }
 
-/// When a query is answered at the latest: nobody waits for longer than agreed, whatever time is given, nor beyond the end of a
-/// mixer that drains.
+/// When a query has to be answered: after the time that its client waits, at most the agreed query timeout, and before the end of a
+/// draining mixer.
 pub(super) fn query_deadline(now: f64, wait_ms: f64, query_timeout_ms: f64, ends_at: Option<f64>) -> f64 {
     let deadline_at = now + wait_ms.min(query_timeout_ms);
     ends_at.map_or(deadline_at, |ends_at| deadline_at.min(ends_at))
 }
 
-/// Whether a query of so many parts finds room beside what is open.
+/// Whether a query with that many parts fits under the cap on open queries and parts.
 pub(super) fn may_take_query(open: usize, parts: usize, cap: usize) -> bool {
     open + 1 + parts <= cap
 }
@@ -218,21 +238,21 @@
 /// Why a link to a searcher is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkCloseReason {
-    /// What was sent on it timed out and nothing came since.
+    /// Something sent on it timed out and nothing has arrived since.
     Silent,
-    /// The decision module doubts idle connections.
+    /// The decision module suspects that idle connections are broken.
     Doubted,
     /// Another searcher needs its place.
     Room,
-    /// Its searcher is at another address now.
+    /// Its searcher has another address now.
     Moved,
-    /// Idle for nearly as long as searchers keep connections.
+    /// Idle for nearly as long as searchers keep idle connections.
     Idle,
-    /// Its searcher takes nothing though something waits for that.
+    /// Its searcher accepts nothing although something waits to be written.
     Stuck,
-    /// What came on it can't be used.
+    /// Something unusable arrived on it.
     Unusable,
-    /// It ended by itself.
+    /// The searcher closed it, or it failed.
     Ended,
 }
 
@@ -251,26 +271,26 @@
     }
 }
 
-/// Whether a link may be closed now for that reason. Attempts that are out on it would end as reset.
+/// Whether a link may be closed now for that reason. Attempts that are open on it would end as reset.
 pub(super) fn may_close_link(link: &Link, reason: LinkCloseReason) -> bool {
-    let free = match reason {
+    let reason_allows = match reason {
         LinkCloseReason::Stuck | LinkCloseReason::Unusable | LinkCloseReason::Ended => true,
-        LinkCloseReason::Silent => link.calls.is_empty(),
-        _ => link.idle(),
+        LinkCloseReason::Silent => link.open_calls.is_empty(),
+        _ => link.is_idle(),
     };
-    free && link.standing != LinkStanding::Closing
+    reason_allows && link.state != LinkState::Closing
 }
 
-/// What must never happen, whatever is met outside.
+/// What must never happen, whatever clients, searchers and discovery do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// The decision module asked for a send that no crossing of events explains.
+    /// The decision module requested a send that no race between events explains.
     Send,
-    /// An answer for a client that awaits none.
+    /// An answer to a client that awaits none.
     Answer,
-    /// A searcher would have been told more time than its client has left.
+    /// A searcher would have been given more time than its client has left.
     Deadline,
-    /// A query was open when the process ended, or without a client that awaits its answer.
+    /// A client still awaited its answer when the process ended.
     Unanswered,
 }
 
@@ -285,7 +305,7 @@
     }
 }
 
-/// Whether a searcher may be told to have until then, where the client gives up at `deadline_at`.
-pub(super) fn is_within_deadline(told_until: f64, deadline_at: f64) -> bool {
-    told_until <= deadline_at + DEADLINE_SLACK_MS
+/// Whether a searcher may be given time until `wait_until` if the client gives up at `deadline_at`.
+pub(super) fn is_within_deadline(wait_until: f64, deadline_at: f64) -> bool {
+    wait_until <= deadline_at + DEADLINE_SLACK_MS
 }
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -1,6 +1,6 @@
-//! Connections to searchers: one thread connects and reads them all, as a thread for each made a hundred for each of
-//! the hundreds of mixers of a large fleet. What goes out on one is written by the service, which is told here when one that took
-//! no more has room again.
+//! Connections to searchers. One thread connects and reads them all: a thread for each connection made about a hundred threads in
+//! each of the hundreds of mixers of a large fleet. The service writes to searchers itself, and is told here when a blocked connection
+//! is writable again.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -19,157 +19,195 @@
 use crate::link::Shared;
 use crate::messages::MessageSender;
 
-/// Reads of one link in a row: who sends more waits until the others were read.
-const IN_A_ROW: usize = 16;
+/// Reads of one link in a row. If there is more to read, the other links are read first.
+const MAX_READS_IN_A_ROW: usize = 16;
+const MAX_EVENTS: usize = 256;
 
-const ORDERS: Token = Token(usize::MAX);
+const COMMANDS: Token = Token(usize::MAX);
 
-/// The way to the thread that connects and reads.
-pub struct Orders {
-    to: Sender<(u64, SocketAddrV4)>,
+/// A command to open a link.
+struct OpenLink {
+    link: u64,
+    addr: SocketAddrV4,
+}
+
+/// Has the thread that connects and reads open links.
+pub struct LinkOpener {
+    sender: Sender<OpenLink>,
     waker: Arc<Waker>,
 }
 
-impl Orders {
-    /// Opens a link; its end is told once. False where the thread has ended: then nobody tells of it.
+impl LinkOpener {
+    /// Opens a link, whose end is reported once. False if the thread has ended and will not report it.
     pub fn open(&self, link: u64, addr: SocketAddrV4) -> bool {
-        let given = self.to.send((link, addr)).is_ok();
+        let was_sent = self.sender.send(OpenLink { link, addr }).is_ok();
         let _ = self.waker.wake();
-        given
+        was_sent
     }
 }
 
 /// A link, as the thread holds it.
-struct Conn {
+struct Connection {
     addr: SocketAddrV4,
     shared: Arc<Shared>,
     up: bool,
     buffer: Buffer,
-    /// By when it has to be up, or a frame that has begun has to go on.
-    until: Option<Instant>,
+    /// When it has to be up, or when a frame that has begun to arrive has to go on.
+    deadline: Option<Instant>,
 }
 
 /// All connections to searchers.
 pub struct Searchers {
     poll: Poll,
-    links: HashMap<u64, Conn>,
+    connections: HashMap<u64, Connection>,
     /// Links that may have more to read.
-    more: Vec<u64>,
-    /// In so long a connection is up; a frame that has begun comes whole in less.
-    connect: Duration,
-    room: MemoryBudget,
-    given: Receiver<(u64, SocketAddrV4)>,
+    unfinished: Vec<u64>,
+    /// The time that a connection may take to come up, and that a frame may take between two pieces.
+    connect_timeout: Duration,
+    budget: MemoryBudget,
+    received: Receiver<OpenLink>,
     messages: MessageSender,
 }
 
 impl Searchers {
+    /// # Errors
+    /// If nothing can be polled.
     pub fn open(
-        connect: Duration,
-        room: MemoryBudget,
+        connect_timeout: Duration,
+        budget: MemoryBudget,
         messages: MessageSender,
-    ) -> io::Result<(Self, Orders)> {
+    ) -> io::Result<(Self, LinkOpener)> {
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), ORDERS)?);
-        let (to, given) = unbounded(); // one word for each link, of which descriptors allow so many
-        let (links, more) = (HashMap::new(), Vec::new());
-        Ok((Self { poll, links, more, connect, room, given, messages }, Orders { to, waker }))
+        let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
+        // One command for each link, whose number is limited by the descriptors, so this channel needs no bound.
+        let (sender, received) = unbounded();
+        let searchers = Self {
+            poll,
+            connections: HashMap::new(),
+            unfinished: Vec::new(),
+            connect_timeout,
+            budget,
+            received,
+            messages,
+        };
+        Ok((searchers, LinkOpener { sender, waker }))
     }
 
-    /// Runs for as long as the program does.
+    /// Runs for as long as the process does.
+    ///
+    /// # Errors
+    /// If polling fails.
     pub fn run(mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(256);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         loop {
-            let due = self.links.values().filter_map(|conn| conn.until).min();
-            let wait = due.map(|at| at.saturating_duration_since(Instant::now()));
-            let wait = if self.more.is_empty() { wait } else { Some(Duration::ZERO) };
-            match self.poll.poll(&mut events, wait) {
+            match self.poll.poll(&mut events, self.poll_wait()) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 other => other?,
             }
-            let mut ready = std::mem::take(&mut self.more);
+            let mut ready = std::mem::take(&mut self.unfinished);
             for event in &events {
                 match event.token() {
-                    ORDERS => self.obey(),
-                    Token(link) => {
+                    COMMANDS => self.run_commands(),
+                    Token(token) => {
+                        let link = token as u64;
                         if event.is_writable() {
-                            self.has_room(link as u64);
+                            self.report_writable(link);
                         }
-                        ready.push(link as u64);
+                        ready.push(link);
                     }
                 }
             }
             for link in ready {
-                let Some(conn) = self.links.get_mut(&link) else { continue };
-                match conn.turn(link, self.connect, &self.messages) {
-                    Ok(true) => self.more.push(link),
+                let Some(connection) = self.connections.get_mut(&link) else { continue };
+                match connection.handle_event(link, self.connect_timeout, &self.messages) {
+                    Ok(true) => self.unfinished.push(link),
                     Ok(false) => {}
-                    Err(why) => self.end(link, &why),
+                    Err(error) => self.end(link, &error),
                 }
             }
-            let now = Instant::now();
-            let late = self.links.iter().filter(|(_, conn)| conn.until.is_some_and(|at| at <= now));
-            for link in late.map(|(link, _)| *link).collect::<Vec<_>>() {
-                if self.links.get(&link).is_some_and(|conn| conn.up) {
-                    let bad = Some("a frame that does not end".to_owned());
-                    self.messages.send(Input::Frames { link, frames: Vec::new(), error: bad });
-                }
-                self.end(link, &ErrorKind::TimedOut.into());
+            self.end_overdue();
+        }
+    }
+
+    fn poll_wait(&self) -> Option<Duration> {
+        if !self.unfinished.is_empty() {
+            return Some(Duration::ZERO);
+        }
+        let deadline = self.connections.values().filter_map(|connection| connection.deadline).min();
+        deadline.map(|at| at.saturating_duration_since(Instant::now()))
+    }
+
+    fn end_overdue(&mut self) {
+        let now = Instant::now();
+        let is_overdue = |connection: &Connection| connection.deadline.is_some_and(|at| at <= now);
+        let overdue = self.connections.iter().filter(|(_, connection)| is_overdue(connection));
+        for link in overdue.map(|(link, _)| *link).collect::<Vec<_>>() {
+            if self.connections.get(&link).is_some_and(|connection| connection.up) {
+                let error = Some("a frame that does not end".to_owned());
+                self.messages.send(Input::Frames { link, frames: Vec::new(), error });
             }
+            self.end(link, &ErrorKind::TimedOut.into());
         }
     }
 
-    fn has_room(&self, link: u64) {
-        if self.links.get(&link).is_some_and(|conn| conn.shared.take_awaits_room()) {
+    fn report_writable(&self, link: u64) {
+        if self.connections.get(&link).is_some_and(|connection| connection.shared.take_blocked()) {
             self.messages.send(Input::LinkWritable { link });
         }
     }
 
-    fn obey(&mut self) {
-        while let Ok((link, addr)) = self.given.try_recv() {
-            match self.begin(link, addr) {
-                Ok(conn) => drop(self.links.insert(link, conn)),
-                Err(why) => {
-                    debug!("{addr}: {why}");
-                    self.over(link);
+    fn run_commands(&mut self) {
+        while let Ok(OpenLink { link, addr }) = self.received.try_recv() {
+            match self.connect(link, addr) {
+                Ok(connection) => drop(self.connections.insert(link, connection)),
+                Err(error) => {
+                    debug!("{addr}: {error}");
+                    self.report_closed(link);
                 }
             }
         }
     }
 
-    fn begin(&self, link: u64, addr: SocketAddrV4) -> io::Result<Conn> {
+    fn connect(&self, link: u64, addr: SocketAddrV4) -> io::Result<Connection> {
         let mut stream = TcpStream::connect(SocketAddr::V4(addr))?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(link as usize), interest)?;
-        let (buffer, until) = (Buffer::new(&self.room), Some(Instant::now() + self.connect));
-        Ok(Conn { addr, shared: Arc::new(Shared::new(stream)), up: false, buffer, until })
+        let deadline = Some(Instant::now() + self.connect_timeout);
+        let buffer = Buffer::new(&self.budget);
+        Ok(Connection { addr, shared: Arc::new(Shared::new(stream)), up: false, buffer, deadline })
     }
 
-    fn end(&mut self, link: u64, why: &io::Error) {
-        if let Some(conn) = self.links.remove(&link) {
-            debug!("{}: {why}", conn.addr);
-            let _ = conn.shared.stream.shutdown(Shutdown::Both); // it may have ended, or never come up
-            self.over(link);
+    fn end(&mut self, link: u64, error: &io::Error) {
+        if let Some(connection) = self.connections.remove(&link) {
+            debug!("{}: {error}", connection.addr);
+            let _ = connection.shared.stream.shutdown(Shutdown::Both); // fails if it has ended, or never came up
+            self.report_closed(link);
         }
     }
 
-    fn over(&self, link: u64) {
-        self.messages.send(Input::LinkClosed { link, frames_written: 0 }); // the service knows how many were
+    fn report_closed(&self, link: u64) {
+        self.messages.send(Input::LinkClosed { link, frames_written: 0 }); // the service fills in the number of frames
     }
 }
 
 impl Drop for Searchers {
-    /// Tells of the end of all links however the thread ends, a panic included.
+    /// Reports the end of all links however the thread ends, even by a panic.
     fn drop(&mut self) {
-        let given: Vec<u64> = self.given.try_iter().map(|order| order.0).collect();
-        for link in self.links.keys().copied().chain(given) {
-            self.over(link);
+        let not_opened: Vec<u64> = self.received.try_iter().map(|command| command.link).collect();
+        for link in self.connections.keys().copied().chain(not_opened) {
+            self.report_closed(link);
         }
     }
 }
 
-impl Conn {
-    /// Goes on with what has happened on it; whether there may be more to read, or why it ends.
-    fn turn(&mut self, link: u64, whole_in: Duration, messages: &MessageSender) -> io::Result<bool> {
+impl Connection {
+    /// Handles an event: whether there may be more to read, or why the connection ends.
+    fn handle_event(
+        &mut self,
+        link: u64,
+        frame_timeout: Duration,
+        messages: &MessageSender,
+    ) -> io::Result<bool> {
         if !self.up {
             if let Some(error) = self.shared.stream.take_error()? {
                 return Err(error);
@@ -180,13 +218,14 @@
                 Err(error) => return Err(error),
             }
             self.shared.stream.set_nodelay(true)?;
-            (self.up, self.until) = (true, None);
-            messages.link(link, self.shared.clone());
+            self.up = true;
+            self.deadline = None;
+            messages.send_link_up(link, self.shared.clone());
         }
-        for _ in 0..IN_A_ROW {
+        for _ in 0..MAX_READS_IN_A_ROW {
             match self.buffer.fill(&mut &self.shared.stream) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(_) => self.frames(link, whole_in, messages)?,
+                Ok(_) => self.report_frames(link, frame_timeout, messages)?,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(error) => return Err(error),
             }
@@ -194,8 +233,13 @@
         Ok(true)
     }
 
-    /// Tells of the frames that have come whole.
-    fn frames(&mut self, link: u64, whole_in: Duration, messages: &MessageSender) -> io::Result<()> {
+    /// Reports the frames that have arrived completely.
+    fn report_frames(
+        &mut self,
+        link: u64,
+        frame_timeout: Duration,
+        messages: &MessageSender,
+    ) -> io::Result<()> {
         let mut frames = Vec::new();
         loop {
             match frame::decode(self.buffer.bytes()) {
@@ -204,17 +248,17 @@
                     frames.push(frame);
                 }
                 Ok(None) => break,
-                // What came before is told with it, so that nothing new goes out on the link in between.
-                Err(why) => {
-                    messages.send(Input::Frames { link, frames, error: Some(why.clone()) });
-                    return Err(io::Error::other(why));
+                // The frames before it are reported with the error, so that nothing new is sent on the link in between.
+                Err(reason) => {
+                    messages.send(Input::Frames { link, frames, error: Some(reason.clone()) });
+                    return Err(io::Error::other(reason));
                 }
             }
         }
         if !frames.is_empty() {
             messages.send(Input::Frames { link, frames, error: None });
         }
-        self.until = (!self.buffer.bytes().is_empty()).then(|| Instant::now() + whole_in);
+        self.deadline = (!self.buffer.bytes().is_empty()).then(|| Instant::now() + frame_timeout);
         Ok(())
     }
 }
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -1,8 +1,9 @@
-//! The program: opens what it needs, runs the reducer on what comes in, carries out its effects, and closes.
+//! The service: opens what it needs, runs the reducer on the inputs of the other threads, and carries out its effects.
 
 mod writes;
 
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -14,281 +15,306 @@
 use signal_hook::iterator::Signals;
 use tracing::{debug, info, warn};
 
-use crate::announcing::Announcing;
+use crate::announcer::Announcer;
 use crate::buffer::MemoryBudget;
 use crate::client::Clients;
+use crate::client_handle::{ClientHandle, CommandSender};
 use crate::clock::Clock;
-use crate::copies::Copies;
-use crate::discovery::{self, Watch, Watches};
+use crate::discovery::{self, Watch, WatchStatus};
+use crate::fleet::FleetMember;
 use crate::inputs::{Effect, Input, Phase};
-use crate::line::{Line, Orders};
 use crate::link::Link;
-use crate::listener::{listen, local};
+use crate::listener::{listen, local_addr};
 use crate::log;
-use crate::messages::{Message, MessageSender, STACK, spawn};
+use crate::messages::{Message, MessageSender, STACK_BYTES, spawn};
 use crate::outbox::Outbox;
 use crate::pauses::PauseDetector;
 use crate::reducer::Reducer;
-use crate::searcher::{self, Searchers};
-use crate::signals::{Hearing, Reloaders};
+use crate::searcher::{LinkOpener, Searchers};
+use crate::signals::{Reloaders, SignalThread};
 
-/// Inputs that may wait to be heard: whoever sends more, faster than they are taken, waits. The one thread that
-/// takes them sends none.
-const WAITING: usize = 128;
-/// Of the memory stated, what the buffers of clients may grow to in sum, those of searchers, and frames that they have taken in part.
-const BUFFERS: usize = 8;
-/// Inputs that are taken together in one turn at most, so that no burst holds up what is due.
-const TOGETHER: usize = 256;
+/// Messages that may wait to be received. A thread that sends more, faster than they are received, waits. The service's own thread,
+/// which receives them, sends none.
+const MAX_WAITING_MESSAGES: usize = 128;
+/// The buffers of clients, the buffers of searchers, and the partly written frames may each take this fraction of the configured
+/// memory.
+const MEMORY_FRACTION: usize = 8;
+/// Messages that are received in one turn at most, so that no burst delays what is due.
+const MAX_INPUTS_PER_TURN: usize = 256;
 
-/// The threads that read stood still as well: before anything is sent by the time it is now, what they have to tell is heard for
-/// so long.
+/// After a pause of the process, inputs are received for this long before anything is sent by the current time, as the reading
+/// threads were paused too and still have to report what happened.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
-/// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, `Ready`, `Draining`, `Closed`.
+/// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, then `Ready`, `Draining`, `Closed`.
 pub struct Service {
     clock: Clock,
     reducer: Reducer,
-    received: Receiver<Message>,
+    inbox: Receiver<Message>,
     messages: MessageSender,
-    orders: Orders,
-    clients: HashMap<u64, Line>,
+    client_commands: CommandSender,
+    clients: HashMap<u64, ClientHandle>,
     links: HashMap<u64, Link>,
-    searchers: searcher::Orders,
-    watches: Arc<Watches>,
-    /// What the service itself has met and the reducer is still to hear.
-    met: Vec<(f64, Input)>,
+    link_opener: LinkOpener,
+    watch_status: Arc<WatchStatus>,
+    /// Inputs from the service itself, for the reducer's next step.
+    own_inputs: Vec<(f64, Input)>,
     outbox: Outbox,
-    /// What frames that searchers have taken in part may hold in sum.
-    rests: MemoryBudget,
+    /// What the partly written frames of all links may take.
+    partial_frames: MemoryBudget,
     pauses: PauseDetector,
-    /// The process stood still since inputs were last heard.
-    stood_still: bool,
-    announcing: Announcing,
-    copies: Copies,
+    /// The process was paused since inputs were last received.
+    was_paused: bool,
+    announcer: Announcer,
+    fleet: FleetMember,
 }
 
-/// Prints the counters of the reducer, and others.
-fn print_counters(counters: &str, others: &str) {
-    log::print(&format!("{counters}log_texts_dropped {}\n{others}", log::dropped()));
+/// Inputs for one step of the reducer.
+struct Inputs {
+    inputs: Vec<(f64, Input)>,
+    /// They include what happened while the process was paused.
+    caught_up: bool,
+}
+
+fn print_counters(counters: &str, other_counters: &str) {
+    log::print(&format!("{counters}log_texts_dropped {}\n{other_counters}", log::dropped()));
+}
+
+/// Sets the list held before the start, if there is one. Returns the version that the first watch begins with: zero without a held
+/// list, as the first list that a watch sends is a whole one. With a held list it is `None`, and the whole list is requested.
+fn restore_list(reducer: &mut Reducer, known: &serde_json::Value, now: f64) -> Option<u64> {
+    match discovery::list(known) {
+        Ok(list) if list.entries.is_empty() => Some(list.index),
+        Ok(list) => {
+            reducer.set_cached_list(now, list);
+            None
+        }
+        Err(error) => {
+            if !known.is_null() {
+                warn!("known can't be read: {error:#}");
+            }
+            Some(0)
+        }
+    }
 }
 
 impl Service {
-    /// Opens what it needs; the signals it goes by must be caught before, so that none ends it meanwhile.
+    /// Opens sockets and starts threads. The signal handlers must be registered before, so that no signal kills the process
+    /// meanwhile.
+    ///
+    /// # Errors
+    /// If a socket or a thread can't be had, or the process is asked to end before it can listen.
     pub fn open(
         mut start: Start,
         settings: &Settings,
         mut signals: Signals,
-        again: Reloaders,
+        reloaders: Reloaders,
     ) -> Result<Self> {
         let clock = Clock::start();
-        let (to, received) = bounded(WAITING);
-        let messages = MessageSender { to, clock };
-        let connect = Duration::from_secs_f64(start.terms.connect_timeout_ms.max(1.0) / 1000.0);
+        let (sender, inbox) = bounded(MAX_WAITING_MESSAGES);
+        let messages = MessageSender { sender, clock };
+        let connect_timeout = Duration::from_secs_f64(start.terms.connect_timeout_ms.max(1.0) / 1000.0);
         if start.terms.types.iter().any(|t| t.has_second_step) {
             warn!("table types with a second step are answered from the first: the protocol states no other");
         }
-        let copies = Copies::open(settings, &mut start, &messages)?;
+        let fleet = FleetMember::open(settings, &mut start, &messages)?;
         let mut reducer = Reducer::new(start.terms.clone(), start.seed, start.sockets);
-        // Without a list of ours the first that the watch tells is whole; else it is asked for.
-        let mut index = Some(0);
-        match discovery::list(&start.known) {
-            Ok(list) if list.entries.is_empty() => index = Some(list.index),
-            Ok(list) => {
-                index = None;
-                reducer.set_cached_list(clock.now(), list);
-            }
-            Err(error) if !start.known.is_null() => warn!("known can't be read: {error:#}"),
-            Err(_) => {}
-        }
+        let index = restore_list(&mut reducer, &start.known, clock.now());
         reducer.set_discovery(start.discovery);
-        // Before the signals are heard: a fault in it is told at the start, like any other.
-        let announcing =
-            Announcing::open(settings, reducer.type_names(), start.seed, &messages, copies.way())?;
-        let watches = Arc::new(Watches::default());
-        let first = Watch { number: 0, at: start.discovery, index };
-        let (told, counted) = (messages.clone(), watches.clone());
-        spawn("discovery", STACK, move || first.run(&counted, &told))?;
-        let (listener, missed) = listen(start.listen.into(), &mut signals)?;
-        let (at, places) = (local(&listener)?, reducer.client_places());
-        let (ours, room) =
-            (MemoryBudget::new(start.memory / BUFFERS), MemoryBudget::new(start.memory / BUFFERS));
-        let clients =
-            Clients::open(listener, places, ours, messages.clone()).context("connections of clients")?;
-        let orders = clients.orders();
-        spawn("clients", STACK, move || {
+        // Before the signal thread starts, so that an error in its settings is reported at the start like any other.
+        let announcer =
+            Announcer::open(settings, reducer.type_names(), start.seed, &messages, fleet.handle())?;
+        let watch_status = Arc::new(WatchStatus::default());
+        let first_watch = Watch { number: 0, addr: start.discovery, index };
+        let (watch_messages, status) = (messages.clone(), watch_status.clone());
+        spawn("discovery", STACK_BYTES, move || first_watch.run(&status, &watch_messages))?;
+        let (listener, missed_signals) = listen(start.listen.into(), &mut signals)?;
+        let listen_addr = local_addr(&listener)?;
+        let max_connections = reducer.max_client_connections();
+        let budget = || MemoryBudget::new(start.memory / MEMORY_FRACTION);
+        let clients = Clients::open(listener, max_connections, budget(), messages.clone())
+            .context("connections of clients")?;
+        let client_commands = clients.commands();
+        spawn("clients", STACK_BYTES, move || {
             if let Err(error) = clients.run() {
                 tracing::error!("connections of clients: {error}");
             }
         })?;
-        let (links, searchers) =
-            Searchers::open(connect, room, messages.clone()).context("connections to searchers")?;
-        spawn("searchers", STACK, move || {
-            if let Err(error) = links.run() {
+        let (searchers, link_opener) = Searchers::open(connect_timeout, budget(), messages.clone())
+            .context("connections to searchers")?;
+        spawn("searchers", STACK_BYTES, move || {
+            if let Err(error) = searchers.run() {
                 tracing::error!("connections to searchers: {error}");
             }
         })?;
-        info!("{} listens on {at}", start.name);
-        let rests = MemoryBudget::new(start.memory / BUFFERS);
-        let hearing = Hearing::new(signals, missed, start, again, messages.clone());
-        spawn("signals", STACK, move || hearing.run())?;
-        let (clients, links, met) = (HashMap::new(), HashMap::new(), Vec::new());
+        info!("{} listens on {listen_addr}", start.name);
+        let partial_frames = budget();
+        let signal_thread = SignalThread::new(signals, missed_signals, start, reloaders, messages.clone());
+        spawn("signals", STACK_BYTES, move || signal_thread.run())?;
         Ok(Self {
             clock,
             reducer,
-            received,
+            inbox,
             messages,
-            orders,
-            clients,
-            links,
-            searchers,
-            watches,
-            met,
+            client_commands,
+            clients: HashMap::new(),
+            links: HashMap::new(),
+            link_opener,
+            watch_status,
+            own_inputs: Vec::new(),
             outbox: Outbox::default(),
-            rests,
+            partial_frames,
             pauses: PauseDetector::new(clock.now()),
-            stood_still: false,
-            announcing,
-            copies,
+            was_paused: false,
+            announcer,
+            fleet,
         })
     }
 
-    /// Runs until it is asked to end and all is answered.
+    /// Runs until the process is asked to end and everything is answered.
     pub fn run(mut self) -> Result<()> {
         while self.reducer.phase() != Phase::Closed {
-            let (inputs, caught_up) = self.receive_all();
-            let heard_at = self.clock.now();
-            let effects = self.reducer.step(heard_at, inputs);
+            let Inputs { inputs, caught_up } = self.receive_inputs();
+            let received_at = self.clock.now();
+            let effects = self.reducer.step(received_at, inputs);
             effects.into_iter().for_each(|effect| self.carry_out(effect));
             let paused = self.pauses.check(self.clock.now(), 0.0);
-            // Not twice in a row: a machine that takes so long over each step sends all the same.
+            // Not twice in a row: a machine on which every step takes this long still has to send.
             if paused && !caught_up {
-                self.stood_still = true;
+                self.was_paused = true;
             } else {
-                self.write_waiting();
+                self.write_queued();
             }
             let now = self.clock.now();
-            self.announcing.report(now, &self.watches, &self.reducer);
-            self.copies.look(now, &self.reducer);
+            self.announcer.report_health(now, &self.watch_status, &self.reducer);
+            self.fleet.share(now, &self.reducer);
         }
-        let counts = self.announcing.counts() + &self.copies.counts();
-        self.announcing.end();
-        self.copies.leave();
-        print_counters(&self.reducer.counters().to_string(), &counts);
+        let counters = self.announcer.counters() + &self.fleet.counters();
+        self.announcer.end();
+        self.fleet.leave();
+        print_counters(&self.reducer.counters().to_string(), &counters);
         Ok(())
     }
 
-    /// How long there is nothing to do, if nothing is told.
-    fn rests_for(&self) -> Duration {
-        if !self.met.is_empty() || !self.outbox.is_empty() || self.stood_still {
+    /// How long to wait for a message until something is due.
+    fn time_to_wait(&self) -> Duration {
+        if !self.own_inputs.is_empty() || !self.outbox.is_empty() || self.was_paused {
             return Duration::ZERO;
         }
-        let report = Some(self.announcing.due()).filter(|at| at.is_finite());
-        let look = Some(self.copies.due()).filter(|at| at.is_finite());
-        let due = self.reducer.next_timer_at().into_iter().chain(report).chain(look).reduce(f64::min);
-        due.map_or(Duration::MAX, |at| self.clock.until(at))
+        let timer = self.reducer.next_timer_at();
+        let report = Some(self.announcer.next_report_at()).filter(|at| at.is_finite());
+        let share = Some(self.fleet.next_share_at()).filter(|at| at.is_finite());
+        let due_at = timer.into_iter().chain(report).chain(share).reduce(f64::min);
+        due_at.map_or(Duration::MAX, |at| self.clock.until(at))
     }
 
-    /// Waits until something is told or due, and takes all that was; whether what came while the process stood still is among it.
-    fn receive_all(&mut self) -> (Vec<(f64, Input)>, bool) {
-        let wait = self.rests_for();
-        let mut inputs = std::mem::take(&mut self.met);
-        if let Ok(message) = self.received.recv_timeout(wait) {
+    /// Waits until a message arrives or something is due, and receives what has arrived.
+    fn receive_inputs(&mut self) -> Inputs {
+        let wait = self.time_to_wait();
+        let mut inputs = std::mem::take(&mut self.own_inputs);
+        if let Ok(message) = self.inbox.recv_timeout(wait) {
             self.receive(message, &mut inputs);
         }
         let paused = self.pauses.check(self.clock.now(), wait.as_secs_f64() * 1000.0);
-        while inputs.len() < TOGETHER
-            && let Ok(message) = self.received.try_recv()
+        while inputs.len() < MAX_INPUTS_PER_TURN
+            && let Ok(message) = self.inbox.try_recv()
         {
             self.receive(message, &mut inputs);
         }
-        // Whoever tells of a pause does so before all that it meets after it.
-        let catches_up = std::mem::take(&mut self.stood_still) || paused;
-        if catches_up {
+        // A thread reports a pause before everything that it finds after it.
+        let caught_up = std::mem::take(&mut self.was_paused) || paused;
+        if caught_up {
             self.catch_up(&mut inputs);
         }
-        (inputs, catches_up)
+        Inputs { inputs, caught_up }
     }
 
-    /// Hears what was told while the process stood still.
+    /// Receives what happened while the process was paused.
     fn catch_up(&mut self, inputs: &mut Vec<(f64, Input)>) {
-        debug!("the process stood still: what came meanwhile is heard first");
+        debug!("the process was paused: inputs from that time are received first");
         inputs.push((self.clock.now(), Input::ProcessPaused));
         let until = Instant::now() + CATCH_UP;
-        while let Ok(message) = self.received.recv_deadline(until) {
+        while let Ok(message) = self.inbox.recv_deadline(until) {
             self.receive(message, inputs);
         }
-        self.stood_still = false; // the thread of clients has told of the same pause, or of one that is over as well
+        self.was_paused = false; // the clients' thread has reported the same pause, or one that is over as well
     }
 
     fn receive(&mut self, message: Message, inputs: &mut Vec<(f64, Input)>) {
         match message {
-            Message::Client(at, conn, line) => {
-                self.clients.insert(conn, line);
+            Message::ClientConnected { at, conn, handle } => {
+                self.clients.insert(conn, handle);
                 inputs.push((at, Input::ClientConnected { conn }));
             }
-            Message::Link(at, link, stream) => {
+            Message::LinkUp { at, link, shared } => {
                 if let Some(held) = self.links.get_mut(&link) {
-                    held.up(stream);
+                    held.set_up(shared);
                     inputs.push((at, Input::LinkUp { link }));
                 }
             }
-            Message::Input(_, Input::ProcessPaused) => self.stood_still = true,
-            Message::Input(at, Input::LinkWritable { link }) => {
-                self.outbox.add(link);
-                inputs.push((at, Input::LinkWritable { link }));
+            Message::Input { at, input } => self.receive_input(at, input, inputs),
+            Message::RoutesWithdrawn => {
+                if self.announcer.routes_withdrawn() {
+                    inputs.push((self.clock.now(), Input::Stop));
+                }
             }
-            Message::Input(at, Input::LinkClosed { link, .. }) => {
-                let written = self.links.remove(&link).map_or(0, |held| held.written);
-                inputs.push((at, Input::LinkClosed { link, frames_written: written }));
+            Message::StatusRequested(sender) => {
+                let _ = sender.send(self.reducer.module_status().to_string()); // fails if the console no longer waits
             }
-            // What leads clients here goes first.
-            Message::Input(at, Input::Stop) => {
-                self.copies.ends();
-                if self.announcing.stop() {
-                    inputs.push((at, Input::Stop));
+            Message::SettingsReloaded(read) => {
+                let applied = read.and_then(|settings| {
+                    self.fleet.settings_reloaded(&settings);
+                    self.announcer.change(&settings, &self.messages)
+                });
+                if let Err(reason) = applied {
+                    warn!("the operator's file changes nothing: {reason}");
                 }
             }
-            Message::RoutesLeft => {
-                if self.announcing.left() {
-                    inputs.push((self.clock.now(), Input::Stop));
-                }
+        }
+    }
+
+    fn receive_input(&mut self, at: f64, input: Input, inputs: &mut Vec<(f64, Input)>) {
+        match input {
+            Input::ProcessPaused => self.was_paused = true,
+            Input::LinkWritable { link } => {
+                self.outbox.add(link);
+                inputs.push((at, Input::LinkWritable { link }));
             }
-            Message::Beliefs(to) => {
-                let _ = to.send(self.reducer.beliefs().to_string()); // or nobody waits any more
+            Input::LinkClosed { link, .. } => {
+                let frames_written = self.links.remove(&link).map_or(0, |held| held.frames_written);
+                inputs.push((at, Input::LinkClosed { link, frames_written }));
             }
-            Message::Settings(read) => {
-                let read = read.and_then(|settings| {
-                    self.copies.change(&settings);
-                    self.announcing.change(&settings, &self.messages)
-                });
-                if let Err(why) = read {
-                    warn!("the operator's file changes nothing: {why}");
+            // Routes that lead clients here are withdrawn before the mixer stops.
+            Input::Stop => {
+                self.fleet.announce_end();
+                if self.announcer.stop() {
+                    inputs.push((at, Input::Stop));
                 }
             }
-            Message::Input(at, input) => inputs.push((at, input)),
+            input => inputs.push((at, input)),
         }
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { conn, bytes, last } => {
-                if let Some(line) = self.clients.get_mut(&conn)
-                    && !line.say(bytes, last)
+                if let Some(client) = self.clients.get_mut(&conn)
+                    && !client.answer(bytes, last)
                 {
-                    self.met.push((self.clock.now(), Input::AnswerDelayed { conn }));
+                    self.own_inputs.push((self.clock.now(), Input::AnswerDelayed { conn }));
                 }
             }
             Effect::CloseClient { conn } => {
-                if let Some(line) = self.clients.get(&conn) {
-                    line.hang_up();
+                if let Some(client) = self.clients.get(&conn) {
+                    client.close();
                 }
             }
             Effect::ReleaseClient { conn } => drop(self.clients.remove(&conn)),
             Effect::Connect { link, addr } => {
-                if self.searchers.open(link, addr) {
+                if self.link_opener.open(link, addr) {
                     self.links.insert(link, Link::default());
                 } else {
-                    self.met.push((self.clock.now(), Input::LinkClosed { link, frames_written: 0 }));
+                    self.own_inputs.push((self.clock.now(), Input::LinkClosed { link, frames_written: 0 }));
                 }
             }
             Effect::Send { link } => self.outbox.add(link),
@@ -304,19 +330,21 @@
                     link.close();
                 }
             }
-            Effect::StopListening => self.orders.stop_listening(),
-            Effect::StartWatch { number, addr: at } => {
-                self.watches.wanted.store(number, Ordering::Release);
-                let watch = Watch { number, at, index: None };
-                let (told, watches) = (self.messages.clone(), self.watches.clone());
-                if let Err(error) = spawn("discovery", STACK, move || watch.run(&watches, &told)) {
-                    warn!("no thread for a watch: {error}");
-                }
-            }
-            Effect::WatchActivated { watch } => self.watches.heard.store(watch, Ordering::Release),
+            Effect::StopListening => self.client_commands.stop_listening(),
+            Effect::StartWatch { number, addr } => self.start_watch(number, addr),
+            Effect::WatchActivated { watch } => self.watch_status.active.store(watch, Ordering::Release),
             Effect::PrintCounters(text) => {
-                print_counters(&text, &(self.announcing.counts() + &self.copies.counts()))
+                print_counters(&text, &(self.announcer.counters() + &self.fleet.counters()));
             }
         }
     }
+
+    fn start_watch(&self, number: u64, addr: SocketAddrV4) {
+        self.watch_status.newest.store(number, Ordering::Release);
+        let watch = Watch { number, addr, index: None };
+        let (messages, status) = (self.messages.clone(), self.watch_status.clone());
+        if let Err(error) = spawn("discovery", STACK_BYTES, move || watch.run(&status, &messages)) {
+            warn!("no thread for a watch: {error}");
+        }
+    }
 }
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -1,27 +1,27 @@
-//! The service's writes to searchers: what is sent is worked out, checked and begun in one go, and nobody is waited for.
+//! Writes to searchers. A frame is produced, checked and begun in one go, and no write waits.
 
 use super::Service;
+use crate::client_handle::ClientHandle;
 use crate::inputs::Input;
-use crate::line::Line;
-use crate::link::Written;
-use crate::outbox::{self, Slice};
+use crate::link::WriteOutcome;
+use crate::outbox::{self, WriteSlice};
 
 /// What is to be written next on a link.
 enum Next {
     Frame(Vec<u8>),
     Nothing,
-    /// The process was held up while a frame was worked out, which waits on.
+    /// The process was held up while the frame was produced. The frame is queued again.
     Stale,
 }
 
 impl Service {
-    /// Writes what waits for links, as long as what was heard last still counts.
-    pub(super) fn write_waiting(&mut self) {
-        let slice = Slice::new(self.clock.now());
+    /// Writes what is queued for links, for as long as the inputs received last are recent enough.
+    pub(super) fn write_queued(&mut self) {
+        let slice = WriteSlice::new(self.clock.now());
         while let Some(link) = self.outbox.first() {
             let now = self.clock.now();
             if self.pauses.check(now, 0.0) {
-                self.stood_still = true;
+                self.was_paused = true;
                 return;
             }
             if slice.is_over(now) {
@@ -33,50 +33,52 @@
         }
     }
 
-    /// Writes the next frame of a link, or the rest of one; false if nothing more can be written on it for now.
-    pub(super) fn write_next(&mut self, id: u64) -> bool {
-        let Some(link) = self.links.get_mut(&id).filter(|link| !link.awaits_room()) else { return false };
-        let written = if link.has_rest() {
+    /// Writes the next frame of a link, or the rest of a partly written one; false if nothing more can be written on it for now.
+    pub(super) fn write_next(&mut self, link_id: u64) -> bool {
+        let Some(link) = self.links.get_mut(&link_id).filter(|link| !link.is_blocked()) else { return false };
+        let outcome = if link.has_partial_frame() {
             link.write_rest()
         } else {
-            match self.next_frame(id) {
+            match self.next_frame(link_id) {
                 Next::Nothing => return false,
                 Next::Stale => return true,
-                Next::Frame(frame) => match self.links.get_mut(&id) {
-                    Some(link) => link.write(frame, &self.rests),
+                Next::Frame(frame) => match self.links.get_mut(&link_id) {
+                    Some(link) => link.write(frame, &self.partial_frames),
                     None => return false,
                 },
             }
         };
-        if written == Written::NotBegun {
-            self.reducer.return_frame(id);
+        if outcome == WriteOutcome::NotBegun {
+            self.reducer.return_frame(link_id);
         }
-        if matches!(written, Written::Partly | Written::Stalled | Written::NotBegun) {
-            let made_progress = written == Written::Partly;
-            self.met.push((self.clock.now(), Input::LinkBlocked { link: id, made_progress }));
+        if matches!(outcome, WriteOutcome::Partial | WriteOutcome::Stalled | WriteOutcome::NotBegun) {
+            let made_progress = outcome == WriteOutcome::Partial;
+            self.own_inputs.push((self.clock.now(), Input::LinkBlocked { link: link_id, made_progress }));
         }
-        written == Written::Whole
+        outcome == WriteOutcome::Complete
     }
 
-    /// The next frame of a link. It has to begin at once: between the last look at its clients and the write nothing may stand, not
-    /// even a look at the clock.
-    fn next_frame(&mut self, id: u64) -> Next {
-        let mut left = Vec::new();
+    /// The next frame of a link. Its write has to begin at once: nothing may come between the last look at its clients and the
+    /// write, not even a look at the clock.
+    fn next_frame(&mut self, link_id: u64) -> Next {
+        let mut disconnected = Vec::new();
         loop {
             let now = self.clock.now();
-            let Some(frame) = self.reducer.next_frame(now, id, &left) else { return Next::Nothing };
+            let Some(frame) = self.reducer.next_frame(now, link_id, &disconnected) else {
+                return Next::Nothing;
+            };
             if !outbox::may_begin(now, self.clock.now()) {
-                self.reducer.return_frame(id);
+                self.reducer.return_frame(link_id);
                 return Next::Stale;
             }
             let clients = &self.clients;
-            let has_left = |conn: &u64| clients.get(conn).is_none_or(Line::has_left);
-            let gone: Vec<u64> = frame.clients.iter().copied().filter(has_left).collect();
-            if gone.is_empty() {
+            let has_left = |conn: &u64| clients.get(conn).is_none_or(ClientHandle::has_disconnected);
+            let newly_disconnected: Vec<u64> = frame.clients.iter().copied().filter(has_left).collect();
+            if newly_disconnected.is_empty() {
                 return Next::Frame(frame.bytes);
             }
-            self.reducer.return_frame(id);
-            left.extend(gone);
+            self.reducer.return_frame(link_id);
+            disconnected.extend(newly_disconnected);
         }
     }
 }
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -1,4 +1,4 @@
-//! The thread that hears the signals a mixer goes by: reports, new configurations, the end.
+//! The thread that handles signals: to print the counters, to reload the configuration, to end.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,22 +13,21 @@
 use crate::inputs::Input;
 use crate::messages::{Message, MessageSender};
 
-/// A configuration that can't be read as it stands may still be written: it is read again for so long, well within the 4 s in which
-/// a new one has to count.
-const BEING_WRITTEN: Duration = Duration::from_millis(1500);
-/// How often.
-const AGAIN: Duration = Duration::from_millis(50);
+/// An unreadable configuration may still be being written: it is read again for this long, well within the 4 s after which a new one
+/// has to take effect.
+const RELOAD_TIMEOUT: Duration = Duration::from_millis(1500);
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reads files anew, for a mixer that runs.
+/// Read the files of a running mixer again.
 #[derive(Clone, Copy)]
 pub struct Reloaders {
-    /// The platform's, of a mixer that was started on this one.
+    /// Reads the platform's configuration, for a mixer that was started with the given one.
     pub config: fn(&Start) -> Result<Change>,
-    /// The operator's own.
+    /// Reads the operator's own file.
     pub settings: fn() -> Result<Settings>,
 }
 
-/// Catches the signals that a mixer goes by.
+/// Registers handlers for the signals that a mixer handles.
 ///
 /// # Errors
 /// If the system refuses a handler.
@@ -36,34 +35,34 @@
     Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).context("signals")
 }
 
-/// Whether a signal asks for the end.
-pub fn is_end(signal: i32) -> bool {
+/// Whether a signal asks the process to end.
+pub fn is_stop(signal: i32) -> bool {
     matches!(signal, SIGTERM | SIGINT)
 }
 
-/// Hears signals, one after the other.
-pub struct Hearing {
+/// Handles signals, one after the other.
+pub struct SignalThread {
     signals: Signals,
-    /// Those that have come and were not heard yet.
+    /// Signals that have arrived and are not handled yet.
     waiting: VecDeque<i32>,
     start: Start,
-    again: Reloaders,
+    reloaders: Reloaders,
     messages: MessageSender,
 }
 
-impl Hearing {
-    /// `missed`: those that came before, in their order.
+impl SignalThread {
+    /// `missed_signals`: those that arrived before, in their order.
     pub fn new(
         signals: Signals,
-        missed: Vec<i32>,
+        missed_signals: Vec<i32>,
         start: Start,
-        again: Reloaders,
+        reloaders: Reloaders,
         messages: MessageSender,
     ) -> Self {
-        Self { signals, waiting: missed.into(), start, again, messages }
+        Self { signals, waiting: missed_signals.into(), start, reloaders, messages }
     }
 
-    /// Runs for as long as the program does.
+    /// Runs for as long as the process does.
     pub fn run(mut self) {
         loop {
             while self.waiting.is_empty() {
@@ -81,32 +80,34 @@
         }
     }
 
-    /// Reads both files anew.
+    /// Reads both files again.
     fn reload(&mut self) -> Input {
-        let settings = (self.again.settings)().map(Box::new);
-        let settings = Message::Settings(settings.map_err(|error| format!("{error:#}")));
-        let _ = self.messages.to.send(settings); // or the program has ended
+        let settings = (self.reloaders.settings)().map(Box::new);
+        let message = Message::SettingsReloaded(settings.map_err(|error| format!("{error:#}")));
+        let _ = self.messages.sender.send(message); // fails once the service has ended
         let since = Instant::now();
         loop {
-            match (self.again.config)(&self.start) {
+            match (self.reloaders.config)(&self.start) {
                 Err(error)
-                    if is_unreadable(&error) && since.elapsed() < BEING_WRITTEN && !self.is_to_end() =>
+                    if is_unreadable(&error)
+                        && since.elapsed() < RELOAD_TIMEOUT
+                        && !self.has_stop_waiting() =>
                 {
-                    std::thread::sleep(AGAIN);
+                    std::thread::sleep(RELOAD_RETRY_INTERVAL);
                 }
                 read => return Input::ConfigReloaded(read.map_err(|error| format!("{error:#}"))),
             }
         }
     }
 
-    /// Whether it was asked to end meanwhile.
-    fn is_to_end(&mut self) -> bool {
+    /// Whether the process was asked to end meanwhile.
+    fn has_stop_waiting(&mut self) -> bool {
         self.waiting.extend(self.signals.pending());
-        self.waiting.iter().any(|signal| is_end(*signal))
+        self.waiting.iter().any(|signal| is_stop(*signal))
     }
 }
 
-/// Whether a file could not be read, or not as what it is: one that is whole and wrong is told at once.
+/// Whether a file could not be read or is not JSON. An error in a complete file is reported at once.
 fn is_unreadable(error: &Error) -> bool {
     error.chain().any(|cause| cause.is::<io::Error>() || cause.is::<serde_json::Error>())
 }
--- a/crates/mixer/src/stream.rs
+++ b/crates/mixer/src/stream.rs
@@ -1,10 +1,10 @@
-//! Writing to a connection that never waits.
+//! Writing to a connection without waiting.
 
 use std::io::{self, ErrorKind, Write};
 
 use mio::net::TcpStream;
 
-/// Writes what is taken now, which may be nothing; how much that was.
+/// Writes what the other side accepts now, which may be nothing; the number of bytes.
 ///
 /// # Errors
 /// If the connection can't be written to any more.
