--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -1,4 +1,4 @@
-//! Announces this mixer's service addresses by BGP. The operator's file becomes the speaker's terms, the speaker is told what the
+//! Announces this mixer's service addresses by BGP. The operator's file becomes the speaker's configuration, the speaker is told what the
 //! mixer can serve, and a drain is delayed until no route leads here any more. Off unless the operator's file enables it. The
 //! console is opened here too.
 
@@ -8,14 +8,16 @@
 use std::sync::atomic::Ordering;
 
 use anyhow::{Context, Result};
-use pewterwharf_bgp::announce::{Address, Health, Phase as Announced, Terms as AnnounceTerms, served};
+use pewterwharf_bgp::announce::{
+    AnnounceConfig, Health, Phase as AnnouncerPhase, ServiceAddress, servable_share,
+};
 use pewterwharf_bgp::message::Family;
 use pewterwharf_bgp::session;
-use pewterwharf_bgp::speaker::{Carried, Peer, Terms};
-use pewterwharf_console::{Console, Said};
+use pewterwharf_bgp::speaker::{AttributeConfig, PeerConfig, SpeakerConfig};
+use pewterwharf_console::{Console, Reply};
 use pewterwharf_mesh::{FleetStatus, MeshHandle};
-use pewterwharf_settings::{Bgp, BgpPeer, Settings, near};
-use pewterwharf_speaker::{Show, Speaker};
+use pewterwharf_settings::{BgpPeer, BgpSettings, Settings, nearest_name};
+use pewterwharf_speaker::{Speaker, StatusHandle};
 use tracing::warn;
 
 use crate::discovery::WatchStatus;
@@ -47,7 +49,7 @@
     scans_taken: u64,
     scans_throttled: u64,
     /// The share of scans throttled between the last two times.
-    pressure: f64,
+    throttled_share: f64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -59,21 +61,26 @@
     Draining,
 }
 
-fn peer_terms(bgp: &Bgp, peer: &BgpPeer) -> Peer {
-    let session = session::Terms {
+fn peer_config(bgp: &BgpSettings, peer: &BgpPeer) -> PeerConfig {
+    let session = session::SessionConfig {
         asn: bgp.asn,
-        id: bgp.id,
+        bgp_id: bgp.id,
         peer_asn: peer.asn,
-        hold_s: peer.hold_s,
+        hold_time_s: peer.hold_time_s,
         families: vec![Family::V4, Family::V6],
         connects: !peer.passive,
-        retry_ms: peer.retry_ms,
-        idle_ms: peer.rest_ms,
-        most_routes: u64::from(peer.routes),
+        connect_retry_ms: peer.connect_retry_ms,
+        idle_hold_ms: peer.idle_hold_ms,
+        max_prefixes: u64::from(peer.max_routes),
     };
     let next_hop_if = |is_family: bool| Some(peer.next_hop).filter(|_| is_family);
     let is_v4 = matches!(peer.next_hop, IpAddr::V4(_));
-    Peer { address: peer.address, session, next_hop_v4: next_hop_if(is_v4), next_hop_v6: next_hop_if(!is_v4) }
+    PeerConfig {
+        address: peer.address,
+        session,
+        next_hop_v4: next_hop_if(is_v4),
+        next_hop_v6: next_hop_if(!is_v4),
+    }
 }
 
 /// The indices of table types among those that the platform names.
@@ -81,7 +88,7 @@
     let index_of = |name: &String| {
         let index = type_names.iter().position(|t| t == name);
         index.ok_or_else(|| {
-            let hint = near(name, type_names.iter().map(String::as_str));
+            let hint = nearest_name(name, type_names.iter().map(String::as_str));
             let hint = hint.map(|other| format!("; did you mean {other}?")).unwrap_or_default();
             format!("bgp announce table-types: {name} is no table type of this mixer{hint}")
         })
@@ -89,33 +96,33 @@
     named.iter().map(index_of).collect()
 }
 
-fn speaker_terms(bgp: &Bgp, type_names: &[String]) -> Result<Terms, String> {
+fn speaker_config(bgp: &BgpSettings, type_names: &[String]) -> Result<SpeakerConfig, String> {
     let mut addresses = Vec::new();
     for address in &bgp.addresses {
         let table_types = type_indices(&address.table_types, type_names)?;
-        addresses.push(Address { prefix: address.prefix, table_types, keep_last: address.keep_last });
+        addresses.push(ServiceAddress { prefix: address.prefix, table_types, keep_last: address.keep_last });
     }
-    Ok(Terms {
-        peers: bgp.peers.iter().map(|peer| peer_terms(bgp, peer)).collect(),
-        announce: AnnounceTerms {
+    Ok(SpeakerConfig {
+        peers: bgp.peers.iter().map(|peer| peer_config(bgp, peer)).collect(),
+        announce: AnnounceConfig {
             addresses,
-            up_share: bgp.up.0,
-            down_share: bgp.down.0,
-            up_ms: bgp.up.1,
-            down_ms: bgp.down.1,
-            stale_ms: bgp.stale_ms,
-            pressure: bgp.pressure,
-            changes: bgp.changes,
-            depreferenced_ms: bgp.drain.0,
-            leave_ms: bgp.drain.1,
+            up_share: bgp.up.share,
+            down_share: bgp.down.share,
+            up_delay_ms: bgp.up.after_ms,
+            down_delay_ms: bgp.down.after_ms,
+            max_list_age_ms: bgp.stale_ms,
+            max_rejected_share: bgp.pressure,
+            max_changes_per_minute: bgp.changes,
+            depreferenced_ms: bgp.drain.depreferenced_ms,
+            withdrawn_ms: bgp.drain.withdrawn_ms,
         },
-        carried: Carried {
+        attributes: AttributeConfig {
             communities: bgp.communities.clone(),
-            large: bgp.large.clone(),
-            med: bgp.med.0,
-            depreferenced_med: bgp.med.1,
-            local_pref: bgp.local_pref.0,
-            depreferenced_pref: bgp.local_pref.1,
+            large_communities: bgp.large_communities.clone(),
+            med: bgp.med.preferred,
+            depreferenced_med: bgp.med.depreferenced,
+            local_pref: bgp.local_pref.preferred,
+            depreferenced_local_pref: bgp.local_pref.depreferenced,
             prepend: bgp.prepend,
         },
     })
@@ -123,21 +130,21 @@
 
 /// What the console's answers are made from.
 struct ConsoleSources {
-    announcements: Option<Show>,
+    announcements: Option<StatusHandle>,
     type_names: Vec<String>,
     messages: MessageSender,
     fleet: Option<MeshHandle>,
 }
 
 impl ConsoleSources {
-    fn answer(&self, question: &str) -> Said {
+    fn answer(&self, question: &str) -> Reply {
         match (question, &self.announcements) {
             ("fleet show", _) => Ok(self.fleet_status()?.to_string()),
             ("fleet show --json", _) => Ok(self.fleet_status()?.to_json() + "\n"),
             ("bgp show", Some(announcements)) => {
-                let shown = announcements.ask().ok_or("the speaker does not answer")?;
+                let status = announcements.status().ok_or("the speaker does not answer")?;
                 let type_names = self.type_names.join(" ");
-                Ok(format!("{shown}table types, in the order above\n  {type_names}\n"))
+                Ok(format!("{status}table types, in the order above\n  {type_names}\n"))
             }
             ("bgp show", None) => Err("bgp is not set in the operator's file".to_owned()),
             ("beliefs", _) => {
@@ -156,11 +163,11 @@
 }
 
 impl ActiveSpeaker {
-    fn start(bgp: &Bgp, terms: Terms, seed: u64, messages: &MessageSender) -> Result<Self> {
-        let speaker = Speaker::start(terms, bgp.listen, seed).context("bgp")?;
-        let (may_stop, messages) = (speaker.may_stop().clone(), messages.clone());
+    fn start(bgp: &BgpSettings, config: SpeakerConfig, seed: u64, messages: &MessageSender) -> Result<Self> {
+        let speaker = Speaker::start(config, bgp.listen, seed).context("bgp")?;
+        let (drain_complete, messages) = (speaker.drain_complete().clone(), messages.clone());
         spawn("routes left", STACK_BYTES, move || {
-            if may_stop.recv().is_ok() {
+            if drain_complete.recv().is_ok() {
                 messages.send_routes_withdrawn();
             }
         })?;
@@ -170,40 +177,41 @@
             next_report_at: 0.0,
             scans_taken: 0,
             scans_throttled: 0,
-            pressure: 0.0,
+            throttled_share: 0.0,
         })
     }
 
     fn report_health(&mut self, now: f64, watch_status: &WatchStatus, reducer: &Reducer) {
         self.next_report_at = now + REPORT_INTERVAL_MS;
         let phase = match reducer.phase() {
-            Phase::Starting => Announced::Opening,
-            Phase::Ready => Announced::Ready,
-            Phase::Draining { .. } => Announced::Draining,
-            Phase::Closed => Announced::Closed,
+            Phase::Starting => AnnouncerPhase::Opening,
+            Phase::Ready => AnnouncerPhase::Ready,
+            Phase::Draining { .. } => AnnouncerPhase::Draining,
+            Phase::Closed => AnnouncerPhase::Closed,
         };
         let counters = reducer.counters();
         let taken = counters.scans_taken - self.scans_taken;
         let throttled = counters.scans_throttled - self.scans_throttled;
         if taken >= MIN_SCANS {
-            self.pressure = throttled as f64 / taken as f64;
+            self.throttled_share = throttled as f64 / taken as f64;
             self.scans_taken = counters.scans_taken;
             self.scans_throttled = counters.scans_throttled;
         }
         let usable = reducer.usable_slice_share();
+        let servable_shares = reducer
+            .table_types()
+            .iter()
+            .map(|t| servable_share(usable, t.required_weight, t.minimum_weight))
+            .collect();
         let last_received_ms = watch_status.last_received_ms.load(Ordering::Acquire);
         // Until a watch has received anything, the list is one from before the start, whose age is unknown.
         let list_age_ms =
             if last_received_ms == 0 { f64::INFINITY } else { (now - last_received_ms as f64).max(0.0) };
-        self.speaker.health(Health {
+        self.speaker.report_health(Health {
             phase,
-            usable: reducer
-                .table_types()
-                .iter()
-                .map(|t| served(usable, t.required_weight, t.minimum_weight))
-                .collect(),
-            pressure: self.pressure,
-            places: reducer.has_room_for_client(),
+            servable_shares,
+            rejected_share: self.throttled_share,
+            has_client_capacity: reducer.has_room_for_client(),
             list_age_ms,
         });
     }
@@ -229,8 +237,8 @@
             fleet,
         };
         if let Some(bgp) = &settings.bgp {
-            let terms = speaker_terms(bgp, type_names).map_err(anyhow::Error::msg)?;
-            announcer.active = Some(ActiveSpeaker::start(bgp, terms, seed, messages)?);
+            let config = speaker_config(bgp, type_names).map_err(anyhow::Error::msg)?;
+            announcer.active = Some(ActiveSpeaker::start(bgp, config, seed, messages)?);
         }
         announcer.open_console(settings, messages)?;
         Ok(announcer)
@@ -241,7 +249,7 @@
         self.console_path.clone_from(&settings.console);
         if let Some(path) = &settings.console {
             let sources = ConsoleSources {
-                announcements: self.active.as_ref().map(|active| active.speaker.shows()),
+                announcements: self.active.as_ref().map(|active| active.speaker.status_handle()),
                 type_names: self.type_names.clone(),
                 messages: messages.clone(),
                 fleet: self.fleet.clone(),
@@ -260,23 +268,23 @@
         if self.stop != StopProgress::NotRequested {
             return Err("the mixer is about to end".to_owned());
         }
-        let new = settings.bgp.as_ref().map(|bgp| speaker_terms(bgp, &self.type_names)).transpose()?;
+        let new = settings.bgp.as_ref().map(|bgp| speaker_config(bgp, &self.type_names)).transpose()?;
         let was_active = self.active.is_some();
         match (&mut self.active, settings.bgp.as_ref().zip(new)) {
-            (Some(active), Some((bgp, terms))) => {
+            (Some(active), Some((bgp, config))) => {
                 if bgp.listen != active.listen {
                     warn!("bgp listen has changed: it counts from the next start");
                 }
-                active.speaker.change(terms);
+                active.speaker.configure(config);
             }
-            (slot @ None, Some((bgp, terms))) => {
-                let started = ActiveSpeaker::start(bgp, terms, self.seed, messages);
+            (slot @ None, Some((bgp, config))) => {
+                let started = ActiveSpeaker::start(bgp, config, self.seed, messages);
                 *slot = Some(started.map_err(|error| format!("{error:#}"))?);
             }
             (slot @ Some(_), None) => {
                 if let Some(active) = slot.take() {
                     // In a thread of its own: closing the sessions takes time, and scans go on meanwhile.
-                    let end = move || active.speaker.end("bgp was taken out of the operator's file");
+                    let end = move || active.speaker.shutdown("bgp was taken out of the operator's file");
                     spawn("bgp end", STACK_BYTES, end).map_err(|error| error.to_string())?;
                 }
             }
@@ -311,7 +319,7 @@
                 self.stop = StopProgress::WithdrawingRoutes;
                 active.speaker.drain();
             }
-            (StopProgress::WithdrawingRoutes, Some(active)) => active.speaker.hurry(),
+            (StopProgress::WithdrawingRoutes, Some(active)) => active.speaker.drain_now(),
             (StopProgress::Draining, _) => {}
         }
         self.stop == StopProgress::Draining
@@ -331,7 +339,7 @@
     /// Counters of the announcements, one a line; empty without a speaker.
     pub fn counters(&self) -> String {
         let mut text = String::new();
-        for (name, count) in self.active.iter().flat_map(|active| active.speaker.counts().named()) {
+        for (name, count) in self.active.iter().flat_map(|active| active.speaker.counters().named()) {
             let _ = writeln!(text, "{name} {count}"); // writing to a String never fails
         }
         text
@@ -339,6 +347,6 @@
 
     /// Ends all sessions.
     pub fn end(self) {
-        self.active.into_iter().for_each(|active| active.speaker.end("the mixer has drained"));
+        self.active.into_iter().for_each(|active| active.speaker.shutdown("the mixer has drained"));
     }
 }
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result, ensure};
 use pewterwharf_mesh::{LocalReport, LocalStatus, Mesh, MeshConfig, MeshHandle};
 use pewterwharf_replica::Advice;
-use pewterwharf_settings::{Fleet, Settings};
-use pewterwharf_terms::Start;
+use pewterwharf_settings::{FleetSettings, Settings};
+use pewterwharf_terms::StartupConfig;
 use tracing::{info, warn};
 
 use crate::inputs::Input;
@@ -36,7 +36,7 @@
 /// This mixer's membership in its fleet, if it has one.
 pub struct FleetMember {
     active: Option<ActiveMember>,
-    section: Option<Fleet>,
+    section: Option<FleetSettings>,
 }
 
 struct ActiveMember {
@@ -50,14 +50,14 @@
     shared_usage: Vec<usize>,
 }
 
-fn mesh_config(fleet: &Fleet, seed: u64) -> MeshConfig {
+fn mesh_config(fleet: &FleetSettings, seed: u64) -> MeshConfig {
     MeshConfig {
         fleet: fleet.name.clone(),
-        local_name: fleet.me.clone(),
+        local_name: fleet.own_name.clone(),
         listen: fleet.listen,
         peers: fleet.peers.iter().map(|p| (p.name.clone(), p.address)).collect(),
         seed,
-        tombstone_ttl_ms: fleet.forget_ms,
+        tombstone_ttl_ms: fleet.tombstone_ttl_ms,
     }
 }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
-    pub fn open(settings: &Settings, start: &mut Start, messages: &MessageSender) -> Result<Self> {
+    pub fn open(settings: &Settings, start: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
         let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, section: None }) };
         let config = mesh_config(fleet, start.seed);
         let left = start.sockets.saturating_sub(config.max_descriptors());
@@ -83,7 +83,7 @@
         };
         let mesh =
             Mesh::start(config, on_advice).with_context(|| format!("fleet listen {}", fleet.listen))?;
-        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.me, fleet.name, mesh.local_addr());
+        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.own_name, fleet.name, mesh.local_addr());
         let active = ActiveMember {
             mesh,
             shared: BTreeMap::new(),
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -7,7 +7,7 @@
 use pewterwharf_mixer::service::Service;
 use pewterwharf_mixer::signals::{self, Reloaders};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::{Change, Start};
+use pewterwharf_terms::{ConfigChange, StartupConfig};
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
@@ -36,16 +36,16 @@
 }
 
 /// Reads the configuration again, for a mixer that was started with `start`.
-fn reload_config(start: &Start) -> Result<Change> {
+fn reload_config(start: &StartupConfig) -> Result<ConfigChange> {
     let ConfigFile { path, text } = read_config_file()?;
-    start.again(&text, env_var).with_context(|| format!("in {path}"))
+    start.reload(&text, env_var).with_context(|| format!("in {path}"))
 }
 
 fn run() -> Result<()> {
     let signals = signals::register_handlers()?;
     let ConfigFile { path, text } = read_config_file()?;
-    let mut start = Start::read(&text, env_var).with_context(|| format!("in {path}"))?;
-    start.hold_to(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
+    let mut start = StartupConfig::read(&text, env_var).with_context(|| format!("in {path}"))?;
+    start.apply_descriptor_limit(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
     let reloaders = Reloaders { config: reload_config, settings: read_settings };
     Service::open(start, &read_settings()?, signals, reloaders)?.run()
 }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -18,7 +18,7 @@
 use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, SearcherStatus, TableType};
 use pewterwharf::logic::Mixer;
 use pewterwharf::report::{MixerStatus, ObservedSearcher};
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
 
@@ -56,7 +56,7 @@
 
 pub struct Reducer {
     module: Mixer,
-    terms: Terms,
+    config: MixerConfig,
     phase: Phase,
     max_clients: usize,
     max_links: usize,
@@ -92,18 +92,18 @@
 
 impl Reducer {
     /// `sockets`: the limit on open file descriptors.
-    pub fn new(terms: Terms, seed: u64, sockets: usize) -> Self {
+    pub fn new(config: MixerConfig, seed: u64, sockets: usize) -> Self {
         let half = sockets.saturating_sub(OTHER_DESCRIPTORS + CLIENTS_IN_TRANSITION) / 2;
-        let mut terms = terms;
-        for table_type in &mut terms.types {
+        let mut config = config;
+        for table_type in &mut config.table_types {
             // The protocol does not state how a second step is sent, so none is started.
             table_type.has_second_step = false;
         }
-        let names = terms.type_names.iter().cloned();
+        let names = config.table_type_names.iter().cloned();
         let by_type = names.map(|name| TableTypeCounters { name, ..TableTypeCounters::default() }).collect();
         Self {
-            module: terms.open(seed),
-            terms,
+            module: config.open(seed),
+            config,
             phase: Phase::Starting,
             max_clients: half,
             max_links: half,
@@ -163,16 +163,16 @@
     }
 
     pub fn customer_names(&self) -> &[String] {
-        &self.terms.customer_names
+        &self.config.customer_names
     }
 
     pub fn table_types(&self) -> &[TableType] {
-        &self.terms.types
+        &self.config.table_types
     }
 
     /// The names of the table types, in the same order.
     pub fn type_names(&self) -> &[String] {
-        &self.terms.type_names
+        &self.config.table_type_names
     }
 
     /// When [`Reducer::step`] has to be called next, if nothing happens before.
@@ -405,7 +405,7 @@
             for action in self.module.handle_events(now, events) {
                 self.perform(now, action, &mut dispatched);
             }
-            let parts_per_call = self.terms.layout.parts_per_call.max(1) as usize;
+            let parts_per_call = self.config.layout.parts_per_call.max(1) as usize;
             for (searcher, attempt_ids) in dispatched {
                 for call in attempt_ids.chunks(parts_per_call) {
                     self.queue_call(now, searcher, call);
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -36,7 +36,7 @@
         let attempt =
             Attempt { part_name, link: 0, call: 0, searcher, dispatched_at: now, wait_until, frame: None };
         self.attempts.insert(attempt_id, attempt);
-        if u32::from(attempt_id.number) >= self.terms.permits.max_dispatches {
+        if u32::from(attempt_id.number) >= self.config.permissions.max_dispatches {
             self.refuse_send(now, attempt_id, SendRefusal::AttemptsUsedUp);
             return None;
         }
@@ -73,7 +73,8 @@
                 let expects_other = |name: &&Rc<str>| {
                     link.expected.get(*name).is_some_and(|other| *other != ExpectedAnswer::Duplicate)
                 };
-                link.open_calls.len() < self.terms.calls_per_link && !part_names.iter().any(expects_other)
+                link.open_calls.len() < self.config.max_calls_per_connection
+                    && !part_names.iter().any(expects_other)
             })
         };
         let link_id = usable_links.iter().find(has_room).copied().or_else(|| self.connect(now, searcher));
@@ -108,7 +109,7 @@
     /// Ends an attempt that is no longer waited for, and tells its searcher where the deployment allows that.
     pub(super) fn cancel_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
-        if attempt.frame.is_some() && self.terms.permits.cancel {
+        if attempt.frame.is_some() && self.config.permissions.cancel {
             let (link_id, part_name) = (attempt.link, attempt.part_name.clone());
             self.enqueue(link_id, QueuedFrame::Cancel(part_name));
         }
@@ -185,7 +186,7 @@
                 self.receive_answer(now, attempt_id, verdict, value, busy);
             }
             // Without permission to probe, answers to probes carry no information.
-            Frame::Probe(None) if self.terms.permits.probe => {
+            Frame::Probe(None) if self.config.permissions.probe => {
                 self.reject_frame(now, link_id, "a probe's answer of unknown words");
             }
             Frame::Probe(verdict) => self.receive_probe_answer(now, link_id, verdict),
@@ -209,7 +210,7 @@
         if let Some(part) = self.parts.get_mut(&attempt_id.part).filter(|_| outcome == DispatchOutcome::Ok) {
             part.value.get_or_insert(value);
         }
-        let busy = busy.filter(|_| self.terms.busy_at.is_some());
+        let busy = busy.filter(|_| self.config.load_share_index.is_some());
         self.end_attempt_with_load(now, attempt_id, outcome, busy);
     }
 
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -194,17 +194,16 @@
     /// Checks the names, shards and id that a scan gives.
     fn check_scan(&self, ask: &ScanAsk) -> Result<ScanIds, Rejection> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let table_type = index_of(&self.terms.type_names, &ask.table_type).ok_or_else(|| Rejection {
-            status: 404,
-            reason: format!("no table type {:?}", ask.table_type),
+        let table_type = index_of(&self.config.table_type_names, &ask.table_type).ok_or_else(|| {
+            Rejection { status: 404, reason: format!("no table type {:?}", ask.table_type) }
         })?;
         let customer = match &ask.customer {
-            _ if self.terms.customers.is_empty() => 0,
+            _ if self.config.customers.is_empty() => 0,
             None => return Err(Rejection { status: 400, reason: "Req-Owner is missing".to_owned() }),
-            Some(name) => index_of(&self.terms.customer_names, name)
+            Some(name) => index_of(&self.config.customer_names, name)
                 .ok_or_else(|| Rejection { status: 400, reason: format!("no customer {name:?}") })?,
         };
-        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.terms.shards) {
+        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.config.shard_count) {
             return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
         }
         // Answers of searchers carry nothing but the part's name, which is made of the request's id.
@@ -238,13 +237,13 @@
             self.counters.scans_throttled += 1;
             self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"closing\n");
+            return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"closing\n");
         }
-        if !rules::may_take_query(open, ask.parts.len(), self.terms.open_cap) {
+        if !rules::may_take_query(open, ask.parts.len(), self.config.max_open) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, conn, 503, self.terms.permits.retry_after_ms, b"full\n");
+            return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"full\n");
         }
         self.start_scan(now, conn, ask, ids);
     }
@@ -254,14 +253,14 @@
         let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
         let number = self.scan_number;
-        let query_timeout_ms = self.terms.types[table_type].query_timeout_ms;
+        let query_timeout_ms = self.config.table_types[table_type].query_timeout_ms;
         let answers_until = self.drain_answers_until();
         let deadline_at = rules::query_deadline(now, ask.wait_ms, query_timeout_ms, answers_until);
         let work: Option<Vec<f64>> = ask.parts.iter().map(|p| p.work_ms).collect();
         let work_ms = work.map(|w| w.iter().sum());
         let retry = ask.retry;
         self.events.push(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry });
-        let repeat_until = match self.terms.types[table_type].idempotency {
+        let repeat_until = match self.config.table_types[table_type].idempotency {
             Idempotency::Replayable => f64::INFINITY,
             Idempotency::Keyed { window_ms } => now + window_ms,
             Idempotency::NonReplayable => f64::NEG_INFINITY,
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -42,7 +42,8 @@
                     Phase::Draining { listen_until: now, listening: true, until: now + rules::LINGER_MS };
             }
             Phase::Starting | Phase::Ready => {
-                let longest_ms = self.terms.types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
+                let longest_ms =
+                    self.config.table_types.iter().map(|t| t.query_timeout_ms).fold(0.0, f64::max);
                 let DrainTimes { listen_until, until } = rules::drain_times(now, longest_ms);
                 self.enter_phase(Phase::Draining { listen_until, listening: true, until });
                 self.add_timer(listen_until, Timer::DrainStep);
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -126,7 +126,7 @@
                 link.addr,
                 link.queue.len()
             );
-            self.add_timer(now + self.terms.connect_timeout_ms, Timer::LinkStuck(link_id));
+            self.add_timer(now + self.config.connect_timeout_ms, Timer::LinkStuck(link_id));
         }
         self.add_timer(retry_at, Timer::LinkWriteRetry(link_id));
     }
@@ -145,7 +145,7 @@
 
     pub(super) fn close_if_stuck(&mut self, now: f64, link_id: u64) {
         let since = self.links.get(&link_id).and_then(|link| link.blocked_since);
-        if since.is_some_and(|since| now >= since + self.terms.connect_timeout_ms) {
+        if since.is_some_and(|since| now >= since + self.config.connect_timeout_ms) {
             self.close_link(link_id, LinkCloseReason::Stuck);
         }
     }
@@ -207,7 +207,7 @@
             part,
             number: attempt_id.number,
             wait_until: attempt.wait_until,
-            max_attempts: self.terms.permits.max_dispatches,
+            max_attempts: self.config.permissions.max_dispatches,
             searcher: self.searchers.get(&attempt.searcher),
             link,
         };
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -34,7 +34,7 @@
             return self.events.push(Event::ProbeEnded { searcher, outcome, took_ms: 0.0 });
         };
         let number = self.next_id();
-        self.add_timer(now + self.terms.connect_timeout_ms, Timer::ProbeTimeout { link: link_id, number });
+        self.add_timer(now + self.config.connect_timeout_ms, Timer::ProbeTimeout { link: link_id, number });
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.probes.push_back(Probe { number, sent_at: now, frame: None, reported: false });
         self.enqueue(link_id, QueuedFrame::Probe);
@@ -140,14 +140,14 @@
             self.close_link(link_id, LinkCloseReason::Moved);
         } else if !link.idle_timer_set {
             link.idle_timer_set = true;
-            self.add_timer(now + IDLE_SHARE * self.terms.idle_ms, Timer::LinkIdle(link_id));
+            self.add_timer(now + IDLE_SHARE * self.config.idle_close_ms, Timer::LinkIdle(link_id));
         }
     }
 
     pub(super) fn close_if_idle(&mut self, now: f64, link_id: u64) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.idle_timer_set = false;
-        let until = link.idle_since + IDLE_SHARE * self.terms.idle_ms;
+        let until = link.idle_since + IDLE_SHARE * self.config.idle_close_ms;
         if link.is_idle() && now >= until {
             self.close_link(link_id, LinkCloseReason::Idle);
         } else if link.is_idle() {
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use pewterwharf::interface::{DispatchOutcome, Event, ListKind, ListedSearcher, SearcherStatus};
-use pewterwharf_terms::Change;
+use pewterwharf_terms::ConfigChange;
 use pewterwharf_terms::list::{Entry, List};
 use tracing::info;
 
@@ -65,7 +65,7 @@
     }
 
     /// Applies a new configuration: a new place of discovery at once, anything else at the next start.
-    pub(super) fn reload_config(&mut self, now: f64, change: Result<Change, String>) {
+    pub(super) fn reload_config(&mut self, now: f64, change: Result<ConfigChange, String>) {
         let change = match change {
             Ok(change) => change,
             Err(reason) => {
@@ -75,8 +75,8 @@
         };
         self.counters.reloads += 1;
         info!("the configuration was read anew, discovery is at {}", change.discovery);
-        if !change.at_restart.is_empty() {
-            let keys = change.at_restart.join(", ");
+        if !change.needs_restart.is_empty() {
+            let keys = change.needs_restart.join(", ");
             self.warn(now, &format!("{keys} changed in the configuration: they count from the next start"));
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
@@ -154,7 +154,8 @@
             None if life == SearcherStatus::Gone => return None,
             None => self.add_searcher(Searcher { name, addr, life, started_at: since, links: Vec::new() }),
         };
-        let zone = self.terms.zones.iter().position(|z| *z == zone).unwrap_or(self.terms.zones.len()) as u16;
+        let zone =
+            self.config.zones.iter().position(|z| *z == zone).unwrap_or(self.config.zones.len()) as u16;
         let searcher = self.searchers.get_mut(&key)?;
         let was_ready = searcher.life == SearcherStatus::Ready;
         searcher.life = life;
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result};
 use crossbeam_channel::{Receiver, bounded};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::Start;
+use pewterwharf_terms::StartupConfig;
 use signal_hook::iterator::Signals;
 use tracing::{debug, info, warn};
 
@@ -82,15 +82,15 @@
 
 /// Sets the list held before the start, if there is one. Returns the version that the first watch begins with: zero without a held
 /// list, as the first list that a watch sends is a whole one. With a held list it is `None`, and the whole list is requested.
-fn restore_list(reducer: &mut Reducer, known: &serde_json::Value, now: f64) -> Option<u64> {
-    match discovery::list(known) {
+fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: f64) -> Option<u64> {
+    match discovery::parse_list(cached_list) {
         Ok(list) if list.entries.is_empty() => Some(list.index),
         Ok(list) => {
             reducer.set_cached_list(now, list);
             None
         }
         Err(error) => {
-            if !known.is_null() {
+            if !cached_list.is_null() {
                 warn!("known can't be read: {error:#}");
             }
             Some(0)
@@ -105,7 +105,7 @@
     /// # Errors
     /// If a socket or a thread can't be had, or the process is asked to end before it can listen.
     pub fn open(
-        mut start: Start,
+        mut start: StartupConfig,
         settings: &Settings,
         mut signals: Signals,
         reloaders: Reloaders,
@@ -113,13 +113,13 @@
         let clock = Clock::start();
         let (sender, inbox) = bounded(MAX_WAITING_MESSAGES);
         let messages = MessageSender { sender, clock };
-        let connect_timeout = Duration::from_secs_f64(start.terms.connect_timeout_ms.max(1.0) / 1000.0);
-        if start.terms.types.iter().any(|t| t.has_second_step) {
+        let connect_timeout = Duration::from_secs_f64(start.config.connect_timeout_ms.max(1.0) / 1000.0);
+        if start.config.table_types.iter().any(|t| t.has_second_step) {
             warn!("table types with a second step are answered from the first: the protocol states no other");
         }
         let fleet = FleetMember::open(settings, &mut start, &messages)?;
-        let mut reducer = Reducer::new(start.terms.clone(), start.seed, start.sockets);
-        let index = restore_list(&mut reducer, &start.known, clock.now());
+        let mut reducer = Reducer::new(start.config.clone(), start.seed, start.sockets);
+        let index = restore_list(&mut reducer, &start.cached_list, clock.now());
         reducer.set_discovery(start.discovery);
         // Before the signal thread starts, so that an error in its settings is reported at the start like any other.
         let announcer =
@@ -131,7 +131,7 @@
         let (listener, missed_signals) = listen(start.listen.into(), &mut signals)?;
         let listen_addr = local_addr(&listener)?;
         let max_connections = reducer.max_client_connections();
-        let budget = || MemoryBudget::new(start.memory / MEMORY_FRACTION);
+        let budget = || MemoryBudget::new(start.memory_bytes / MEMORY_FRACTION);
         let clients = Clients::open(listener, max_connections, budget(), messages.clone())
             .context("connections of clients")?;
         let client_commands = clients.commands();
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Error, Result};
 use pewterwharf_settings::Settings;
-use pewterwharf_terms::{Change, Start};
+use pewterwharf_terms::{ConfigChange, StartupConfig};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy)]
 pub struct Reloaders {
     /// Reads the platform's configuration, for a mixer that was started with the given one.
-    pub config: fn(&Start) -> Result<Change>,
+    pub config: fn(&StartupConfig) -> Result<ConfigChange>,
     /// Reads the operator's own file.
     pub settings: fn() -> Result<Settings>,
 }
@@ -45,7 +45,7 @@
     signals: Signals,
     /// Signals that have arrived and are not handled yet.
     waiting: VecDeque<i32>,
-    start: Start,
+    start: StartupConfig,
     reloaders: Reloaders,
     messages: MessageSender,
 }
@@ -55,7 +55,7 @@
     pub fn new(
         signals: Signals,
         missed_signals: Vec<i32>,
-        start: Start,
+        start: StartupConfig,
         reloaders: Reloaders,
         messages: MessageSender,
     ) -> Self {
--- a/crates/rehearse/src/words.rs
+++ b/crates/rehearse/src/words.rs
@@ -72,9 +72,9 @@
                 let said = self.replica.reports::<ProcessStart>(now, &name);
                 if !said
                     .iter()
-                    .any(|s| s.origin == self.replica.local_name() && s.value.since == one.started_at)
+                    .any(|s| s.origin == self.replica.local_name() && s.value.started_at_ms == one.started_at)
                 {
-                    self.replica.publish(now, &name, &ProcessStart { since: one.started_at }, now);
+                    self.replica.publish(now, &name, &ProcessStart { started_at_ms: one.started_at }, now);
                 }
             }
         }
