--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -165,7 +165,8 @@
 impl ActiveSpeaker {
     fn start(bgp: &BgpSettings, config: SpeakerConfig, seed: u64, messages: &MessageSender) -> Result<Self> {
         let speaker = Speaker::start(config, bgp.listen, seed).context("bgp")?;
-        let (drain_complete, messages) = (speaker.drain_complete().clone(), messages.clone());
+        let drain_complete = speaker.drain_complete().clone();
+        let messages = messages.clone();
         spawn("routes left", STACK_BYTES, move || {
             if drain_complete.recv().is_ok() {
                 messages.send_routes_withdrawn();
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -15,7 +15,7 @@
 /// What the service and the reading thread share of a client's connection.
 pub(crate) struct SharedConnection {
     pub stream: TcpStream,
-    /// A request has no answer yet: the next one is taken up after the answer.
+    /// A request has no answer yet. The next one is parsed after the answer.
     pub awaits_answer: AtomicBool,
     /// The reading thread has a further request, and waits for that answer.
     pub reader_waits: AtomicBool,
@@ -39,7 +39,7 @@
     /// Records that an answer was written completely.
     pub fn answer_written(&self, last: bool) {
         if last {
-            // Set before the reading thread may take up another request.
+            // Set before the reading thread may parse another request.
             self.finished.store(true, Ordering::SeqCst);
         }
         self.awaits_answer.store(false, Ordering::SeqCst);
--- a/crates/mixer/src/clock.rs
+++ b/crates/mixer/src/clock.rs
@@ -22,12 +22,14 @@
         Self { origin: Instant::now(), origin_unix_ms: unix_time.as_secs_f64() * 1000.0 + offset_ms }
     }
 
+    /// The time in milliseconds since the Unix epoch.
     pub fn now(&self) -> f64 {
         self.origin_unix_ms + self.origin.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The time that is left until `at`, a day at most.
+    /// The time that is left until `at`, one day at most.
     pub fn until(&self, at: f64) -> Duration {
-        Duration::from_secs_f64(((at - self.now()) / 1000.0).clamp(0.0, 86_400.0))
+        const MAX_S: f64 = 86_400.0;
+        Duration::from_secs_f64(((at - self.now()) / 1000.0).clamp(0.0, MAX_S))
     }
 }
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -28,8 +28,8 @@
 /// A list that is not whole after this time is no longer waited for alone: one that arrives byte by byte would renew its time with
 /// each byte. What it holds back counts as known 6 s after discovery had it.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
-/// While no connection can be trusted, another is opened this often. Discovery that returns is then heard well within the 250 ms of
-/// grace for a drain, whether it answers earlier requests or only new ones.
+/// While no connection can be trusted, another is opened this often. Once discovery is back, its list then arrives well within the
+/// 250 ms of grace for a drain, whether it answers earlier requests or only new ones.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
 /// Connections that have sent nothing yet. The oldest is kept for up to [`SILENCE_TIMEOUT`], in case discovery is slow to start, and
 /// the youngest is replaced by the next, in case discovery answers no request that was sent while it was down.
@@ -150,7 +150,7 @@
             self.connections.remove(youngest);
         }
         self.last_id += 1;
-        debug!("requests from discovery at {} what came after {:?}", self.addr, self.index);
+        debug!("requests the changes after {:?} from discovery at {}", self.index, self.addr);
         match self.connect(now) {
             Ok(connection) => drop(self.connections.insert(self.last_id, connection)),
             Err(error) => debug!("discovery at {}: {error}", self.addr),
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -62,21 +62,21 @@
 }
 
 impl FleetMember {
-    /// Begins to join the fleet. The descriptors that its links need are taken from `start`.
+    /// Begins to join the fleet. The descriptors that its links need are taken from `startup`.
     ///
     /// # Errors
     /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
-    pub fn open(settings: &Settings, start: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
+    pub fn open(settings: &Settings, startup: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
         let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, section: None }) };
-        let config = mesh_config(fleet, start.seed);
-        let left = start.sockets.saturating_sub(config.max_descriptors());
+        let config = mesh_config(fleet, startup.seed);
+        let left = startup.sockets.saturating_sub(config.max_descriptors());
         ensure!(
             left >= MIN_DESCRIPTORS,
             "fleet: its links take {} of limits.sockets={}, and {MIN_DESCRIPTORS} at least have to be left",
             config.max_descriptors(),
-            start.sockets
+            startup.sockets
         );
-        start.sockets = left;
+        startup.sockets = left;
         let messages = messages.clone();
         let on_advice = move |advice: Vec<Advice>| {
             messages.send(Input::FleetEvents(advice.into_iter().map(Advice::to_event).collect()));
--- a/crates/mixer/src/frame.rs
+++ b/crates/mixer/src/frame.rs
@@ -1,6 +1,6 @@
 //! Frames between mixers and searchers: a length, a letter for the kind, and the body.
 
-/// Longest frame that is accepted. A client's answer may hold 64 KiB, and so a part's value no more; its line comes on top.
+/// Longest frame that is accepted: a part's value and its line. A client's answer may hold 64 KiB, so a value may hold no more.
 const MAX_FRAME_BYTES: usize = 68 * 1024;
 /// Longest line of an answer: an id, a status, a score and a load report.
 const MAX_LINE_BYTES: usize = 4 * 1024;
--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -119,8 +119,7 @@
     }
 }
 
-/// Parses a request that arrives in pieces. It remembers how far it has come, so that no piece is parsed again with each that
-/// follows.
+/// Parses a request that arrives in pieces. It remembers its progress, so that a piece is not parsed again with each that follows.
 #[derive(Default)]
 pub struct RequestParser {
     /// This many bytes have been looked at and do not form a whole request.
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -137,7 +137,7 @@
     PrintCounters(String),
 }
 
-/// The phases of the process, from start to exit.
+/// The phases of the process, from start to exit. Times are milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// No list of searchers is held yet.
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -35,19 +35,19 @@
     Settings::read(&text).map_err(|error| anyhow!("{path}:{error}"))
 }
 
-/// Reads the configuration again, for a mixer that was started with `start`.
-fn reload_config(start: &StartupConfig) -> Result<ConfigChange> {
+/// Reads the configuration again, for a mixer that was started with `startup`.
+fn reload_config(startup: &StartupConfig) -> Result<ConfigChange> {
     let ConfigFile { path, text } = read_config_file()?;
-    start.reload(&text, env_var).with_context(|| format!("in {path}"))
+    startup.reload(&text, env_var).with_context(|| format!("in {path}"))
 }
 
 fn run() -> Result<()> {
     let signals = signals::register_handlers()?;
     let ConfigFile { path, text } = read_config_file()?;
-    let mut start = StartupConfig::read(&text, env_var).with_context(|| format!("in {path}"))?;
-    start.apply_descriptor_limit(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
+    let mut startup = StartupConfig::read(&text, env_var).with_context(|| format!("in {path}"))?;
+    startup.apply_descriptor_limit(&std::fs::read_to_string("/proc/self/limits").unwrap_or_default());
     let reloaders = Reloaders { config: reload_config, settings: read_settings };
-    Service::open(start, &read_settings()?, signals, reloaders)?.run()
+    Service::open(startup, &read_settings()?, signals, reloaders)?.run()
 }
 
 /// Logs to standard error. `RUST_LOG` sets the level, or targets with their levels; with `RUST_LOG_FORM=json` each line is a JSON
--- a/crates/mixer/src/outbox.rs
+++ b/crates/mixer/src/outbox.rs
@@ -5,7 +5,7 @@
 
 /// Writing goes on for this long before inputs are received again, so that what is sent is decided on recent knowledge.
 const WRITE_SLICE_MS: f64 = 5.0;
-/// A frame has to begin this soon after it was produced. Later it is produced anew.
+/// The write of a frame has to begin this soon after the frame was produced. After that it is produced again.
 const MAX_FRAME_AGE_MS: f64 = 5.0;
 
 /// Whether a frame that was produced at `produced_at` may still begin now.
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -54,6 +54,14 @@
     pub lost_idle_connections: bool,
 }
 
+/// An input, its time, and the rank by which the inputs of one step are ordered.
+struct RankedInput {
+    rank: u8,
+    at: f64,
+    input: Input,
+}
+
+/// A mixer's state. See the documentation of this module.
 pub struct Reducer {
     module: Mixer,
     config: MixerConfig,
@@ -236,10 +244,10 @@
     /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of clients and links are next:
     /// nothing is sent for a client that has disconnected or on a link that has closed, even if that stands behind other inputs.
     pub fn step(&mut self, now: f64, inputs: Vec<(f64, Input)>) -> Vec<Effect> {
-        let mut ranked: Vec<(u8, f64, Input)> =
-            inputs.into_iter().map(|(at, input)| (self.rank(&input), at, input)).collect();
-        ranked.sort_by_key(|i| i.0); // stable: inputs of one rank keep their order
-        for (_, at, input) in ranked {
+        let rank = |(at, input): (f64, Input)| RankedInput { rank: self.rank(&input), at, input };
+        let mut ranked: Vec<RankedInput> = inputs.into_iter().map(rank).collect();
+        ranked.sort_by_key(|ranked| ranked.rank); // stable: inputs of one rank keep their order
+        for RankedInput { at, input, .. } in ranked {
             // Frames that wait for a link are sent now, however long ago the link came up.
             let at = if matches!(input, Input::LinkUp { .. }) { now } else { at.min(now) };
             self.apply(at, input);
@@ -297,7 +305,8 @@
 
     fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
-        let (queries, clients) = (self.scans.len(), self.clients.len());
+        let queries = self.scans.len();
+        let clients = self.clients.len();
         match phase {
             Phase::Starting => {}
             Phase::Ready => info!("ready"),
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -101,7 +101,8 @@
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // An attempt that still waits for its connection was never sent.
         let outcome = if attempt.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::Moot };
-        let (link_id, dispatched_at) = (attempt.link, attempt.dispatched_at);
+        let link_id = attempt.link;
+        let dispatched_at = attempt.dispatched_at;
         self.cancel_attempt(now, attempt_id, outcome);
         self.check_silent(link_id, dispatched_at);
     }
@@ -110,8 +111,9 @@
     pub(super) fn cancel_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.config.permissions.cancel {
-            let (link_id, part_name) = (attempt.link, attempt.part_name.clone());
-            self.enqueue(link_id, QueuedFrame::Cancel(part_name));
+            let link_id = attempt.link;
+            let cancel = QueuedFrame::Cancel(attempt.part_name.clone());
+            self.enqueue(link_id, cancel);
         }
         self.end_attempt(now, attempt_id, outcome);
     }
@@ -224,8 +226,8 @@
             let outcome =
                 if verdict == Some(Verdict::Error) { DispatchOutcome::Error } else { DispatchOutcome::Ok };
             self.counters.probes_ok += u64::from(outcome == DispatchOutcome::Ok);
-            let (searcher, took_ms) = (link.searcher, now - probe.sent_at);
-            self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
+            let took_ms = now - probe.sent_at;
+            self.events.push(Event::ProbeEnded { searcher: link.searcher, outcome, took_ms });
         }
         self.check_idle(now, link_id);
     }
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -167,8 +167,8 @@
         client.awaits_answer = true;
         client.unusable_requests += 1; // reset if the request turns out to be usable
         match ask {
-            Ask::Scan(ask) => match self.check_scan(&ask) {
-                Ok(ids) => self.receive_scan(now, conn, ask, &ids),
+            Ask::Scan(scan) => match self.check_scan(&scan) {
+                Ok(ids) => self.receive_scan(now, conn, scan, &ids),
                 Err(rejection) => self.reject_request(now, conn, &rejection),
             },
             Ask::Unusable(status, reason) => self.reject_request(now, conn, &Rejection { status, reason }),
@@ -192,23 +192,23 @@
     }
 
     /// Checks the names, shards and id that a scan gives.
-    fn check_scan(&self, ask: &ScanAsk) -> Result<ScanIds, Rejection> {
+    fn check_scan(&self, scan: &ScanAsk) -> Result<ScanIds, Rejection> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let table_type = index_of(&self.config.table_type_names, &ask.table_type).ok_or_else(|| {
-            Rejection { status: 404, reason: format!("no table type {:?}", ask.table_type) }
+        let table_type = index_of(&self.config.table_type_names, &scan.table_type).ok_or_else(|| {
+            Rejection { status: 404, reason: format!("no table type {:?}", scan.table_type) }
         })?;
-        let customer = match &ask.customer {
+        let customer = match &scan.customer {
             _ if self.config.customers.is_empty() => 0,
             None => return Err(Rejection { status: 400, reason: "Req-Owner is missing".to_owned() }),
             Some(name) => index_of(&self.config.customer_names, name)
                 .ok_or_else(|| Rejection { status: 400, reason: format!("no customer {name:?}") })?,
         };
-        if let Some(part) = ask.parts.iter().find(|p| p.shard >= self.config.shard_count) {
+        if let Some(part) = scan.parts.iter().find(|p| p.shard >= self.config.shard_count) {
             return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
         }
         // Answers of searchers carry nothing but the part's name, which is made of the request's id.
-        if self.open_request_ids.contains(&ask.id) {
-            return Err(Rejection { status: 409, reason: format!("the request {} is still open", ask.id) });
+        if self.open_request_ids.contains(&scan.id) {
+            return Err(Rejection { status: 409, reason: format!("the request {} is still open", scan.id) });
         }
         Ok(ScanIds { table_type, customer })
     }
@@ -224,7 +224,7 @@
     }
 
     /// Takes a scan, or answers it at once if it can't be taken now.
-    fn receive_scan(&mut self, now: f64, conn: u64, ask: ScanAsk, ids: &ScanIds) {
+    fn receive_scan(&mut self, now: f64, conn: u64, scan: ScanAsk, ids: &ScanIds) {
         self.counters.scans_taken += 1;
         self.counters.by_type[ids.table_type].taken += 1;
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -239,48 +239,48 @@
             self.counters.scans_refused_at_end += 1;
             return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"closing\n");
         }
-        if !rules::may_take_query(open, ask.parts.len(), self.config.max_open) {
+        if !rules::may_take_query(open, scan.parts.len(), self.config.max_open) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
             return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"full\n");
         }
-        self.start_scan(now, conn, ask, ids);
+        self.start_scan(now, conn, scan, ids);
     }
 
-    fn start_scan(&mut self, now: f64, conn: u64, ask: ScanAsk, ids: &ScanIds) {
+    fn start_scan(&mut self, now: f64, conn: u64, scan: ScanAsk, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
         let number = self.scan_number;
         let query_timeout_ms = self.config.table_types[table_type].query_timeout_ms;
         let answers_until = self.drain_answers_until();
-        let deadline_at = rules::query_deadline(now, ask.wait_ms, query_timeout_ms, answers_until);
-        let work: Option<Vec<f64>> = ask.parts.iter().map(|p| p.work_ms).collect();
+        let deadline_at = rules::query_deadline(now, scan.wait_ms, query_timeout_ms, answers_until);
+        let work: Option<Vec<f64>> = scan.parts.iter().map(|p| p.work_ms).collect();
         let work_ms = work.map(|w| w.iter().sum());
-        let retry = ask.retry;
+        let retry = scan.retry;
         self.events.push(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry });
         let repeat_until = match self.config.table_types[table_type].idempotency {
             Idempotency::Replayable => f64::INFINITY,
             Idempotency::Keyed { window_ms } => now + window_ms,
             Idempotency::NonReplayable => f64::NEG_INFINITY,
         };
-        let mut parts = Vec::with_capacity(ask.parts.len());
-        for part in &ask.parts {
-            parts.push(self.start_part(id, number, &ask.id, part, repeat_until));
+        let mut parts = Vec::with_capacity(scan.parts.len());
+        for part in &scan.parts {
+            parts.push(self.start_part(id, number, &scan.id, part, repeat_until));
         }
         debug!(
             "query {} of client {conn}: class {}, {} parts, {:.0} ms",
-            ask.id,
-            ask.table_type,
+            scan.id,
+            scan.table_type,
             parts.len(),
             deadline_at - now
         );
-        self.open_request_ids.insert(ask.id.clone());
+        self.open_request_ids.insert(scan.id.clone());
         let query = Scan {
             conn,
-            request_id: ask.id,
-            text: ask.text,
+            request_id: scan.id,
+            text: scan.text,
             table_type,
             deadline_at,
             received_at: now,
@@ -293,28 +293,28 @@
         }
     }
 
-    /// Adds one part of a scan; its id.
+    /// Adds one part of a scan, and returns the part's id.
     fn start_part(
         &mut self,
-        scan: u64,
+        scan_id: u64,
         scan_number: u32,
         request_id: &str,
-        ask: &PartAsk,
+        part: &PartAsk,
         repeat_until: f64,
     ) -> u64 {
         let id = self.next_id();
-        self.events.push(Event::Part { id, number: scan_number, shard: ask.shard, weight: ask.weight });
-        let part = Part {
-            scan,
-            name: format!("{request_id}.{}", ask.shard).into(),
-            shard: ask.shard,
+        self.events.push(Event::Part { id, number: scan_number, shard: part.shard, weight: part.weight });
+        let added = Part {
+            scan: scan_id,
+            name: format!("{request_id}.{}", part.shard).into(),
+            shard: part.shard,
             attempts: 0,
             may_have_run: 0,
             repeat_until,
             last_outcome: None,
             value: None,
         };
-        self.parts.insert(id, part);
+        self.parts.insert(id, added);
         id
     }
 
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A searcher accepts no more bytes. If that lasts as long as a connection may take to come up, its link is closed.
+    /// A searcher accepts no more bytes. If that lasts for the connect timeout, its link is closed.
     pub(super) fn link_blocked(&mut self, now: f64, link_id: u64, made_progress: bool) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let still_blocked = link.blocked_since.is_some() && !made_progress;
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -44,11 +44,11 @@
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(probe) = link.probes.iter_mut().find(|p| p.number == number && !p.reported) else { return };
         probe.reported = true;
-        // A connection that does not come up in time is reported as failed, whichever of the two timeouts fires first.
+        // A connection that is not established in time is reported as failed, whichever of the two timeouts fires first.
         let outcome =
             if probe.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::ConnectFailed };
-        let (searcher, sent_at, took_ms) = (link.searcher, probe.sent_at, now - probe.sent_at);
-        self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
+        let sent_at = probe.sent_at;
+        self.events.push(Event::ProbeEnded { searcher: link.searcher, outcome, took_ms: now - sent_at });
         self.check_silent(link_id, sent_at);
     }
 
@@ -198,8 +198,9 @@
             _ => DispatchOutcome::ConnectFailed,
         };
         for probe in link.probes.iter().filter(|p| !p.reported) {
-            let (searcher, outcome, took_ms) = (link.searcher, outcome_of(probe.frame), now - probe.sent_at);
-            self.events.push(Event::ProbeEnded { searcher, outcome, took_ms });
+            let outcome = outcome_of(probe.frame);
+            let took_ms = now - probe.sent_at;
+            self.events.push(Event::ProbeEnded { searcher: link.searcher, outcome, took_ms });
         }
         let mut attempt_ids: Vec<AttemptId> =
             link.expected.into_values().filter_map(ExpectedAnswer::attempt_id).collect();
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -62,7 +62,7 @@
     connections: HashMap<u64, Connection>,
     /// Links that may have more to read.
     unfinished: Vec<u64>,
-    /// The time that a connection may take to come up, and that a frame may take between two pieces.
+    /// The time that a connection may take to be established, and that a frame may take between two pieces.
     connect_timeout: Duration,
     budget: MemoryBudget,
     received: Receiver<OpenLink>,
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -105,7 +105,7 @@
     /// # Errors
     /// If a socket or a thread can't be had, or the process is asked to end before it can listen.
     pub fn open(
-        mut start: StartupConfig,
+        mut startup: StartupConfig,
         settings: &Settings,
         mut signals: Signals,
         reloaders: Reloaders,
@@ -113,25 +113,26 @@
         let clock = Clock::start();
         let (sender, inbox) = bounded(MAX_WAITING_MESSAGES);
         let messages = MessageSender { sender, clock };
-        let connect_timeout = Duration::from_secs_f64(start.config.connect_timeout_ms.max(1.0) / 1000.0);
-        if start.config.table_types.iter().any(|t| t.has_second_step) {
+        let connect_timeout = Duration::from_secs_f64(startup.config.connect_timeout_ms.max(1.0) / 1000.0);
+        if startup.config.table_types.iter().any(|t| t.has_second_step) {
             warn!("table types with a second step are answered from the first: the protocol states no other");
         }
-        let fleet = FleetMember::open(settings, &mut start, &messages)?;
-        let mut reducer = Reducer::new(start.config.clone(), start.seed, start.sockets);
-        let index = restore_list(&mut reducer, &start.cached_list, clock.now());
-        reducer.set_discovery(start.discovery);
+        let fleet = FleetMember::open(settings, &mut startup, &messages)?;
+        let mut reducer = Reducer::new(startup.config.clone(), startup.seed, startup.sockets);
+        let index = restore_list(&mut reducer, &startup.cached_list, clock.now());
+        reducer.set_discovery(startup.discovery);
         // Before the signal thread starts, so that an error in its settings is reported at the start like any other.
         let announcer =
-            Announcer::open(settings, reducer.type_names(), start.seed, &messages, fleet.handle())?;
+            Announcer::open(settings, reducer.type_names(), startup.seed, &messages, fleet.handle())?;
         let watch_status = Arc::new(WatchStatus::default());
-        let first_watch = Watch { number: 0, addr: start.discovery, index };
-        let (watch_messages, status) = (messages.clone(), watch_status.clone());
+        let first_watch = Watch { number: 0, addr: startup.discovery, index };
+        let watch_messages = messages.clone();
+        let status = watch_status.clone();
         spawn("discovery", STACK_BYTES, move || first_watch.run(&status, &watch_messages))?;
-        let (listener, missed_signals) = listen(start.listen.into(), &mut signals)?;
+        let (listener, missed_signals) = listen(startup.listen.into(), &mut signals)?;
         let listen_addr = local_addr(&listener)?;
         let max_connections = reducer.max_client_connections();
-        let budget = || MemoryBudget::new(start.memory_bytes / MEMORY_FRACTION);
+        let budget = || MemoryBudget::new(startup.memory_bytes / MEMORY_FRACTION);
         let clients = Clients::open(listener, max_connections, budget(), messages.clone())
             .context("connections of clients")?;
         let client_commands = clients.commands();
@@ -147,9 +148,9 @@
                 tracing::error!("connections to searchers: {error}");
             }
         })?;
-        info!("{} listens on {listen_addr}", start.name);
+        info!("{} listens on {listen_addr}", startup.name);
         let partial_frames = budget();
-        let signal_thread = SignalThread::new(signals, missed_signals, start, reloaders, messages.clone());
+        let signal_thread = SignalThread::new(signals, missed_signals, startup, reloaders, messages.clone());
         spawn("signals", STACK_BYTES, move || signal_thread.run())?;
         Ok(Self {
             clock,
@@ -342,7 +343,8 @@
     fn start_watch(&self, number: u64, addr: SocketAddrV4) {
         self.watch_status.newest.store(number, Ordering::Release);
         let watch = Watch { number, addr, index: None };
-        let (messages, status) = (self.messages.clone(), self.watch_status.clone());
+        let messages = self.messages.clone();
+        let status = self.watch_status.clone();
         if let Err(error) = spawn("discovery", STACK_BYTES, move || watch.run(&status, &messages)) {
             warn!("no thread for a watch: {error}");
         }
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -45,7 +45,7 @@
     signals: Signals,
     /// Signals that have arrived and are not handled yet.
     waiting: VecDeque<i32>,
-    start: StartupConfig,
+    startup: StartupConfig,
     reloaders: Reloaders,
     messages: MessageSender,
 }
@@ -55,11 +55,11 @@
     pub fn new(
         signals: Signals,
         missed_signals: Vec<i32>,
-        start: StartupConfig,
+        startup: StartupConfig,
         reloaders: Reloaders,
         messages: MessageSender,
     ) -> Self {
-        Self { signals, waiting: missed_signals.into(), start, reloaders, messages }
+        Self { signals, waiting: missed_signals.into(), startup, reloaders, messages }
     }
 
     /// Runs for as long as the process does.
@@ -87,7 +87,7 @@
         let _ = self.messages.sender.send(message); // fails once the service has ended
         let since = Instant::now();
         loop {
-            match (self.reloaders.config)(&self.start) {
+            match (self.reloaders.config)(&self.startup) {
                 Err(error)
                     if is_unreadable(&error)
                         && since.elapsed() < RELOAD_TIMEOUT
