--- a/crates/mixer/tests/crossings.rs
+++ b/crates/mixer/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Where two events cross, on loopback: clients that leave while they wait, and the end of the program. Each crossing is
-//! forced by what a stand-in does when, and told from what the mixer is seen to do.
+//! Races on loopback: clients that leave while they wait for an answer, and the end of the program. Each test provokes one with the
+//! timing of its stand-ins, and checks what the mixer does.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -7,23 +7,23 @@
 
 use pewterwharf_standins::SearcherBehavior;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
 fn send(mut stream: &TcpStream, text: &str) {
-    stream.write_all(text.as_bytes()).expect("it takes bytes");
+    stream.write_all(text.as_bytes()).expect("the connection accepts bytes");
 }
 
-/// A scan of one part that names itself.
-fn named(id: &str) -> String {
-    scan("entry", 1).replace("q1", id)
+/// A request for one part, with this id.
+fn request(id: &str) -> String {
+    scan_request("entry", 1).replace("q1", id)
 }
 
 impl Mixer {
-    /// What the searchers were sent next, probes aside.
+    /// The next frame that searchers received, other than probes.
     fn next_frame(&self) -> String {
         loop {
-            let frame = self.heard.recv_timeout(CEILING).expect("a frame");
+            let frame = self.frames.recv_timeout(TIMEOUT).expect("a frame");
             if !frame.starts_with(['I', 'U']) {
                 return frame;
             }
@@ -32,245 +32,254 @@
 }
 
 #[test]
-fn what_is_out_for_a_client_that_left_is_given_up_whatever_it_sent_behind_its_request() {
-    let closing = |id: &str| named(id).replace("Host: app.svc", "Host: app.svc\r\nConnection: close");
-    let behind = ["", "\r\n", "GET /-/ready HTTP/1.1\r\n", "GET /-/ready HTTP/1.1\r\n\r\n"];
-    let long = format!("{}{}", named("next"), "GET /-/ready HTTP/1.1\r\n\r\n".repeat(500));
-    for (ask, more) in behind
+fn parts_are_cancelled_when_client_leaves() {
+    let closing = |id: &str| request(id).replace("Host: app.svc", "Host: app.svc\r\nConnection: close");
+    let excess = ["", "\r\n", "GET /-/ready HTTP/1.1\r\n", "GET /-/ready HTTP/1.1\r\n\r\n"];
+    let long_excess = format!("{}{}", request("next"), "GET /-/ready HTTP/1.1\r\n\r\n".repeat(500));
+    for (request, excess) in excess
         .into_iter()
-        .chain([long.as_str()])
-        .map(|more| (named("q1"), more))
+        .chain([long_excess.as_str()])
+        .map(|excess| (request("q1"), excess))
         .chain([(closing("q1"), ""), (closing("q1"), "\r\n")])
     {
-        for (drains, reset) in [(false, false), (true, false), (false, true)] {
+        for (is_draining, is_reset) in [(false, false), (true, false), (false, true)] {
             let mut mixer = start(&[SearcherBehavior::Hangs]);
             let client = mixer.connect();
-            if reset {
-                // An answer that it never reads turns its close into a reset.
+            if is_reset {
+                // An unread answer turns the close into a reset.
                 send(&client, "GET /-/ready HTTP/1.1\r\n\r\n");
             }
-            send(&client, &format!("{ask}{more}"));
-            assert!(mixer.next_frame().starts_with("D q1.0"), "{more:?}");
-            if drains {
+            send(&client, &format!("{request}{excess}"));
+            assert!(mixer.next_frame().starts_with("D q1.0"), "{excess:?}");
+            if is_draining {
                 mixer.signal("TERM");
-                wait(&mut mixer.log, "draining");
+                wait_for_log(&mut mixer.log, "draining");
             }
-            let left = Instant::now();
+            let left_at = Instant::now();
             drop(client);
-            assert!(mixer.next_frame().starts_with("K q1.0"), "{more:?}");
-            assert!(left.elapsed().as_millis() < 300, "{more:?}: given up after {:?}", left.elapsed());
-            if !drains {
+            assert!(mixer.next_frame().starts_with("K q1.0"), "{excess:?}");
+            assert!(
+                left_at.elapsed().as_millis() < 300,
+                "{excess:?}: cancelled after {:?}",
+                left_at.elapsed()
+            );
+            if !is_draining {
                 mixer.signal("TERM");
             }
-            let (status, counts) = mixer.end();
-            assert_eq!((status, counts.as_str()), (Some(0), "scans_taken 1, scans_gone 1"), "{more:?}");
+            let Exit { status, counters } = mixer.wait_for_exit();
+            assert_eq!((status, counters.as_str()), (Some(0), "scans_taken 1, scans_gone 1"), "{excess:?}");
         }
     }
 }
 
 #[test]
-fn a_client_that_left_before_it_was_accepted_gets_nothing_sent() {
-    let config = config("places", |config| config["limits"]["sockets"] = 48.into());
-    let mut mixer = start_on(&config, &[SearcherBehavior::Hangs]);
-    // All places are taken by clients that wait.
-    let places = (48 - 28) / 2 + 8;
-    let ask = |id: &str| named(id).replace("Deadline-Ms: 1000", "Deadline-Ms: 60000");
-    let mut held = Vec::new();
-    for n in 0..places {
+fn client_that_left_before_accept() {
+    const SOCKETS: usize = 48;
+    let config = write_config("places", |config| config["limits"]["sockets"] = SOCKETS.into());
+    let mut mixer = start_with_config(&config, &[SearcherBehavior::Hangs]);
+    // Clients that wait for an answer take all connection slots.
+    let slots = (SOCKETS - 28) / 2 + 8;
+    let patient_request = |id: &str| request(id).replace("Deadline-Ms: 1000", "Deadline-Ms: 60000");
+    let mut waiting = Vec::new();
+    for nth in 0..slots {
         let client = mixer.connect();
-        send(&client, &ask(&format!("held{n}")));
-        held.push(client);
+        send(&client, &patient_request(&format!("held{nth}")));
+        waiting.push(client);
     }
-    // They have asked and gone before anybody takes their connection up.
-    for n in 0..4 {
+    // These send a request and leave before their connections are accepted.
+    for nth in 0..4 {
         let client = mixer.connect();
-        send(&client, &ask(&format!("left{n}")));
+        send(&client, &patient_request(&format!("left{nth}")));
     }
     let last = mixer.connect();
-    send(&last, &ask("last"));
-    drop(held);
-    let mut sent = Vec::new();
-    while !sent.iter().any(|frame: &String| frame.starts_with("D last.0")) {
-        sent.push(mixer.next_frame());
+    send(&last, &patient_request("last"));
+    drop(waiting);
+    let mut frames = Vec::new();
+    while !frames.iter().any(|frame: &String| frame.starts_with("D last.0")) {
+        frames.push(mixer.next_frame());
     }
-    assert!(!sent.iter().any(|frame| frame.contains("left")), "{sent:?}");
+    assert!(!frames.iter().any(|frame| frame.contains("left")), "{frames:?}");
     mixer.signal("KILL");
-    mixer.child.wait().expect("it ends");
+    mixer.child.wait().expect("the process ends");
 }
 
 #[test]
-fn who_has_just_come_or_asks_in_pieces_is_answered_though_the_end_begins() {
+fn new_and_partial_requests_when_drain_begins() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
-    let (fresh, halves, rested) = (mixer.connect(), mixer.connect(), mixer.connect());
-    for client in [&halves, &rested] {
-        send(client, &named("before"));
-        assert!(answer(client).starts_with("HTTP/1.1 200 OK"));
+    let (new, partial, idle) = (mixer.connect(), mixer.connect(), mixer.connect());
+    for client in [&partial, &idle] {
+        send(client, &request("before"));
+        assert!(read_answer(client).starts_with("HTTP/1.1 200 OK"));
     }
-    let ask = named("halved");
-    send(&halves, &ask[..60]);
-    // Its half is known to be there once a later one was answered.
-    send(&rested, &named("later"));
-    assert!(answer(&rested).starts_with("HTTP/1.1 200 OK"));
+    let partial_request = request("halved");
+    send(&partial, &partial_request[..60]);
+    // Once a later request is answered, the mixer has read the partial one.
+    send(&idle, &request("later"));
+    assert!(read_answer(&idle).starts_with("HTTP/1.1 200 OK"));
     mixer.signal("TERM");
-    wait(&mut mixer.log, "draining");
-    send(&fresh, &named("fresh"));
-    send(&halves, &ask[60..]);
-    for client in [&fresh, &halves] {
-        let said = answer(client);
-        assert!(said.starts_with("HTTP/1.1 200 OK | Connection: close"), "{said}");
+    wait_for_log(&mut mixer.log, "draining");
+    send(&new, &request("fresh"));
+    send(&partial, &partial_request[60..]);
+    for client in [&new, &partial] {
+        let answer = read_answer(client);
+        assert!(answer.starts_with("HTTP/1.1 200 OK | Connection: close"), "{answer}");
     }
-    // Who rested is let go at once.
-    assert_eq!((&rested).read(&mut [0]).expect("an end"), 0);
-    assert_eq!(mixer.end().0, Some(0));
+    // The idle connection is closed at once.
+    assert_eq!((&idle).read(&mut [0]).expect("the end of the connection"), 0);
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn who_waits_to_be_accepted_when_listening_ends_is_answered() {
+fn accept_queue_is_served_when_listening_ends() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.signal("TERM");
-    wait(&mut mixer.log, "draining");
-    // It stands still: they are in the backlog, and the second signal, which ends listening at once, is there too.
+    wait_for_log(&mut mixer.log, "draining");
+    // The mixer is stopped. When it resumes, the connections are in the accept queue, and the second signal, which ends listening
+    // at once, is pending.
     mixer.signal("STOP");
     let clients: Vec<TcpStream> = (0..40).map(|_| mixer.connect()).collect();
-    clients.iter().enumerate().for_each(|(n, client)| send(client, &named(&format!("q{n}"))));
+    clients.iter().enumerate().for_each(|(nth, client)| send(client, &request(&format!("q{nth}"))));
     mixer.signal("TERM");
     mixer.signal("CONT");
     for client in &clients {
-        let mut said = String::new();
-        BufReader::new(client).read_line(&mut said).expect("an answer");
-        assert!(said.starts_with("HTTP/1.1 "), "{said:?}");
+        let mut status = String::new();
+        BufReader::new(client).read_line(&mut status).expect("an answer");
+        assert!(status.starts_with("HTTP/1.1 "), "{status:?}");
     }
-    assert_eq!(mixer.end().0, Some(0));
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn an_answer_that_a_slow_client_has_taken_in_part_is_whole_though_the_program_ends() {
+fn partly_read_answer_is_completed_before_exit() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let slow = mixer.connect();
-    let mut asks = slow.try_clone().expect("a second handle");
-    let asking = std::thread::spawn(move || {
-        let all = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(20_000);
-        asks.write_all(all.as_bytes()) // it may be cut short: the end begins meanwhile
+    let mut writer = slow.try_clone().expect("a second handle");
+    let writing = std::thread::spawn(move || {
+        let requests = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(20_000);
+        writer.write_all(requests.as_bytes()) // the drain may cut it short
     });
-    // It takes no more: the same connection stands still while others are answered.
-    let mut taken = [0; 1];
-    assert_eq!(slow.peek(&mut taken).expect("an answer"), 1);
+    // The client reads nothing more for now.
+    let mut byte = [0; 1];
+    assert_eq!(slow.peek(&mut byte).expect("an answer"), 1);
     mixer.signal("TERM");
-    wait(&mut mixer.log, "draining");
+    wait_for_log(&mut mixer.log, "draining");
     let since = Instant::now();
-    while TcpStream::connect(mixer.addr).is_ok() {
-        assert!(since.elapsed() < CEILING, "it still listens");
+    while TcpStream::connect(mixer.address).is_ok() {
+        assert!(since.elapsed() < TIMEOUT, "the mixer still listens");
     }
     let (mut input, mut last) = (BufReader::new(&slow), String::new());
     while !input.fill_buf().is_ok_and(<[u8]>::is_empty) {
-        last = next_answer(&mut input);
+        last = read_next_answer(&mut input);
     }
     assert!(last.starts_with("HTTP/1.1 200 OK | Connection: close"), "{last}");
     let _ = slow.shutdown(Shutdown::Both);
-    drop(asking.join());
-    assert_eq!(mixer.end().0, Some(0));
+    drop(writing.join());
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
-/// Its requests and answers are more than the buffers of the connection hold: much of what it has sent is not yet read, and much of
-/// what it was answered is not yet delivered, when the last answer is written.
+/// The requests and answers exceed the buffers of the connection: when the last answer is written, the mixer has not read all
+/// requests, and the client has not received all answers.
 #[test]
-fn a_client_that_still_sends_reads_its_last_answer_after_the_exit() {
+fn client_that_still_sends_receives_last_answer() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let mut slow = mixer.connect();
-    let mut asks = slow.try_clone().expect("a second handle");
-    let asking = std::thread::spawn(move || {
-        let all = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(400_000);
-        asks.write_all(all.as_bytes()) // all of it is taken, though most is discarded
+    let mut writer = slow.try_clone().expect("a second handle");
+    let writing = std::thread::spawn(move || {
+        let requests = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(400_000);
+        writer.write_all(requests.as_bytes()) // the mixer reads all of it and discards most
     });
-    let mut first = [0; 1];
-    assert_eq!(slow.peek(&mut first).expect("an answer"), 1);
+    let mut byte = [0; 1];
+    assert_eq!(slow.peek(&mut byte).expect("an answer"), 1);
     std::thread::sleep(Duration::from_millis(200)); // buffers fill
     mixer.signal("TERM");
-    wait(&mut mixer.log, "draining");
-    // It reads slowly for as long as the program runs, and all the rest then.
+    wait_for_log(&mut mixer.log, "draining");
+    // The client reads slowly while the mixer runs, and the rest after the exit.
     let since = Instant::now();
-    let mut read = Vec::new();
-    let mut piece = vec![0; 64 * 1024];
-    while mixer.child.try_wait().expect("its state").is_none() {
-        assert!(since.elapsed() < CEILING, "it does not end");
-        let count = slow.read(&mut piece).expect("no reset");
-        read.extend_from_slice(&piece[..count]);
+    let mut received = Vec::new();
+    let mut chunk = vec![0; 64 * 1024];
+    while mixer.child.try_wait().expect("the state of the process").is_none() {
+        assert!(since.elapsed() < TIMEOUT, "the mixer does not end");
+        let count = slow.read(&mut chunk).expect("no reset");
+        received.extend_from_slice(&chunk[..count]);
         std::thread::sleep(Duration::from_millis(10));
     }
-    slow.read_to_end(&mut read).expect("no reset");
-    let (mut input, mut last) = (read.as_slice(), String::new());
+    slow.read_to_end(&mut received).expect("no reset");
+    let (mut input, mut last) = (received.as_slice(), String::new());
     while !input.is_empty() {
-        last = next_answer(&mut input);
+        last = read_next_answer(&mut input);
     }
     assert!(last.starts_with("HTTP/1.1 200 OK | Connection: close"), "{last}");
     let _ = slow.shutdown(Shutdown::Both);
-    asking.join().expect("it ends").expect("all requests are taken");
-    assert_eq!(mixer.end().0, Some(0));
+    writing.join().expect("the thread ends").expect("all requests are accepted");
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn a_client_that_sends_on_after_its_last_answer_leaves_its_place() {
+fn client_that_sends_after_last_answer_frees_its_slot() {
     let mixer = start(&[SearcherBehavior::Answers]);
     let faulty = mixer.connect();
-    // The third that can't be used ends the connection; the others are more than is read ahead.
+    // The third unusable request ends the connection; the others exceed what the mixer reads ahead.
     send(&faulty, &"GET /nowhere HTTP/1.1\r\n\r\n".repeat(1000));
-    let open = || {
+    let open_clients = || {
         let client = mixer.connect();
         send(&client, "GET /-/counters HTTP/1.1\r\nConnection: close\r\n\r\n");
-        let counters = answer(&client);
+        let counters = read_answer(&client);
         let line = counters.lines().find(|line| line.starts_with("clients_open ")).map(str::to_owned);
         line.expect("the counter")
     };
     let since = Instant::now();
-    while open() != "clients_open 1" {
-        assert!(since.elapsed() < Duration::from_secs(5), "its place is kept");
-        std::thread::sleep(Duration::from_millis(400)); // the clients before have left
+    while open_clients() != "clients_open 1" {
+        assert!(since.elapsed() < Duration::from_secs(5), "the connection slot is not freed");
+        std::thread::sleep(Duration::from_millis(400)); // earlier clients are closed meanwhile
     }
     drop(faulty);
 }
 
-/// Of the protocol: a client that closes its connection has gone, and what is begun over 0.1 s later for it is a fault.
+/// In the protocol, a client that closes its connection has left, and an attempt that begins for it more than 0.1 s later is a fault.
 #[test]
-fn a_burst_of_clients_that_leave_at_once_gets_nothing_more_sent() {
-    // Each is sent, and none answered: copies fall due after they have left.
+fn burst_of_clients_that_leave_receives_no_further_attempts() {
+    // Each part is sent and none is answered, so that hedged requests fall due after the clients have left.
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
-    for half_closed in [false, true] {
+    for is_half_closed in [false, true] {
         let clients: Vec<TcpStream> = (0..300)
             .map(|nth| {
                 let client = mixer.connect();
-                send(&client, &scan("lookup", 2).replace("q1", &format!("q{nth}-{half_closed}")));
+                send(&client, &scan_request("lookup", 2).replace("q1", &format!("q{nth}-{is_half_closed}")));
                 client
             })
             .collect();
-        if half_closed {
-            clients.iter().for_each(|client| client.shutdown(Shutdown::Write).expect("it is open"));
+        if is_half_closed {
+            clients.iter().for_each(|client| client.shutdown(Shutdown::Write).expect("an open connection"));
         }
-        let held = half_closed.then_some(clients); // the others are closed here
-        let left = Instant::now();
-        let mut last = None;
-        while let Some(rest) = std::time::Duration::from_millis(1500).checked_sub(left.elapsed()) {
-            match mixer.heard.recv_timeout(rest) {
-                Ok(frame) if frame.starts_with("D ") => last = Some((left.elapsed(), frame)),
+        let open_clients = is_half_closed.then_some(clients); // otherwise they are closed here
+        let left_at = Instant::now();
+        let mut last_call = None;
+        while let Some(remaining) = std::time::Duration::from_millis(1500).checked_sub(left_at.elapsed()) {
+            match mixer.frames.recv_timeout(remaining) {
+                Ok(frame) if frame.starts_with("D ") => last_call = Some((left_at.elapsed(), frame)),
                 Ok(_) => {}
                 Err(_) => break,
             }
         }
-        // What was under way when they left is read here a little later.
-        assert!(last.as_ref().is_none_or(|(after, _)| after.as_millis() < 100), "{half_closed}: {last:?}");
-        drop(held);
+        // Frames that were in flight when the clients left are received a little later.
+        assert!(
+            last_call.as_ref().is_none_or(|(after, _)| after.as_millis() < 100),
+            "{is_half_closed}: {last_call:?}"
+        );
+        drop(open_clients);
     }
 }
 
 #[test]
-fn a_client_that_leaves_with_a_second_copy_due_gets_none() {
+fn no_hedge_after_client_left() {
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
-    send(&client, &scan("lookup", 1));
+    send(&client, &scan_request("lookup", 1));
     assert!(mixer.next_frame().starts_with("D q1.0"));
-    // Its copy falls due in half of the target time of 500 ms.
+    // The hedged request is due at half of the target time of 500 ms.
     std::thread::sleep(std::time::Duration::from_millis(100));
     drop(client);
-    assert!(mixer.next_frame().starts_with("K q1.0"), "it is given up");
-    let more = mixer.heard.recv_timeout(std::time::Duration::from_millis(900));
-    assert!(!more.as_ref().is_ok_and(|frame| frame.starts_with("D ")), "{more:?}");
+    assert!(mixer.next_frame().starts_with("K q1.0"), "the part is cancelled");
+    let next = mixer.frames.recv_timeout(std::time::Duration::from_millis(900));
+    assert!(!next.as_ref().is_ok_and(|frame| frame.starts_with("D ")), "{next:?}");
 }
--- a/crates/mixer/tests/crowd.rs
+++ b/crates/mixer/tests/crowd.rs
@@ -1,4 +1,5 @@
-//! Clients that ask while a crowd that asks nothing fills all places: what the mixer reads of them it answers.
+//! Clients that send requests while a crowd of idle connections takes all connection slots: each request that the mixer has read is
+//! answered.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,81 +10,93 @@
 use pewterwharf_soak::process::{ShimLibrary, build_library};
 use pewterwharf_standins::SearcherBehavior;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
-/// Connections of the crowd, opened at once, again and again.
-const CROWD: usize = 80;
-const CROWD_EACH: Duration = Duration::from_millis(150);
-/// Threads that ask, on a new connection each time.
-const ASKING: usize = 6;
+/// Idle connections that are opened at once, again and again.
+const CROWD_SIZE: usize = 80;
+/// How long each crowd stays.
+const CROWD_DURATION: Duration = Duration::from_millis(150);
+/// Threads that send requests, each on a new connection every time.
+const CLIENTS: usize = 6;
+/// The delay between connecting and sending in every second thread, as on a busy machine.
+const SEND_DELAY: Duration = Duration::from_millis(3);
+const PAUSE_BETWEEN_REQUESTS: Duration = Duration::from_millis(10);
+const TEST_DURATION: Duration = Duration::from_secs(6);
 
-const ASKS_AFTER: Duration = Duration::from_millis(3);
-
-/// How requests of one client ended.
+/// How the requests of one client ended.
 #[derive(Debug, Default)]
-struct Ends {
+struct Outcomes {
     answered: usize,
-    /// The end of the connection in place of an answer.
+    /// The connection ended in place of an answer.
     ended: usize,
-    /// A reset in place of an answer.
+    /// The connection was reset in place of an answer.
     reset: usize,
 }
 
-fn ask_until(addr: SocketAddr, thread: usize, until: Instant) -> Ends {
-    let mut ends = Ends::default();
+fn send_requests_until(address: SocketAddr, thread: usize, until: Instant) -> Outcomes {
+    let mut outcomes = Outcomes::default();
     for nth in 0.. {
         if Instant::now() >= until {
             break;
         }
-        let Ok(mut client) = TcpStream::connect(addr) else { continue };
-        client.set_read_timeout(Some(CEILING)).expect("a time-out");
-        let request = scan("lookup", 1).replace("q1", &format!("q{thread}-{nth}"));
-        // Every second thread asks a little after it has connected, as on a busy machine.
-        thread::sleep(ASKS_AFTER * (thread % 2) as u32);
-        let mut first = [0; 1];
-        match client.write_all(request.as_bytes()).and_then(|()| client.read(&mut first)) {
-            Ok(1) => ends.answered += 1,
-            Ok(_) => ends.ended += 1,
-            Err(_) => ends.reset += 1,
+        let Ok(mut client) = TcpStream::connect(address) else { continue };
+        client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
+        let request = scan_request("lookup", 1).replace("q1", &format!("q{thread}-{nth}"));
+        thread::sleep(SEND_DELAY * (thread % 2) as u32);
+        let mut first_byte = [0; 1];
+        match client.write_all(request.as_bytes()).and_then(|()| client.read(&mut first_byte)) {
+            Ok(1) => outcomes.answered += 1,
+            Ok(_) => outcomes.ended += 1,
+            Err(_) => outcomes.reset += 1,
         }
-        thread::sleep(Duration::from_millis(10));
+        thread::sleep(PAUSE_BETWEEN_REQUESTS);
     }
-    ends
+    outcomes
+}
+
+/// What the mixer received and sent on a connection that it closed.
+struct ClosedConnection {
+    received: u64,
+    sent: u64,
+}
+
+fn parse_closed_connection(line: &str) -> ClosedConnection {
+    let (received, sent) = line.split_once(' ').expect("two counts");
+    ClosedConnection { received: received.parse().expect("a count"), sent: sent.parse().expect("a count") }
 }
 
-/// Guards against a request that is read and then closed without an answer as its place is given to others.
+/// Guards against a request that the mixer reads and then closes without an answer to free its connection slot.
 #[test]
-fn requests_that_are_read_beside_a_crowd_are_answered() {
+fn requests_beside_crowd_are_answered() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = build_library(ShimLibrary::Accepts, &folder).expect("the library can be built");
-    let closes = folder.join(format!("closes-{}", std::process::id()));
-    let _ = std::fs::remove_file(&closes); // of an earlier run
-    let before = format!("export SHIM_CLOSES={} LD_PRELOAD={}", closes.display(), library.display());
-    let config = config("crowd", |config| config["limits"]["sockets"] = 64.into());
-    let mut mixer = start_after(&before, &config, None, &[SearcherBehavior::Answers]);
-    let (addr, until) = (mixer.addr, Instant::now() + Duration::from_secs(6));
-    let ends: Vec<Ends> = thread::scope(|scope| {
-        let asking: Vec<_> =
-            (0..ASKING).map(|thread| scope.spawn(move || ask_until(addr, thread, until))).collect();
+    let record = folder.join(format!("closes-{}", std::process::id()));
+    let _ = std::fs::remove_file(&record); // from an earlier run
+    let shell_command = format!("export SHIM_CLOSES={} LD_PRELOAD={}", record.display(), library.display());
+    let config = write_config("crowd", |config| config["limits"]["sockets"] = 64.into());
+    let mut mixer = start_after_command(&shell_command, &config, None, &[SearcherBehavior::Answers]);
+    let (address, until) = (mixer.address, Instant::now() + TEST_DURATION);
+    let outcomes: Vec<Outcomes> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..CLIENTS)
+            .map(|thread| scope.spawn(move || send_requests_until(address, thread, until)))
+            .collect();
         while Instant::now() < until {
-            let crowd: Vec<_> = (0..CROWD).map_while(|_| TcpStream::connect(addr).ok()).collect();
-            thread::sleep(CROWD_EACH);
+            let crowd: Vec<_> = (0..CROWD_SIZE).map_while(|_| TcpStream::connect(address).ok()).collect();
+            thread::sleep(CROWD_DURATION);
             drop(crowd);
         }
-        asking.into_iter().map(|client| client.join().expect("it asks")).collect()
+        clients.into_iter().map(|client| client.join().expect("the client ends")).collect()
     });
     mixer.signal("TERM");
-    assert_eq!(mixer.child.wait().expect("it ends").code(), Some(0));
-    let notes = std::fs::read_to_string(&closes).expect("the closes");
-    let count = |line: &str| -> (u64, u64) {
-        let (received, sent) = line.split_once(' ').expect("two counts");
-        (received.parse().expect("a count"), sent.parse().expect("a count"))
-    };
-    let read_and_closed = notes.lines().map(count).filter(|(received, sent)| *received > 0 && *sent == 0);
-    let unread = notes.lines().map(count).filter(|(received, _)| *received == 0);
-    let (read_and_closed, unread) = (read_and_closed.count(), unread.count());
-    println!("{ends:?}; of the mixer's closes {unread} unread, {read_and_closed} read and not answered");
-    assert!(ends.iter().all(|ends| ends.answered > 0), "{ends:?}");
-    assert_eq!(read_and_closed, 0, "{ends:?}, {unread} closed unread");
+    assert_eq!(mixer.child.wait().expect("the process ends").code(), Some(0));
+    let closes = std::fs::read_to_string(&record).expect("the record can be read");
+    let closes: Vec<ClosedConnection> = closes.lines().map(parse_closed_connection).collect();
+    let read_and_closed = closes.iter().filter(|close| close.received > 0 && close.sent == 0).count();
+    let unread = closes.iter().filter(|close| close.received == 0).count();
+    println!(
+        "{outcomes:?}; of the connections that the mixer closed {unread} were unread, {read_and_closed} read and not answered"
+    );
+    assert!(outcomes.iter().all(|client| client.answered > 0), "{outcomes:?}");
+    assert_eq!(read_and_closed, 0, "{outcomes:?}, {unread} closed unread");
 }
--- a/crates/mixer/tests/faults.rs
+++ b/crates/mixer/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that the hunt before production found, each forced by itself: see `docs/incidents/`.
+//! Regression tests of faults that were found in the search before production, each provoked by itself: see `docs/incidents/`.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,313 +7,326 @@
 
 use pewterwharf_standins::SearcherBehavior;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
-/// A client has so long to begin a request once connected, and a resting one is looked at after it.
-const QUIET: Duration = Duration::from_millis(2000);
+/// The time that a client has to begin a request; an idle client is checked when it has passed.
+const REQUEST_START_TIMEOUT: Duration = Duration::from_millis(2000);
+/// When the platform kills a draining mixer: the example's longest query timeout, and the platform's grace period.
+const KILLED_AFTER: Duration = Duration::from_millis(2000 + 700);
 
 #[test]
-fn line_end_behind_a_request_leaves_its_client_at_rest() {
+fn line_end_behind_request_keeps_client_idle() {
     let mixer = start(&[SearcherBehavior::Answers]);
     let mut client = mixer.connect();
-    write!(client, "{}\r\n", scan("entry", 1)).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-    client.set_read_timeout(Some(QUIET + QUIET / 2)).expect("a time-out");
-    let rested = loop {
-        let rested = client.read(&mut [0]).expect_err("nothing comes while it rests");
-        if rested.kind() != ErrorKind::Interrupted {
-            break rested;
+    write!(client, "{}\r\n", scan_request("entry", 1)).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+    client.set_read_timeout(Some(REQUEST_START_TIMEOUT + REQUEST_START_TIMEOUT / 2)).expect("a read timeout");
+    let error = loop {
+        let error = client.read(&mut [0]).expect_err("an idle client receives nothing");
+        if error.kind() != ErrorKind::Interrupted {
+            break error;
         }
     };
-    assert!(matches!(rested.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{rested}");
-    write!(client, "{}", scan("entry", 1).replace("q1", "q2")).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
+    assert!(matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{error}");
+    write!(client, "{}", scan_request("entry", 1).replace("q1", "q2")).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
 }
 
-/// What standard error leads to while a mixer serves.
-enum Log {
+/// Where the mixer's standard error goes.
+enum LogTarget {
     FullDisk,
-    ReaderGone,
-    NobodyReads,
+    ClosedPipe,
+    UnreadPipe,
 }
 
-/// Starts a mixer that logs each connection, with this log.
-fn start_logging_to(log: &Log) -> (Running, SocketAddr, Option<ChildStderr>) {
-    let (says, _heard) = std::sync::mpsc::channel();
-    let searcher = port();
-    let searchers = [(searcher.local_addr().expect("an address"), "up")];
-    pewterwharf_standins::serve_searcher(searcher, SearcherBehavior::Answers, says);
-    let discovery = port();
-    let at = discovery.local_addr().expect("an address").to_string();
-    let lists = pewterwharf_standins::DiscoveryServer::default();
-    lists.serve(discovery);
-    lists.publish(pewterwharf_standins::discovery_list(1, true, &searchers));
-    // On an address of this process alone: its port is free until the mixer takes it.
-    let [low, middle, ..] = std::process::id().to_le_bytes();
-    let free = std::net::TcpListener::bind(SocketAddr::from(([127, 1 + (middle >> 1), low, 1], 0)))
-        .expect("a free port");
-    let listen = free.local_addr().expect("an address");
-    drop(free);
-    let redirect = if matches!(log, Log::FullDisk) { "exec 2>/dev/full" } else { "true" };
-    let mut command = command(redirect, &at, EXAMPLE);
-    command.env("ROUTER_LISTEN", listen.to_string()).env("RUST_LOG", "debug");
-    let mut child = command.spawn().expect("the mixer starts");
-    let error = child.stderr.take().filter(|_| matches!(log, Log::NobodyReads));
-    (Running(child), listen, error)
-}
+/// A process that is killed at the end of the test.
+struct KillOnDrop(Child);
 
-/// A process that a test which fails leaves none of.
-struct Running(Child);
-
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill(); // it may have ended
         let _ = self.0.wait();
     }
 }
 
-/// Asks until the mixer has come up.
-fn connect_when_up(listen: SocketAddr) -> TcpStream {
+/// A mixer that logs each connection.
+struct LoggingMixer {
+    process: KillOnDrop,
+    address: SocketAddr,
+    /// The pipe that nobody reads.
+    _unread_log: Option<ChildStderr>,
+}
+
+fn start_logging_to(target: &LogTarget) -> LoggingMixer {
+    let (sender, _frames) = std::sync::mpsc::channel();
+    let searcher = bind_free_port();
+    let searchers = [(searcher.local_addr().expect("the listener's address"), "up")];
+    pewterwharf_standins::serve_searcher(searcher, SearcherBehavior::Answers, sender);
+    let discovery_listener = bind_free_port();
+    let discovery_address = discovery_listener.local_addr().expect("the listener's address").to_string();
+    let discovery = pewterwharf_standins::DiscoveryServer::default();
+    discovery.serve(discovery_listener);
+    discovery.publish(pewterwharf_standins::discovery_list(1, true, &searchers));
+    // A loopback address that no other process uses: its port stays free until the mixer listens on it.
+    let [low, middle, ..] = std::process::id().to_le_bytes();
+    let free = std::net::TcpListener::bind(SocketAddr::from(([127, 1 + (middle >> 1), low, 1], 0)))
+        .expect("a free port");
+    let address = free.local_addr().expect("the listener's address");
+    drop(free);
+    let redirect = if matches!(target, LogTarget::FullDisk) { "exec 2>/dev/full" } else { "true" };
+    let mut command = mixer_command(redirect, &discovery_address, EXAMPLE_CONFIG);
+    command.env("ROUTER_LISTEN", address.to_string()).env("RUST_LOG", "debug");
+    let mut child = command.spawn().expect("the mixer starts");
+    let unread_log = child.stderr.take().filter(|_| matches!(target, LogTarget::UnreadPipe));
+    LoggingMixer { process: KillOnDrop(child), address, _unread_log: unread_log }
+}
+
+/// Connects repeatedly until the mixer is ready.
+fn connect_when_ready(address: SocketAddr) -> TcpStream {
     let since = Instant::now();
     loop {
-        if let Ok(mut stream) = TcpStream::connect(listen) {
-            write!(stream, "GET /-/ready HTTP/1.1\r\n\r\n").expect("it takes bytes");
-            if answer(&stream).starts_with("HTTP/1.1 200 OK") {
+        if let Ok(mut stream) = TcpStream::connect(address) {
+            write!(stream, "GET /-/ready HTTP/1.1\r\n\r\n").expect("the connection accepts bytes");
+            if read_answer(&stream).starts_with("HTTP/1.1 200 OK") {
                 return stream;
             }
         }
-        assert!(since.elapsed() < CEILING, "it does not come up");
+        assert!(since.elapsed() < TIMEOUT, "the mixer is not ready in time");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn log_that_cannot_be_written_stops_nothing() {
-    for log in [Log::FullDisk, Log::ReaderGone, Log::NobodyReads] {
-        let (mut running, listen, _unread) = start_logging_to(&log);
-        let client = connect_when_up(listen);
-        client.set_read_timeout(Some(CEILING)).expect("a time-out");
-        // More than a pipe holds.
+fn unwritable_log_does_not_stop_the_mixer() {
+    for target in [LogTarget::FullDisk, LogTarget::ClosedPipe, LogTarget::UnreadPipe] {
+        let mut mixer = start_logging_to(&target);
+        let client = connect_when_ready(mixer.address);
+        client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
+        // The log of these requests is larger than the buffer of a pipe.
         for number in 0..400 {
             if number % 100 == 50 {
-                signal(&running.0, "USR1");
+                send_signal(&mixer.process.0, "USR1");
             }
-            write!(&client, "{}", scan("entry", 1).replace("q1", &format!("q{number}")))
-                .expect("it takes bytes");
-            assert!(answer(&client).starts_with("HTTP/1.1 200 OK"), "request {number}");
+            write!(&client, "{}", scan_request("entry", 1).replace("q1", &format!("q{number}")))
+                .expect("the connection accepts bytes");
+            assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"), "request {number}");
         }
-        signal(&running.0, "TERM");
-        assert_eq!(running.0.wait().expect("it ends").code(), Some(0));
+        send_signal(&mixer.process.0, "TERM");
+        assert_eq!(mixer.process.0.wait().expect("the process ends").code(), Some(0));
     }
 }
 
 #[test]
-fn requests_read_behind_another_are_answered_though_the_mixer_drains() {
+fn pipelined_requests_during_drain() {
     let mixer = start(&[SearcherBehavior::AnswersAfterMs(200)]);
     let client = mixer.connect();
-    let named = |id: &str| scan("entry", 1).replace("q1", id);
-    write!(&client, "{}{}{}", named("q1"), named("q2"), named("q3")).expect("it takes bytes");
-    while !mixer.heard.recv_timeout(CEILING).expect("a frame").starts_with("D q1.0") {}
+    let request = |id: &str| scan_request("entry", 1).replace("q1", id);
+    write!(&client, "{}{}{}", request("q1"), request("q2"), request("q3"))
+        .expect("the connection accepts bytes");
+    while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D q1.0") {}
     mixer.signal("TERM");
-    client.set_read_timeout(Some(CEILING)).expect("a time-out");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
     let mut input = std::io::BufReader::new(&client);
     for id in ["q1", "q2", "q3"] {
-        let said = next_answer(&mut input);
-        assert!(said.starts_with("HTTP/1.1 200 OK"), "{id}: {said:?}");
+        let answer = read_next_answer(&mut input);
+        assert!(answer.starts_with("HTTP/1.1 200 OK"), "{id}: {answer:?}");
     }
-    assert_eq!(input.read(&mut [0]).expect("an end"), 0);
-    assert_eq!(mixer.end().0, Some(0));
+    assert_eq!(input.read(&mut [0]).expect("the end of the connection"), 0);
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn request_that_ends_late_in_a_drain_is_answered_before_the_mixer_is_killed() {
-    // The example's longest query timeout, and what the platform waits beyond it.
-    let killed_after = Duration::from_millis(2000 + 700);
+fn late_request_in_drain_is_answered_before_kill() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
-    let request = scan("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
+    let request = scan_request("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
     let (first, rest) = request.split_at(60);
-    write!(&client, "{first}").expect("it takes bytes");
+    write!(&client, "{first}").expect("the connection accepts bytes");
     mixer.signal("TERM");
-    let told = Instant::now();
+    let sigterm_at = Instant::now();
     std::thread::sleep(Duration::from_millis(800));
-    write!(&client, "{rest}").expect("it takes bytes");
-    client.set_read_timeout(Some(killed_after.saturating_sub(told.elapsed()))).expect("a time-out");
+    write!(&client, "{rest}").expect("the connection accepts bytes");
+    client.set_read_timeout(Some(KILLED_AFTER.saturating_sub(sigterm_at.elapsed()))).expect("a read timeout");
     let mut status = [0; 12];
     (&client).read_exact(&mut status).expect("an answer before the mixer is killed");
     assert!(status.starts_with(b"HTTP/1.1 50"), "{}", String::from_utf8_lossy(&status));
 }
 
 #[test]
-fn request_is_answered_before_the_kill_though_the_signal_to_end_came_in_a_stop() {
-    // The example's longest query timeout, and what the platform waits beyond it.
-    let killed_after = Duration::from_millis(2000 + 700);
+fn sigterm_during_stop_is_answered_before_kill() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
-    let request = scan("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
+    let request = scan_request("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
     let (first, rest) = request.split_at(60);
-    write!(&client, "{first}").expect("it takes bytes");
-    std::thread::sleep(Duration::from_millis(20)); // it is read
+    write!(&client, "{first}").expect("the connection accepts bytes");
+    std::thread::sleep(Duration::from_millis(20)); // the mixer reads it
     mixer.signal("STOP");
     mixer.signal("TERM");
-    let told = Instant::now();
+    let sigterm_at = Instant::now();
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("CONT");
-    std::thread::sleep(Duration::from_millis(900).saturating_sub(told.elapsed()));
-    write!(&client, "{rest}").expect("it takes bytes");
-    client.set_read_timeout(Some(killed_after.saturating_sub(told.elapsed()))).expect("a time-out");
+    std::thread::sleep(Duration::from_millis(900).saturating_sub(sigterm_at.elapsed()));
+    write!(&client, "{rest}").expect("the connection accepts bytes");
+    client.set_read_timeout(Some(KILLED_AFTER.saturating_sub(sigterm_at.elapsed()))).expect("a read timeout");
     let mut status = [0; 12];
     (&client).read_exact(&mut status).expect("an answer before the mixer is killed");
     assert!(status.starts_with(b"HTTP/1.1 50"), "{}", String::from_utf8_lossy(&status));
 }
 
 #[test]
-fn client_that_sends_kilobytes_behind_its_request_and_leaves_gets_no_retry() {
+fn no_retry_for_client_that_sent_excess_bytes_and_left() {
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
-    let request = scan("lookup", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
-    // Stopped, the mixer finds the request, what stands behind it and the end all at once.
+    let request = scan_request("lookup", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
+    // The mixer is stopped, so that it finds the request, the bytes behind it and the end of the connection all at once.
     mixer.signal("STOP");
-    write!(&client, "{request}{}", "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(1000)).expect("it takes bytes");
-    client.shutdown(std::net::Shutdown::Write).expect("it can be shut");
-    let left = Instant::now();
+    write!(&client, "{request}{}", "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(1000))
+        .expect("the connection accepts bytes");
+    client.shutdown(std::net::Shutdown::Write).expect("the connection can be shut down");
+    let left_at = Instant::now();
     mixer.signal("CONT");
-    while left.elapsed() < Duration::from_millis(1800) {
-        let frame = mixer.heard.recv_timeout(Duration::from_millis(100));
-        let late = left.elapsed() > Duration::from_millis(200)
+    while left_at.elapsed() < Duration::from_millis(1800) {
+        let frame = mixer.frames.recv_timeout(Duration::from_millis(100));
+        let is_late = left_at.elapsed() > Duration::from_millis(200)
             && frame.is_ok_and(|frame| frame.starts_with("D q1."));
-        assert!(!late, "an attempt begins {:?} after the client left", left.elapsed());
+        assert!(!is_late, "an attempt begins {:?} after the client left", left_at.elapsed());
     }
 }
 
 #[test]
-fn reload_while_the_port_is_held_by_the_process_before_is_not_lost() {
-    let (held, first, second) = (port(), port(), port());
-    let listen = held.local_addr().expect("an address").to_string();
-    let place = |listener: &std::net::TcpListener| listener.local_addr().expect("an address").to_string();
-    let path = config("reload-held", |config| config["discovery"] = place(&first).into());
-    let mut command = command("true", &place(&first), &path);
+fn reload_while_waiting_for_port() {
+    let (held_port, old_discovery, new_discovery) = (bind_free_port(), bind_free_port(), bind_free_port());
+    let listen = held_port.local_addr().expect("the listener's address").to_string();
+    let address_of =
+        |listener: &std::net::TcpListener| listener.local_addr().expect("the listener's address").to_string();
+    let path = write_config("reload-held", |config| config["discovery"] = address_of(&old_discovery).into());
+    let mut command = mixer_command("true", &address_of(&old_discovery), &path);
     let child = command.env("ROUTER_LISTEN", &listen).spawn().expect("the mixer starts");
-    let running = Running(child);
-    // It watches before it listens, so that the handlers of its signals are there.
-    let _watch = accept(&first);
-    config("reload-held", |config| config["discovery"] = place(&second).into());
-    signal(&running.0, "HUP");
-    std::thread::sleep(Duration::from_millis(200)); // looked at every 20 ms while the port is held
-    drop(held);
-    let _moved = accept(&second);
+    let process = KillOnDrop(child);
+    // The mixer watches discovery before it listens; its signal handlers are installed by then.
+    let _watch = accept(&old_discovery);
+    write_config("reload-held", |config| config["discovery"] = address_of(&new_discovery).into());
+    send_signal(&process.0, "HUP");
+    std::thread::sleep(Duration::from_millis(200)); // the signal is checked every 20 ms while the port is in use
+    drop(held_port);
+    let _moved_watch = accept(&new_discovery);
+}
+
+/// How many calls searchers receive in this time.
+fn count_calls(mixer: &Mixer, duration: Duration, poll: Duration) -> u32 {
+    let since = Instant::now();
+    let mut calls = 0;
+    while since.elapsed() < duration {
+        let frame = mixer.frames.recv_timeout(poll);
+        calls += u32::from(frame.is_ok_and(|frame| frame.starts_with("D ")));
+    }
+    calls
 }
 
 #[test]
-fn clients_that_came_and_left_while_the_mixer_stood_still_get_nothing_sent() {
-    let behind = "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(400);
-    for known in [true, false] {
+fn no_calls_for_clients_that_left_during_a_stop() {
+    let excess = "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(400);
+    for is_accepted_before in [true, false] {
         let mixer = start(&[SearcherBehavior::Answers]);
-        let ask_ready = |client: &TcpStream| {
+        let check_ready = |client: &TcpStream| {
             let mut output = client;
-            write!(output, "GET /-/ready HTTP/1.1\r\n\r\n").expect("it takes bytes");
-            assert!(answer(client).starts_with("HTTP/1.1 200 OK"));
+            write!(output, "GET /-/ready HTTP/1.1\r\n\r\n").expect("the connection accepts bytes");
+            assert!(read_answer(client).starts_with("HTTP/1.1 200 OK"));
         };
         let mut clients: Vec<TcpStream> = Vec::new();
-        if known {
+        if is_accepted_before {
             clients.extend((0..100).map(|_| mixer.connect()));
-            clients.iter().for_each(ask_ready);
+            clients.iter().for_each(check_ready);
         }
         mixer.signal("STOP");
-        if !known {
+        if !is_accepted_before {
             clients.extend((0..100).map(|_| mixer.connect()));
         }
-        for (n, client) in clients.iter().enumerate() {
-            let request = scan("entry", 1).replace("q1", &format!("q{n}"));
-            write!(&*client, "{request}{behind}").expect("it takes bytes");
-            client.shutdown(std::net::Shutdown::Write).expect("it can be shut");
+        for (nth, client) in clients.iter().enumerate() {
+            let request = scan_request("entry", 1).replace("q1", &format!("q{nth}"));
+            write!(&*client, "{request}{excess}").expect("the connection accepts bytes");
+            client.shutdown(std::net::Shutdown::Write).expect("the connection can be shut down");
         }
         std::thread::sleep(Duration::from_millis(300));
         mixer.signal("CONT");
-        let goes_on = Instant::now();
-        let mut sent = 0;
-        while goes_on.elapsed() < Duration::from_millis(400) {
-            let frame = mixer.heard.recv_timeout(Duration::from_millis(50));
-            sent += u32::from(frame.is_ok_and(|frame| frame.starts_with("D ")));
-        }
-        assert_eq!(sent, 0, "attempts for clients that have gone, known before: {known}");
+        let calls = count_calls(&mixer, Duration::from_millis(400), Duration::from_millis(50));
+        assert_eq!(calls, 0, "attempts for clients that left, accepted before: {is_accepted_before}");
     }
 }
 
 #[test]
-fn request_behind_one_that_is_answered_at_once_is_answered_though_the_mixer_drains() {
+fn request_behind_page_during_drain() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let client = mixer.connect();
     mixer.signal("TERM");
-    wait(&mut mixer.log, "draining");
-    let both = format!("GET /-/healthy HTTP/1.1\r\n\r\n{}", scan("entry", 1));
-    (&client).write_all(both.as_bytes()).expect("it takes bytes");
-    client.set_read_timeout(Some(CEILING)).expect("a time-out");
+    wait_for_log(&mut mixer.log, "draining");
+    let both = format!("GET /-/healthy HTTP/1.1\r\n\r\n{}", scan_request("entry", 1));
+    (&client).write_all(both.as_bytes()).expect("the connection accepts bytes");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
     let mut input = std::io::BufReader::new(&client);
     for what in ["the page", "the query"] {
-        let said = next_answer(&mut input);
-        assert!(said.starts_with("HTTP/1.1 200 OK"), "{what}: {said:?}");
+        let answer = read_next_answer(&mut input);
+        assert!(answer.starts_with("HTTP/1.1 200 OK"), "{what}: {answer:?}");
     }
 }
 
 #[test]
-fn configuration_that_is_half_written_at_the_signal_counts_once_it_is_whole() {
-    let (first, second) = (port(), port());
-    let place = |listener: &std::net::TcpListener| listener.local_addr().expect("an address").to_string();
-    let path = config("reload-half", |config| config["discovery"] = place(&first).into());
-    let child = command("true", &place(&first), &path).spawn().expect("the mixer starts");
-    let (child, _log, _) = listens(child);
-    let running = Running(child);
-    config("reload-half", |config| config["discovery"] = place(&second).into());
-    let whole = std::fs::read(&path).expect("the configuration");
-    std::fs::write(&path, &whole[..whole.len() / 2]).expect("it can be written");
-    signal(&running.0, "HUP");
-    std::thread::sleep(Duration::from_millis(300)); // whoever writes it is slow
-    std::fs::write(&path, &whole).expect("it can be written");
-    let _moved = accept(&second);
+fn partially_written_configuration_is_reloaded_once_complete() {
+    let (old_discovery, new_discovery) = (bind_free_port(), bind_free_port());
+    let address_of =
+        |listener: &std::net::TcpListener| listener.local_addr().expect("the listener's address").to_string();
+    let path = write_config("reload-half", |config| config["discovery"] = address_of(&old_discovery).into());
+    let child = mixer_command("true", &address_of(&old_discovery), &path).spawn().expect("the mixer starts");
+    let (child, _log, _) = wait_until_listening(child);
+    let process = KillOnDrop(child);
+    write_config("reload-half", |config| config["discovery"] = address_of(&new_discovery).into());
+    let complete = std::fs::read(&path).expect("the configuration can be read");
+    std::fs::write(&path, &complete[..complete.len() / 2]).expect("the file can be written");
+    send_signal(&process.0, "HUP");
+    std::thread::sleep(Duration::from_millis(300)); // the writer is slow
+    std::fs::write(&path, &complete).expect("the file can be written");
+    let _moved_watch = accept(&new_discovery);
 }
 
 #[test]
-fn timers_that_fall_due_in_a_pause_wait_for_what_came_meanwhile() {
+fn timers_due_in_a_stop_wait_for_its_events() {
     for round in 0..8 {
         let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs, SearcherBehavior::Answers]);
         let clients: Vec<TcpStream> = (0..60).map(|_| mixer.connect()).collect();
-        for (n, client) in clients.iter().enumerate() {
-            let id = format!("q{round}-{n}");
-            write!(&*client, "{}", scan("lookup", 2).replace("q1", &id)).expect("it takes bytes");
+        for (nth, client) in clients.iter().enumerate() {
+            let id = format!("q{round}-{nth}");
+            write!(&*client, "{}", scan_request("lookup", 2).replace("q1", &id))
+                .expect("the connection accepts bytes");
         }
-        while !mixer.heard.recv_timeout(CEILING).expect("a frame").starts_with("D ") {}
+        while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D ") {}
         std::thread::sleep(Duration::from_millis(40));
         mixer.signal("STOP");
-        std::thread::sleep(Duration::from_millis(20)); // what it wrote before has arrived
-        while mixer.heard.try_recv().is_ok() {}
+        std::thread::sleep(Duration::from_millis(20)); // frames written before the stop arrive
+        while mixer.frames.try_recv().is_ok() {}
         drop(clients);
         std::thread::sleep(Duration::from_millis(400));
         mixer.signal("CONT");
-        let goes_on = Instant::now();
-        let mut sent = 0;
-        while goes_on.elapsed() < Duration::from_millis(300) {
-            let frame = mixer.heard.recv_timeout(Duration::from_millis(20));
-            sent += u32::from(frame.is_ok_and(|frame| frame.starts_with("D ")));
-        }
-        assert_eq!(sent, 0, "round {round}: attempts for clients that left in the pause");
+        let calls = count_calls(&mixer, Duration::from_millis(300), Duration::from_millis(20));
+        assert_eq!(calls, 0, "round {round}: attempts for clients that left during the stop");
     }
 }
 
 #[test]
-fn requests_behind_one_that_hangs_through_half_of_a_drain_are_answered() {
+fn pipelined_requests_behind_a_hung_one_during_drain() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
-    let named =
-        |id: &str| scan("entry", 1).replace("q1", id).replace("Deadline-Ms: 1000", "Deadline-Ms: 1500");
-    write!(&client, "{}{}{}", named("q1"), named("q2"), named("q3")).expect("it takes bytes");
-    while !mixer.heard.recv_timeout(CEILING).expect("a frame").starts_with("D q1.0") {}
+    let request = |id: &str| {
+        scan_request("entry", 1).replace("q1", id).replace("Deadline-Ms: 1000", "Deadline-Ms: 1500")
+    };
+    write!(&client, "{}{}{}", request("q1"), request("q2"), request("q3"))
+        .expect("the connection accepts bytes");
+    while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D q1.0") {}
     mixer.signal("TERM");
-    client.set_read_timeout(Some(CEILING)).expect("a time-out");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
     let mut input = std::io::BufReader::new(&client);
     for id in ["q1", "q2", "q3"] {
-        let said = next_answer(&mut input);
-        assert!(said.starts_with("HTTP/1.1 50"), "{id}: {said:?}");
+        let answer = read_next_answer(&mut input);
+        assert!(answer.starts_with("HTTP/1.1 50"), "{id}: {answer:?}");
     }
 }
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! The whole program on loopback, with the example's searchers and discovery.
+//! The whole program on loopback, with stand-ins for searchers, discovery and BGP peers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -12,226 +12,228 @@
 use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::Value;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
 #[test]
-fn scans_are_served_on_one_connection_until_the_mixer_is_asked_to_end() {
+fn serves_one_connection_until_sigterm() {
     let mixer = start(&[SearcherBehavior::Answers, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
-    let mut said = Vec::new();
-    for byte in scan("entry", 2).as_bytes() {
-        client.write_all(&[*byte]).expect("it takes bytes");
+    let mut answers = Vec::new();
+    for byte in scan_request("entry", 2).as_bytes() {
+        client.write_all(&[*byte]).expect("the connection accepts bytes");
     }
-    said.push(answer(&client));
-    for request in [scan("nothing", 1), "GET /-/ready HTTP/1.1\r\n\r\n".to_owned()] {
-        client.write_all(request.as_bytes()).expect("it takes bytes");
-        said.push(answer(&client));
+    answers.push(read_answer(&client));
+    for request in [scan_request("nothing", 1), "GET /-/ready HTTP/1.1\r\n\r\n".to_owned()] {
+        client.write_all(request.as_bytes()).expect("the connection accepts bytes");
+        answers.push(read_answer(&client));
     }
     mixer.signal("TERM");
-    assert_eq!(client.read(&mut [0]).expect("an end"), 0);
+    assert_eq!(client.read(&mut [0]).expect("the end of the connection"), 0);
     let mut late = mixer.connect();
-    late.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    said.push(answer(&late));
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{}\n{status:?} {counts}", said.join("\n")));
+    late.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    answers.push(read_answer(&late));
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
 }
 
 #[test]
-fn a_hung_and_a_dying_searcher_are_read_around() {
+fn hung_and_disconnecting_searchers_are_bypassed() {
     let mixer =
         start(&[SearcherBehavior::Hangs, SearcherBehavior::DisconnectsOnCall, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
-    let mut said = Vec::new();
+    let mut answers = Vec::new();
     for _ in 0..3 {
-        client.write_all(scan("lookup", 5).as_bytes()).expect("it takes bytes");
-        said.push(answer(&client).split(" | ").next().map(str::to_owned).unwrap_or_default());
+        client.write_all(scan_request("lookup", 5).as_bytes()).expect("the connection accepts bytes");
+        answers.push(read_answer(&client).split(" | ").next().map(str::to_owned).unwrap_or_default());
     }
     mixer.signal("INT");
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{}\n{status:?} {counts}", said.join("\n")));
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
 }
 
 #[test]
-fn what_is_out_at_a_hung_searcher_is_answered_in_time_though_the_mixer_is_asked_to_end() {
+fn drain_with_hung_searcher() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    assert!(mixer.heard.recv().expect("a frame").starts_with("D q1.0 0 d="));
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(mixer.frames.recv().expect("a frame").starts_with("D q1.0 0 d="));
     mixer.signal("TERM");
-    let said = answer(&client);
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{said}\n{status:?} {counts}"));
+    let answer = read_answer(&client);
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{answer}\n{exit}"));
 }
 
 #[test]
-fn a_client_that_takes_no_answers_holds_up_nobody_and_gets_them_once_it_does() {
-    const ASKS: usize = 5000;
+fn slow_reader_does_not_block_others() {
+    const REQUESTS: usize = 5000;
     let mixer = start(&[SearcherBehavior::Answers]);
-    let greedy = mixer.connect();
-    let mut asks = greedy.try_clone().expect("a second handle");
-    let all = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(ASKS);
-    let asking = std::thread::spawn(move || asks.write_all(all.as_bytes()));
+    let slow = mixer.connect();
+    let mut writer = slow.try_clone().expect("a second handle");
+    let requests = "GET /-/counters HTTP/1.1\r\n\r\n".repeat(REQUESTS);
+    let writing = std::thread::spawn(move || writer.write_all(requests.as_bytes()));
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-    let mut answers = BufReader::new(&greedy);
-    let good = (0..ASKS).filter(|_| next_answer(&mut answers).starts_with("HTTP/1.1 200 OK")).count();
-    assert_eq!(good, ASKS);
-    asking.join().expect("no panic").expect("it takes bytes");
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+    let mut input = BufReader::new(&slow);
+    let served =
+        (0..REQUESTS).filter(|_| read_next_answer(&mut input).starts_with("HTTP/1.1 200 OK")).count();
+    assert_eq!(served, REQUESTS);
+    writing.join().expect("the writer ends").expect("the connection accepts bytes");
     mixer.signal("TERM");
-    assert_eq!(mixer.end().0, Some(0));
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn a_searcher_that_drains_gets_nothing_more() {
+fn draining_searcher_receives_nothing() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.searchers[0].1 = "draining";
-    mixer.lists.publish(standins::discovery_list(2, false, &mixer.searchers));
-    wait(&mut mixer.log, "drains");
+    mixer.discovery.publish(standins::discovery_list(2, false, &mixer.searchers));
+    wait_for_log(&mut mixer.log, "drains");
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    let said = answer(&client);
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    let answer = read_answer(&client);
     mixer.signal("TERM");
-    assert!(mixer.heard.try_recv().is_err());
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{said}\n{status:?} {counts}"));
+    assert!(mixer.frames.try_recv().is_err());
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{answer}\n{exit}"));
 }
 
 #[test]
-fn the_watch_is_resumed_by_version_and_outlives_what_can_t_be_read() {
-    let listener = port();
-    let (mut child, mut log, _) = launch(listener.local_addr().expect("an address").to_string(), EXAMPLE);
-    let mut asked = String::new();
-    let searcher =
+fn watch_resumes_by_version() {
+    let listener = bind_free_port();
+    let (mut child, mut log, _) =
+        launch(listener.local_addr().expect("the listener's address").to_string(), EXAMPLE_CONFIG);
+    let mut requests = String::new();
+    let list =
         standins::discovery_list(7, true, &[("127.0.0.1:9".parse().expect("an address"), "up")]).to_string();
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    for said in [
-        format!("{head}1\r\n\n\r\n{:x}\r\n{searcher}\n\r\n", searcher.len() + 1),
-        format!("{head}4\r\n{{{{{{\n\r\n"),
+    for response in [
+        format!("{WATCH_RESPONSE_HEAD}1\r\n\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1),
+        format!("{WATCH_RESPONSE_HEAD}4\r\n{{{{{{\n\r\n"),
         "HTTP/1.1 500 Down\r\n\r\n".to_owned(),
         String::new(),
     ] {
         let (mut stream, _) = listener.accept().expect("a watch");
-        BufReader::new(&stream).read_line(&mut asked).expect("a line");
-        stream.write_all(said.as_bytes()).expect("it takes bytes");
-        // What came is read before the connection's end is seen.
-        stream.shutdown(std::net::Shutdown::Write).expect("an end");
+        BufReader::new(&stream).read_line(&mut requests).expect("a request line");
+        stream.write_all(response.as_bytes()).expect("the connection accepts bytes");
+        // The mixer reads the response before it sees the end of the connection.
+        stream.shutdown(std::net::Shutdown::Write).expect("the connection can be shut down");
     }
-    wait(&mut log, "ready");
-    wait(&mut log, "can't be read");
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
-    insta::assert_snapshot!(asked);
+    wait_for_log(&mut log, "ready");
+    wait_for_log(&mut log, "can't be read");
+    child.kill().expect("the mixer runs");
+    child.wait().expect("the process ends");
+    insta::assert_snapshot!(requests);
 }
 
 #[test]
-fn a_start_that_can_t_be_made_says_why() {
+fn start_errors() {
     let run = |config: Option<&str>| {
         let mut mixer = Command::new(env!("CARGO_BIN_EXE_pewterwharf-mixer"));
         mixer.env_clear().envs(config.map(|path| ("ROUTER_CONFIG", path)));
-        let output = mixer.output().expect("it runs");
+        let output = mixer.output().expect("the mixer runs");
         let log = String::from_utf8_lossy(&output.stderr);
-        let words = log.split_once(": ").unwrap_or_default().1.trim_end().to_owned();
-        format!("{:?} {words}", output.status.code())
+        let message = log.split_once(": ").unwrap_or_default().1.trim_end().to_owned();
+        format!("{:?} {message}", output.status.code())
     };
     insta::assert_snapshot!(format!("{}\n{}", run(None), run(Some("/nowhere"))));
 }
 
 #[test]
-fn at_a_hang_up_the_watch_moves_and_a_faulty_file_changes_nothing() {
+fn reload_moves_watch() {
     let config = concat!(env!("CARGO_TARGET_TMPDIR"), "/replaced.json");
-    let text = std::fs::read_to_string(EXAMPLE).expect("the example");
-    let (says, heard) = mpsc::channel();
-    let place = |shown: &str| {
-        let (searchers, discovery) = (port(), port());
-        let addr = searchers.local_addr().expect("an address");
-        standins::serve_searcher(searchers, SearcherBehavior::Answers, says.clone());
-        let at = discovery.local_addr().expect("an address").to_string();
-        let lists = standins::DiscoveryServer::default();
-        lists.serve(discovery);
-        lists.publish(standins::discovery_list(9, true, &[(addr, shown)]));
-        (at, lists)
+    let text = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
+    let (sender, frames) = mpsc::channel();
+    let start_discovery = |status: &str| {
+        let (searcher_listener, discovery_listener) = (bind_free_port(), bind_free_port());
+        let searcher = searcher_listener.local_addr().expect("the listener's address");
+        standins::serve_searcher(searcher_listener, SearcherBehavior::Answers, sender.clone());
+        let address = discovery_listener.local_addr().expect("the listener's address").to_string();
+        let discovery = standins::DiscoveryServer::default();
+        discovery.serve(discovery_listener);
+        discovery.publish(standins::discovery_list(9, true, &[(searcher, status)]));
+        (address, discovery)
     };
-    let ((old, old_lists), (new, _)) = (place("up"), place("up"));
-    std::fs::write(config, &text).expect("it can be written");
-    let (child, mut log, addr) = launch(old, config);
-    wait(&mut log, "ready");
-    let mut mixer = Mixer { child, log, addr, lists: old_lists, heard, searchers: Vec::new() };
-    let mut said = Vec::new();
-    let mut replace = |mixer: &mut Mixer, text: &str, words: &str| {
-        std::fs::write(config, text).expect("it can be written");
+    let ((old_address, old_discovery), (new_address, _)) = (start_discovery("up"), start_discovery("up"));
+    std::fs::write(config, &text).expect("the file can be written");
+    let (child, mut log, address) = launch(old_address, config);
+    wait_for_log(&mut log, "ready");
+    let mut mixer = Mixer { child, log, address, discovery: old_discovery, frames, searchers: Vec::new() };
+    let mut output = Vec::new();
+    let mut reload = |mixer: &mut Mixer, text: &str, log_text: &str| {
+        std::fs::write(config, text).expect("the file can be written");
         mixer.signal("HUP");
-        let line = wait(&mut mixer.log, words);
-        said.push(line.split_once(": ").unwrap_or_default().1.replace(config, "FILE").replace(&new, "NEW"));
+        let line = wait_for_log(&mut mixer.log, log_text);
+        let message = line.split_once(": ").unwrap_or_default().1;
+        output.push(message.replace(config, "FILE").replace(&new_address, "NEW"));
     };
-    replace(&mut mixer, "{", "stays as it is");
-    let moved = text.replace("127.0.0.1:8500", &new);
-    replace(&mut mixer, &moved.replace("1024", "512"), "read anew");
-    wait(&mut mixer.log, "watch 1 has spoken");
+    reload(&mut mixer, "{", "stays as it is");
+    let moved = text.replace("127.0.0.1:8500", &new_address);
+    reload(&mut mixer, &moved.replace("1024", "512"), "read anew");
+    wait_for_log(&mut mixer.log, "watch 1 has spoken");
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    said.push(answer(&client));
-    // What the old one still says is no more heard, and its watch has ended.
-    mixer.lists.publish(standins::discovery_list(99, true, &[]));
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    output.push(read_answer(&client));
+    // The watch at the old discovery server has ended, so that its next list has no effect.
+    mixer.discovery.publish(standins::discovery_list(99, true, &[]));
     mixer.signal("HUP");
-    wait(&mut mixer.log, "read anew");
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    said.push(answer(&client));
+    wait_for_log(&mut mixer.log, "read anew");
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    output.push(read_answer(&client));
     mixer.signal("TERM");
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{}\n{status:?} {counts}", said.join("\n")));
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{}\n{exit}", output.join("\n")));
 }
 
 #[test]
-fn a_spoilt_answer_is_none_and_what_may_have_run_is_not_repeated() {
+fn answer_for_wrong_part() {
     let mut mixer = start(&[SearcherBehavior::AnswersWrongPart, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
-    let mut said = Vec::new();
+    let mut answers = Vec::new();
     let mut ask = |table_type, parts| {
-        client.write_all(scan(table_type, parts).as_bytes()).expect("it takes bytes");
-        said.push(answer(&client).split(" | ").next().map(str::to_owned).unwrap_or_default());
+        client.write_all(scan_request(table_type, parts).as_bytes()).expect("the connection accepts bytes");
+        answers.push(read_answer(&client).split(" | ").next().map(str::to_owned).unwrap_or_default());
     };
-    // Both searchers get a part: the one that may not run twice is given up, the other is read elsewhere.
+    // Both searchers receive a part. A part that must not run twice is abandoned, another is sent to the other searcher.
     ask("entry", 2);
     ask("lookup", 2);
-    wait(&mut mixer.log, "never went out on it");
+    wait_for_log(&mut mixer.log, "never went out on it");
     mixer.signal("TERM");
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{}\n{status:?} {counts}", said.join("\n")));
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
 }
 
 #[test]
-fn silent_clients_beyond_all_descriptors_hold_up_nobody_and_hear_so() {
+fn silent_clients_beyond_descriptor_limit() {
     let config = concat!(env!("CARGO_TARGET_TMPDIR"), "/few.json");
-    let text = std::fs::read_to_string(EXAMPLE).expect("the example");
-    std::fs::write(config, text.replace("1024", "64")).expect("it can be written");
-    let mixer = start_on(config, &[SearcherBehavior::Answers]);
+    let text = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
+    std::fs::write(config, text.replace("1024", "64")).expect("the file can be written");
+    let mixer = start_with_config(config, &[SearcherBehavior::Answers]);
     let silent: Vec<TcpStream> = (0..100).map(|_| mixer.connect()).collect();
-    let mut half = mixer.connect();
-    half.write_all(&scan("entry", 1).as_bytes()[..50]).expect("it takes bytes");
-    for n in 0..50 {
+    let mut partial = mixer.connect();
+    partial.write_all(&scan_request("entry", 1).as_bytes()[..50]).expect("the connection accepts bytes");
+    for nth in 0..50 {
         let mut client = mixer.connect();
         client
-            .write_all(scan("entry", 1).replace("q1", &format!("q{n}")).as_bytes())
-            .expect("it takes bytes");
-        assert!(answer(&client).starts_with("HTTP/1.1 200 OK"), "of client {n}");
+            .write_all(scan_request("entry", 1).replace("q1", &format!("q{nth}")).as_bytes())
+            .expect("the connection accepts bytes");
+        assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"), "client {nth}");
     }
-    // Each is told or closed, and none of them by its own doing.
-    for mut stream in silent.into_iter().chain([half]) {
-        let mut said = String::new();
-        let end = stream.read_to_string(&mut said);
-        assert!(end.is_err() || said.is_empty() || said.starts_with("HTTP/1.1 408 "), "{said}");
+    // The mixer has answered each with an error or closed it; no client did so itself.
+    for mut stream in silent.into_iter().chain([partial]) {
+        let mut answer = String::new();
+        let end = stream.read_to_string(&mut answer);
+        assert!(end.is_err() || answer.is_empty() || answer.starts_with("HTTP/1.1 408 "), "{answer}");
     }
     mixer.signal("TERM");
-    let (status, counts) = mixer.end();
-    insta::assert_snapshot!(format!("{status:?} {counts}"));
+    let exit = mixer.wait_for_exit();
+    insta::assert_snapshot!(format!("{exit}"));
 }
 
-/// A file of the operator's own, for as long as the test runs.
-struct File(PathBuf);
+/// A temporary file that is removed at the end of the test.
+struct TemporaryFile(PathBuf);
 
-impl File {
+impl TemporaryFile {
     fn new(name: &str, text: &str) -> Self {
         let file = Self(std::env::temp_dir().join(format!("{name}-{}", std::process::id())));
         file.write(text);
@@ -239,7 +241,7 @@
     }
 
     fn write(&self, text: &str) {
-        std::fs::write(&self.0, text).expect("a file");
+        std::fs::write(&self.0, text).expect("the file can be written");
     }
 
     fn path(&self) -> String {
@@ -247,179 +249,191 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0); // or it was
+        let _ = std::fs::remove_file(&self.0); // the test may have removed it
     }
 }
 
-/// The section `bgp` with one peer and short waits, and these further keys.
-fn bgp(peer: &Peer, more: &str) -> String {
+/// A settings section `bgp` with one peer, short delays and these further entries.
+fn bgp_settings(peer: &Peer, entries: &str) -> String {
     format!(
         "(bgp (as 64512) (id \"10.0.0.1\") (up 0.9 20ms) (down 0.5 20ms) (drain 40ms 40ms)
-           (peer (address \"{}\") (as 64513) (next-hop \"192.0.2.1\") (rest 20ms) (retry 20ms)) {more})",
+           (peer (address \"{}\") (as 64513) (next-hop \"192.0.2.1\") (rest 20ms) (retry 20ms)) {entries})",
         peer.address
     )
 }
 
-/// A mixer that announces one address to a peer; the file is gone once it has been read.
-fn announcing(peer: &Peer, searchers: &[SearcherBehavior]) -> Mixer {
-    let text = bgp(peer, "(announce \"198.51.100.1/32\")");
-    let file = File::new(&format!("bgp-{}", peer.address.port()), &text);
-    start_with(EXAMPLE, Some(&file.0), searchers)
+/// Starts a mixer that announces one address to a peer. The settings file is removed once the mixer has read it.
+fn start_announcing(peer: &Peer, searchers: &[SearcherBehavior]) -> Mixer {
+    let text = bgp_settings(peer, "(announce \"198.51.100.1/32\")");
+    let file = TemporaryFile::new(&format!("bgp-{}", peer.address.port()), &text);
+    start_with_settings(EXAMPLE_CONFIG, Some(&file.0), searchers)
 }
 
-/// One drain under load: when the peer heard the withdrawal, when a connection was first refused, and the counts.
-fn drain_under_load() -> (Instant, Instant, Option<i32>, String) {
+/// What was seen of one drain under load.
+struct DrainUnderLoad {
+    /// When the peer received the withdrawal.
+    withdrawn_at: Instant,
+    /// When a client's connection was first refused.
+    refused_at: Instant,
+    exit: Exit,
+}
+
+fn drain_under_load() -> DrainUnderLoad {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
-    let mixer = announcing(&peer, &[SearcherBehavior::Answers, SearcherBehavior::Answers]);
+    let mixer = start_announcing(&peer, &[SearcherBehavior::Answers, SearcherBehavior::Answers]);
     peer.wait_for("announce 198.51.100.1/32, path of 1");
-    let addr = mixer.addr;
-    let (says, first) = mpsc::channel();
+    let address = mixer.address;
+    let (sender, served) = mpsc::channel();
     let load = std::thread::spawn(move || {
         loop {
-            let Ok(mut client) = TcpStream::connect(addr) else { return Instant::now() };
-            let asked =
-                client.write_all(scan("lookup", 2).replace("Host: app.svc", "Connection: close").as_bytes());
-            let mut said = String::new();
-            // What is cut off before its answer is counted by the mixer, which prints what it took.
-            let _ = asked.and_then(|()| client.read_to_string(&mut said).map(drop));
-            let _ = says.send(said.starts_with("HTTP/1.1 200")); // or nobody listens any more
+            let Ok(mut client) = TcpStream::connect(address) else { return Instant::now() };
+            let request = scan_request("lookup", 2).replace("Host: app.svc", "Connection: close");
+            let written = client.write_all(request.as_bytes());
+            let mut answer = String::new();
+            // A request that is cut off before its answer shows in the mixer's counters.
+            let _ = written.and_then(|()| client.read_to_string(&mut answer).map(drop));
+            let _ = sender.send(answer.starts_with("HTTP/1.1 200")); // the receiver may be gone
         }
     });
-    assert!((0..20).all(|_| first.recv().expect("an answer")), "scans are served");
+    assert!((0..20).all(|_| served.recv().expect("an answer")), "scans are served");
     mixer.signal("TERM");
     let (_, before) = peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     assert!(before.is_empty(), "{before:?}");
     let (withdrawn, _) = peer.wait_for("withdraw 198.51.100.1/32");
-    let refused = load.join().expect("the load ends");
+    let refused_at = load.join().expect("the load ends");
     peer.wait_for("notification");
-    let (status, counts) = mixer.end();
-    (withdrawn.at, refused, status, counts)
+    DrainUnderLoad { withdrawn_at: withdrawn.at, refused_at, exit: mixer.wait_for_exit() }
 }
 
-fn count(counts: &str, name: &str) -> u64 {
-    let found = counts.split(", ").find_map(|c| c.strip_prefix(name)?.trim().parse().ok());
-    found.unwrap_or(0)
+/// The value of a counter in a list of them; 0 if it is not there.
+fn counter(counters: &str, name: &str) -> u64 {
+    let value = counters.split(", ").find_map(|counter| counter.strip_prefix(name)?.trim().parse().ok());
+    value.unwrap_or(0)
 }
 
-fn drains(rounds: usize) {
+fn check_drains(rounds: usize) {
     for round in 0..rounds {
-        let (withdrawn, refused, status, counts) = drain_under_load();
+        let DrainUnderLoad { withdrawn_at, refused_at, exit } = drain_under_load();
         assert!(
-            withdrawn < refused,
+            withdrawn_at < refused_at,
             "round {round}: refused {:?} before the withdrawal",
-            withdrawn - refused
+            withdrawn_at - refused_at
         );
-        assert_eq!(status, Some(0), "round {round}");
-        let (taken, completed) = (count(&counts, "scans_taken"), count(&counts, "scans_completed"));
-        assert!(taken >= 20 && taken == completed, "round {round}: {counts}");
+        assert_eq!(exit.status, Some(0), "round {round}");
+        let counters = &exit.counters;
+        let (taken, completed) = (counter(counters, "scans_taken"), counter(counters, "scans_completed"));
+        assert!(taken >= 20 && taken == completed, "round {round}: {counters}");
     }
 }
 
 #[test]
-fn a_mixer_that_drains_is_withdrawn_before_it_refuses_anybody_and_loses_no_scan() {
-    drains(2);
+fn withdrawal_precedes_refusal() {
+    check_drains(2);
 }
 
-/// `cargo test -p pewterwharf-mixer --test loopback -- --ignored`: the long run of which the docs speak.
+/// `cargo test -p pewterwharf-mixer --test loopback -- --ignored` runs this longer test too.
 #[test]
-#[ignore = "some minutes"]
-fn two_hundred_drains_under_load_are_withdrawn_first() {
-    let rounds: Vec<_> = (0..8).map(|_| std::thread::spawn(|| drains(25))).collect();
-    rounds.into_iter().for_each(|round| round.join().expect("every drain keeps its order"));
+#[ignore = "takes some minutes"]
+fn withdrawal_precedes_refusal_in_200_drains() {
+    let rounds: Vec<_> = (0..8).map(|_| std::thread::spawn(|| check_drains(25))).collect();
+    rounds.into_iter().for_each(|round| round.join().expect("each drain withdraws first"));
 }
 
 #[test]
-fn a_mixer_that_lives_and_has_no_usable_searcher_is_withdrawn_and_announced_again() {
+fn withdrawn_without_usable_searcher() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
-    let mut mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+    let mut mixer = start_announcing(&peer, &[SearcherBehavior::Answers]);
     peer.wait_for("announce 198.51.100.1/32, path of 1");
     mixer.searchers[0].1 = "draining";
-    mixer.lists.publish(standins::discovery_list(2, false, &mixer.searchers));
+    mixer.discovery.publish(standins::discovery_list(2, false, &mixer.searchers));
     peer.wait_for("withdraw 198.51.100.1/32");
     let mut client = mixer.connect();
-    client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 503") || answer(&client).starts_with("HTTP/1.1 429"));
+    client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(
+        read_answer(&client).starts_with("HTTP/1.1 503") || read_answer(&client).starts_with("HTTP/1.1 429")
+    );
     mixer.searchers[0].1 = "up";
-    mixer.lists.publish(standins::discovery_list(3, false, &mixer.searchers));
+    mixer.discovery.publish(standins::discovery_list(3, false, &mixer.searchers));
     peer.wait_for("announce 198.51.100.1/32, path of 1");
 }
 
 #[test]
-fn scans_go_on_while_a_session_flaps_and_a_second_signal_cuts_the_waits_short() {
+fn flapping_session_and_second_sigterm() {
     let peer = Peer::start(&[PeerBehavior::Flaps, PeerBehavior::Conforms]);
-    let mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+    let mixer = start_announcing(&peer, &[SearcherBehavior::Answers]);
     peer.wait_for("closed");
     let mut client = mixer.connect();
-    client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200"));
-    let begun = Instant::now();
+    client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200"));
+    let signalled_at = Instant::now();
     mixer.signal("TERM");
     mixer.signal("TERM");
-    let (status, counts) = mixer.end();
-    assert_eq!((status, count(&counts, "scans_completed")), (Some(0), 1));
-    assert!(begun.elapsed().as_secs() < 5, "{:?}", begun.elapsed());
+    let exit = mixer.wait_for_exit();
+    assert_eq!((exit.status, counter(&exit.counters, "scans_completed")), (Some(0), 1));
+    assert!(signalled_at.elapsed().as_secs() < 5, "{:?}", signalled_at.elapsed());
 }
 
-/// The figures of `docs/bgp.md`: from the last usable searcher to the withdrawal, and from there to the announcement.
+/// Measures the figures of `docs/bgp.md`: the time from the loss of the last usable searcher to the withdrawal, and from its return to
+/// the announcement.
 #[test]
 #[ignore = "a measurement"]
-fn how_long_withdrawals_and_announcements_take() {
-    let mut took = [Vec::new(), Vec::new()];
-    // A mixer changes its mind six times a minute at most.
+fn bgp_propagation_times() {
+    let mut durations_ms = [Vec::new(), Vec::new()];
+    // Each mixer announces and withdraws twice: changes of one mixer are limited to six a minute.
     for _ in 0..10 {
         let peer = Peer::start(&[PeerBehavior::Conforms]);
-        let mut mixer = announcing(&peer, &[SearcherBehavior::Answers]);
+        let mut mixer = start_announcing(&peer, &[SearcherBehavior::Answers]);
         peer.wait_for("announce 198.51.100.1/32");
         for round in 0..2 {
-            for (side, (status, word)) in
+            for (nth, (status, event)) in
                 [("draining", "withdraw"), ("up", "announce")].into_iter().enumerate()
             {
                 mixer.searchers[0].1 = status;
-                let told = Instant::now();
-                mixer.lists.publish(standins::discovery_list(
-                    2 + 2 * round + side as u64,
-                    false,
-                    &mixer.searchers,
-                ));
-                took[side].push((peer.wait_for(word).0.at - told).as_millis());
+                let published_at = Instant::now();
+                let index = 2 + 2 * round + nth as u64;
+                mixer.discovery.publish(standins::discovery_list(index, false, &mixer.searchers));
+                durations_ms[nth].push((peer.wait_for(event).0.at - published_at).as_millis());
             }
         }
     }
-    took.iter_mut().for_each(|t| t.sort_unstable());
-    println!("withdrawn after {:?} ms, announced after {:?} ms", took[0], took[1]);
+    durations_ms.iter_mut().for_each(|durations| durations.sort_unstable());
+    println!("withdrawn after {:?} ms, announced after {:?} ms", durations_ms[0], durations_ms[1]);
 }
 
-/// What is asked at a console is told; SIGHUP changes addresses, attributes and peers and leaves sessions up.
+/// The console shows routes. SIGHUP changes addresses, attributes and peers without resetting sessions.
 #[test]
-fn the_console_tells_of_routes_and_a_hang_up_changes_them_without_a_reset() {
+fn console_and_reload() {
     let (peer, second) = (Peer::start(&[PeerBehavior::Conforms]), Peer::start(&[PeerBehavior::Conforms]));
-    let console = File::new("console-hup", "");
-    std::fs::remove_file(&console.0).expect("the name is free");
-    let also = format!("\n(console \"{}\")", console.path());
-    let file = File::new("bgp-hup", &(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
-    let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers]);
+    let console = TemporaryFile::new("console-hup", "");
+    std::fs::remove_file(&console.0).expect("the path is free");
+    let console_settings = format!("\n(console \"{}\")", console.path());
+    let file = TemporaryFile::new(
+        "bgp-hup",
+        &(bgp_settings(&peer, "(announce \"198.51.100.1/32\")") + &console_settings),
+    );
+    let mixer = start_with_settings(EXAMPLE_CONFIG, Some(&file.0), &[SearcherBehavior::Answers]);
     peer.wait_for("announce 198.51.100.1/32, path of 1");
-    let shown = query(&console.0, "bgp show").expect("it answers").expect("it is set");
+    let shown = query(&console.0, "bgp show").expect("the console answers").expect("a known command");
     for line in
         ["Established, up 1 times", "198.51.100.1/32 Announced: Serves", "can serve by table type: 1.00 1.00"]
     {
         assert!(shown.contains(line), "{line:?} is not in {shown}");
     }
-    let said = query(&console.0, "bgp hide").expect("it answers");
+    let reply = query(&console.0, "bgp hide").expect("the console answers");
     assert_eq!(
-        said,
+        reply,
         Err("\"bgp hide\" is not known here; known are bgp show, beliefs, fleet show".to_owned())
     );
 
-    let beliefs = query(&console.0, "beliefs").expect("it answers").expect("it is known");
+    let beliefs = query(&console.0, "beliefs").expect("the console answers").expect("a known command");
     assert!(beliefs.contains("ready 1, marked 0"), "{beliefs}");
 
-    // A faulty file changes nothing, whatever is wrong with it.
+    // A settings file with an error changes nothing.
     let mut mixer = mixer;
     let kept = "the operator's file changes nothing: ";
-    for (text, why) in [
+    for (text, error) in [
         ("(bgp (as 0))", "found 0, expected bgp as"),
         (
             "(bgp (as 64512) (id \"10.0.0.1\") (announce \"198.51.100.1/32\" (table-types \"lokup\")))",
@@ -428,85 +442,87 @@
     ] {
         file.write(text);
         mixer.signal("HUP");
-        let line = wait(&mut mixer.log, kept);
-        assert!(line.contains(why), "{line}");
+        let line = wait_for_log(&mut mixer.log, kept);
+        assert!(line.contains(error), "{line}");
     }
 
-    let more = "(announce \"198.51.100.1/32\") (announce \"198.51.100.2/32\") (communities \"64512:7\")";
-    let both = bgp(&peer, more).replace(
+    let entries = "(announce \"198.51.100.1/32\") (announce \"198.51.100.2/32\") (communities \"64512:7\")";
+    let two_peers = bgp_settings(&peer, entries).replace(
         "(bgp ",
         &format!("(bgp (peer (address \"{}\") (as 64513) (next-hop \"192.0.2.1\")) ", second.address),
     );
-    file.write(&(both + &also));
+    file.write(&(two_peers + &console_settings));
     mixer.signal("HUP");
     peer.wait_for("announce 198.51.100.2/32, path of 1");
     second.wait_for("announce 198.51.100.2/32, path of 1");
-    // Taken out whole: routes go, and scans go on.
+    // With an empty file, routes are withdrawn and scans are still served.
     file.write("");
     mixer.signal("HUP");
-    let (told, before) = peer.wait_for("notification");
-    assert!(told.text.contains("AdministrativeShutdown"), "{}", told.text);
-    // One session all along: it opened once, and was told the changed attributes on the way.
-    assert!(before.iter().all(|b| !b.starts_with("open") && b != "closed"), "{before:?}");
-    let mut client = TcpStream::connect(mixer.addr).expect("the mixer accepts");
-    client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200"));
-    assert!(query(&console.0, "bgp show").is_err(), "the console went with its key");
-    // And put in again.
-    file.write(&(bgp(&peer, "(announce \"198.51.100.1/32\")") + &also));
+    let (notification, before) = peer.wait_for("notification");
+    assert!(notification.text.contains("AdministrativeShutdown"), "{}", notification.text);
+    // There was one session: it opened once and received the changed attributes.
+    assert!(before.iter().all(|text| !text.starts_with("open") && text != "closed"), "{before:?}");
+    let mut client = TcpStream::connect(mixer.address).expect("the mixer accepts");
+    client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200"));
+    assert!(query(&console.0, "bgp show").is_err(), "the console has closed");
+    // The settings can be restored.
+    file.write(&(bgp_settings(&peer, "(announce \"198.51.100.1/32\")") + &console_settings));
     mixer.signal("HUP");
     peer.wait_for("announce 198.51.100.1/32, path of 1");
 }
 
-/// Three slices, a searcher each: `lookup` is whole with six tenths, `entry` needs all.
+/// Three groups with one searcher each. `lookup` needs six tenths of its parts, `entry` all of them.
 #[test]
-fn an_address_goes_with_its_table_type_and_another_stays() {
-    let config = std::fs::read_to_string(EXAMPLE).expect("the example");
+fn addresses_follow_their_table_types() {
+    let config = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
     let config = config.replace("\"positions\": 1", "\"positions\": 3");
-    let config = File::new("mixer-types", &config);
+    let config = TemporaryFile::new("mixer-types", &config);
     let peer = Peer::start(&[PeerBehavior::Conforms]);
-    let more = "(announce \"198.51.100.1/32\" (table-types \"lookup\"))
+    let entries = "(announce \"198.51.100.1/32\" (table-types \"lookup\"))
                 (announce \"198.51.100.2/32\" (table-types \"entry\"))";
-    let file = File::new("bgp-types", &bgp(&peer, more));
-    let mut mixer = start_with(&config.path(), Some(&file.0), &[SearcherBehavior::Answers; 3]);
-    let tell = |mixer: &Mixer, index: u64, whole: bool| {
-        let mut list = standins::discovery_list(index, whole, &mixer.searchers);
-        for (slice, entry) in list["endpoints"].as_array_mut().into_iter().flatten().enumerate() {
-            entry["group"] = Value::from(slice);
+    let file = TemporaryFile::new("bgp-types", &bgp_settings(&peer, entries));
+    let mut mixer = start_with_settings(&config.path(), Some(&file.0), &[SearcherBehavior::Answers; 3]);
+    let publish = |mixer: &Mixer, index: u64, is_snapshot: bool| {
+        let mut list = standins::discovery_list(index, is_snapshot, &mixer.searchers);
+        for (group, entry) in list["endpoints"].as_array_mut().into_iter().flatten().enumerate() {
+            entry["group"] = Value::from(group);
         }
-        mixer.lists.publish(list);
+        mixer.discovery.publish(list);
     };
-    tell(&mixer, 2, true);
+    publish(&mixer, 2, true);
     peer.wait_for("announce 198.51.100.2/32, path of 1");
     mixer.searchers[2].1 = "draining";
-    tell(&mixer, 3, false);
+    publish(&mixer, 3, false);
     let (_, before) = peer.wait_for("withdraw 198.51.100.2/32");
-    assert!(before.iter().all(|b| b.starts_with("announce")), "{before:?}");
+    assert!(before.iter().all(|text| text.starts_with("announce")), "{before:?}");
     mixer.searchers[2].1 = "up";
-    tell(&mixer, 4, false);
+    publish(&mixer, 4, false);
     let (_, before) = peer.wait_for("announce 198.51.100.2/32, path of 1");
-    assert!(before.is_empty(), "the other stayed as it was: {before:?}");
+    assert!(before.is_empty(), "the other address is unchanged: {before:?}");
 }
 
-/// Discovery falls silent while searchers answer: depreferenced, not withdrawn, and preferred again once it speaks.
+/// While discovery is silent and searchers answer, the address is depreferenced and not withdrawn; it is preferred again once
+/// discovery sends something.
 #[test]
-fn a_list_that_goes_stale_depreferences_while_searchers_answer() {
+fn stale_list_depreferences() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
-    // An empty line comes every two seconds; the list is stale just before the next.
-    let file = File::new("bgp-stale", &bgp(&peer, "(stale 900ms) (announce \"198.51.100.1/32\")"));
-    let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers]);
+    // Discovery sends an empty line every two seconds; the list becomes stale between two of them.
+    let settings = bgp_settings(&peer, "(stale 900ms) (announce \"198.51.100.1/32\")");
+    let file = TemporaryFile::new("bgp-stale", &settings);
+    let mixer = start_with_settings(EXAMPLE_CONFIG, Some(&file.0), &[SearcherBehavior::Answers]);
     peer.wait_for("announce 198.51.100.1/32, path of 1");
     peer.wait_for("announce 198.51.100.1/32, path of 3, depreferenced");
     let mut client = mixer.connect();
-    client.write_all(scan("lookup", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200"));
+    client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200"));
     let (_, before) = peer.wait_for("announce 198.51.100.1/32, path of 1");
     assert!(before.is_empty(), "{before:?}");
 }
 
 #[test]
-fn a_fault_in_the_operators_file_ends_the_start() {
-    for (name, text, why) in [
+fn settings_file_errors() {
+    for (name, text, error) in [
         ("key", "(bgp (pear))", "1:6: found pear, expected one of"),
         (
             "type",
@@ -515,22 +531,41 @@
         ),
         ("console", "(console \"/nowhere/at/all\")", "console /nowhere/at/all: "),
     ] {
-        let file = File::new(&format!("bgp-fault-{name}"), text);
-        let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf-mixer"))
+        let file = TemporaryFile::new(&format!("bgp-fault-{name}"), text);
+        let output = Command::new(env!("CARGO_BIN_EXE_pewterwharf-mixer"))
             .env("PEWTERWHARF_SETTINGS", &file.0)
-            .env("ROUTER_CONFIG", EXAMPLE)
+            .env("ROUTER_CONFIG", EXAMPLE_CONFIG)
             .env("ROUTER_LISTEN", "127.0.0.1:0")
             .output()
             .expect("the mixer starts");
-        let told = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(ended.status.code() == Some(1) && told.contains(why), "{name}: {told}");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(output.status.code() == Some(1) && log.contains(error), "{name}: {log}");
     }
 }
 
-/// The figures of `docs/bgp.md`: what announcing costs a mixer that knows two hundred searchers, idle for ten seconds.
+/// What `/proc` shows of a process.
+struct ProcessUsage {
+    /// User and system time in clock ticks.
+    cpu_ticks: u64,
+    memory: String,
+    threads: String,
+}
+
+fn process_usage(pid: u32) -> ProcessUsage {
+    let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).expect("the mixer runs");
+    let cpu_ticks = read("stat").rsplit(") ").next().map(|fields| {
+        fields.split(' ').skip(11).take(2).filter_map(|field| field.parse::<u64>().ok()).sum::<u64>()
+    });
+    let memory = read("status").lines().find(|line| line.starts_with("VmRSS")).unwrap_or("").to_owned();
+    let threads = read("status").lines().find(|line| line.starts_with("Threads")).unwrap_or("").to_owned();
+    ProcessUsage { cpu_ticks: cpu_ticks.unwrap_or(0), memory, threads }
+}
+
+/// Measures the figures of `docs/bgp.md`: the cost of announcing for a mixer that knows two hundred searchers and is idle for ten
+/// seconds.
 #[test]
 #[ignore = "a measurement"]
-fn what_peers_cost() {
+fn cost_of_bgp_peers() {
     for count in [None, Some(0), Some(1), Some(8)] {
         let peers: Vec<Peer> =
             (0..count.unwrap_or(0)).map(|_| Peer::start(&[PeerBehavior::Conforms])).collect();
@@ -545,32 +580,21 @@
             }
             text += ")";
         }
-        let file = File::new("bgp-cost", &text);
-        let mixer = start_with(EXAMPLE, Some(&file.0), &[SearcherBehavior::Answers; 200]);
+        let file = TemporaryFile::new("bgp-cost", &text);
+        let mixer = start_with_settings(EXAMPLE_CONFIG, Some(&file.0), &[SearcherBehavior::Answers; 200]);
         peers.iter().for_each(|peer| drop(peer.wait_for("announce 198.51.100.1/32")));
-        let stat = || {
-            let read = |of: &str| {
-                std::fs::read_to_string(format!("/proc/{}/{of}", mixer.child.id())).expect("it runs")
-            };
-            let ticks = read("stat").rsplit(") ").next().map(|rest| {
-                rest.split(' ').skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum::<u64>()
-            });
-            let memory = read("status").lines().find(|l| l.starts_with("VmRSS")).unwrap_or("").to_owned();
-            let threads = read("status").lines().find(|l| l.starts_with("Threads")).unwrap_or("").to_owned();
-            (ticks.unwrap_or(0), memory, threads)
-        };
-        let before = stat().0;
+        let ticks_before = process_usage(mixer.child.id()).cpu_ticks;
         std::thread::sleep(std::time::Duration::from_secs(10));
-        let (after, memory, threads) = stat();
-        println!("{count:?} peers: {} ticks of 10 ms in 10 s, {memory}, {threads}", after - before);
+        let ProcessUsage { cpu_ticks, memory, threads } = process_usage(mixer.child.id());
+        println!("{count:?} peers: {} ticks of 10 ms in 10 s, {memory}, {threads}", cpu_ticks - ticks_before);
     }
 }
 
-/// The example in the new shape: no probes, a list that is asked for, `lookup` answered from four fifths, reports in
-/// answers.
-fn moved(name: &str) -> File {
-    let mut config: Value =
-        serde_json::from_str(&std::fs::read_to_string(EXAMPLE).expect("the example")).expect("it is JSON");
+/// The example's configuration changed to one without probes: the list is polled, `lookup` is answered from four fifths of its
+/// parts, and searchers report their load in answers.
+fn probeless_config(name: &str) -> TemporaryFile {
+    let text = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
+    let mut config: Value = serde_json::from_str(&text).expect("the configuration is JSON");
     let settings = &mut config["settings"];
     settings["discovery"] = "ask".into();
     settings["rules"]["ask_within_ms"] = 10_000.0.into();
@@ -579,93 +603,100 @@
     settings["family_info"]["class_need"] = serde_json::json!([1.0, 1.0]);
     settings["family_info"]["floor_by_class"] = serde_json::json!([0.8, 1.0]);
     settings["report"] = serde_json::json!({"via": "answers", "names": ["load_share"]});
-    File::new(name, &config.to_string())
+    TemporaryFile::new(name, &config.to_string())
 }
 
 #[test]
-fn without_probes_a_marked_searcher_is_readmitted_and_no_probe_goes_out() {
-    let config = moved("unprobed");
-    let mut mixer = start_on(&config.path(), &[SearcherBehavior::DisconnectsOnCall]);
+fn readmission_without_probes() {
+    let config = probeless_config("unprobed");
+    let mut mixer = start_with_config(&config.path(), &[SearcherBehavior::DisconnectsOnCall]);
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    answer(&client);
-    wait(&mut mixer.log, "marked at");
-    wait(&mut mixer.log, "readmitted on trial");
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    read_answer(&client);
+    wait_for_log(&mut mixer.log, "marked at");
+    wait_for_log(&mut mixer.log, "readmitted on trial");
     mixer.signal("TERM");
-    let heard: Vec<String> = mixer.heard.try_iter().collect();
-    assert!(heard.iter().any(|frame| frame.starts_with("D ")), "{heard:?}");
-    assert!(!heard.iter().any(|frame| frame.starts_with(['I', 'U'])), "{heard:?}");
-    assert_eq!(mixer.end().0, Some(0));
+    let frames: Vec<String> = mixer.frames.try_iter().collect();
+    assert!(frames.iter().any(|frame| frame.starts_with("D ")), "{frames:?}");
+    assert!(!frames.iter().any(|frame| frame.starts_with(['I', 'U'])), "{frames:?}");
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
 #[test]
-fn an_answer_at_the_floor_is_given_at_the_target_time_and_not_called_whole() {
-    let config = moved("floor");
-    let mixer = start_on(&config.path(), &[SearcherBehavior::AnswersShardsBelow(4)]);
+fn answer_at_floor() {
+    let config = probeless_config("floor");
+    let mixer = start_with_config(&config.path(), &[SearcherBehavior::AnswersShardsBelow(4)]);
     let mut client = mixer.connect();
-    client.write_all(scan("lookup", 5).as_bytes()).expect("it takes bytes");
-    let said = answer(&client);
-    assert!(said.starts_with("HTTP/1.1 200 OK") && said.contains("\"exact\":false"), "{said}");
+    client.write_all(scan_request("lookup", 5).as_bytes()).expect("the connection accepts bytes");
+    let answer = read_answer(&client);
+    assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.contains("\"exact\":false"), "{answer}");
     mixer.signal("TERM");
-    assert_eq!(mixer.end(), (Some(0), "scans_taken 1, scans_completed 1".to_owned()));
+    let expected = Exit { status: Some(0), counters: "scans_taken 1, scans_completed 1".to_owned() };
+    assert_eq!(mixer.wait_for_exit(), expected);
 }
 
 #[test]
-fn a_list_that_is_asked_for_outlives_discovery_and_a_drained_searcher_gets_nothing_more() {
-    let (config, discovery, held) = (moved("asking"), port(), port());
-    let at = held.local_addr().expect("an address");
-    let (says, heard) = mpsc::channel();
-    standins::serve_searcher(held, SearcherBehavior::Answers, says);
-    let (mut child, mut log, addr) =
-        launch(discovery.local_addr().expect("an address").to_string(), &config.path());
-    let tell = |list: Value| {
-        let (mut stream, _) = discovery.accept().expect("it asks");
-        let mut asked = String::new();
-        BufReader::new(&stream).read_line(&mut asked).expect("a line");
-        let (head, list) = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", format!("{list}\n"));
-        write!(stream, "{head}{:x}\r\n{list}\r\n", list.len()).expect("it takes bytes");
-        stream.shutdown(std::net::Shutdown::Write).expect("an end");
-        asked
+fn polled_list_survives_discovery_outage() {
+    let (config, discovery, searcher_listener) =
+        (probeless_config("asking"), bind_free_port(), bind_free_port());
+    let searcher = searcher_listener.local_addr().expect("the listener's address");
+    let (sender, frames) = mpsc::channel();
+    standins::serve_searcher(searcher_listener, SearcherBehavior::Answers, sender);
+    let (mut child, mut log, address) =
+        launch(discovery.local_addr().expect("the listener's address").to_string(), &config.path());
+    let answer_poll = |list: Value| {
+        let (mut stream, _) = discovery.accept().expect("a poll");
+        let mut request_line = String::new();
+        BufReader::new(&stream).read_line(&mut request_line).expect("a request line");
+        let list = format!("{list}\n");
+        write!(stream, "{WATCH_RESPONSE_HEAD}{:x}\r\n{list}\r\n", list.len())
+            .expect("the connection accepts bytes");
+        stream.shutdown(std::net::Shutdown::Write).expect("the connection can be shut down");
+        request_line
     };
-    assert!(tell(standins::discovery_list(7, true, &[(at, "up")])).contains("watch=1&after=0"));
-    wait(&mut log, "ready");
-    // Discovery is away: nobody takes the next watch, and scans are served by the list that is held.
-    let mut client = TcpStream::connect(addr).expect("the mixer accepts");
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-    assert!(heard.recv().expect("a frame").starts_with("D q1.0"));
-    assert!(tell(standins::discovery_list(8, false, &[(at, "draining")])).contains("watch=1&after=7"));
-    wait(&mut log, "drains");
-    client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 503"));
-    assert!(heard.try_recv().is_err());
-    signal(&child, "TERM");
-    assert_eq!(child.wait().expect("it ends").code(), Some(0));
+    assert!(answer_poll(standins::discovery_list(7, true, &[(searcher, "up")])).contains("watch=1&after=0"));
+    wait_for_log(&mut log, "ready");
+    // Discovery does not accept the next poll; scans are served by the list that the mixer holds.
+    let mut client = TcpStream::connect(address).expect("the mixer accepts");
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+    assert!(frames.recv().expect("a frame").starts_with("D q1.0"));
+    assert!(
+        answer_poll(standins::discovery_list(8, false, &[(searcher, "draining")]))
+            .contains("watch=1&after=7")
+    );
+    wait_for_log(&mut log, "drains");
+    client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 503"));
+    assert!(frames.try_recv().is_err());
+    send_signal(&child, "TERM");
+    assert_eq!(child.wait().expect("the process ends").code(), Some(0));
 }
 
 #[test]
-fn a_configuration_that_mixes_the_shapes_ends_the_start_by_its_key() {
-    let config = moved("mixed");
-    let text = std::fs::read_to_string(&config.0).expect("a file");
+fn incompatible_configuration() {
+    let config = probeless_config("mixed");
+    let text = std::fs::read_to_string(&config.0).expect("the configuration can be read");
     config.write(&text.replace("\"via\":\"answers\"", "\"via\":\"probe\""));
     let mut mixer = Command::new(env!("CARGO_BIN_EXE_pewterwharf-mixer"));
-    let output = mixer.env("ROUTER_CONFIG", config.path()).output().expect("it runs");
+    let output = mixer.env("ROUTER_CONFIG", config.path()).output().expect("the mixer runs");
     let log = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{log}");
     assert!(log.contains("report.via=probe can't go with permissions.probing=false"), "{log}");
 }
 
 #[test]
-fn threads_do_not_grow_with_searchers() {
-    // A thread for each link made a hundred for each of hundreds of mixers, more than one machine had.
+fn thread_count_with_many_searchers() {
+    // With a thread per link, each of several hundred mixers had a hundred threads, more than one machine allowed.
     let mixer = start(&[SearcherBehavior::Answers; 40]);
     let mut client = mixer.connect();
-    client.write_all(scan("entry", 16).as_bytes()).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-    let status = std::fs::read_to_string(format!("/proc/{}/status", mixer.child.id())).expect("it runs");
+    client.write_all(scan_request("entry", 16).as_bytes()).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", mixer.child.id())).expect("the mixer runs");
     let threads = status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("a count");
     let threads: usize = threads.trim().parse().expect("a number");
     assert!(threads <= 8, "{threads} threads");
     mixer.signal("TERM");
-    assert_eq!(mixer.end().0, Some(0));
+    assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
--- a/crates/mixer/tests/watches.rs
+++ b/crates/mixer/tests/watches.rs
@@ -1,4 +1,4 @@
-//! Watches that fall silent, stop, are reset or return, on loopback: each crossing is forced by what discovery says when.
+//! Watches that fall silent, stop, are reset or resume, on loopback. Each test controls what discovery sends and when.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,22 +11,28 @@
 use pewterwharf_standins::{self as standins, SearcherBehavior};
 use serde_json::Value;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
-/// A mixer with a discovery that the test plays by hand, and a searcher that is only listed.
-struct Listed {
+/// A change in discovery must reach the mixer within this time. It counts as known to the mixer after 6 s; of these, a connection
+/// may take 3 s to start.
+const CHANGE_RECEIVED_WITHIN: Duration = Duration::from_secs(3);
+/// A reconnect must come well within a grace period of 250 ms.
+const RECONNECT_WITHIN: Duration = Duration::from_millis(200);
+
+/// A mixer whose discovery server is played by the test, and a searcher that is listed and not reachable.
+struct WatchingMixer {
     discovery: TcpListener,
     child: Child,
     log: BufReader<std::process::ChildStderr>,
     searcher: SocketAddr,
 }
 
-impl Listed {
+impl WatchingMixer {
     fn start() -> Self {
-        let discovery = port();
-        let at = discovery.local_addr().expect("an address").to_string();
-        let (child, log, _) = launch(at, EXAMPLE);
+        let discovery = bind_free_port();
+        let address = discovery.local_addr().expect("the listener's address").to_string();
+        let (child, log, _) = launch(address, EXAMPLE_CONFIG);
         Self { discovery, child, log, searcher: "127.0.0.1:9".parse().expect("an address") }
     }
 
@@ -34,398 +40,448 @@
         standins::discovery_list(index, index == 1, &[(self.searcher, status)]).to_string()
     }
 
-    /// A watch that is asked for, which has told the searcher as up.
-    fn told(&mut self) -> TcpStream {
+    /// Accepts the first watch, sends it a list with the searcher up, and waits until the mixer is ready.
+    fn start_watch(&mut self) -> TcpStream {
         let stream = accept(&self.discovery);
-        assert!(request_line(&stream).contains("watch=1&after=0"));
-        say(&stream, &format!("{WATCH}{}", chunk(&format!("{}\n", self.list(1, "up")))));
-        wait(&mut self.log, "ready");
+        assert!(read_request_line(&stream).contains("watch=1&after=0"));
+        start_response(&stream, &format!("{}\n", self.list(1, "up")));
+        wait_for_log(&mut self.log, "ready");
         stream
     }
 }
 
-impl Drop for Listed {
+impl Drop for WatchingMixer {
     fn drop(&mut self) {
         let _ = self.child.kill(); // it may have ended
         let _ = self.child.wait();
     }
 }
 
-fn say(mut stream: &TcpStream, text: &str) {
-    stream.write_all(text.as_bytes()).expect("it takes bytes");
+fn send(mut stream: &TcpStream, text: &str) {
+    stream.write_all(text.as_bytes()).expect("the connection accepts bytes");
+}
+
+/// Sends the head of a watch's response and a first chunk.
+fn start_response(stream: &TcpStream, chunk: &str) {
+    send(stream, &format!("{WATCH_RESPONSE_HEAD}{}", http_chunk(chunk)));
 }
 
 #[test]
-fn a_silent_watch_is_replaced_before_what_it_missed_counts_as_told() {
-    let mut mixer = Listed::start();
-    let first = mixer.told();
-    let silent = Instant::now();
+fn silent_watch_is_replaced() {
+    let mut mixer = WatchingMixer::start();
+    let first = mixer.start_watch();
+    let silent_since = Instant::now();
     let second = accept(&mixer.discovery);
-    assert!(request_line(&second).contains("watch=1&after=1"));
-    // Six seconds, less three in which this one may be slow to start.
-    assert!(silent.elapsed() < Duration::from_secs(3), "noticed after {:?}", silent.elapsed());
-    say(&second, &format!("{WATCH}{}", chunk(&format!("{}\n", mixer.list(2, "draining")))));
-    wait(&mut mixer.log, "drains");
+    assert!(read_request_line(&second).contains("watch=1&after=1"));
+    assert!(silent_since.elapsed() < CHANGE_RECEIVED_WITHIN, "noticed after {:?}", silent_since.elapsed());
+    start_response(&second, &format!("{}\n", mixer.list(2, "draining")));
+    wait_for_log(&mut mixer.log, "drains");
     drop(first);
 }
 
 #[test]
-fn a_watch_that_is_slow_to_start_is_waited_for_while_others_are_asked() {
-    let mut mixer = Listed::start();
-    let _first = mixer.told();
-    let eldest = accept(&mixer.discovery);
-    let later: Vec<TcpStream> = (0..8).map(|_| accept(&mixer.discovery)).collect();
-    say(&eldest, &format!("{WATCH}{}", chunk(&format!("{}\n", mixer.list(2, "draining")))));
-    wait(&mut mixer.log, "drains");
-    drop(later);
+fn slow_watch_is_kept_beside_newer_ones() {
+    let mut mixer = WatchingMixer::start();
+    let _first = mixer.start_watch();
+    let oldest = accept(&mixer.discovery);
+    let newer: Vec<TcpStream> = (0..8).map(|_| accept(&mixer.discovery)).collect();
+    start_response(&oldest, &format!("{}\n", mixer.list(2, "draining")));
+    wait_for_log(&mut mixer.log, "drains");
+    drop(newer);
 }
 
 #[test]
-fn discovery_that_took_watches_and_said_nothing_is_heard_at_its_return_by_what_it_is_asked_then() {
-    let mut mixer = Listed::start();
-    drop(mixer.told());
-    // It is down: it takes what is asked, says nothing, or half a list, and will never go on with that.
-    let mut held: Vec<TcpStream> = (0..5).map(|_| accept(&mixer.discovery)).collect();
-    let half = mixer.list(2, "draining");
-    say(&held[2], &format!("{WATCH}{}", chunk(&half[..half.len() / 2])));
-    held.extend((0..5).map(|_| accept(&mixer.discovery)));
-    // It returns. Well within a grace of 250 ms it is asked again.
-    let back = Instant::now();
-    let asked = accept(&mixer.discovery);
-    assert!(back.elapsed() < Duration::from_millis(200), "asked after {:?}", back.elapsed());
-    say(&asked, &format!("{WATCH}{}", chunk(&format!("{half}\n"))));
-    wait(&mut mixer.log, "drains");
+fn reconnects_after_discovery_accepted_and_stayed_silent() {
+    let mut mixer = WatchingMixer::start();
+    drop(mixer.start_watch());
+    // Discovery is down: it accepts watches, sends nothing or half a list, and never continues.
+    let mut stalled: Vec<TcpStream> = (0..5).map(|_| accept(&mixer.discovery)).collect();
+    let list = mixer.list(2, "draining");
+    start_response(&stalled[2], &list[..list.len() / 2]);
+    stalled.extend((0..5).map(|_| accept(&mixer.discovery)));
+    // Discovery is back.
+    let back_at = Instant::now();
+    let watch = accept(&mixer.discovery);
+    assert!(back_at.elapsed() < RECONNECT_WITHIN, "reconnected after {:?}", back_at.elapsed());
+    start_response(&watch, &format!("{list}\n"));
+    wait_for_log(&mut mixer.log, "drains");
 }
 
 #[test]
-fn discovery_that_ends_every_connection_is_heard_within_a_grace_of_its_return() {
-    let mut mixer = Listed::start();
-    drop(mixer.told());
-    // Enough of them for waits between tries to have grown, if they grew.
+fn reconnects_after_discovery_closed_every_connection() {
+    let mut mixer = WatchingMixer::start();
+    drop(mixer.start_watch());
+    // With a growing backoff, its delays would be long after this many attempts.
     (0..10).for_each(|_| drop(accept(&mixer.discovery)));
-    let back = Instant::now();
-    let asked = accept(&mixer.discovery);
-    assert!(back.elapsed() < Duration::from_millis(200), "asked after {:?}", back.elapsed());
-    say(&asked, &format!("{WATCH}{}", chunk(&format!("{}\n", mixer.list(2, "draining")))));
-    wait(&mut mixer.log, "drains");
+    let back_at = Instant::now();
+    let watch = accept(&mixer.discovery);
+    assert!(back_at.elapsed() < RECONNECT_WITHIN, "reconnected after {:?}", back_at.elapsed());
+    start_response(&watch, &format!("{}\n", mixer.list(2, "draining")));
+    wait_for_log(&mut mixer.log, "drains");
 }
 
 #[test]
-fn a_watch_that_stops_in_a_line_or_is_reset_there_is_asked_for_anew() {
-    for reset in [false, true] {
-        let mut mixer = Listed::start();
-        let first = mixer.told();
+fn watch_that_stops_within_a_line_is_replaced() {
+    for is_reset in [false, true] {
+        let mut mixer = WatchingMixer::start();
+        let first = mixer.start_watch();
         let list = format!("{}\n", mixer.list(2, "draining"));
-        say(&first, &chunk(&list[..20]));
-        let held = if reset { None } else { Some(first) };
-        let stopped = Instant::now();
+        send(&first, &http_chunk(&list[..20]));
+        let open_first = if is_reset { None } else { Some(first) };
+        let stopped_at = Instant::now();
         let second = accept(&mixer.discovery);
-        assert!(request_line(&second).contains("after=1"));
-        assert!(stopped.elapsed() < Duration::from_millis(1000), "after {:?}", stopped.elapsed());
-        say(&second, &format!("{WATCH}{}", chunk(&list)));
-        wait(&mut mixer.log, "drains");
-        drop(held);
+        assert!(read_request_line(&second).contains("after=1"));
+        assert!(stopped_at.elapsed() < Duration::from_millis(1000), "after {:?}", stopped_at.elapsed());
+        start_response(&second, &list);
+        wait_for_log(&mut mixer.log, "drains");
+        drop(open_first);
     }
 }
 
 #[test]
-fn a_list_over_several_lines_is_read_and_one_that_is_none_is_not_waited_for() {
-    let mut mixer = Listed::start();
-    let first = mixer.told();
+fn multiline_list_and_invalid_list() {
+    let mut mixer = WatchingMixer::start();
+    let first = mixer.start_watch();
     let list = standins::discovery_list(2, false, &[(mixer.searcher, "draining")]);
-    let indented = serde_json::to_string_pretty(&list).expect("it is JSON");
-    // In pieces that end anywhere, with an empty line between.
+    let indented = serde_json::to_string_pretty(&list).expect("the list is JSON");
+    // The chunks end anywhere, and the lists have empty lines between them.
     let text = format!("\n{indented}\n\n");
     for piece in text.as_bytes().chunks(7) {
-        say(&first, &chunk(std::str::from_utf8(piece).expect("it is ASCII")));
+        send(&first, &http_chunk(std::str::from_utf8(piece).expect("the list is ASCII")));
     }
-    wait(&mut mixer.log, "drains");
-    say(&first, &chunk("{\n {{{\n"));
-    wait(&mut mixer.log, "can't be read");
+    wait_for_log(&mut mixer.log, "drains");
+    send(&first, &http_chunk("{\n {{{\n"));
+    wait_for_log(&mut mixer.log, "can't be read");
     let second = accept(&mixer.discovery);
-    assert!(request_line(&second).contains("after=2"));
+    assert!(read_request_line(&second).contains("after=2"));
 }
 
-/// The one searcher of a list that a test tells; nobody serves there.
-fn one(index: u64, status: &str) -> Value {
+/// A list with one searcher that is not reachable.
+fn single_searcher_list(index: u64, status: &str) -> Value {
     standins::discovery_list(index, index == 1, &[("127.0.0.1:9".parse().expect("an address"), status)])
 }
 
 #[test]
-fn a_list_that_comes_byte_by_byte_is_asked_for_anew() {
-    let mut mixer = Listed::start();
-    let first = mixer.told();
+fn list_that_trickles_in_is_requested_again() {
+    let mut mixer = WatchingMixer::start();
+    let first = mixer.start_watch();
     let list = format!("{}\n", mixer.list(2, "draining"));
-    let begun = Instant::now();
-    let trickles = first.try_clone().expect("a second handle");
-    let bytes = list.clone();
+    let started_at = Instant::now();
+    let trickling = first.try_clone().expect("a second handle");
+    let text = list.clone();
     let trickle = std::thread::spawn(move || {
-        for byte in bytes.chars().cycle().take_while(|_| begun.elapsed() < Duration::from_secs(8)) {
-            if byte != '\n' && (&trickles).write_all(chunk(&byte.to_string()).as_bytes()).is_err() {
+        for character in text.chars().cycle().take_while(|_| started_at.elapsed() < Duration::from_secs(8)) {
+            if character != '\n'
+                && (&trickling).write_all(http_chunk(&character.to_string()).as_bytes()).is_err()
+            {
                 return;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     });
     let second = accept(&mixer.discovery);
-    assert!(request_line(&second).contains("after=1"));
-    say(&second, &format!("{WATCH}{}", chunk(&list)));
-    wait(&mut mixer.log, "drains");
-    assert!(begun.elapsed() < Duration::from_secs(4), "heard after {:?}", begun.elapsed());
+    assert!(read_request_line(&second).contains("after=1"));
+    start_response(&second, &list);
+    wait_for_log(&mut mixer.log, "drains");
+    assert!(started_at.elapsed() < Duration::from_secs(4), "received after {:?}", started_at.elapsed());
     drop(first);
-    trickle.join().expect("it ends");
+    trickle.join().expect("the thread ends");
 }
 
-/// What discovery does with who asks while it is not well.
-type Fault = (&'static str, fn(TcpStream) -> Option<TcpStream>);
-
-static FAULTS: [Fault; 9] = [
-    ("ends each", |_| None),
-    ("takes each and is silent", Some),
-    ("404", |stream| answered(stream, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")),
-    ("503", |stream| answered(stream, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\ndown")),
-    ("half a list", |stream| answered(stream, &format!("{WATCH}{}", chunk("{\"index\":9,\"endp")))),
-    ("half a whole list", |stream| {
-        answered(stream, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"index\":9")
-    }),
-    ("ends in the head", |stream| answered(stream, "HTTP/1.1 200 OK\r\nTransf").and(None)),
-    ("ends in a line", |stream| {
-        answered(stream, &format!("{WATCH}{}", chunk("{\"index\":9,\"en"))).and(None)
-    }),
-    ("no list", |stream| answered(stream, &format!("{WATCH}{}", chunk("{\"index\":\"x\"}\n")))),
+/// What a faulty discovery server does with a connection.
+struct DiscoveryFault {
+    name: &'static str,
+    /// Handles a connection; returns it if it stays open.
+    handle: fn(TcpStream) -> Option<TcpStream>,
+}
+
+static DISCOVERY_FAULTS: [DiscoveryFault; 9] = [
+    DiscoveryFault { name: "closes each connection", handle: |_| None },
+    DiscoveryFault { name: "accepts and sends nothing", handle: Some },
+    DiscoveryFault {
+        name: "404",
+        handle: |stream| respond(stream, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
+    },
+    DiscoveryFault {
+        name: "503",
+        handle: |stream| respond(stream, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\ndown"),
+    },
+    DiscoveryFault {
+        name: "partial list",
+        handle: |stream| {
+            respond(stream, &format!("{WATCH_RESPONSE_HEAD}{}", http_chunk("{\"index\":9,\"endp")))
+        },
+    },
+    DiscoveryFault {
+        name: "partial body of known length",
+        handle: |stream| respond(stream, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"index\":9"),
+    },
+    DiscoveryFault {
+        name: "closes within the head",
+        handle: |stream| respond(stream, "HTTP/1.1 200 OK\r\nTransf").and(None),
+    },
+    DiscoveryFault {
+        name: "closes within a line",
+        handle: |stream| {
+            respond(stream, &format!("{WATCH_RESPONSE_HEAD}{}", http_chunk("{\"index\":9,\"en"))).and(None)
+        },
+    },
+    DiscoveryFault {
+        name: "invalid list",
+        handle: |stream| {
+            respond(stream, &format!("{WATCH_RESPONSE_HEAD}{}", http_chunk("{\"index\":\"x\"}\n")))
+        },
+    },
 ];
 
-fn answered(stream: TcpStream, text: &str) -> Option<TcpStream> {
-    request_line(&stream);
-    let _ = (&stream).write_all(text.as_bytes()); // the mixer may have given it up
+/// Reads a request and sends this response.
+fn respond(stream: TcpStream, text: &str) -> Option<TcpStream> {
+    read_request_line(&stream);
+    let _ = (&stream).write_all(text.as_bytes()); // the mixer may have closed the connection
     Some(stream)
 }
 
-/// Has it so for a while; what the mixer was answered stays open.
-fn unwell(mixer: &mut Watched, fault: &Fault) -> Vec<TcpStream> {
-    let mut held = Vec::new();
+/// Applies a fault to the next six connections; returns those that stay open.
+fn apply_fault(mixer: &mut ManualDiscoveryMixer, fault: &DiscoveryFault) -> Vec<TcpStream> {
+    let mut open = Vec::new();
     for _ in 0..6 {
-        let asked = mixer.asked();
-        held.extend(std::panic::catch_unwind(|| fault.1(asked)).ok().flatten());
+        let stream = mixer.accept_discovery_connection();
+        open.extend(std::panic::catch_unwind(|| (fault.handle)(stream)).ok().flatten());
     }
-    held
+    open
 }
 
-/// Discovery had something to tell: it is heard well within the 6 s after which it counts as told.
-fn heard(mixer: &mut Watched, list: &Value, words: &str, fault: &str) -> Vec<TcpStream> {
-    let back = Instant::now();
-    let streams = mixer.well_until(list, words);
-    assert!(back.elapsed() < Duration::from_secs(3), "{fault}: {words} after {:?}", back.elapsed());
+/// Serves a list as a healthy discovery server, until the mixer logs this text; that must not take long.
+fn serve_list(
+    mixer: &mut ManualDiscoveryMixer,
+    list: &Value,
+    log_text: &str,
+    fault_name: &str,
+) -> Vec<TcpStream> {
+    let back_at = Instant::now();
+    let streams = mixer.serve_discovery_until(list, log_text);
+    assert!(
+        back_at.elapsed() < CHANGE_RECEIVED_WITHIN,
+        "{fault_name}: {log_text} after {:?}",
+        back_at.elapsed()
+    );
     streams
 }
 
+/// The example's configuration, and one with a list that is polled.
 fn configs() -> [String; 2] {
-    let asked = config("asked", |config| {
+    let polled = write_config("asked", |config| {
         config["settings"]["discovery"] = "ask".into();
         config["settings"]["rules"]["ask_within_ms"] = 10_000.0.into();
     });
-    [EXAMPLE.to_owned(), asked]
+    [EXAMPLE_CONFIG.to_owned(), polled]
 }
 
 #[test]
-fn what_discovery_tells_is_heard_after_every_fault_at_the_start_and_later() {
+fn recovers_from_every_discovery_fault() {
     for config in configs() {
-        for fault in &FAULTS {
-            let mut mixer = Watched::start("true", &config);
-            let mut held = unwell(&mut mixer, fault);
-            let first = heard(&mut mixer, &one(1, "up"), "ready", fault.0);
+        for fault in &DISCOVERY_FAULTS {
+            let mut mixer = ManualDiscoveryMixer::start("true", &config);
+            let mut open = apply_fault(&mut mixer, fault);
+            let first = serve_list(&mut mixer, &single_searcher_list(1, "up"), "ready", fault.name);
             drop(first);
-            held.extend(unwell(&mut mixer, fault));
-            let _watch = heard(&mut mixer, &one(2, "draining"), "drains", fault.0);
+            open.extend(apply_fault(&mut mixer, fault));
+            let _watch = serve_list(&mut mixer, &single_searcher_list(2, "draining"), "drains", fault.name);
         }
     }
 }
 
 #[test]
-fn what_discovery_tells_is_heard_though_it_was_not_there() {
+fn recovers_from_refused_connections() {
     for config in configs() {
-        let mut mixer = Watched::start("true", &config);
-        drop(heard(&mut mixer, &one(1, "up"), "ready", "none yet"));
-        mixer.down();
-        std::thread::sleep(Duration::from_millis(700)); // some calls are refused meanwhile
-        mixer.up();
-        let _watch = heard(&mut mixer, &one(2, "draining"), "drains", "refused");
+        let mut mixer = ManualDiscoveryMixer::start("true", &config);
+        drop(serve_list(&mut mixer, &single_searcher_list(1, "up"), "ready", "none yet"));
+        mixer.stop_discovery();
+        std::thread::sleep(Duration::from_millis(700)); // some connections are refused
+        mixer.restart_discovery();
+        let _watch = serve_list(&mut mixer, &single_searcher_list(2, "draining"), "drains", "refused");
     }
 }
 
-/// A place that a mixer's watch is moved to: unwell at first, and well from when the test says so.
-struct Place {
-    at: SocketAddr,
-    well: Arc<Mutex<Option<Value>>>,
-    over: Arc<AtomicBool>,
+/// A discovery server that a mixer's watch is moved to: faulty at first, healthy once the test gives it a list.
+struct FaultyDiscovery {
+    address: SocketAddr,
+    /// The list of a healthy server; `None` while it is faulty.
+    list: Arc<Mutex<Option<Value>>>,
+    is_over: Arc<AtomicBool>,
 }
 
-impl Place {
-    /// Nobody listens there until it is well.
-    fn refuses() -> Self {
-        let at = port().local_addr().expect("an address");
-        Self { at, well: Arc::default(), over: Arc::default() }
+impl FaultyDiscovery {
+    /// Refuses connections until it is healthy.
+    fn refusing() -> Self {
+        let address = bind_free_port().local_addr().expect("the listener's address");
+        Self { address, list: Arc::default(), is_over: Arc::default() }
     }
 
-    fn faulty(fault: &'static Fault) -> Self {
-        let listener = port();
-        let at = listener.local_addr().expect("an address");
-        let place = Self { at, well: Arc::default(), over: Arc::default() };
-        place.serve(listener, fault);
-        place
+    fn with_fault(fault: &'static DiscoveryFault) -> Self {
+        let listener = bind_free_port();
+        let address = listener.local_addr().expect("the listener's address");
+        let discovery = Self { address, list: Arc::default(), is_over: Arc::default() };
+        discovery.serve(listener, fault);
+        discovery
     }
 
-    fn serve(&self, listener: TcpListener, fault: &'static Fault) {
-        listener.set_nonblocking(true).expect("it can be polled");
-        let (well, over) = (self.well.clone(), self.over.clone());
+    fn serve(&self, listener: TcpListener, fault: &'static DiscoveryFault) {
+        listener.set_nonblocking(true).expect("the listener can be polled");
+        let (shared_list, is_over) = (self.list.clone(), self.is_over.clone());
         std::thread::spawn(move || {
-            let mut held = Vec::new();
-            while !over.load(Ordering::SeqCst) {
+            let mut open = Vec::new();
+            while !is_over.load(Ordering::SeqCst) {
                 let Ok((stream, _)) = listener.accept() else {
                     std::thread::sleep(Duration::from_millis(1));
                     continue;
                 };
-                stream.set_nonblocking(false).expect("it can wait");
-                stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
-                let list = well.lock().expect("no holder fails").clone();
+                stream.set_nonblocking(false).expect("the stream can block");
+                stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a read timeout");
+                let list = shared_list.lock().expect("no thread panics while it holds the lock").clone();
                 match list {
                     Some(list) => {
-                        answers(&stream, &list); // unless the mixer has given it up
-                        held.push(stream);
+                        answer_discovery_request(&stream, &list); // the mixer may have closed the connection
+                        open.push(stream);
+                    }
+                    None => {
+                        open.extend(std::panic::catch_unwind(|| (fault.handle)(stream)).ok().flatten());
                     }
-                    None => held.extend(std::panic::catch_unwind(|| fault.1(stream)).ok().flatten()),
                 }
             }
         });
     }
 
-    /// Has this list to tell from now on.
-    fn returns(&self, list: Value, refused: bool) {
-        *self.well.lock().expect("no holder fails") = Some(list);
-        if refused {
-            self.serve(TcpListener::bind(self.at).expect("its port is free"), &FAULTS[0]);
+    /// Serves this list from now on. `was_refusing`: nothing listens on its port yet.
+    fn recover(&self, list: Value, was_refusing: bool) {
+        *self.list.lock().expect("no thread panics while it holds the lock") = Some(list);
+        if was_refusing {
+            self.serve(TcpListener::bind(self.address).expect("the port is free"), &DISCOVERY_FAULTS[0]);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for FaultyDiscovery {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.is_over.store(true, Ordering::SeqCst);
     }
 }
 
-/// Reads a log beside the test, so that no wait for a line lasts for ever.
-fn lines_of(log: BufReader<std::process::ChildStderr>) -> Receiver<String> {
-    let (to, lines) = mpsc::channel();
-    std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| to.send(line)));
+/// Reads a log in a thread of its own, so that a test can wait for a line with a timeout.
+fn read_lines(log: BufReader<std::process::ChildStderr>) -> Receiver<String> {
+    let (sender, lines) = mpsc::channel();
+    std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
     lines
 }
 
-/// A mixer on a configuration of its own, with one searcher, and the place where its watch leads at first.
-struct Moving {
+/// A mixer with one searcher and a configuration file of its own, whose watch can be moved to another discovery server.
+struct MovableMixer {
     child: Child,
-    lines: Receiver<String>,
-    addr: SocketAddr,
-    path: String,
-    old: standins::DiscoveryServer,
+    log_lines: Receiver<String>,
+    address: SocketAddr,
+    config_path: String,
+    old_discovery: standins::DiscoveryServer,
     searcher: SocketAddr,
-    heard: Receiver<String>,
+    frames: Receiver<String>,
 }
 
-impl Moving {
+impl MovableMixer {
     fn start(name: &str) -> Self {
-        let path = config(name, |_| {});
-        let (says, heard) = mpsc::channel();
-        let (listener, discovery) = (port(), port());
-        let searcher = listener.local_addr().expect("an address");
-        let at = discovery.local_addr().expect("an address").to_string();
-        standins::serve_searcher(listener, SearcherBehavior::Answers, says);
-        let old = standins::DiscoveryServer::default();
-        old.serve(discovery);
-        old.publish(standins::discovery_list(1, true, &[(searcher, "up")]));
-        let (child, log, addr) = launch(at, &path);
-        let mixer = Self { child, lines: lines_of(log), addr, path, old, searcher, heard };
-        assert!(mixer.says("ready"), "it is not ready");
+        let config_path = write_config(name, |_| {});
+        let (sender, frames) = mpsc::channel();
+        let (searcher_listener, discovery_listener) = (bind_free_port(), bind_free_port());
+        let searcher = searcher_listener.local_addr().expect("the listener's address");
+        let discovery_address = discovery_listener.local_addr().expect("the listener's address").to_string();
+        standins::serve_searcher(searcher_listener, SearcherBehavior::Answers, sender);
+        let old_discovery = standins::DiscoveryServer::default();
+        old_discovery.serve(discovery_listener);
+        old_discovery.publish(standins::discovery_list(1, true, &[(searcher, "up")]));
+        let (child, log, address) = launch(discovery_address, &config_path);
+        let log_lines = read_lines(log);
+        let mixer = Self { child, log_lines, address, config_path, old_discovery, searcher, frames };
+        assert!(mixer.logs("ready"), "the mixer is not ready");
         mixer
     }
 
-    /// Whether it says this, however busy the machine is.
-    fn says(&self, words: &str) -> bool {
-        let until = Instant::now() + CEILING;
-        while let Ok(line) = self.lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            if line.contains(words) {
+    /// Whether the mixer logs this text in time.
+    fn logs(&self, text: &str) -> bool {
+        let until = Instant::now() + TIMEOUT;
+        while let Ok(line) = self.log_lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            if line.contains(text) {
                 return true;
             }
         }
         false
     }
 
-    /// Reads its configuration anew, which leads its watch to that place.
-    fn move_to(&self, place: SocketAddr) {
-        let text = std::fs::read_to_string(&self.path).expect("its configuration");
-        let moved = text.replace("127.0.0.1:8500", &place.to_string());
-        std::fs::write(&self.path, moved).expect("it can be written");
-        signal(&self.child, "HUP");
-        assert!(self.says(&format!("discovery is at {place}")), "it is not read anew");
+    /// Makes the mixer reload a configuration that names this discovery server.
+    fn move_to(&self, discovery: SocketAddr) {
+        let text = std::fs::read_to_string(&self.config_path).expect("the configuration can be read");
+        let moved = text.replace("127.0.0.1:8500", &discovery.to_string());
+        std::fs::write(&self.config_path, moved).expect("the file can be written");
+        send_signal(&self.child, "HUP");
+        assert!(self.logs(&format!("discovery is at {discovery}")), "the configuration is not reloaded");
     }
 
-    fn asks(&self) -> String {
-        let mut client = TcpStream::connect(self.addr).expect("the mixer accepts");
-        client.write_all(scan("entry", 1).as_bytes()).expect("it takes bytes");
-        answer(&client)
+    /// Sends a request and returns its answer.
+    fn ask(&self) -> String {
+        let mut client = TcpStream::connect(self.address).expect("the mixer accepts");
+        client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
+        read_answer(&client)
     }
 }
 
-impl Drop for Moving {
+impl Drop for MovableMixer {
     fn drop(&mut self) {
         let _ = self.child.kill(); // it may have ended
         let _ = self.child.wait();
     }
 }
 
-/// A change-over counts as done so long after SIGHUP.
-const CHANGED_OVER: Duration = Duration::from_secs(4);
-
-/// Has the old or the new place tell a drain once the change-over counts as done.
-fn drain_after_the_change_over(nth: usize, fault: Option<&'static Fault>, by_old: bool) {
-    let name = format!("{}, the drain by the old place: {by_old}", fault.map_or("refuses", |f| f.0));
-    let mixer = Moving::start(&format!("moved-{nth}-{by_old}"));
-    let place = fault.map_or_else(Place::refuses, Place::faulty);
-    assert!(mixer.asks().starts_with("HTTP/1.1 200"), "{name}");
-    mixer.move_to(place.at);
-    std::thread::sleep(CHANGED_OVER);
-    let told = Instant::now();
-    match by_old {
-        true => mixer.old.publish(standins::discovery_list(2, false, &[(mixer.searcher, "draining")])),
-        false => {
-            place.returns(standins::discovery_list(1, true, &[(mixer.searcher, "draining")]), fault.is_none())
-        }
+/// A move to another discovery server counts as complete after this time.
+const MOVE_COMPLETE_AFTER: Duration = Duration::from_secs(4);
+
+/// Moves the watch to a faulty discovery server. Then the old or the new server publishes a drain, which the mixer must apply.
+fn check_drain_after_move(nth: usize, fault: Option<&'static DiscoveryFault>, is_from_old: bool) {
+    let fault_name = fault.map_or("refuses", |fault| fault.name);
+    let case = format!("{fault_name}, drain from the old server: {is_from_old}");
+    let mixer = MovableMixer::start(&format!("moved-{nth}-{is_from_old}"));
+    let new_discovery = fault.map_or_else(FaultyDiscovery::refusing, FaultyDiscovery::with_fault);
+    assert!(mixer.ask().starts_with("HTTP/1.1 200"), "{case}");
+    mixer.move_to(new_discovery.address);
+    std::thread::sleep(MOVE_COMPLETE_AFTER);
+    let published_at = Instant::now();
+    let draining = [(mixer.searcher, "draining")];
+    match is_from_old {
+        true => mixer.old_discovery.publish(standins::discovery_list(2, false, &draining)),
+        false => new_discovery.recover(standins::discovery_list(1, true, &draining), fault.is_none()),
     }
-    let drains = mixer.says("drains");
-    let after = told.elapsed();
-    assert!(drains && after < Duration::from_secs(3), "{name}: {drains} after {after:?}");
-    while mixer.heard.try_recv().is_ok() {}
-    let answered = mixer.asks();
-    assert!(!answered.starts_with("HTTP/1.1 200"), "{name}: {answered}");
-    let sent = mixer.heard.try_iter().find(|frame| frame.starts_with("D "));
-    assert_eq!(sent, None, "{name}: sent to a searcher that drains");
+    let drains = mixer.logs("drains");
+    let after = published_at.elapsed();
+    assert!(drains && after < CHANGE_RECEIVED_WITHIN, "{case}: {drains} after {after:?}");
+    while mixer.frames.try_recv().is_ok() {}
+    let answer = mixer.ask();
+    assert!(!answer.starts_with("HTTP/1.1 200"), "{case}: {answer}");
+    let call = mixer.frames.try_iter().find(|frame| frame.starts_with("D "));
+    assert_eq!(call, None, "{case}: sent to a draining searcher");
 }
 
 #[test]
-fn a_drain_after_a_move_to_a_faulty_place_is_heard_from_either_place() {
-    let faults: Vec<Option<&'static Fault>> = std::iter::once(None).chain(FAULTS.iter().map(Some)).collect();
+fn drain_after_move_to_faulty_discovery() {
+    let faults: Vec<Option<&'static DiscoveryFault>> =
+        std::iter::once(None).chain(DISCOVERY_FAULTS.iter().map(Some)).collect();
     std::thread::scope(|scope| {
         for (nth, fault) in faults.into_iter().enumerate() {
-            for by_old in [true, false] {
-                scope.spawn(move || drain_after_the_change_over(nth, fault, by_old));
+            for is_from_old in [true, false] {
+                scope.spawn(move || check_drain_after_move(nth, fault, is_from_old));
             }
         }
     });
 }
 
 #[test]
-fn a_searcher_that_is_not_on_a_whole_list_is_logged_as_gone() {
-    let mixer = Moving::start("gone");
-    mixer.old.publish(standins::discovery_list(2, true, &[]));
-    assert!(mixer.says(&format!("s-{} is gone", mixer.searcher.port())), "nothing is logged");
+fn searcher_missing_from_snapshot_is_logged_as_gone() {
+    let mixer = MovableMixer::start("gone");
+    mixer.old_discovery.publish(standins::discovery_list(2, true, &[]));
+    assert!(mixer.logs(&format!("s-{} is gone", mixer.searcher.port())), "nothing is logged");
 }
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -1,4 +1,4 @@
-//! What stands between the decision to send a call and its first byte: stops of the process, and searchers that take nothing.
+//! Delays between the decision to send a call and its first byte: the process is stopped, or searchers accept no bytes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,204 +11,228 @@
 use pewterwharf_standins::{self as standins, DiscoveryServer, SearcherBehavior};
 use rustix::net::sockopt;
 
-mod rig;
-use rig::*;
+mod harness;
+use harness::*;
 
-/// Parts of the query in whose midst the process stops.
+/// Parts of the query during which the process stops.
 const PARTS: u32 = 8;
-/// Long enough for every grace of the rules to be over.
-const STOPPED: Duration = Duration::from_millis(800);
-/// In so long a process that goes on has sent what it will.
-const GOES_ON: Duration = Duration::from_millis(400);
-/// Buffers as small as the system allows.
-const SMALL: usize = 4608;
+/// Longer than every grace period of the rules.
+const STOP_DURATION: Duration = Duration::from_millis(800);
+/// A resumed process has sent all that it will send within this time.
+const RESUME_DURATION: Duration = Duration::from_millis(400);
+/// The smallest buffer that the system allows, in bytes.
+const MINIMUM_BUFFER: usize = 4608;
 
-/// Has the shell load the library that watches sends, with this setting.
-fn loads(setting: &str) -> String {
+/// A call that a searcher received, and the time that it states for the answer.
+#[derive(Debug)]
+struct ReceivedCall {
+    text: String,
+    timeout_ms: u64,
+}
+
+/// The shell command that preloads the library that watches sends, with this setting.
+fn preload_command(shim_setting: &str) -> String {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = build_library(ShimLibrary::Sends, &folder).expect("the library can be built");
-    format!("export {setting} LD_PRELOAD={}", library.display())
+    format!("export {shim_setting} LD_PRELOAD={}", library.display())
 }
 
-/// A mixer that has stopped itself once the first of the calls of one query was written, and the client of that query.
-fn stopped_between_two_calls(searchers: usize, deadline_ms: u32) -> (Mixer, TcpStream) {
-    let manners = vec![SearcherBehavior::Answers; searchers];
-    let mixer = start_after(&loads("SHIM_STOPS_AFTER=stops"), EXAMPLE, None, &manners);
+/// A mixer that has stopped itself after writing the first call of a query, and the client of that query.
+fn start_and_stop_between_calls(searchers: usize, deadline_ms: u32) -> (Mixer, TcpStream) {
+    let behaviors = vec![SearcherBehavior::Answers; searchers];
+    let shell_command = preload_command("SHIM_STOPS_AFTER=stops");
+    let mixer = start_after_command(&shell_command, EXAMPLE_CONFIG, None, &behaviors);
     let client = mixer.connect();
-    // Its links are up from here on.
-    write!(&client, "{}", scan("entry", PARTS)).expect("it takes bytes");
-    assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-    let request = scan("entry", PARTS)
+    // After this request the links are connected.
+    write!(&client, "{}", scan_request("entry", PARTS)).expect("the connection accepts bytes");
+    assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+    let request = scan_request("entry", PARTS)
         .replace("q1", "stops")
         .replace("Deadline-Ms: 1000", &format!("Deadline-Ms: {deadline_ms}"));
-    write!(&client, "{request}").expect("it takes bytes");
-    while !mixer.heard.recv_timeout(CEILING).expect("a frame").starts_with("D stops.") {}
+    write!(&client, "{request}").expect("the connection accepts bytes");
+    while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D stops.") {}
     (mixer, client)
 }
 
-/// The calls that are sent once it goes on, and the time that they tell, as of then.
-fn calls_after_the_stop(mixer: &Mixer) -> Vec<(String, u64)> {
-    thread::sleep(Duration::from_millis(20)); // what it wrote before has arrived
-    while mixer.heard.try_recv().is_ok() {}
+/// Resumes a stopped mixer and returns the calls that it sends then.
+fn calls_after_resume(mixer: &Mixer) -> Vec<ReceivedCall> {
+    thread::sleep(Duration::from_millis(20)); // frames written before the stop arrive
+    while mixer.frames.try_recv().is_ok() {}
     mixer.signal("CONT");
-    let goes_on = Instant::now();
+    let resumed_at = Instant::now();
     let mut calls = Vec::new();
-    while goes_on.elapsed() < GOES_ON {
-        let Ok(frame) = mixer.heard.recv_timeout(Duration::from_millis(50)) else { continue };
-        let Some(call) = frame.strip_prefix("D ") else { continue };
-        let told = call.split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-        calls.push((call.to_owned(), told.expect("a deadline")));
+    while resumed_at.elapsed() < RESUME_DURATION {
+        let Ok(frame) = mixer.frames.recv_timeout(Duration::from_millis(50)) else { continue };
+        let Some(text) = frame.strip_prefix("D ") else { continue };
+        let timeout_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        calls.push(ReceivedCall {
+            text: text.to_owned(),
+            timeout_ms: timeout_ms.expect("a call states a timeout"),
+        });
     }
     calls
 }
 
 #[test]
-fn calls_of_one_step_are_not_sent_after_a_stop_between_them_for_a_client_that_left() {
-    let (mixer, client) = stopped_between_two_calls(2, 1000);
+fn stop_between_calls_client_leaves() {
+    let (mixer, client) = start_and_stop_between_calls(2, 1000);
     drop(client);
-    thread::sleep(STOPPED);
-    let calls = calls_after_the_stop(&mixer);
+    thread::sleep(STOP_DURATION);
+    let calls = calls_after_resume(&mixer);
     assert!(calls.is_empty(), "{} calls for a client that left: {calls:?}", calls.len());
 }
 
 #[test]
-fn calls_of_one_step_tell_no_time_that_a_stop_between_them_has_used_up() {
-    let (mixer, _client) = stopped_between_two_calls(2, 300);
-    thread::sleep(STOPPED);
-    let calls = calls_after_the_stop(&mixer);
-    assert!(calls.is_empty(), "{} calls after the client's time: {calls:?}", calls.len());
-    let (mixer, _client) = stopped_between_two_calls(2, 1900);
-    thread::sleep(STOPPED);
-    let calls = calls_after_the_stop(&mixer);
-    let most = 1900 - STOPPED.as_millis() as u64;
-    assert!(calls.iter().all(|(_, told)| *told <= most), "told more than {most} ms: {calls:?}");
+fn stop_between_calls_uses_up_deadline() {
+    let (mixer, _client) = start_and_stop_between_calls(2, 300);
+    thread::sleep(STOP_DURATION);
+    let calls = calls_after_resume(&mixer);
+    assert!(calls.is_empty(), "{} calls after the client's deadline: {calls:?}", calls.len());
+    let (mixer, _client) = start_and_stop_between_calls(2, 1900);
+    thread::sleep(STOP_DURATION);
+    let calls = calls_after_resume(&mixer);
+    let left_ms = 1900 - STOP_DURATION.as_millis() as u64;
+    assert!(
+        calls.iter().all(|call| call.timeout_ms <= left_ms),
+        "a timeout of more than {left_ms} ms: {calls:?}"
+    );
 }
 
 #[test]
-fn calls_of_one_step_are_not_sent_to_searchers_that_drain_in_a_stop_between_them() {
-    let (mixer, _client) = stopped_between_two_calls(2, 1900);
-    let drain: Vec<_> = mixer.searchers.iter().map(|(address, _)| (*address, "draining")).collect();
-    mixer.lists.publish(standins::discovery_list(2, false, &drain));
-    thread::sleep(STOPPED);
-    let calls = calls_after_the_stop(&mixer);
-    assert!(calls.is_empty(), "{} calls to searchers that drain: {calls:?}", calls.len());
+fn stop_between_calls_searchers_drain() {
+    let (mixer, _client) = start_and_stop_between_calls(2, 1900);
+    let draining: Vec<_> = mixer.searchers.iter().map(|(address, _)| (*address, "draining")).collect();
+    mixer.discovery.publish(standins::discovery_list(2, false, &draining));
+    thread::sleep(STOP_DURATION);
+    let calls = calls_after_resume(&mixer);
+    assert!(calls.is_empty(), "{} calls to draining searchers: {calls:?}", calls.len());
 }
 
 #[test]
-fn request_that_comes_while_the_mixer_stands_still_is_told_no_more_time_than_its_client_has_left() {
+fn deadline_of_request_that_arrives_during_a_stop() {
     const DEADLINE_MS: u64 = 1500;
     const SLACK_MS: u64 = 150;
-    for is_known in [true, false] {
+    for is_known_client in [true, false] {
         let mixer = start(&[SearcherBehavior::Answers]);
         let known = mixer.connect();
-        write!(&known, "{}", scan("entry", 1)).expect("it takes bytes");
-        assert!(answer(&known).starts_with("HTTP/1.1 200 OK"));
-        thread::sleep(Duration::from_millis(700)); // nothing happens
+        write!(&known, "{}", scan_request("entry", 1)).expect("the connection accepts bytes");
+        assert!(read_answer(&known).starts_with("HTTP/1.1 200 OK"));
+        thread::sleep(Duration::from_millis(700)); // the mixer is idle
         mixer.signal("STOP");
-        let client = if is_known { known } else { mixer.connect() };
-        let request = scan("entry", 1)
+        let client = if is_known_client { known } else { mixer.connect() };
+        let request = scan_request("entry", 1)
             .replace("q1", "stops")
             .replace("Deadline-Ms: 1000", &format!("Deadline-Ms: {DEADLINE_MS}"));
-        write!(&client, "{request}").expect("it takes bytes");
-        thread::sleep(STOPPED);
-        for (call, told_ms) in calls_after_the_stop(&mixer) {
-            let most = DEADLINE_MS - STOPPED.as_millis() as u64 + SLACK_MS;
-            assert!(told_ms <= most, "known before: {is_known}, told more than {most} ms: {call:?}");
+        write!(&client, "{request}").expect("the connection accepts bytes");
+        thread::sleep(STOP_DURATION);
+        for ReceivedCall { text, timeout_ms } in calls_after_resume(&mixer) {
+            let left_ms = DEADLINE_MS - STOP_DURATION.as_millis() as u64 + SLACK_MS;
+            assert!(
+                timeout_ms <= left_ms,
+                "known client: {is_known_client}, a timeout of more than {left_ms} ms: {text:?}"
+            );
         }
     }
 }
 
 #[test]
-fn call_is_not_sent_for_a_client_that_leaves_while_the_mixer_is_held_up_after_its_look_at_the_clock() {
-    const HELD_MS: u64 = 400;
-    for look in 1..=6 {
-        let setting = format!("SHIM_STOPS_AFTER=stops SHIM_HOLDS={look} SHIM_HOLD_MS={HELD_MS}");
-        let mixer = start_after(
-            &loads(&setting),
-            EXAMPLE,
+fn client_leaves_while_thread_is_delayed_after_clock_read() {
+    const DELAY_MS: u64 = 400;
+    for clock_read in 1..=6 {
+        let setting = format!("SHIM_STOPS_AFTER=stops SHIM_HOLDS={clock_read} SHIM_HOLD_MS={DELAY_MS}");
+        let mixer = start_after_command(
+            &preload_command(&setting),
+            EXAMPLE_CONFIG,
             None,
             &[SearcherBehavior::Answers, SearcherBehavior::Answers],
         );
         let client = mixer.connect();
-        // Its links are up from here on.
-        write!(&client, "{}", scan("entry", PARTS)).expect("it takes bytes");
-        assert!(answer(&client).starts_with("HTTP/1.1 200 OK"));
-        write!(&client, "{}", scan("entry", PARTS).replace("q1", "stops")).expect("it takes bytes");
-        while !mixer.heard.recv_timeout(CEILING).expect("a frame").starts_with("D stops.") {}
-        thread::sleep(Duration::from_millis(20)); // what was written before the hold has arrived
-        while mixer.heard.try_recv().is_ok() {}
+        // After this request the links are connected.
+        write!(&client, "{}", scan_request("entry", PARTS)).expect("the connection accepts bytes");
+        assert!(read_answer(&client).starts_with("HTTP/1.1 200 OK"));
+        write!(&client, "{}", scan_request("entry", PARTS).replace("q1", "stops"))
+            .expect("the connection accepts bytes");
+        while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D stops.") {}
+        thread::sleep(Duration::from_millis(20)); // frames written before the delay arrive
+        while mixer.frames.try_recv().is_ok() {}
         drop(client);
-        let left = Instant::now();
-        while left.elapsed() < Duration::from_millis(2 * HELD_MS) {
-            let frame = mixer.heard.recv_timeout(Duration::from_millis(50));
-            let late = frame.is_ok_and(|frame| frame.starts_with("D ")) && left.elapsed().as_millis() > 100;
-            assert!(!late, "look {look}: a call goes out {:?} after its client left", left.elapsed());
+        let left_at = Instant::now();
+        while left_at.elapsed() < Duration::from_millis(2 * DELAY_MS) {
+            let frame = mixer.frames.recv_timeout(Duration::from_millis(50));
+            let is_late =
+                frame.is_ok_and(|frame| frame.starts_with("D ")) && left_at.elapsed().as_millis() > 100;
+            assert!(
+                !is_late,
+                "clock read {clock_read}: a call is sent {:?} after its client left",
+                left_at.elapsed()
+            );
         }
     }
 }
 
 #[test]
-fn connection_that_comes_up_after_its_client_has_left_is_sent_no_call() {
-    // No connection fits into its backlog but one; the system tries again after a second.
-    let listener = port();
-    rustix::net::listen(&listener, 0).expect("a backlog");
-    let address = listener.local_addr().expect("an address");
-    let held = TcpStream::connect(address).expect("the one that fits");
+fn late_connection_after_client_left() {
+    // The accept queue has room for a single connection; the system retries the other after a second.
+    let listener = bind_free_port();
+    rustix::net::listen(&listener, 0).expect("the backlog can be changed");
+    let address = listener.local_addr().expect("the listener's address");
+    let filler = TcpStream::connect(address).expect("the queue has room for one");
     let mixer = start_towards("true", &[address], "late-connection", |config| {
         config["settings"]["permissions"]["connect_timeout_ms"] = 4000.0.into();
     });
     let client = mixer.connect();
-    write!(&client, "{}", with_text("late", 1, "find")).expect("it takes bytes");
+    write!(&client, "{}", request_with_text("late", 1, "find")).expect("the connection accepts bytes");
     thread::sleep(Duration::from_millis(300));
     drop(client);
     thread::sleep(Duration::from_millis(200));
-    drop(held);
-    let _held = accept(&listener);
+    drop(filler);
+    let _filler = accept(&listener);
     let link = accept(&listener);
-    link.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
+    link.set_read_timeout(Some(Duration::from_millis(500))).expect("a read timeout");
     let mut bytes = [0; 1024];
     let count = (&link).read(&mut bytes).unwrap_or(0);
     assert!(!bytes[..count].starts_with(b"\0\0\0") || bytes[4] != b'D', "a call for a client that left");
 }
 
-/// A listener whose connections take a few kilobytes ahead of who reads them.
-fn narrow_port() -> TcpListener {
-    let listener = port();
-    sockopt::set_socket_recv_buffer_size(&listener, SMALL).expect("a buffer");
+/// A listener whose connections buffer only a few kilobytes.
+fn bind_with_small_buffer() -> TcpListener {
+    let listener = bind_free_port();
+    sockopt::set_socket_recv_buffer_size(&listener, MINIMUM_BUFFER).expect("the buffer can be changed");
     listener
 }
 
-/// A mixer with small buffers towards these searchers, once it is ready.
-fn start_narrow(name: &str, searchers: &[SocketAddr], ranges: usize) -> Mixer {
-    let before = loads(&format!("SHIM_SEND_BUFFER={SMALL}"));
-    start_towards(&before, searchers, name, |config| {
-        config["settings"]["family_info"]["ranges"] = ranges.into();
-        config["settings"]["permissions"]["open_cap"] = (4 * ranges + 200).into();
+/// Starts a mixer with small buffers towards these searchers, and waits until it is ready.
+fn start_with_small_buffers(name: &str, searchers: &[SocketAddr], shards: usize) -> Mixer {
+    let shell_command = preload_command(&format!("SHIM_SEND_BUFFER={MINIMUM_BUFFER}"));
+    start_towards(&shell_command, searchers, name, |config| {
+        config["settings"]["family_info"]["ranges"] = shards.into();
+        config["settings"]["permissions"]["open_cap"] = (4 * shards + 200).into();
     })
 }
 
-/// A mixer towards these searchers with the example's configuration, changed, once it is ready.
+/// Starts a mixer towards these searchers with a changed example configuration, and waits until it is ready.
 fn start_towards(
-    before: &str,
+    shell_command: &str,
     searchers: &[SocketAddr],
     name: &str,
     change: impl FnOnce(&mut serde_json::Value),
 ) -> Mixer {
-    let lists = DiscoveryServer::default();
-    let discovery = port();
-    let at = discovery.local_addr().expect("an address").to_string();
-    lists.serve(discovery);
+    let discovery = DiscoveryServer::default();
+    let listener = bind_free_port();
+    let discovery_address = listener.local_addr().expect("the listener's address").to_string();
+    discovery.serve(listener);
     let searchers: Vec<_> = searchers.iter().map(|address| (*address, "up")).collect();
-    lists.publish(standins::discovery_list(1, true, &searchers));
-    let path = config(name, change);
-    let (child, mut log, addr) = listens(command(before, &at, &path).spawn().expect("the mixer starts"));
-    wait(&mut log, "ready");
-    let (_, heard) = mpsc::channel();
-    Mixer { child, log, addr, lists, heard, searchers }
+    discovery.publish(standins::discovery_list(1, true, &searchers));
+    let path = write_config(name, change);
+    let child = mixer_command(shell_command, &discovery_address, &path).spawn().expect("the mixer starts");
+    let (child, mut log, address) = wait_until_listening(child);
+    wait_for_log(&mut log, "ready");
+    let (_, frames) = mpsc::channel();
+    Mixer { child, log, address, discovery, frames, searchers }
 }
 
-/// A query of so many parts with this text.
-fn with_text(id: &str, parts: u32, text: &str) -> String {
+/// A request for this many parts with this query text.
+fn request_with_text(id: &str, parts: u32, text: &str) -> String {
     let list: Vec<_> =
         (0..parts).map(|shard| serde_json::json!({"id": shard, "w": 1.0 / f64::from(parts)})).collect();
     let body = serde_json::json!({"parts": list, "expr": text}).to_string();
@@ -219,34 +243,34 @@
     )
 }
 
-/// Reads a little at a time, and answers a call once it is whole.
-fn reads_slowly(listener: TcpListener) {
+/// Serves a searcher that reads a little at a time and answers each call once it is complete.
+fn serve_slow_reader(listener: TcpListener) {
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || drop(serve_slowly(stream)));
+            thread::spawn(move || drop(read_slowly(stream)));
         }
     });
 }
 
-fn serve_slowly(mut stream: TcpStream) -> std::io::Result<()> {
-    let (mut bytes, mut piece) = (Vec::new(), [0; 1024]);
+fn read_slowly(mut stream: TcpStream) -> std::io::Result<()> {
+    let (mut received, mut chunk) = (Vec::new(), [0; 1024]);
     loop {
-        let count = stream.read(&mut piece)?;
+        let count = stream.read(&mut chunk)?;
         if count == 0 {
             return Ok(());
         }
-        bytes.extend_from_slice(&piece[..count]);
-        thread::sleep(Duration::from_millis(7)); // longer than any wait of a write
-        while let Some(head) = bytes.first_chunk::<4>()
+        received.extend_from_slice(&chunk[..count]);
+        thread::sleep(Duration::from_millis(7)); // longer than any delay before a write is retried
+        while let Some(head) = received.first_chunk::<4>()
             && let end = 4 + u32::from_be_bytes(*head) as usize
-            && bytes.len() >= end
+            && received.len() >= end
         {
-            let frame: Vec<u8> = bytes.drain(..end).collect();
+            let frame: Vec<u8> = received.drain(..end).collect();
             if frame[4] != b'D' {
                 continue;
             }
-            let name = frame[5..].split(|byte| *byte == b' ').next().unwrap_or_default();
-            let answer = format!("O{} 200 1 -\nvalue", String::from_utf8_lossy(name));
+            let part = frame[5..].split(|byte| *byte == b' ').next().unwrap_or_default();
+            let answer = format!("O{} 200 1 -\nvalue", String::from_utf8_lossy(part));
             stream.write_all(&(answer.len() as u32).to_be_bytes())?;
             stream.write_all(answer.as_bytes())?;
         }
@@ -254,41 +278,43 @@
 }
 
 #[test]
-fn searcher_that_reads_slowly_through_small_buffers_gets_its_calls_whole() {
-    let listener = narrow_port();
-    let address = listener.local_addr().expect("an address");
-    reads_slowly(listener);
-    let mixer = start_narrow("reads-slowly", &[address], 16);
+fn slow_reader_receives_whole_calls() {
+    let listener = bind_with_small_buffer();
+    let address = listener.local_addr().expect("the listener's address");
+    serve_slow_reader(listener);
+    let mixer = start_with_small_buffers("reads-slowly", &[address], 16);
     let client = mixer.connect();
     for nth in 0..3 {
-        write!(&client, "{}", with_text(&format!("slow{nth}"), 1, &"x".repeat(30_000)))
-            .expect("it takes bytes");
-        let said = answer(&client);
-        assert!(said.starts_with("HTTP/1.1 200 OK"), "{said}");
+        write!(&client, "{}", request_with_text(&format!("slow{nth}"), 1, &"x".repeat(30_000)))
+            .expect("the connection accepts bytes");
+        let answer = read_answer(&client);
+        assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
     }
 }
 
 #[test]
-fn searchers_that_take_nothing_hold_up_no_other_client() {
+fn blocked_searchers_do_not_delay_other_clients() {
     const SEARCHERS: usize = 100;
-    /// Each of them may cost far less than this; all of them together as little.
-    const HELD_UP: Duration = Duration::from_millis(250);
-    // Their connections are never accepted, let alone read.
-    let listeners: Vec<TcpListener> = (0..SEARCHERS).map(|_| narrow_port()).collect();
-    let addresses: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("an address")).collect();
-    let mixer = start_narrow("take-nothing", &addresses, SEARCHERS);
+    /// The time allowed for all blocked searchers together; each costs much less.
+    const DELAY_LIMIT: Duration = Duration::from_millis(250);
+    // These never accept a connection or read from it.
+    let listeners: Vec<TcpListener> = (0..SEARCHERS).map(|_| bind_with_small_buffer()).collect();
+    let addresses: Vec<_> =
+        listeners.iter().map(|listener| listener.local_addr().expect("the listener's address")).collect();
+    let mixer = start_with_small_buffers("take-nothing", &addresses, SEARCHERS);
     let (wide, other) = (mixer.connect(), mixer.connect());
-    write!(&other, "GET /-/healthy HTTP/1.1\r\n\r\n").expect("it takes bytes");
-    assert!(answer(&other).starts_with("HTTP/1.1 200 OK"));
-    write!(&wide, "{}", with_text("wide", SEARCHERS as u32, &"x".repeat(30_000))).expect("it takes bytes");
+    write!(&other, "GET /-/healthy HTTP/1.1\r\n\r\n").expect("the connection accepts bytes");
+    assert!(read_answer(&other).starts_with("HTTP/1.1 200 OK"));
+    write!(&wide, "{}", request_with_text("wide", SEARCHERS as u32, &"x".repeat(30_000)))
+        .expect("the connection accepts bytes");
     let mut longest = Duration::ZERO;
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(1500) {
-        let asked = Instant::now();
-        write!(&other, "GET /-/healthy HTTP/1.1\r\n\r\n").expect("it takes bytes");
-        assert!(answer(&other).starts_with("HTTP/1.1 200 OK"));
-        longest = longest.max(asked.elapsed());
+        let sent_at = Instant::now();
+        write!(&other, "GET /-/healthy HTTP/1.1\r\n\r\n").expect("the connection accepts bytes");
+        assert!(read_answer(&other).starts_with("HTTP/1.1 200 OK"));
+        longest = longest.max(sent_at.elapsed());
         thread::sleep(Duration::from_millis(2));
     }
-    assert!(longest < HELD_UP, "another client waited {longest:?}");
+    assert!(longest < DELAY_LIMIT, "another client waited {longest:?}");
 }
