--- a/crates/fleet/src/conditions.rs
+++ b/crates/fleet/src/conditions.rs
@@ -1,23 +1,23 @@
-//! What has become of a fleet's searchers since they were listed.
+//! The conditions of a fleet's searchers under assumed failures.
 
 use pewterwharf::interface::Life;
 
 use crate::Fleet;
 
-/// What a searcher can do.
+/// What a searcher can do. Later variants are worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Condition {
-    /// Takes all that it can do.
+    /// Serves at its full capacity.
     Up,
-    /// Runs, and can do only a part yet.
+    /// Runs, but with a part of its capacity.
     Cold,
-    /// Completes what it holds, takes nothing new.
+    /// Completes what it has accepted and accepts nothing new.
     Draining,
     Gone,
 }
 
 impl Condition {
-    /// As listed. Nothing is cold in the list itself: `since` against what time would be a guess.
+    /// The condition that the list states. It states nobody as cold, because there is no time to compare the start time with.
     pub fn listed(life: Life) -> Self {
         match life {
             Life::Ready => Self::Up,
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Whether it takes parts.
+    /// Whether the searcher accepts parts.
     pub fn accepts_work(self) -> bool {
         matches!(self, Self::Up | Self::Cold)
     }
 
-    /// What it becomes when `then` befalls it: nothing brings back who is gone, nor undoes a drain.
-    pub fn worst(self, then: Self) -> Self {
-        self.max(then)
+    /// The worse of two conditions: a failure neither brings back a searcher that is gone nor ends a drain.
+    pub fn worst(self, other: Self) -> Self {
+        self.max(other)
     }
 }
 
@@ -42,22 +42,23 @@
 pub struct Conditions(Vec<Condition>);
 
 impl Conditions {
+    /// The conditions that the list states.
     pub fn listed(fleet: &Fleet) -> Self {
-        Self(fleet.searchers().iter().map(|s| Condition::listed(s.life)).collect())
+        Self(fleet.searchers().iter().map(|searcher| Condition::listed(searcher.life)).collect())
     }
 
     pub fn get(&self, searcher: u32) -> Condition {
         self.0[searcher as usize]
     }
 
-    /// Lets `then` befall a searcher; what it was.
-    pub fn worsen(&mut self, searcher: u32, then: Condition) -> Condition {
+    /// Sets a searcher to `condition` unless it is in a worse one already. Returns its previous condition.
+    pub fn worsen(&mut self, searcher: u32, condition: Condition) -> Condition {
         let before = self.get(searcher);
-        self.0[searcher as usize] = before.worst(then);
+        self.0[searcher as usize] = before.worst(condition);
         before
     }
 
-    /// Puts back what [`Conditions::worsen`] returned.
+    /// Restores the condition that [`Conditions::worsen`] returned.
     pub fn restore(&mut self, searcher: u32, before: Condition) {
         self.0[searcher as usize] = before;
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,16 +1,16 @@
-//! The one model of a fleet, for all packages that ask questions of it without sending anything.
+//! The model of a fleet of searchers, for all packages that analyse one without sending anything to it.
 //!
-//! A [`Fleet`] is built from what a mixer is told at its start ([`Terms`]) and a list in discovery's form
-//! ([`List`]). It never changes: a question under a failure lays a [`Conditions`] over it. Words:
+//! A [`Fleet`] is built from a mixer's settings ([`Terms`]) and a searcher list as discovery sends it ([`List`]). It never
+//! changes; failures are described by [`Conditions`] on top of it. Terms:
 //!
-//! - **hall**: where a searcher stands (`zone` on the wire).
+//! - **hall**: the location of a searcher (`zone` on the wire).
 //! - **set**: searchers that hold the same slices (`group` on the wire, a cell of the layout).
-//! - **slice**: a shard of the data. Slices that the same sets hold are one **class**: every structural question
-//!   has the same answer for all of them, so it is asked once a class.
-//! - **kind**: searchers that no structural question can tell apart: same hall, set, life and age.
+//! - **slice**: a shard of the data. Slices that are held by the same sets form a **class**: every structural question has
+//!   the same answer for all of them, so it is evaluated once for the class.
+//! - **kind**: searchers that no structural question can tell apart: same hall, set, state and age.
 //!
-//! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and one
-//! set; the members of a set are ascending; every slice has exactly one class. Nothing here does I/O or decides.
+//! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and one set; the
+//! members of a set are ascending; every slice has exactly one class. Nothing here does I/O or makes decisions.
 
 mod conditions;
 mod placement;
@@ -28,32 +28,32 @@
 use pewterwharf_terms::Terms;
 use pewterwharf_terms::list::List;
 
-/// Most searchers that a fleet may have: ten times the largest that the bounds below were measured with.
+/// Largest supported fleet: ten times the largest one that the bounds of the analyses were measured with.
 pub const MAX_SEARCHERS: usize = 100_000;
-/// Most slices that are told apart.
+/// Largest number of slices that are analysed separately.
 pub const MAX_SLICES: u32 = 1 << 20;
 
-/// One searcher as the list has it.
+/// A searcher as the list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Searcher {
     pub name: String,
     pub hall: usize,
     pub set: u32,
     pub life: Life,
-    /// When its process started, in milliseconds since 1970; zero means long ago.
+    /// When its process started, in milliseconds since 1970; zero for long ago.
     pub since: f64,
-    /// How old the word of it was when the list was written, in milliseconds.
+    /// Age of its last report when the list was written, in milliseconds.
     pub age_ms: f64,
 }
 
-/// Slices of a customer: inclusive ranges.
+/// The slices that a customer's scans read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerSlices {
     pub customer: usize,
     pub slices: Vec<RangeInclusive<u32>>,
 }
 
-/// A fleet as it is listed, with indexes over it.
+/// A listed fleet with indices over it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     terms: Terms,
@@ -61,16 +61,16 @@
     searchers: Vec<Searcher>,
     by_name: BTreeMap<String, usize>,
     by_hall: Vec<FixedBitSet>,
-    by_life: [FixedBitSet; 3],
-    /// Members of each set.
-    sets: Vec<Vec<u32>>,
-    holding: Placement,
-    owned: Vec<CustomerSlices>,
-    /// Why entries of the list were passed over.
-    passed_over: Vec<String>,
+    by_state: [FixedBitSet; 3],
+    /// The searchers of each set.
+    members_by_set: Vec<Vec<u32>>,
+    placement: Placement,
+    customer_slices: Vec<CustomerSlices>,
+    /// Why entries of the list were skipped.
+    skipped_entries: Vec<String>,
 }
 
-fn rank(life: Life) -> usize {
+fn state_index(life: Life) -> usize {
     match life {
         Life::Ready => 0,
         Life::Draining => 1,
@@ -79,8 +79,8 @@
 }
 
 impl Fleet {
-    /// Builds the model. An entry that names a set outside the layout can hold nothing; it is passed over with
-    /// its reason. A name listed twice is refused: which of the two counts would be chance.
+    /// Builds the model. An entry with a set outside the layout can hold nothing and is skipped with its reason. A name that
+    /// is listed twice is an error, because it is undefined which entry counts.
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
@@ -91,28 +91,26 @@
             searchers: Vec::with_capacity(list.entries.len()),
             by_name: BTreeMap::new(),
             by_hall: Vec::new(),
-            by_life: [const { FixedBitSet::new() }; 3],
-            sets: vec![Vec::new(); terms.layout.cells as usize],
-            holding: Placement::of(&terms)?,
-            owned: Vec::new(),
-            passed_over: list.bad.clone(),
+            by_state: [const { FixedBitSet::new() }; 3],
+            members_by_set: vec![Vec::new(); terms.layout.cells as usize],
+            placement: Placement::from_layout(&terms)?,
+            customer_slices: Vec::new(),
+            skipped_entries: list.bad.clone(),
             terms,
         };
         for entry in &list.entries {
-            if entry.cell as usize >= fleet.sets.len() {
-                let sets = fleet.sets.len();
-                fleet.passed_over.push(format!("{} stands in set {} of {sets}", entry.name, entry.cell));
+            if entry.cell as usize >= fleet.members_by_set.len() {
+                let sets = fleet.members_by_set.len();
+                let reason = format!("{} stands in set {} of {sets}", entry.name, entry.cell);
+                fleet.skipped_entries.push(reason);
                 continue;
             }
-            let hall = fleet.halls.iter().position(|h| *h == entry.zone).unwrap_or_else(|| {
-                fleet.halls.push(entry.zone.clone());
-                fleet.halls.len() - 1
-            });
-            let at = fleet.searchers.len();
-            if fleet.by_name.insert(entry.name.clone(), at).is_some() {
+            let hall = fleet.hall_index(&entry.zone);
+            let index = fleet.searchers.len();
+            if fleet.by_name.insert(entry.name.clone(), index).is_some() {
                 bail!("{} is listed twice", entry.name);
             }
-            fleet.sets[entry.cell as usize].push(at as u32);
+            fleet.members_by_set[entry.cell as usize].push(index as u32);
             fleet.searchers.push(Searcher {
                 name: entry.name.clone(),
                 hall,
@@ -122,42 +120,50 @@
                 age_ms: entry.age_ms,
             });
         }
-        fleet.index();
+        fleet.build_indices();
         Ok(fleet)
     }
 
-    fn index(&mut self) {
-        let all = self.searchers.len();
-        self.by_hall = vec![FixedBitSet::with_capacity(all); self.halls.len()];
-        self.by_life = std::array::from_fn(|_| FixedBitSet::with_capacity(all));
-        for (at, searcher) in self.searchers.iter().enumerate() {
-            self.by_hall[searcher.hall].insert(at);
-            self.by_life[rank(searcher.life)].insert(at);
+    /// The index of a hall, which is added if the settings don't name it.
+    fn hall_index(&mut self, name: &str) -> usize {
+        self.halls.iter().position(|hall| hall == name).unwrap_or_else(|| {
+            self.halls.push(name.to_owned());
+            self.halls.len() - 1
+        })
+    }
+
+    fn build_indices(&mut self) {
+        let count = self.searchers.len();
+        self.by_hall = vec![FixedBitSet::with_capacity(count); self.halls.len()];
+        self.by_state = std::array::from_fn(|_| FixedBitSet::with_capacity(count));
+        for (index, searcher) in self.searchers.iter().enumerate() {
+            self.by_hall[searcher.hall].insert(index);
+            self.by_state[state_index(searcher.life)].insert(index);
         }
     }
 
-    /// States which slices a customer's scans read; stated again, they add up.
+    /// States which slices a customer's scans read. Several calls for one customer add up.
     ///
     /// # Errors
-    /// Names the customer that the terms don't have, with the nearest that they do, or a range out of bounds.
+    /// Names a customer that the settings don't contain, with the nearest that they do, or a range out of bounds.
     pub fn add_customer_slices(&mut self, customer: &str, slices: RangeInclusive<u32>) -> Result<()> {
         let index = self.customer(customer)?;
         let count = self.slices();
         ensure!(slices.start() <= slices.end(), "slices {} to {} are none", slices.start(), slices.end());
         ensure!(*slices.end() < count, "slice {} is not among the {count} of the layout", slices.end());
-        match self.owned.iter_mut().find(|o| o.customer == index) {
+        match self.customer_slices.iter_mut().find(|owned| owned.customer == index) {
             Some(owned) => owned.slices.push(slices),
-            None => self.owned.push(CustomerSlices { customer: index, slices: vec![slices] }),
+            None => self.customer_slices.push(CustomerSlices { customer: index, slices: vec![slices] }),
         }
         Ok(())
     }
 
-    /// The same searchers under another holding, as between two steps of a season's change. `sets` says which set
-    /// each searcher belongs to now.
+    /// The same searchers with another placement, as between two steps of a migration. `sets` contains the new set of each
+    /// searcher.
     ///
     /// # Errors
-    /// If a searcher's set is not one of the holding's.
-    pub fn with_placement(&self, holding: Placement, sets: &[u32]) -> Result<Self> {
+    /// If a set is not part of the placement.
+    pub fn with_placement(&self, placement: Placement, sets: &[u32]) -> Result<Self> {
         ensure!(
             sets.len() == self.searchers.len(),
             "{} sets for {} searchers",
@@ -165,13 +171,13 @@
             self.searchers.len()
         );
         let mut fleet = self.clone();
-        fleet.sets = vec![Vec::new(); holding.sets()];
-        for (at, (searcher, set)) in fleet.searchers.iter_mut().zip(sets).enumerate() {
+        fleet.members_by_set = vec![Vec::new(); placement.sets()];
+        for (index, (searcher, set)) in fleet.searchers.iter_mut().zip(sets).enumerate() {
             searcher.set = *set;
-            let members = fleet.sets.get_mut(*set as usize);
-            members.with_context(|| format!("set {set} is not in the holding"))?.push(at as u32);
+            let members = fleet.members_by_set.get_mut(*set as usize);
+            members.with_context(|| format!("set {set} is not in the placement"))?.push(index as u32);
         }
-        fleet.holding = holding;
+        fleet.placement = placement;
         Ok(fleet)
     }
 
@@ -187,65 +193,66 @@
         &self.halls
     }
 
-    /// Searchers of a hall.
+    /// The searchers in a hall.
     pub fn in_hall(&self, hall: usize) -> &FixedBitSet {
         &self.by_hall[hall]
     }
 
-    /// Searchers that the list has in that state.
+    /// The searchers that the list has in this state.
     pub fn in_state(&self, life: Life) -> &FixedBitSet {
-        &self.by_life[rank(life)]
+        &self.by_state[state_index(life)]
     }
 
-    /// Members of a set, ascending; none of a set that is not in the layout.
+    /// The searchers of a set, ascending; none if the set is not in the layout.
     pub fn members(&self, set: u32) -> &[u32] {
-        self.sets.get(set as usize).map_or(&[], Vec::as_slice)
+        self.members_by_set.get(set as usize).map_or(&[], Vec::as_slice)
     }
 
     /// Number of sets in the layout.
     pub fn sets(&self) -> usize {
-        self.sets.len()
+        self.members_by_set.len()
     }
 
-    /// Number of slices; where the terms don't say, one a set, as all further ones lie as these do.
+    /// Number of slices. If the settings don't state it, one for each set, as all further ones are placed like these.
     pub fn slices(&self) -> u32 {
-        self.holding.slices()
+        self.placement.slices()
     }
 
     pub fn placement(&self) -> &Placement {
-        &self.holding
+        &self.placement
     }
 
     pub fn customer_slices(&self) -> &[CustomerSlices] {
-        &self.owned
+        &self.customer_slices
     }
 
-    /// Why entries of the list were passed over.
+    /// Why entries of the list were skipped.
     pub fn skipped_entries(&self) -> &[String] {
-        &self.passed_over
+        &self.skipped_entries
     }
 
-    /// All searchers that hold a slice, whatever their state: ascending by set, each once.
+    /// All searchers that hold a slice, whatever their state: each once, ascending by set.
     pub fn holders(&self, slice: u32) -> impl Iterator<Item = u32> + '_ {
-        self.holding.sets_of_slice(slice).iter().flat_map(|set| self.members(*set)).copied()
+        self.placement.sets_of_slice(slice).iter().flat_map(|set| self.members(*set)).copied()
     }
 
-    /// Whether a customer's scans read that slice.
+    /// Whether a customer's scans read a slice.
     pub fn customer_reads(&self, customer: usize, slice: u32) -> bool {
-        self.owned.iter().any(|o| o.customer == customer && o.slices.iter().any(|r| r.contains(&slice)))
+        let mut owned = self.customer_slices.iter().filter(|owned| owned.customer == customer);
+        owned.any(|owned| owned.slices.iter().any(|range| range.contains(&slice)))
     }
 
-    /// What a slice weighs in the load: of each customer that reads it, an equal part of what its scans come to;
-    /// one, where no customer's slices are stated.
+    /// The load that each slice causes: each customer's scan rate is divided equally among the slices that it reads. All
+    /// weights are one if no customer's slices are stated.
     pub fn weights(&self) -> Vec<f64> {
         let count = self.slices() as usize;
-        if self.owned.is_empty() {
+        if self.customer_slices.is_empty() {
             return vec![1.0; count];
         }
         let mut weights = vec![0.0; count];
-        for owned in &self.owned {
-            let read: Vec<usize> =
-                (0..count).filter(|s| owned.slices.iter().any(|r| r.contains(&(*s as u32)))).collect();
+        for owned in &self.customer_slices {
+            let reads = |slice: &usize| owned.slices.iter().any(|range| range.contains(&(*slice as u32)));
+            let read: Vec<usize> = (0..count).filter(reads).collect();
             let share = self.terms.customers[owned.customer].scans_per_s / read.len().max(1) as f64;
             read.into_iter().for_each(|slice| weights[slice] += share);
         }
@@ -253,43 +260,43 @@
     }
 
     /// # Errors
-    /// Names the nearest hall there is.
+    /// Suggests the hall with the most similar name.
     pub fn hall(&self, name: &str) -> Result<usize> {
         find("hall", name, &self.halls)
     }
 
     /// # Errors
-    /// Names the nearest customer there is.
+    /// Suggests the customer with the most similar name.
     pub fn customer(&self, name: &str) -> Result<usize> {
         find("customer", name, &self.terms.customer_names)
     }
 
     /// # Errors
-    /// Names the nearest table type there is.
+    /// Suggests the table type with the most similar name.
     pub fn table_type(&self, name: &str) -> Result<usize> {
         find("table type", name, &self.terms.type_names)
     }
 
     /// # Errors
-    /// Names the nearest searcher there is.
+    /// Suggests the searcher with the most similar name.
     pub fn searcher(&self, name: &str) -> Result<usize> {
         match self.by_name.get(name) {
-            Some(at) => Ok(*at),
-            None => bail!("{}", unknown("searcher", name, self.by_name.keys().map(String::as_str))),
+            Some(index) => Ok(*index),
+            None => bail!("{}", unknown_name("searcher", name, self.by_name.keys().map(String::as_str))),
         }
     }
 }
 
-fn find(what: &str, name: &str, among: &[String]) -> Result<usize> {
-    match among.iter().position(|n| n == name) {
-        Some(at) => Ok(at),
-        None => bail!("{}", unknown(what, name, among.iter().map(String::as_str))),
+fn find(what: &str, name: &str, known: &[String]) -> Result<usize> {
+    match known.iter().position(|n| n == name) {
+        Some(index) => Ok(index),
+        None => bail!("{}", unknown_name(what, name, known.iter().map(String::as_str))),
     }
 }
 
-fn unknown<'a>(what: &str, name: &str, among: impl Iterator<Item = &'a str>) -> String {
-    match near(name, among) {
-        Some(other) => format!("no {what} is called \"{name}\"; did you mean \"{other}\"?"),
+fn unknown_name<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
+    match near(name, known) {
+        Some(similar) => format!("no {what} is called \"{name}\"; did you mean \"{similar}\"?"),
         None => format!("no {what} is called \"{name}\""),
     }
 }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -7,27 +7,27 @@
 
 use crate::MAX_SLICES;
 
-/// Index of a class of slices that the same sets hold.
+/// Index of a class of slices that are held by the same sets.
 pub type Class = usize;
 
-/// Which sets hold each slice, by class. All sets of a class are ascending and told once.
+/// Which sets hold each slice, by class. The sets of a class are ascending and without duplicates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     sets: usize,
-    classes: Vec<Vec<u32>>,
-    class_of: Vec<Class>,
+    sets_by_class: Vec<Vec<u32>>,
+    class_by_slice: Vec<Class>,
     /// The slices of each class, ascending.
-    slices_of: Vec<Vec<u32>>,
+    slices_by_class: Vec<Vec<u32>>,
 }
 
 impl Placement {
-    /// The layout's: a slice is held by `reach` sets in a row, the first by its number.
+    /// The placement that the layout defines: a slice is held by `reach` consecutive sets, starting at its own number.
     ///
     /// # Errors
-    /// If the terms state more slices than are told apart.
-    pub fn of(terms: &Terms) -> Result<Self> {
+    /// If there are more than [`MAX_SLICES`] slices.
+    pub fn from_layout(terms: &Terms) -> Result<Self> {
         let layout = &terms.layout;
-        // Where no number of slices is stated, they repeat with the sets.
+        // Without a configured number of slices, the placement repeats with the sets.
         let slices = if terms.shards == u32::MAX { layout.cells } else { terms.shards };
         ensure!(slices <= MAX_SLICES, "{slices} slices are over {MAX_SLICES}");
         let reach = layout.reach.min(layout.cells);
@@ -35,59 +35,63 @@
         Self::new(layout.cells as usize, (0..slices).map(sets).collect())
     }
 
-    /// Of each slice, the sets that hold it, in any order.
+    /// `sets_by_slice` contains, for each slice, the sets that hold it, in any order.
     ///
     /// # Errors
-    /// If a set is not under `sets`.
-    pub fn new(sets: usize, held_by: Vec<Vec<u32>>) -> Result<Self> {
-        let mut holding = Self { sets, classes: Vec::new(), class_of: Vec::new(), slices_of: Vec::new() };
-        let mut known: BTreeMap<Vec<u32>, Class> = BTreeMap::new();
-        for (slice, mut held) in held_by.into_iter().enumerate() {
-            held.sort_unstable();
-            held.dedup();
+    /// If a set number is not below `sets`.
+    pub fn new(sets: usize, sets_by_slice: Vec<Vec<u32>>) -> Result<Self> {
+        let mut placement =
+            Self { sets, sets_by_class: Vec::new(), class_by_slice: Vec::new(), slices_by_class: Vec::new() };
+        let mut known_classes: BTreeMap<Vec<u32>, Class> = BTreeMap::new();
+        for (slice, mut held_by) in sets_by_slice.into_iter().enumerate() {
+            held_by.sort_unstable();
+            held_by.dedup();
             ensure!(
-                held.last().is_none_or(|s| (*s as usize) < sets),
-                "slice {slice} is held by no set of {sets}"
+                held_by.last().is_none_or(|set| (*set as usize) < sets),
+                "slice {slice} is assigned to a set that is not among the {sets}"
             );
-            let class = *known.entry(held).or_insert_with_key(|held| {
-                holding.classes.push(held.clone());
-                holding.slices_of.push(Vec::new());
-                holding.classes.len() - 1
+            let class = *known_classes.entry(held_by).or_insert_with_key(|held_by| {
+                placement.sets_by_class.push(held_by.clone());
+                placement.slices_by_class.push(Vec::new());
+                placement.sets_by_class.len() - 1
             });
-            holding.class_of.push(class);
-            holding.slices_of[class].push(slice as u32);
+            placement.class_by_slice.push(class);
+            placement.slices_by_class[class].push(slice as u32);
         }
-        Ok(holding)
+        Ok(placement)
     }
 
+    /// Number of sets.
     pub fn sets(&self) -> usize {
         self.sets
     }
 
+    /// Number of slices.
     pub fn slices(&self) -> u32 {
-        self.class_of.len() as u32
+        self.class_by_slice.len() as u32
     }
 
+    /// Number of classes.
     pub fn classes(&self) -> usize {
-        self.classes.len()
+        self.sets_by_class.len()
     }
 
     /// The sets of a class, ascending.
     pub fn sets_of_class(&self, class: Class) -> &[u32] {
-        &self.classes[class]
+        &self.sets_by_class[class]
     }
 
     /// The slices of a class, ascending.
     pub fn slices_of_class(&self, class: Class) -> &[u32] {
-        &self.slices_of[class]
+        &self.slices_by_class[class]
     }
 
     pub fn class_of(&self, slice: u32) -> Class {
-        self.class_of[slice as usize]
+        self.class_by_slice[slice as usize]
     }
 
     /// The sets that hold a slice, ascending.
     pub fn sets_of_slice(&self, slice: u32) -> &[u32] {
-        &self.classes[self.class_of[slice as usize]]
+        &self.sets_by_class[self.class_by_slice[slice as usize]]
     }
 }
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -72,7 +72,7 @@
     /// Counters with a common prefix, one per line.
     pub fn counters_text(&self) -> String {
         let mut text = String::new();
-        let rejected = self.rejected.iter().map(|(reason, count)| (format!("refused_{reason}"), *count));
+        let rejected = self.rejected.iter().map(|(why, count)| (format!("refused_{why}"), *count));
         let links = self.links.iter().map(|(name, count)| ((*name).to_owned(), *count));
         let own = [
             ("unfit_words".to_owned(), self.rejected_messages),
--- a/crates/replica/src/kinds/mod.rs
+++ b/crates/replica/src/kinds/mod.rs
@@ -64,10 +64,10 @@
 }
 
 /// Display name of a kind.
-pub fn name(code: u8) -> String {
-    let known = known_kinds();
-    let kind = known.iter().find(|kind| kind.code == code);
-    kind.map_or_else(|| format!("kind-{code}"), |kind| kind.name.to_owned())
+pub fn name(kind: u8) -> String {
+    let known_kinds = known_kinds();
+    let known = known_kinds.iter().find(|known| known.code == kind);
+    known.map_or_else(|| format!("kind-{kind}"), |known| known.name.to_owned())
 }
 
 /// Decodes a value. Returns `None` for trailing bytes or an invalid value.
