--- a/crates/bgp/tests/rib.rs
+++ b/crates/bgp/tests/rib.rs
@@ -1,15 +1,15 @@
-//! Routes out: the trie against a plain map, and what a peer is told.
+//! The prefix trie compared with a map, and the updates sent from an Adj-RIB-Out.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
 use ipnet::IpNet;
 use pewterwharf_bgp::message::Attributes;
-use pewterwharf_bgp::rib::{Routes, Trie};
+use pewterwharf_bgp::rib::{AdjRibOut, Trie};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Few bits, so that prefixes cover each other often.
+/// Prefixes of few bits, so that they often contain each other.
 fn net() -> impl Strategy<Value = IpNet> {
     let v4 = (0u32..64, 0u8..=8)
         .prop_map(|(a, l)| ipnet::Ipv4Net::new((a << 24).into(), l).expect("a length").into());
@@ -18,15 +18,15 @@
     prop_oneof![v4, v6].prop_map(|n: IpNet| n.trunc())
 }
 
-fn with(med: u32) -> Attributes {
+fn with_med(med: u32) -> Attributes {
     let next_hop = IpAddr::V4(Ipv4Addr::LOCALHOST);
     Attributes {
-        path: vec![1],
+        as_path: vec![1],
         next_hop,
         med: Some(med),
         local_pref: None,
         communities: vec![],
-        large: vec![],
+        large_communities: vec![],
     }
 }
 
@@ -34,8 +34,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(800) })]
 
     #[test]
-    fn the_trie_is_a_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
-        let (mut trie, mut map) = (Trie::default(), BTreeMap::new());
+    fn trie_behaves_like_a_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
+        let mut trie = Trie::default();
+        let mut map = BTreeMap::new();
         for (at, value) in steps {
             match value {
                 Some(value) => prop_assert_eq!(trie.insert(&at, value), map.insert(at, value)),
@@ -47,46 +48,48 @@
             all.sort();
             prop_assert_eq!(&all, &map.iter().map(|(at, v)| (*at, *v)).collect::<Vec<_>>());
             let plain = map.iter().filter(|(p, _)| p.contains(&at.addr())).max_by_key(|(p, _)| p.prefix_len());
-            prop_assert_eq!(trie.covering(at.addr()), plain.map(|(p, v)| (*p, v)));
+            prop_assert_eq!(trie.longest_match(at.addr()), plain.map(|(p, v)| (*p, v)));
         }
     }
 
-    /// Whatever changes in between, a peer that has taken all holds what is wanted, and is told no more than that.
+    /// After any sequence of changes, a peer that has received all updates has exactly the wanted routes.
     #[test]
-    fn a_peer_holds_what_is_wanted(
+    fn peer_ends_up_with_the_wanted_routes(
         steps in proptest::collection::vec((net(), proptest::option::of(0u32..3), 0u8..12), 1..80),
     ) {
-        let (mut routes, mut wanted, mut peer) = (Routes::default(), BTreeMap::new(), BTreeMap::new());
-        let take = |routes: &mut Routes, peer: &mut BTreeMap<IpNet, Attributes>| {
-            for update in routes.take() {
-                update.withdrawn.iter().for_each(|at| assert!(peer.remove(at).is_some(), "{at} was not held"));
+        let mut routes = AdjRibOut::default();
+        let mut wanted = BTreeMap::new();
+        let mut peer = BTreeMap::new();
+        let send_updates = |routes: &mut AdjRibOut, peer: &mut BTreeMap<IpNet, Attributes>| {
+            for update in routes.take_updates() {
+                update.withdrawn.iter().for_each(|at| assert!(peer.remove(at).is_some(), "{at} was not sent before"));
                 let attributes = update.attributes.clone();
                 update.announced.iter().for_each(|at| {
-                    peer.insert(*at, attributes.clone().expect("they have some"));
+                    peer.insert(*at, attributes.clone().expect("announced routes have attributes"));
                 });
             }
-            assert!(!routes.changed() && routes.take().is_empty());
+            assert!(!routes.has_pending() && routes.take_updates().is_empty());
         };
         for (at, med, then) in steps {
-            routes.want(at, med.map(with));
+            routes.set(at, med.map(with_med));
             match med {
-                Some(med) => drop(wanted.insert(at, with(med))),
+                Some(med) => drop(wanted.insert(at, with_med(med))),
                 None => drop(wanted.remove(&at)),
             }
             match then {
-                0..=2 => take(&mut routes, &mut peer),
+                0..=2 => send_updates(&mut routes, &mut peer),
                 3 => {
-                    routes.lost();
+                    routes.session_lost();
                     peer.clear();
                 }
-                4 => routes.again(|_| true),
+                4 => routes.resend(|_| true),
                 _ => {}
             }
         }
-        take(&mut routes, &mut peer);
+        send_updates(&mut routes, &mut peer);
         prop_assert_eq!(&peer, &wanted);
-        let mut held = routes.held();
-        held.sort();
-        prop_assert_eq!(held, wanted.into_keys().collect::<Vec<_>>());
+        let mut advertised = routes.advertised();
+        advertised.sort();
+        prop_assert_eq!(advertised, wanted.into_keys().collect::<Vec<_>>());
     }
 }
--- a/crates/fleet/src/conditions.rs
+++ b/crates/fleet/src/conditions.rs
@@ -1,6 +1,6 @@
 //! The conditions of a fleet's searchers under assumed failures.
 
-use pewterwharf::interface::Life;
+use pewterwharf::interface::SearcherStatus;
 
 use crate::Fleet;
 
@@ -18,11 +18,11 @@
 
 impl Condition {
     /// The condition that the list states. It states nobody as cold, because there is no time to compare the start time with.
-    pub fn listed(life: Life) -> Self {
+    pub fn listed(life: SearcherStatus) -> Self {
         match life {
-            Life::Ready => Self::Up,
-            Life::Draining => Self::Draining,
-            Life::Gone => Self::Gone,
+            SearcherStatus::Ready => Self::Up,
+            SearcherStatus::Draining => Self::Draining,
+            SearcherStatus::Gone => Self::Gone,
         }
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! The model of a fleet of searchers, for all packages that analyse one without sending anything to it.
 //!
-//! A [`Fleet`] is built from a mixer's settings ([`Terms`]) and a searcher list as discovery sends it ([`List`]). It never
-//! changes; failures are described by [`Conditions`] on top of it. Terms:
+//! A [`Fleet`] is built from a mixer's settings ([`MixerConfig`]) and a searcher list as discovery sends it ([`List`]). It never
+//! changes; failures are described by [`Conditions`] on top of it. MixerConfig:
 //!
 //! - **hall**: the location of a searcher (`zone` on the wire).
 //! - **set**: searchers that hold the same slices (`group` on the wire, a cell of the layout).
@@ -16,7 +16,7 @@
 mod placement;
 
 pub use conditions::{Condition, Conditions};
-pub use pewterwharf_settings::near;
+pub use pewterwharf_settings::nearest_name;
 pub use placement::{Class, Placement};
 
 use std::collections::BTreeMap;
@@ -24,8 +24,8 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use fixedbitset::FixedBitSet;
-use pewterwharf::interface::Life;
-use pewterwharf_terms::Terms;
+use pewterwharf::interface::SearcherStatus;
+use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::List;
 
 /// Largest supported fleet: ten times the largest one that the bounds of the analyses were measured with.
@@ -39,7 +39,7 @@
     pub name: String,
     pub hall: usize,
     pub set: u32,
-    pub life: Life,
+    pub life: SearcherStatus,
     /// When its process started, in milliseconds since 1970; zero for long ago.
     pub since: f64,
     /// Age of its last report when the list was written, in milliseconds.
@@ -56,7 +56,7 @@
 /// A listed fleet with indices over it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    terms: Terms,
+    terms: MixerConfig,
     halls: Vec<String>,
     searchers: Vec<Searcher>,
     by_name: BTreeMap<String, usize>,
@@ -70,11 +70,11 @@
     skipped_entries: Vec<String>,
 }
 
-fn state_index(life: Life) -> usize {
+fn state_index(life: SearcherStatus) -> usize {
     match life {
-        Life::Ready => 0,
-        Life::Draining => 1,
-        Life::Gone => 2,
+        SearcherStatus::Ready => 0,
+        SearcherStatus::Draining => 1,
+        SearcherStatus::Gone => 2,
     }
 }
 
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
-    pub fn new(terms: Terms, list: &List) -> Result<Self> {
+    pub fn new(terms: MixerConfig, list: &List) -> Result<Self> {
         ensure!(list.entries.len() <= MAX_SEARCHERS, "the list names over {MAX_SEARCHERS} searchers");
         let mut fleet = Self {
             halls: terms.zones.clone(),
@@ -181,7 +181,7 @@
         Ok(fleet)
     }
 
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &MixerConfig {
         &self.terms
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// The searchers that the list has in this state.
-    pub fn in_state(&self, life: Life) -> &FixedBitSet {
+    pub fn in_state(&self, life: SearcherStatus) -> &FixedBitSet {
         &self.by_state[state_index(life)]
     }
 
@@ -274,7 +274,7 @@
     /// # Errors
     /// Suggests the table type with the most similar name.
     pub fn table_type(&self, name: &str) -> Result<usize> {
-        find("table type", name, &self.terms.type_names)
+        find("table type", name, &self.terms.table_type_names)
     }
 
     /// # Errors
@@ -295,7 +295,7 @@
 }
 
 fn unknown_name<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    match near(name, known) {
+    match nearest_name(name, known) {
         Some(similar) => format!("no {what} is called \"{name}\"; did you mean \"{similar}\"?"),
         None => format!("no {what} is called \"{name}\""),
     }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use anyhow::{Result, ensure};
-use pewterwharf_terms::Terms;
+use pewterwharf_terms::MixerConfig;
 
 use crate::MAX_SLICES;
 
@@ -21,17 +21,18 @@
 }
 
 impl Placement {
-    /// The placement that the layout defines: a slice is held by `reach` consecutive sets, starting at its own number.
+    /// The placement that the layout defines: a slice is held by `cells_per_shard` consecutive sets, starting at its own number.
     ///
     /// # Errors
     /// If there are more than [`MAX_SLICES`] slices.
-    pub fn from_layout(terms: &Terms) -> Result<Self> {
+    pub fn from_layout(terms: &MixerConfig) -> Result<Self> {
         let layout = &terms.layout;
         // Without a configured number of slices, the placement repeats with the sets.
-        let slices = if terms.shards == u32::MAX { layout.cells } else { terms.shards };
+        let slices = if terms.shard_count == u32::MAX { layout.cells } else { terms.shard_count };
         ensure!(slices <= MAX_SLICES, "{slices} slices are over {MAX_SLICES}");
-        let reach = layout.reach.min(layout.cells);
-        let sets = |slice: u32| (0..reach).map(|j| (slice % layout.cells + j) % layout.cells).collect();
+        let sets_per_slice = layout.cells_per_shard.min(layout.cells);
+        let sets =
+            |slice: u32| (0..sets_per_slice).map(|j| (slice % layout.cells + j) % layout.cells).collect();
         Self::new(layout.cells as usize, (0..slices).map(sets).collect())
     }
 
--- a/crates/mixer/tests/crowd.rs
+++ b/crates/mixer/tests/crowd.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pewterwharf_soak::fleet::{Library, build_library};
-use pewterwharf_standins::Manner;
+use pewterwharf_soak::process::{ShimLibrary, build_library};
+use pewterwharf_standins::SearcherBehavior;
 
 mod rig;
 use rig::*;
@@ -56,12 +56,12 @@
 #[test]
 fn requests_that_are_read_beside_a_crowd_are_answered() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let library = build_library(Library::Accepts, &folder).expect("the library can be built");
+    let library = build_library(ShimLibrary::Accepts, &folder).expect("the library can be built");
     let closes = folder.join(format!("closes-{}", std::process::id()));
     let _ = std::fs::remove_file(&closes); // of an earlier run
     let before = format!("export SHIM_CLOSES={} LD_PRELOAD={}", closes.display(), library.display());
     let config = config("crowd", |config| config["limits"]["sockets"] = 64.into());
-    let mut mixer = start_after(&before, &config, None, &[Manner::Answers]);
+    let mut mixer = start_after(&before, &config, None, &[SearcherBehavior::Answers]);
     let (addr, until) = (mixer.addr, Instant::now() + Duration::from_secs(6));
     let ends: Vec<Ends> = thread::scope(|scope| {
         let asking: Vec<_> =
--- a/crates/rehearse/src/words.rs
+++ b/crates/rehearse/src/words.rs
@@ -1,7 +1,7 @@
 //! Mixers that tell each other what they know: the replicas and how far they are heeded, on ways that are late and lossy.
 
 use pewterwharf::interface::Event;
-use pewterwharf::report::Known;
+use pewterwharf::report::ObservedSearcher;
 use pewterwharf_peers::Incarnation;
 use pewterwharf_replica::kinds::{Mark, ProcessStart};
 use pewterwharf_replica::{
@@ -36,7 +36,12 @@
     }
 
     /// Says what is new of what the module knows; a liar marks all. What the others are to be told.
-    pub fn look(&mut self, now: f64, known: &[Known], lies: bool) -> (Vec<Event>, Option<RecordBatch>) {
+    pub fn look(
+        &mut self,
+        now: f64,
+        known: &[ObservedSearcher],
+        lies: bool,
+    ) -> (Vec<Event>, Option<RecordBatch>) {
         let mut events = Vec::new();
         for one in known {
             let (own, name) = (LocalStatus::from_report(one), one.searcher.to_string());
@@ -49,8 +54,8 @@
                 (true, held) => {
                     let (latency_ratio, parts) = match lies {
                         true => (9.0, 9),
-                        false if own.late => (one.late, 1),
-                        false => one.evidence,
+                        false if own.late => (one.overdue, 1),
+                        false => (one.evidence.relative_latency, one.evidence.parts),
                     };
                     let late = own.late && !lies;
                     self.replica.publish(now, &name, &Mark { latency_ratio, parts, late }, now);
@@ -67,9 +72,9 @@
                 let said = self.replica.reports::<ProcessStart>(now, &name);
                 if !said
                     .iter()
-                    .any(|s| s.origin == self.replica.local_name() && s.value.started_at_ms == one.since)
+                    .any(|s| s.origin == self.replica.local_name() && s.value.started_at_ms == one.started_at)
                 {
-                    self.replica.publish(now, &name, &ProcessStart { started_at_ms: one.since }, now);
+                    self.replica.publish(now, &name, &ProcessStart { started_at_ms: one.started_at }, now);
                 }
             }
         }
--- a/crates/replica/src/policy.rs
+++ b/crates/replica/src/policy.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-use pewterwharf::interface::{Event, Life, Word};
-use pewterwharf::report::Known;
+use pewterwharf::interface::{Event, PeerReport, SearcherStatus};
+use pewterwharf::report::ObservedSearcher;
 
 use crate::kinds::{Departure, IdleConnectionsLost, Mark, ProcessStart, RecordKind, Stage};
 use crate::store::{RecordChange, Replica, Report};
@@ -74,16 +74,18 @@
 impl Advice {
     /// The event for the decision module.
     pub fn to_event(self) -> Event {
-        let of = |searcher, word| Event::Heard { searcher, word };
+        let of = |searcher, word| Event::PeerReport { searcher, report: word };
         match self {
-            Self::Probe(searcher) => of(searcher, Word::Look),
-            Self::Suspect(searcher) => of(searcher, Word::Doubt),
-            Self::Departing(searcher) => of(searcher, Word::Leaves(true)),
-            Self::DepartureRetracted(searcher) => of(searcher, Word::Leaves(false)),
-            Self::Restarted(searcher, started_at_ms) => of(searcher, Word::Began(started_at_ms)),
-            Self::RestartRetracted(searcher) => of(searcher, Word::Began(0.0)),
-            Self::IdleConnectionsLost => Event::IdleLost,
-            Self::MixerCount(count) => Event::Mixers(count),
+            Self::Probe(searcher) => of(searcher, PeerReport::Marked),
+            Self::Suspect(searcher) => of(searcher, PeerReport::MarkedBySeveral),
+            Self::Departing(searcher) => of(searcher, PeerReport::Leaving { leaving: true }),
+            Self::DepartureRetracted(searcher) => of(searcher, PeerReport::Leaving { leaving: false }),
+            Self::Restarted(searcher, started_at_ms) => {
+                of(searcher, PeerReport::Restarted { started_at: started_at_ms })
+            }
+            Self::RestartRetracted(searcher) => of(searcher, PeerReport::Restarted { started_at: 0.0 }),
+            Self::IdleConnectionsLost => Event::IdleConnectionsLost,
+            Self::MixerCount(count) => Event::MixerCount { mixers: count },
         }
     }
 }
@@ -102,13 +104,13 @@
 
 impl LocalStatus {
     /// Converts the decision module's report about a searcher.
-    pub fn from_report(known: &Known) -> Self {
-        let stage = match known.life {
-            Life::Ready => Stage::Up,
-            Life::Draining => Stage::Draining,
-            Life::Gone => Stage::Gone,
+    pub fn from_report(known: &ObservedSearcher) -> Self {
+        let stage = match known.status {
+            SearcherStatus::Ready => Stage::Up,
+            SearcherStatus::Draining => Stage::Draining,
+            SearcherStatus::Gone => Stage::Gone,
         };
-        Self { marked: known.marked, late: known.late > 0.0, started_at_ms: known.since, stage }
+        Self { marked: known.marked, late: known.overdue > 0.0, started_at_ms: known.started_at, stage }
     }
 }
 
