--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -166,6 +166,23 @@
     pub graceful_shutdown: bool,
 }
 
+impl ObservedRoute {
+    /// Takes over the properties that a valid attribute states.
+    fn add_attribute(&mut self, kind: u8, value: &[u8], four_octets: bool, own_asn: u32) {
+        match kind {
+            attribute::AS_PATH => self.own_as_in_path = as_path_contains(value, four_octets, own_asn),
+            attribute::NEXT_HOP => {
+                self.next_hop = decode_u32(value).map(|hop| IpAddr::V4(Ipv4Addr::from(hop)));
+            }
+            attribute::COMMUNITIES => {
+                self.graceful_shutdown = value.chunks(4).any(|c| decode_u32(c) == Some(GRACEFUL_SHUTDOWN));
+            }
+            attribute::ORIGINATOR_ID => self.originator_id = decode_u32(value).map(Ipv4Addr::from),
+            _ => {}
+        }
+    }
+}
+
 /// Prefixes for which received routes are reported, and the local AS.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchedPrefixes {
@@ -513,18 +530,6 @@
         }
         let class = flags & OPTIONAL_TRANSITIVE;
         let valid = match kind {
-            attribute::ORIGIN => class == flag::TRANSITIVE && matches!(value, [0..=2]),
-            attribute::AS_PATH => class == flag::TRANSITIVE && is_valid_as_path(value, four_octets),
-            attribute::NEXT_HOP => class == flag::TRANSITIVE && value.len() == 4,
-            attribute::MULTI_EXIT_DISC => class == flag::OPTIONAL && value.len() == 4,
-            attribute::LOCAL_PREF => value.len() == 4,
-            attribute::COMMUNITIES => {
-                class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(4)
-            }
-            attribute::LARGE_COMMUNITIES => {
-                class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(12)
-            }
-            attribute::ORIGINATOR_ID => class == flag::OPTIONAL && value.len() == 4,
             attribute::MP_REACH_NLRI => {
                 let (count, next_hop) = decode_multiprotocol(value, true, |net| record_watched(net, true))
                     .ok_or_else(|| {
@@ -542,28 +547,14 @@
                 routes.withdrawn += count;
                 class == flag::OPTIONAL
             }
-            // All well-known attributes are listed above, so any other one has to be optional.
-            _ => flags & flag::OPTIONAL != 0,
+            _ => is_valid_attribute(flags, kind, value, four_octets),
         };
         if !valid {
             routes.faulty_attributes += 1;
             treat_as_withdrawn = true;
             continue;
         }
-        match kind {
-            attribute::AS_PATH => {
-                observed.own_as_in_path = as_path_contains(value, four_octets, watch.own_asn);
-            }
-            attribute::NEXT_HOP => {
-                observed.next_hop = decode_u32(value).map(|hop| IpAddr::V4(Ipv4Addr::from(hop)));
-            }
-            attribute::COMMUNITIES => {
-                observed.graceful_shutdown =
-                    value.chunks(4).any(|c| decode_u32(c) == Some(GRACEFUL_SHUTDOWN));
-            }
-            attribute::ORIGINATOR_ID => observed.originator_id = decode_u32(value).map(Ipv4Addr::from),
-            _ => {}
-        }
+        observed.add_attribute(kind, value, four_octets, watch.own_asn);
     }
     let announces = routes.announced + multiprotocol_announced > 0;
     let lacks_mandatory = !seen[usize::from(attribute::ORIGIN)]
@@ -585,6 +576,27 @@
     Ok(routes)
 }
 
+/// Whether an attribute other than MP_REACH_NLRI and MP_UNREACH_NLRI has valid flags and a valid value.
+fn is_valid_attribute(flags: u8, kind: u8, value: &[u8], four_octets: bool) -> bool {
+    let class = flags & OPTIONAL_TRANSITIVE;
+    match kind {
+        attribute::ORIGIN => class == flag::TRANSITIVE && matches!(value, [0..=2]),
+        attribute::AS_PATH => class == flag::TRANSITIVE && is_valid_as_path(value, four_octets),
+        attribute::NEXT_HOP => class == flag::TRANSITIVE && value.len() == 4,
+        attribute::MULTI_EXIT_DISC => class == flag::OPTIONAL && value.len() == 4,
+        attribute::LOCAL_PREF => value.len() == 4,
+        attribute::COMMUNITIES => {
+            class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(4)
+        }
+        attribute::LARGE_COMMUNITIES => {
+            class == OPTIONAL_TRANSITIVE && !value.is_empty() && value.len().is_multiple_of(12)
+        }
+        attribute::ORIGINATOR_ID => class == flag::OPTIONAL && value.len() == 4,
+        // All well-known attributes are listed above, so any other one has to be optional.
+        _ => flags & flag::OPTIONAL != 0,
+    }
+}
+
 fn is_valid_as_path(value: &[u8], four_octets: bool) -> bool {
     let mut path = Cursor(value);
     while let Some(segment_type) = path.u8() {
--- a/crates/bgp/src/rib.rs
+++ b/crates/bgp/src/rib.rs
@@ -1,8 +1,8 @@
 //! Adj-RIB-Out (RFC 4271 section 3.2): the routes wanted for a peer and those sent to it.
 //!
 //! Pending changes are stored by prefix and not in a queue: a route that changes ten times before it can be sent is sent
-//! once, and the memory for a peer that stops reading is bounded by the number of routes. [`Trie`] is a path-compressed binary trie; against a
-//! `BTreeMap` it was measured in `benches/rib.rs`, figures in `docs/bgp.md`.
+//! once, and the memory for a peer that stops reading is bounded by the number of routes. [`Trie`] is a path-compressed
+//! binary trie; `benches/rib.rs` compares it with a `BTreeMap`, with results in `docs/bgp.md`.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -15,6 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Trie<V> {
     nodes: Vec<Node<V>>,
+    /// Indices of unused nodes.
     free: Vec<u32>,
     /// The roots of IPv4 and of IPv6.
     roots: [u32; 2],
--- a/crates/cli/src/bgp.rs
+++ b/crates/cli/src/bgp.rs
@@ -1,4 +1,4 @@
-//! `pewterwharf bgp` and `pewterwharf beliefs`: what a running mixer tells of itself.
+//! `pewterwharf bgp` and `pewterwharf beliefs`: requests to the console of a running mixer.
 
 use std::path::PathBuf;
 
@@ -7,19 +7,19 @@
 use pewterwharf_settings::Settings;
 
 #[derive(Args)]
-pub struct Show {
-    /// The mixer's console, if the settings do not name it
+pub struct ConsoleArgs {
+    /// Socket of the mixer's console, in place of the one in the settings
     #[arg(long, value_name = "SOCKET")]
     console: Option<PathBuf>,
 }
 
-/// Prints what the mixer says to a question.
-pub fn show(question: &str, asked: &Show, settings: &Settings) -> Result<bool> {
-    let path = asked.console.as_ref().or(settings.console.as_ref());
+/// Sends a request to the mixer's console and prints the response.
+pub fn show(request: &str, args: &ConsoleArgs, settings: &Settings) -> Result<bool> {
+    let path = args.console.as_ref().or(settings.console.as_ref());
     let path = path.context("no console: name it by --console, or by (console ...) in --settings")?;
-    match pewterwharf_console::query(path, question).with_context(|| format!("asking {}", path.display()))? {
+    match pewterwharf_console::query(path, request).with_context(|| format!("asking {}", path.display()))? {
         Ok(text) => print!("{text}"),
-        Err(why) => bail!("the mixer refuses: {why}"),
+        Err(reason) => bail!("the mixer refuses: {reason}"),
     }
     Ok(true)
 }
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,4 +1,4 @@
-//! `pewterwharf drill`: several processes of the mixer, and faults between them.
+//! `pewterwharf drill`: runs several mixer processes and injects faults between them.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,64 +10,70 @@
 use serde_json::Value;
 
 #[derive(Args)]
-pub struct How {
-    /// Where what came of each drill is written as JSON
+pub struct DrillArgs {
+    /// Writes the results of all drills as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Where the timeline of the last drill is drawn
+    /// Draws the timeline of the last drill as SVG
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
-    /// Where the files and logs of the processes stay
+    /// Keeps the files and logs of the processes in this directory
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// The program of the mixer; without, the one beside this program
+    /// Program of the mixer [default: pewterwharf-mixer beside this program]
     #[arg(long, value_name = "PROGRAM")]
     mixer: Option<PathBuf>,
-    /// The mixers share nothing: for comparison
+    /// Runs the mixers without any exchange between them, for comparison
     #[arg(long)]
     alone: bool,
 }
 
 #[derive(Args)]
-pub struct Run {
-    /// Scripts, each with one drill or more
+pub struct RunArgs {
+    /// Scripts, each with one or more drills
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// Chance of the processes and of the clients
+    /// Seed for the processes and the clients
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
-    how: How,
+    drill: DrillArgs,
 }
 
 #[derive(Args)]
-pub struct Random {
-    /// Seeds, as 1..200, the last one left out
+pub struct RandomArgs {
+    /// Range of seeds, as 1..200, without the upper bound
     #[arg(long, value_name = "A..B")]
-    seeds: Seeds,
-    /// Runs that the search for the smallest script that fails may take
+    seeds: SeedRange,
+    /// Maximum number of runs to shrink a failing script
     #[arg(long, default_value_t = 30)]
     tries: usize,
     #[command(flatten)]
-    how: How,
+    drill: DrillArgs,
 }
 
 #[derive(Clone, Copy)]
-struct Seeds(u64, u64);
+struct SeedRange {
+    start: u64,
+    /// Exclusive.
+    end: u64,
+}
 
-impl FromStr for Seeds {
+impl FromStr for SeedRange {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let read = || {
-            let (from, to) = text.split_once("..")?;
-            Some(Self(from.parse().ok()?, to.parse().ok()?))
+        let parse = || {
+            let (start, end) = text.split_once("..")?;
+            Some(Self { start: start.parse().ok()?, end: end.parse().ok()? })
         };
-        read().filter(|s| s.0 < s.1).ok_or_else(|| format!("found {text}, expected A..B with A under B"))
+        parse()
+            .filter(|range| range.start < range.end)
+            .ok_or_else(|| format!("found {text}, expected A..B with A under B"))
     }
 }
 
-impl How {
+impl DrillArgs {
     fn options(&self, seed: u64) -> Result<Options> {
         let program = match &self.mixer {
             Some(program) => program.clone(),
@@ -80,7 +86,8 @@
         Ok(Options { program, seed, keep: self.keep.clone(), alone: self.alone })
     }
 
-    fn write(&self, reports: &[Report]) -> Result<()> {
+    /// Writes the JSON and SVG files, if requested.
+    fn write_files(&self, reports: &[Report]) -> Result<()> {
         if let Some(file) = &self.json {
             let all: Vec<Value> = reports.iter().map(Report::json).collect();
             fs::write(file, Value::from(all).to_string())
@@ -93,38 +100,38 @@
     }
 }
 
-/// Whether all drills held.
-pub fn files(asked: &Run) -> Result<bool> {
+/// Runs the drills of all scripts and prints their reports. Returns whether all pass.
+pub fn run_scripts(args: &RunArgs) -> Result<bool> {
     let mut scripts = Vec::new();
-    for file in &asked.files {
+    for file in &args.files {
         let text = fs::read_to_string(file).with_context(|| format!("reading {}", file.display()))?;
-        let read = Script::read(&text).map_err(|fault| anyhow!("{}:{fault}", file.display()))?;
-        scripts.extend(read);
+        let parsed = Script::read(&text).map_err(|error| anyhow!("{}:{error}", file.display()))?;
+        scripts.extend(parsed);
     }
-    let options = asked.how.options(asked.seed)?;
+    let options = args.drill.options(args.seed)?;
     let mut reports = Vec::new();
     for script in &scripts {
         let report = run(script, &options)?;
         print!("{report}");
         reports.push(report);
-        asked.how.write(&reports)?;
+        args.drill.write_files(&reports)?;
     }
     Ok(reports.iter().all(Report::held))
 }
 
-/// Whether all drawn drills held; one that did not is shrunk and printed as a script.
-pub fn random(asked: &Random) -> Result<bool> {
+/// Runs a generated drill for each seed; a failing one is shrunk and printed as a script. Returns whether all pass.
+pub fn run_random(args: &RandomArgs) -> Result<bool> {
     let mut reports = Vec::new();
-    for seed in asked.seeds.0..asked.seeds.1 {
-        let (script, options) = (draw(seed), asked.how.options(seed)?);
+    for seed in args.seeds.start..args.seeds.end {
+        let (script, options) = (draw(seed), args.drill.options(seed)?);
         let report = run(&script, &options)?;
         print!("{report}");
         if !report.held() {
             let fails = |less: &Script| run(less, &options).is_ok_and(|report| !report.held());
-            println!("the smallest that was found to fail:\n{}", shrink(&script, asked.tries, fails));
+            println!("the smallest that was found to fail:\n{}", shrink(&script, args.tries, fails));
         }
         reports.push(report);
-        asked.how.write(&reports)?;
+        args.drill.write_files(&reports)?;
     }
     let held = reports.iter().filter(|r| r.held()).count();
     println!("{held} of {} held", reports.len());
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `pewterwharf fleet`: what a running mixer sees of its fleet.
+//! `pewterwharf fleet`: the fleet as seen by a running mixer.
 
 use anyhow::Result;
 use clap::Args;
@@ -7,15 +7,15 @@
 use crate::bgp;
 
 #[derive(Args)]
-pub struct Show {
+pub struct ShowArgs {
     #[command(flatten)]
-    at: bgp::Show,
-    /// One JSON object on one line
+    console: bgp::ConsoleArgs,
+    /// Prints one JSON object on one line
     #[arg(long)]
     json: bool,
 }
 
-pub fn show(asked: &Show, settings: &Settings) -> Result<bool> {
-    let question = if asked.json { "fleet show --json" } else { "fleet show" };
-    bgp::show(question, &asked.at, settings)
+pub fn show(args: &ShowArgs, settings: &Settings) -> Result<bool> {
+    let request = if args.json { "fleet show --json" } else { "fleet show" };
+    bgp::show(request, &args.console, settings)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `pewterwharf`: what operators ask before and beside the daemon.
+//! `pewterwharf`: command line tool for operators.
 //!
-//! Exit status: 0 all holds, 1 something does not, 2 something can't be read or done. What was asked for goes to
-//! standard output, all else to standard error.
+//! Exit status: 0 if everything holds, 1 if something does not, 2 on invalid input or another error. Results go to standard
+//! output, everything else to standard error.
 
 mod bgp;
 mod check;
@@ -22,106 +22,106 @@
 
 #[derive(Parser)]
 #[command(name = "pewterwharf", version, about = "Checks, plans and tries what mixers will do")]
-struct Line {
-    /// The operator's own file
+struct CommandLine {
+    /// The operator's settings file
     #[arg(long, global = true, value_name = "FILE")]
     settings: Option<PathBuf>,
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Checks expectations about routing without sending anything
     #[command(args_conflicts_with_subcommands = true)]
     Check(Box<Check>),
     /// Asks a running mixer for its announcements of service addresses
     #[command(subcommand)]
-    Bgp(BgpVerb),
-    /// Asks a running mixer what it believes of its searchers, and why it refused scans
-    Beliefs(bgp::Show),
-    /// Asks a running mixer what it sees of the other mixers
+    Bgp(BgpCommand),
+    /// Asks a running mixer for the state of its searchers as it sees it, and why it rejected scans
+    Beliefs(bgp::ConsoleArgs),
+    /// Asks a running mixer for the state of the other mixers
     #[command(subcommand)]
-    Fleet(FleetVerb),
-    /// Starts several mixers as processes of their own and puts faults between them
+    Fleet(FleetCommand),
+    /// Runs several mixers as separate processes and injects faults between them
     #[command(subcommand)]
-    Drill(DrillVerb),
+    Drill(DrillCommand),
     /// Starts searchers, discovery and a mixer in one process, sends scans and prints what happened
-    Try(trial::Trial),
+    Try(trial::TrialArgs),
 }
 
 #[derive(Subcommand)]
-enum BgpVerb {
-    /// Prints sessions, addresses, the reasons of their standing, the last changes and counts
-    Show(bgp::Show),
+enum BgpCommand {
+    /// Prints sessions, addresses with state and reason, recent changes and counters
+    Show(bgp::ConsoleArgs),
 }
 
 #[derive(Subcommand)]
-enum FleetVerb {
-    /// Prints members, links, copies by kind, how far behind, words refused and why
-    Show(fleet::Show),
+enum FleetCommand {
+    /// Prints members, connections, replicated records by kind with their lag, and rejected messages by reason
+    Show(fleet::ShowArgs),
 }
 
 #[derive(Subcommand)]
-enum DrillVerb {
-    /// Runs the drills of scripts: exit 0 all held, 1 something did not, 2 a script can't be read
-    Run(drill::Run),
-    /// Runs drills drawn from seeds, and shrinks one that fails
-    Random(drill::Random),
+enum DrillCommand {
+    /// Runs the drills of scripts: exit status 0 if all pass, 1 if one fails, 2 if a script is invalid
+    Run(drill::RunArgs),
+    /// Runs drills generated from seeds and shrinks those that fail
+    Random(drill::RandomArgs),
 }
 
 #[derive(Args)]
 struct Check {
     #[command(subcommand)]
-    verb: Option<CheckVerb>,
+    command: Option<CheckCommand>,
     #[command(flatten)]
-    asked: check::Asked,
+    args: check::CheckArgs,
 }
 
 #[derive(Subcommand)]
-enum CheckVerb {
+enum CheckCommand {
     /// Orders the moves from one season to the next so that the new file's expectations hold after each step
-    Plan(plan::Asked),
-    /// Runs the moves of a counterexample again and prints the trace
-    Replay(check::Replay),
+    Plan(plan::PlanArgs),
+    /// Replays a counterexample and prints the trace
+    Replay(check::ReplayArgs),
 }
 
-fn settings(path: Option<&PathBuf>) -> Result<Settings> {
+fn read_settings(path: Option<&PathBuf>) -> Result<Settings> {
     let Some(path) = path else { return Ok(Settings::default()) };
     let text = std::fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
-    Settings::read(&text).map_err(|fault| anyhow::anyhow!("{}:{fault}", path.display()))
+    Settings::read(&text).map_err(|error| anyhow::anyhow!("{}:{error}", path.display()))
 }
 
-fn log(settings: &Settings) {
+fn start_log(settings: &Settings) {
     let level = settings.log.level.parse().unwrap_or(LevelFilter::WARN);
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(level);
+    let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(level);
     match settings.log.format {
-        LogFormat::Text => lines.with_target(false).init(),
-        LogFormat::Json => lines.json().init(),
+        LogFormat::Text => subscriber.with_target(false).init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
 
-fn run(line: Line) -> Result<bool> {
-    let settings = settings(line.settings.as_ref())?;
-    log(&settings);
-    match line.verb {
-        Verb::Check(check) => match check.verb {
-            Some(CheckVerb::Plan(asked)) => plan::run(&asked),
-            Some(CheckVerb::Replay(asked)) => check::replay(&asked),
-            None => check::run(&check.asked, &settings),
+/// Runs the command. Returns whether everything it checked holds.
+fn run(command_line: CommandLine) -> Result<bool> {
+    let settings = read_settings(command_line.settings.as_ref())?;
+    start_log(&settings);
+    match command_line.command {
+        Command::Check(check) => match check.command {
+            Some(CheckCommand::Plan(args)) => plan::run(&args),
+            Some(CheckCommand::Replay(args)) => check::replay(&args),
+            None => check::run(&check.args, &settings),
         },
-        Verb::Bgp(BgpVerb::Show(asked)) => bgp::show("bgp show", &asked, &settings),
-        Verb::Beliefs(asked) => bgp::show("beliefs", &asked, &settings),
-        Verb::Fleet(FleetVerb::Show(asked)) => fleet::show(&asked, &settings),
-        Verb::Drill(DrillVerb::Run(asked)) => drill::files(&asked),
-        Verb::Drill(DrillVerb::Random(asked)) => drill::random(&asked),
-        Verb::Try(asked) => trial::run(&asked),
+        Command::Bgp(BgpCommand::Show(args)) => bgp::show("bgp show", &args, &settings),
+        Command::Beliefs(args) => bgp::show("beliefs", &args, &settings),
+        Command::Fleet(FleetCommand::Show(args)) => fleet::show(&args, &settings),
+        Command::Drill(DrillCommand::Run(args)) => drill::run_scripts(&args),
+        Command::Drill(DrillCommand::Random(args)) => drill::run_random(&args),
+        Command::Try(args) => trial::run(&args),
     }
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    match run(line) {
+    match run(CommandLine::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,4 +1,4 @@
-//! `pewterwharf check plan`
+//! `pewterwharf check plan`: orders the moves of slices between two deployments.
 
 use std::path::PathBuf;
 
@@ -9,18 +9,19 @@
 use crate::load::load;
 
 #[derive(Args)]
-pub struct Asked {
-    /// The file of the season that ends
+pub struct PlanArgs {
+    /// Expectation file of the current season
     #[arg(long, value_name = "OLD")]
     from: PathBuf,
-    /// The file of the season that begins; its expectations are kept after each step
+    /// Expectation file of the next season; its expectations hold after each step
     #[arg(long, value_name = "NEW")]
     to: PathBuf,
 }
 
-/// Prints the steps; whether there is an order.
-pub fn run(asked: &Asked) -> Result<bool> {
-    let (old, new) = (load(&asked.from, None)?, load(&asked.to, None)?);
+/// Prints the steps, or why there are none. Returns whether an order was found.
+pub fn run(args: &PlanArgs) -> Result<bool> {
+    let old = load(&args.from, None)?;
+    let new = load(&args.to, None)?;
     let season = Season::new(old.suite.fleet(), new.suite.fleet(), &old.list, &new.list);
     let planned = season.and_then(|season| {
         let plan = season.plan(new.suite.expects(), new.suite.pace())?;
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Verdicts for people, as JSON and as JUnit.
+//! Verdicts as a table, as JSON and as JUnit.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
     format!("{} s", (ms / 100.0).round() / 10.0)
 }
 
-fn word(verdict: &Verdict) -> &'static str {
+fn outcome_text(verdict: &Verdict) -> &'static str {
     match verdict.outcome {
         Outcome::Holds => "holds",
         Outcome::Fails(_) => "FAILS",
@@ -19,8 +19,8 @@
     }
 }
 
-/// What was looked at, and how far the verdict reaches.
-fn reach(verdict: &Verdict) -> String {
+/// What was checked, and the conditions under which the verdict holds.
+fn coverage(verdict: &Verdict) -> String {
     let mut parts = Vec::new();
     match (verdict.wanted_ms, verdict.fails_at_ms) {
         (Some(_), Some(at)) => parts.push(format!("while the list is younger than {}", seconds(at))),
@@ -40,26 +40,27 @@
     parts.join("; ")
 }
 
-fn shown(out: &mut String, shown: &Shown) {
-    for line in &shown.befell {
+/// Appends a counterexample.
+fn write_counterexample(out: &mut String, case: &Shown) {
+    for line in &case.befell {
         let _ = writeln!(out, "          {line}");
     }
-    let slice = shown.slice.map(|s| format!("slice {s}: ")).unwrap_or_default();
-    let _ = writeln!(out, "          {slice}{}", shown.found);
-    for line in &shown.trace {
+    let slice = case.slice.map(|s| format!("slice {s}: ")).unwrap_or_default();
+    let _ = writeln!(out, "          {slice}{}", case.found);
+    for line in &case.trace {
         let _ = writeln!(out, "          |{line}");
     }
 }
 
-/// A table for people, with the counterexamples.
+/// Table of the verdicts with the counterexamples.
 pub fn table(suite: &Suite, verdicts: &[Verdict]) -> String {
     let mut out = String::new();
     let width = verdicts.iter().map(|v| v.name.chars().count()).max().unwrap_or(0);
     for verdict in verdicts {
-        let line = format!("{:9} {:width$}  {}", word(verdict), verdict.name, reach(verdict));
+        let line = format!("{:9} {:width$}  {}", outcome_text(verdict), verdict.name, coverage(verdict));
         let _ = writeln!(out, "{}", line.trim_end());
         if let Outcome::Fails(case) = &verdict.outcome {
-            shown(&mut out, case);
+            write_counterexample(&mut out, case);
         }
         if verdict.outcome == Outcome::Undecided {
             let _ = writeln!(
@@ -82,14 +83,16 @@
     out
 }
 
-/// The expectations whose verdict changes.
-pub fn against(before: &[Verdict], now: &[Verdict]) -> String {
+/// Expectations whose verdict differs from the one before.
+pub fn against(before: &[Verdict], after: &[Verdict]) -> String {
     let mut out = String::new();
     let old = |name: &str| before.iter().find(|v| v.name == name);
-    for verdict in now {
+    for verdict in after {
         let change = match old(&verdict.name) {
-            None => format!("new, {}", word(verdict)),
-            Some(old) if word(old) != word(verdict) => format!("{} -> {}", word(old), word(verdict)),
+            None => format!("new, {}", outcome_text(verdict)),
+            Some(old) if outcome_text(old) != outcome_text(verdict) => {
+                format!("{} -> {}", outcome_text(old), outcome_text(verdict))
+            }
             Some(old) if old.fails_at_ms != verdict.fails_at_ms => {
                 let until = |ms: Option<f64>| ms.map_or("any age".to_owned(), seconds);
                 format!("list up to {} -> {}", until(old.fails_at_ms), until(verdict.fails_at_ms))
@@ -98,11 +101,11 @@
         };
         let _ = writeln!(out, "{}: {change}", verdict.name);
         if let Outcome::Fails(case) = &verdict.outcome {
-            shown(&mut out, case);
+            write_counterexample(&mut out, case);
         }
     }
-    for gone in before.iter().filter(|b| !now.iter().any(|v| v.name == b.name)) {
-        let _ = writeln!(out, "{}: no longer asked", gone.name);
+    for removed in before.iter().filter(|b| !after.iter().any(|v| v.name == b.name)) {
+        let _ = writeln!(out, "{}: no longer asked", removed.name);
     }
     if out.is_empty() {
         out.push_str("no verdict changes\n");
@@ -110,7 +113,7 @@
     out
 }
 
-/// All of it for programs.
+/// All verdicts as JSON.
 pub fn json(suite: &Suite, verdicts: &[Verdict]) -> Value {
     let fleet = suite.fleet();
     let one = |verdict: &Verdict| {
@@ -122,7 +125,7 @@
             _ => Value::Null,
         };
         json!({
-            "name": verdict.name, "line": verdict.line, "verdict": word(verdict).to_lowercase(),
+            "name": verdict.name, "line": verdict.line, "verdict": outcome_text(verdict).to_lowercase(),
             "fails_at_ms": verdict.fails_at_ms, "wanted_ms": verdict.wanted_ms,
             "cases": verdict.effort.cases, "states": verdict.effort.states, "departures": verdict.effort.departures,
             "counterexample": case,
@@ -134,7 +137,7 @@
     })
 }
 
-/// JUnit for CI: a test case for each expectation.
+/// JUnit report for CI with a test case for each expectation.
 pub fn junit(verdicts: &[Verdict]) -> Result<String> {
     let mut report = Report::new("pewterwharf check");
     let mut suite = TestSuite::new("expectations");
@@ -149,7 +152,7 @@
             Outcome::Fails(case) => {
                 let mut status = TestCaseStatus::non_success(NonSuccessKind::Failure);
                 let mut text = String::new();
-                shown(&mut text, case);
+                write_counterexample(&mut text, case);
                 status.set_message(case.found.clone());
                 status.set_description(text);
                 status
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! `pewterwharf try`: a mixer, searchers and discovery in one process on loopback.
+//! `pewterwharf try`: runs a mixer, searchers and discovery in one process on loopback.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,23 +19,23 @@
 use signal_hook::low_level::raise;
 
 #[derive(Args)]
-pub struct Trial {
-    /// Searchers to start
+pub struct TrialArgs {
+    /// Number of searchers
     #[arg(long, value_name = "N", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     searchers: u16,
-    /// How many of them take parts and answer none
+    /// Number of searchers that accept parts but never answer
     #[arg(long, value_name = "N", default_value_t = 1)]
     hung: u16,
-    /// Scans to send, half of them replayable
+    /// Number of scans to send, half of them replayable
     #[arg(long, value_name = "N", default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=1000))]
     scans: u32,
-    /// Announces two service addresses to a stand-in peer, drains under load and prints when what happened
+    /// Announces two service addresses to a test peer, drains under load and prints a timeline
     #[arg(long)]
     bgp: bool,
 }
 
-/// How long the mixer may take to be ready.
-const READY: Duration = Duration::from_secs(10);
+/// Time for the mixer to become ready, and for an answer to arrive.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 const LOOKUP: &str = r#"{"parts":[{"id":0,"w":0.5},{"id":1,"w":0.25},{"id":2,"w":0.25}],"expr":"find"}"#;
 
@@ -47,12 +47,14 @@
     )
 }
 
-fn ask(at: SocketAddr, request: &str) -> Result<(u16, String)> {
-    let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(READY))?;
+/// Sends a request on a new connection and returns status and body of the answer.
+fn send_request(address: SocketAddr, request: &str) -> Result<(u16, String)> {
+    let mut stream = TcpStream::connect(address)?;
+    stream.set_read_timeout(Some(READY_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
     let mut input = BufReader::new(stream);
-    let (mut line, mut length) = (String::new(), 0);
+    let mut line = String::new();
+    let mut length = 0;
     input.read_line(&mut line)?;
     let status = line.split(' ').nth(1).and_then(|s| s.parse().ok()).context("no status in the answer")?;
     loop {
@@ -72,8 +74,9 @@
     Ok((status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Terms of the trial: `lookup` is whole with three fifths of its parts, `entry` needs all and is never run twice.
-fn start(discovery: SocketAddr, listen: SocketAddr) -> String {
+/// Startup configuration of the trial: `lookup` is complete with three fifths of its parts, `entry` needs all parts and must
+/// not be repeated.
+fn startup_config(discovery: SocketAddr, listen: SocketAddr) -> String {
     let service = |name: &str, repeat: &str| {
         json!({"name": name, "idempotency": repeat, "points": 1.0, "slo_ms": 500.0, "hard_limit_ms": 2000.0,
                "late_worth": 0.3})
@@ -94,144 +97,161 @@
     .to_string()
 }
 
-/// The operator's file of the trial, with the stand-in peer in place of the one that it names.
-fn announcements(peer: &Peer) -> Result<Settings> {
+/// The example settings file for BGP, with the address of the test peer.
+fn bgp_settings(peer: &Peer) -> Result<Settings> {
     const EXAMPLE: &str = include_str!("../../../examples/bgp/pewterwharf.lisp");
     let text = EXAMPLE.replace("192.0.2.254:179", &peer.address.to_string());
-    Settings::read(&text).map_err(|fault| anyhow!("examples/bgp/pewterwharf.lisp:{fault}"))
+    Settings::read(&text).map_err(|error| anyhow!("examples/bgp/pewterwharf.lisp:{error}"))
 }
 
-/// Scans one after the other on connections of their own, until one is refused: when, and how many were answered 200 and
-/// how many otherwise.
-fn load(client: u32, mixer: SocketAddr) -> (Instant, u32, u32) {
-    let (mut whole, mut other) = (0, 0);
+/// Result of a client that sends scans until a connection is refused.
+struct LoadResult {
+    refused_at: Instant,
+    /// Scans answered with status 200.
+    ok: u32,
+    /// Scans answered otherwise, or not at all.
+    other: u32,
+}
+
+/// Sends scans one after the other, each on a new connection, until a connection is refused.
+fn load(client: u32, mixer: SocketAddr) -> LoadResult {
+    let mut ok = 0;
+    let mut other = 0;
     loop {
-        let id = format!("l{client}-{}", whole + other);
-        match ask(mixer, &request("lookup", &id, LOOKUP)) {
-            Ok((200, _)) => whole += 1,
-            Err(error) if refused(&error) => return (Instant::now(), whole, other),
+        let id = format!("l{client}-{}", ok + other);
+        match send_request(mixer, &request("lookup", &id, LOOKUP)) {
+            Ok((200, _)) => ok += 1,
+            Err(error) if is_refused(&error) => {
+                return LoadResult { refused_at: Instant::now(), ok, other };
+            }
             Ok(_) | Err(_) => other += 1,
         }
     }
 }
 
-/// A connection that stands in the listener's queue when that closes is reset by the system, unseen by the mixer: the door
-/// was shut to it as to one that is refused.
-fn refused(error: &anyhow::Error) -> bool {
-    const SHUT: [io::ErrorKind; 3] =
+/// Whether a connection was refused. The operating system resets connections that are still in the listener's backlog when
+/// the listener closes; the mixer never sees them, so they count as refused.
+fn is_refused(error: &anyhow::Error) -> bool {
+    const REFUSED: [io::ErrorKind; 3] =
         [io::ErrorKind::ConnectionRefused, io::ErrorKind::ConnectionReset, io::ErrorKind::BrokenPipe];
-    error.downcast_ref::<io::Error>().is_some_and(|e| SHUT.contains(&e.kind()))
+    error.downcast_ref::<io::Error>().is_some_and(|e| REFUSED.contains(&e.kind()))
 }
 
-/// A drain under load, as the peer and the clients see it. Whether the withdrawals came before the first connection was
-/// refused, and every scan was answered.
-fn drain(peer: &Peer, mixer: SocketAddr, mixer_runs: thread::JoinHandle<Result<()>>) -> Result<bool> {
+/// Drains the mixer under load and prints a timeline as seen by the peer and the clients. Returns whether the routes were
+/// withdrawn before the first connection was refused, and every scan was answered.
+fn drain(peer: &Peer, mixer: SocketAddr, mixer_thread: thread::JoinHandle<Result<()>>) -> Result<bool> {
     let mut events: Vec<(Instant, String)> = Vec::new();
-    for at in ["announce 198.51.100.1", "announce 198.51.100.2"] {
-        events.push((peer.wait_for(at).0.at, format!("the peer heard {at}")));
+    for text in ["announce 198.51.100.1", "announce 198.51.100.2"] {
+        events.push((peer.wait_for(text).0.at, format!("the peer heard {text}")));
     }
     let clients: Vec<_> = (0..4).map(|client| thread::spawn(move || load(client, mixer))).collect();
-    let asked = Instant::now();
+    let drain_started = Instant::now();
     raise(SIGTERM)?;
-    events.push((asked, "SIGTERM; scans keep coming".to_owned()));
+    events.push((drain_started, "SIGTERM; scans keep coming".to_owned()));
     let mut withdrawn = Vec::new();
     loop {
-        let heard = peer.next_event();
-        if heard.text.starts_with("withdraw") {
-            withdrawn.push(heard.at);
+        let event = peer.next_event();
+        if event.text.starts_with("withdraw") {
+            withdrawn.push(event.at);
         }
-        let ends = heard.text == "closed";
-        events.push((heard.at, format!("the peer heard {}", heard.text)));
-        if ends {
+        let is_closed = event.text == "closed";
+        events.push((event.at, format!("the peer heard {}", event.text)));
+        if is_closed {
             break;
         }
     }
-    let (mut whole, mut other, mut refused) = (0, 0, None);
+    let mut ok = 0;
+    let mut other = 0;
+    let mut first_refused_at: Option<Instant> = None;
     for client in clients {
-        let Ok((at, w, o)) = client.join() else { bail!("a client panicked") };
-        (whole, other) = (whole + w, other + o);
-        refused = Some(refused.map_or(at, |first: Instant| first.min(at)));
-    }
-    let refused = refused.context("no client")?;
-    events.push((refused, "a connection was refused for the first time".to_owned()));
-    match mixer_runs.join() {
-        Ok(ended) => ended.context("the mixer")?,
-        Err(_) => bail!("the mixer's thread panicked"),
+        let Ok(result) = client.join() else { bail!("a client panicked") };
+        ok += result.ok;
+        other += result.other;
+        let refused_at = result.refused_at;
+        first_refused_at = Some(first_refused_at.map_or(refused_at, |first| first.min(refused_at)));
     }
+    let first_refused_at = first_refused_at.context("no client")?;
+    events.push((first_refused_at, "a connection was refused for the first time".to_owned()));
+    join_mixer(mixer_thread)?;
     events.push((Instant::now(), "the mixer has ended".to_owned()));
     events.sort_by_key(|e| e.0);
-    for (at, what) in &events {
-        let ms = at.saturating_duration_since(asked).as_millis() as i64
-            - asked.saturating_duration_since(*at).as_millis() as i64;
-        println!("{ms:>7} ms {what}");
+    for (at, text) in &events {
+        let ms = at.saturating_duration_since(drain_started).as_millis() as i64
+            - drain_started.saturating_duration_since(*at).as_millis() as i64;
+        println!("{ms:>7} ms {text}");
+    }
+    println!("{ok} scans were answered 200 meanwhile, {other} otherwise");
+    let withdrawn_first = withdrawn.len() == 2 && withdrawn.iter().all(|at| *at < first_refused_at);
+    println!("withdrawn before the first refusal: {}", if withdrawn_first { "yes" } else { "no" });
+    Ok(withdrawn_first && other == 0)
+}
+
+fn join_mixer(mixer: thread::JoinHandle<Result<()>>) -> Result<()> {
+    match mixer.join() {
+        Ok(result) => result.context("the mixer"),
+        Err(_) => bail!("the mixer's thread panicked"),
     }
-    println!("{whole} scans were answered 200 meanwhile, {other} otherwise");
-    let first = withdrawn.len() == 2 && withdrawn.iter().all(|at| *at < refused);
-    println!("withdrawn before the first refusal: {}", if first { "yes" } else { "no" });
-    Ok(first && other == 0)
 }
 
-/// Whether every scan was answered once and the mixer ended by itself.
-pub fn run(asked: &Trial) -> Result<bool> {
-    let lists = DiscoveryServer::default();
+/// Runs the trial. Returns whether every scan was answered and, with `--bgp`, the drain was in order.
+pub fn run(args: &TrialArgs) -> Result<bool> {
+    let discovery_server = DiscoveryServer::default();
     let discovery = TcpListener::bind("127.0.0.1:0")?;
-    let discovery_at = discovery.local_addr()?;
-    lists.serve(discovery);
-    let (heard, frames) = mpsc::channel();
+    let discovery_address = discovery.local_addr()?;
+    discovery_server.serve(discovery);
+    let (frame_sender, frames) = mpsc::channel();
     let mut searchers = Vec::new();
-    for nth in 0..asked.searchers {
+    for nth in 0..args.searchers {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         searchers.push((listener.local_addr()?, "up"));
-        let manner = if nth < asked.hung { SearcherBehavior::Hangs } else { SearcherBehavior::Answers };
-        standins::serve_searcher(listener, manner, heard.clone());
+        let behavior = if nth < args.hung { SearcherBehavior::Hangs } else { SearcherBehavior::Answers };
+        standins::serve_searcher(listener, behavior, frame_sender.clone());
     }
-    lists.publish(standins::discovery_list(1, true, &searchers));
-    println!("{} searchers, {} of them hang; discovery at {discovery_at}", asked.searchers, asked.hung);
+    discovery_server.publish(standins::discovery_list(1, true, &searchers));
+    println!("{} searchers, {} of them hang; discovery at {discovery_address}", args.searchers, args.hung);
 
     let signals = signals::signals()?;
-    // A port that is free now; the mixer takes it a moment later.
+    // A free port, which the mixer binds shortly after.
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let start = StartupConfig::read(&start(discovery_at, listen), |_| None)?;
-    // The decision module stays in the thread that opens it.
+    let start = StartupConfig::read(&startup_config(discovery_address, listen), |_| None)?;
     let again = Again {
         start: |_| bail!("a trial has no file to read again"),
         settings: || bail!("a trial has no file to read again"),
     };
-    let peer = asked.bgp.then(|| Peer::start(&[PeerBehavior::Conforms]));
-    let settings = peer.as_ref().map(announcements).transpose()?.unwrap_or_default();
+    let peer = args.bgp.then(|| Peer::start(&[PeerBehavior::Conforms]));
+    let settings = peer.as_ref().map(bgp_settings).transpose()?.unwrap_or_default();
+    // The decision module has to stay in the thread that creates it, so the service is opened there.
     let mixer = thread::spawn(move || Service::open(start, &settings, signals, again)?.run());
-    let begun = Instant::now();
-    while !ask(listen, "GET /-/ready HTTP/1.1\r\nHost: mixer\r\n\r\n").is_ok_and(|(status, _)| status == 200)
+    let started = Instant::now();
+    while !send_request(listen, "GET /-/ready HTTP/1.1\r\nHost: mixer\r\n\r\n")
+        .is_ok_and(|(status, _)| status == 200)
     {
-        ensure!(begun.elapsed() < READY, "the mixer is not ready after {READY:?}");
+        ensure!(started.elapsed() < READY_TIMEOUT, "the mixer is not ready after {READY_TIMEOUT:?}");
         thread::yield_now();
     }
-    println!("mixer at {listen}, ready after {} ms", begun.elapsed().as_millis());
+    println!("mixer at {listen}, ready after {} ms", started.elapsed().as_millis());
 
     let mut answered = 0;
-    for nth in 0..asked.scans {
+    for nth in 0..args.scans {
         let (table_type, body) = match nth % 2 {
             0 => ("lookup", LOOKUP),
             _ => ("entry", r#"{"parts":[{"id":3,"w":1.0}],"expr":"enter"}"#),
         };
         let request = request(table_type, &format!("q{nth}"), body);
-        let asked_at = Instant::now();
-        let (status, answer) = ask(listen, &request)?;
+        let sent_at = Instant::now();
+        let (status, answer) = send_request(listen, &request)?;
         answered += 1;
-        let ms = asked_at.elapsed().as_millis();
+        let ms = sent_at.elapsed().as_millis();
         println!("scan q{nth} {table_type}: {status} after {ms} ms {}", answer.trim());
         for frame in frames.try_iter() {
             println!("    a searcher heard {}", frame.replace('\n', " | "));
         }
     }
     if let Some(peer) = peer {
-        return Ok(drain(&peer, listen, mixer)? && answered == asked.scans);
+        return Ok(drain(&peer, listen, mixer)? && answered == args.scans);
     }
     raise(SIGTERM)?;
-    match mixer.join() {
-        Ok(ended) => ended.context("the mixer")?,
-        Err(_) => bail!("the mixer's thread panicked"),
-    }
-    println!("{answered} of {} scans answered; the mixer drained and ended", asked.scans);
-    Ok(answered == asked.scans)
+    join_mixer(mixer)?;
+    println!("{answered} of {} scans answered; the mixer drained and ended", args.scans);
+    Ok(answered == args.scans)
 }
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -1,16 +1,17 @@
-//! The trial of a drain, as anybody can start it.
+//! `pewterwharf try --bgp` and requests to a console.
 
 use std::process::Command;
 
 #[test]
-fn the_trial_of_a_drain_shows_the_withdrawals_first_and_loses_no_scan() {
+fn trial_of_a_drain() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["try", "--bgp", "--scans", "2", "--hung", "0"])
         .output()
-        .expect("it starts");
-    let told = String::from_utf8_lossy(&ended.stdout);
-    assert_eq!(ended.status.code(), Some(0), "{told}");
-    let place = |words: &str| told.find(words).unwrap_or_else(|| panic!("no {words:?} in {told}"));
+        .expect("the program starts");
+    let output_text = String::from_utf8_lossy(&ended.stdout);
+    assert_eq!(ended.status.code(), Some(0), "{output_text}");
+    let position =
+        |text: &str| output_text.find(text).unwrap_or_else(|| panic!("no {text:?} in {output_text}"));
     let order = [
         "the peer heard announce 198.51.100.1\n",
         "SIGTERM",
@@ -21,15 +22,15 @@
         "the mixer has ended",
         "withdrawn before the first refusal: yes",
     ];
-    assert!(order.windows(2).all(|two| place(two[0]) < place(two[1])), "{told}");
+    assert!(order.windows(2).all(|two| position(two[0]) < position(two[1])), "{output_text}");
 }
 
 #[test]
-fn a_mixer_without_a_console_can_t_be_asked() {
+fn console_that_does_not_exist() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["bgp", "show", "--console", "/nowhere/at/all"])
         .output()
-        .expect("it starts");
+        .expect("the program starts");
     assert_eq!(ended.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&ended.stderr).contains("asking /nowhere/at/all"));
 }
