--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use clap::Args;
 use pewterwharf_mixer::service::Service;
-use pewterwharf_mixer::signals::{self, Again};
+use pewterwharf_mixer::signals::{self, Reloaders};
 use pewterwharf_settings::Settings;
 use pewterwharf_standins::bgp::{Peer, PeerBehavior};
 use pewterwharf_standins::{self as standins, DiscoveryServer, SearcherBehavior};
@@ -210,18 +210,18 @@
     discovery_server.publish(standins::discovery_list(1, true, &searchers));
     println!("{} searchers, {} of them hang; discovery at {discovery_address}", args.searchers, args.hung);
 
-    let signals = signals::signals()?;
+    let signals = signals::register_handlers()?;
     // A free port, which the mixer binds shortly after.
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let start = StartupConfig::read(&startup_config(discovery_address, listen), |_| None)?;
-    let again = Again {
-        start: |_| bail!("a trial has no file to read again"),
-        settings: || bail!("a trial has no file to read again"),
+    let reloaders = Reloaders {
+        config: |_| bail!("a trial has no file to reload"),
+        settings: || bail!("a trial has no file to reload"),
     };
     let peer = args.bgp.then(|| Peer::start(&[PeerBehavior::Conforms]));
     let settings = peer.as_ref().map(bgp_settings).transpose()?.unwrap_or_default();
     // The decision module has to stay in the thread that creates it, so the service is opened there.
-    let mixer = thread::spawn(move || Service::open(start, &settings, signals, again)?.run());
+    let mixer = thread::spawn(move || Service::open(start, &settings, signals, reloaders)?.run());
     let started = Instant::now();
     while !send_request(listen, "GET /-/ready HTTP/1.1\r\nHost: mixer\r\n\r\n")
         .is_ok_and(|(status, _)| status == 200)
