--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -1,13 +1,14 @@
-//! When an address is announced, and the order of a drain.
+//! When addresses are announced, depreferenced and withdrawn, and the order of a drain.
 
 use std::fmt::Write;
 
 use insta::assert_snapshot;
 use ipnet::IpNet;
 use pewterwharf_bgp::announce::{
-    Address, Announcer, Effect, Health, Input, Phase, Stance, Terms, others, served,
+    AnnounceConfig, Announcer, Effect, Health, Input, Phase, RouteState, ServiceAddress, is_other_announcer,
+    servable_share,
 };
-use pewterwharf_bgp::message::Seen;
+use pewterwharf_bgp::message::ObservedRoute;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -15,196 +16,204 @@
     format!("198.51.100.{nth}/32").parse().expect("a prefix")
 }
 
-fn terms() -> Terms {
-    let address = |nth: usize, table_types: &[usize], keep_last| Address {
+fn config() -> AnnounceConfig {
+    let address = |nth: usize, table_types: &[usize], keep_last| ServiceAddress {
         prefix: prefix(nth),
         table_types: table_types.to_vec(),
         keep_last,
     };
-    Terms {
+    AnnounceConfig {
         addresses: vec![address(0, &[], false), address(1, &[0], true)],
         up_share: 0.9,
         down_share: 0.6,
-        up_ms: 5000.0,
-        down_ms: 1000.0,
-        stale_ms: 30_000.0,
-        pressure: 0.5,
-        changes: 6,
+        up_delay_ms: 5000.0,
+        down_delay_ms: 1000.0,
+        max_list_age_ms: 30_000.0,
+        max_rejected_share: 0.5,
+        max_changes_per_minute: 6,
         depreferenced_ms: 2000.0,
-        leave_ms: 3000.0,
+        withdrawn_ms: 3000.0,
     }
 }
 
-/// Of two table types, the share that is usable.
-fn usable(one: f64, two: f64) -> Health {
-    Health { phase: Phase::Ready, usable: vec![one, two], pressure: 0.0, places: true, list_age_ms: 0.0 }
+/// Health with these servable shares of two table types.
+fn usable(first: f64, second: f64) -> Health {
+    Health {
+        phase: Phase::Ready,
+        servable_shares: vec![first, second],
+        rejected_share: 0.0,
+        has_client_capacity: true,
+        list_age_ms: 0.0,
+    }
 }
 
-struct Rig {
+/// An announcer with a simulated clock and a log of its effects.
+struct Fixture {
     announcer: Announcer,
     now: f64,
-    out: String,
+    log: String,
 }
 
-impl Rig {
+impl Fixture {
     fn new() -> Self {
-        let mut rig = Self { announcer: Announcer::new(terms()), now: 0.0, out: String::new() };
-        rig.tell(Input::Sessions(1));
-        rig
+        let mut fixture = Self { announcer: Announcer::new(config()), now: 0.0, log: String::new() };
+        fixture.step(Input::Sessions(1));
+        fixture
     }
 
-    /// Announced, and quiet for long.
+    /// All addresses announced, with no change in the last minute.
     fn ready() -> Self {
-        let mut rig = Self::new();
-        rig.tell(Input::Health(usable(1.0, 1.0)));
-        rig.pass(120_000.0);
-        rig.out.clear();
-        rig.now = 0.0;
-        rig.announcer = rig.announcer.clone();
-        rig.now = 120_000.0;
-        rig
+        let mut fixture = Self::new();
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(120_000.0);
+        fixture.log.clear();
+        fixture.now = 0.0;
+        fixture.announcer = fixture.announcer.clone();
+        fixture.now = 120_000.0;
+        fixture
     }
 
-    fn tell(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         for effect in self.announcer.step(self.now, input) {
-            let told = match effect {
-                Effect::Stand { prefix, stance, reason } => format!("{prefix} {stance:?}: {reason:?}"),
-                Effect::MayStop => "scans may stop".to_owned(),
+            let line = match effect {
+                Effect::SetState { prefix, state, reason } => format!("{prefix} {state:?}: {reason:?}"),
+                Effect::DrainComplete => "scans may stop".to_owned(),
             };
-            let _ = writeln!(self.out, "{:>7.0} {told}", self.now);
+            let _ = writeln!(self.log, "{:>7.0} {line}", self.now);
         }
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
-        while self.announcer.due() <= end {
-            self.now = self.announcer.due().max(self.now);
-            self.tell(Input::Timer);
+        while self.announcer.next_timer() <= end {
+            self.now = self.announcer.next_timer().max(self.now);
+            self.step(Input::Timer);
         }
         self.now = end;
     }
 }
 
 #[test]
-fn it_is_announced_once_it_serves_and_withdrawn_when_nothing_is_usable() {
-    let mut rig = Rig::new();
-    rig.pass(10_000.0);
-    rig.tell(Input::Health(usable(1.0, 1.0)));
-    rig.pass(60_000.0);
-    rig.out += "one table type is unusable: its addresses go, the other's stays\n";
-    rig.tell(Input::Health(usable(1.0, 0.0)));
-    rig.pass(60_000.0);
-    rig.out += "no searcher is usable\n";
-    rig.tell(Input::Health(usable(0.0, 0.0)));
-    rig.pass(60_000.0);
-    rig.out += "half is back, then enough\n";
-    rig.tell(Input::Health(usable(0.7, 0.7)));
-    rig.pass(60_000.0);
-    rig.tell(Input::Health(usable(0.95, 0.95)));
-    rig.pass(60_000.0);
-    assert_snapshot!(rig.out);
+fn announced_when_servable_and_withdrawn_when_not() {
+    let mut fixture = Fixture::new();
+    fixture.advance(10_000.0);
+    fixture.step(Input::Health(usable(1.0, 1.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "one table type is unusable: its addresses go, the other's stays\n";
+    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "no searcher is usable\n";
+    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "half is back, then enough\n";
+    fixture.step(Input::Health(usable(0.7, 0.7)));
+    fixture.advance(60_000.0);
+    fixture.step(Input::Health(usable(0.95, 0.95)));
+    fixture.advance(60_000.0);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn a_stale_list_full_places_and_a_pressed_door_depreference() {
-    let mut rig = Rig::ready();
-    let sound = usable(1.0, 1.0);
+fn reasons_to_depreference() {
+    let mut fixture = Fixture::ready();
+    let healthy = usable(1.0, 1.0);
     let worse = [
-        Health { list_age_ms: 31_000.0, ..sound.clone() },
-        Health { places: false, ..sound.clone() },
-        Health { pressure: 0.6, ..sound.clone() },
+        Health { list_age_ms: 31_000.0, ..healthy.clone() },
+        Health { has_client_capacity: false, ..healthy.clone() },
+        Health { rejected_share: 0.6, ..healthy.clone() },
     ];
     for health in worse {
-        rig.tell(Input::Health(health));
-        rig.pass(5_000.0);
-        rig.tell(Input::Health(sound.clone()));
-        rig.pass(120_000.0);
+        fixture.step(Input::Health(health));
+        fixture.advance(5_000.0);
+        fixture.step(Input::Health(healthy.clone()));
+        fixture.advance(120_000.0);
     }
-    assert_snapshot!(rig.out);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn a_last_announcer_is_kept_on_mere_suspicion_only() {
-    let mut rig = Rig::ready();
-    rig.tell(Input::Health(usable(0.3, 0.3)));
-    rig.pass(10_000.0);
-    rig.out += "another announces it too\n";
-    rig.tell(Input::Others(prefix(1), true));
-    rig.pass(10_000.0);
-    rig.out += "that other is gone\n";
-    rig.tell(Input::Others(prefix(1), false));
-    rig.pass(10_000.0);
-    rig.out += "nothing at all is usable\n";
-    rig.tell(Input::Health(usable(0.0, 0.0)));
-    rig.pass(10_000.0);
-    assert_snapshot!(rig.out);
+fn last_announcer_is_withdrawn_only_if_nothing_is_servable() {
+    let mut fixture = Fixture::ready();
+    fixture.step(Input::Health(usable(0.3, 0.3)));
+    fixture.advance(10_000.0);
+    fixture.log += "another announces it too\n";
+    fixture.step(Input::OtherAnnouncer(prefix(1), true));
+    fixture.advance(10_000.0);
+    fixture.log += "that other is gone\n";
+    fixture.step(Input::OtherAnnouncer(prefix(1), false));
+    fixture.advance(10_000.0);
+    fixture.log += "nothing at all is usable\n";
+    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.advance(10_000.0);
+    assert_snapshot!(fixture.log);
 }
 
 #[test]
-fn searchers_that_flap_do_not_make_routes_flap() {
-    let mut rig = Rig::ready();
+fn flapping_searchers_do_not_flap_routes() {
+    let mut fixture = Fixture::ready();
     for _ in 0..120 {
-        rig.tell(Input::Health(usable(0.0, 0.0)));
-        rig.pass(400.0);
-        rig.tell(Input::Health(usable(1.0, 1.0)));
-        rig.pass(600.0);
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(400.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(600.0);
     }
-    rig.out += "slowly, for ten minutes\n";
-    let before = rig.out.lines().count();
+    fixture.log += "slowly, for ten minutes\n";
+    let before = fixture.log.lines().count();
     for _ in 0..40 {
-        rig.tell(Input::Health(usable(0.0, 0.0)));
-        rig.pass(5_000.0);
-        rig.tell(Input::Health(usable(1.0, 1.0)));
-        rig.pass(10_000.0);
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(5_000.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.advance(10_000.0);
     }
-    let changes = rig.out.lines().count() - before;
+    let changes = fixture.log.lines().count() - before;
     assert!((20..=2 * 6 * 10).contains(&changes), "{changes} in ten minutes");
-    assert!(rig.out.starts_with("slowly"), "{}", rig.out);
+    assert!(fixture.log.starts_with("slowly"), "{}", fixture.log);
 }
 
 #[test]
-fn a_drain_goes_in_its_order_and_is_cut_short_where_nobody_listens() {
+fn drain_order_and_shortened_drains() {
     let mut out = String::new();
-    let mut drain = |name: &str, then: &dyn Fn(&mut Rig)| {
-        let mut rig = Rig::ready();
-        rig.tell(Input::Drain);
-        then(&mut rig);
-        rig.pass(60_000.0);
-        out += &format!("{name}\n{}", rig.out);
+    let mut drain = |name: &str, then: &dyn Fn(&mut Fixture)| {
+        let mut fixture = Fixture::ready();
+        fixture.step(Input::Drain);
+        then(&mut fixture);
+        fixture.advance(60_000.0);
+        out += &format!("{name}\n{}", fixture.log);
     };
     drain("alone", &|_| {});
-    drain("health gets better and worse meanwhile", &|rig| {
-        rig.tell(Input::Health(usable(0.0, 0.0)));
-        rig.pass(1500.0);
-        rig.tell(Input::Health(usable(1.0, 1.0)));
-        rig.tell(Input::Drain);
+    drain("health gets better and worse meanwhile", &|fixture| {
+        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.advance(1500.0);
+        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Drain);
     });
-    drain("asked a second time", &|rig| {
-        rig.pass(500.0);
-        rig.tell(Input::Hurry);
+    drain("asked a second time", &|fixture| {
+        fixture.advance(500.0);
+        fixture.step(Input::DrainNow);
     });
-    drain("the last session is lost", &|rig| {
-        rig.pass(2500.0);
-        rig.tell(Input::Sessions(0));
+    drain("the last session is lost", &|fixture| {
+        fixture.advance(2500.0);
+        fixture.step(Input::Sessions(0));
     });
-    let mut rig = Rig::new();
-    rig.tell(Input::Drain);
-    out += &format!("before anything was announced\n{}", rig.out);
+    let mut fixture = Fixture::new();
+    fixture.step(Input::Drain);
+    out += &format!("before anything was announced\n{}", fixture.log);
     assert_snapshot!(out);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(500) })]
 
-    /// Scans may stop once, after every withdrawal; a drain makes nothing better; with nothing usable the address is gone
-    /// in time; a minute sees no more changes for the better than are stated.
+    /// The drain completes once and after every withdrawal, improves no address, and with nothing servable an address is
+    /// withdrawn in time. The limit on improvements per minute holds.
     #[test]
-    fn whatever_happens_the_order_is_kept(
+    fn invariants_for_any_sequence_of_inputs(
         events in proptest::collection::vec((0u8..12, 0.0f64..4000.0, 0.0f64..1.2), 1..80),
     ) {
-        let (mut announcer, mut now) = (Announcer::new(terms()), 0.0);
-        let (mut stopped, mut drains) = (false, false);
-        let mut stances = [Stance::Withdrawn; 2];
+        let (mut announcer, mut now) = (Announcer::new(config()), 0.0);
+        let mut stopped = false;
+        let mut drains = false;
+        let mut states = [RouteState::Withdrawn; 2];
         let mut better: Vec<f64> = Vec::new();
         let mut unusable_since = Some(0.0);
         for (event, ms, share) in events {
@@ -212,9 +221,9 @@
             let share = if share < 0.4 { 0.0 } else { share.min(1.0) };
             let input = match event {
                 0 => Input::Sessions(usize::from(share > 0.3)),
-                1 => Input::Others(prefix(1), share > 0.5),
+                1 => Input::OtherAnnouncer(prefix(1), share > 0.5),
                 2 if share > 0.9 => { drains = true; Input::Drain }
-                3 if share >= 1.0 => { drains = true; Input::Hurry }
+                3 if share >= 1.0 => { drains = true; Input::DrainNow }
                 _ => {
                     if share > 0.0 { unusable_since = None } else { unusable_since = unusable_since.or(Some(now)) }
                     Input::Health(usable(share, share))
@@ -224,81 +233,90 @@
             loop {
                 let effects = match input.take() {
                     Some(input) => announcer.step(now, input),
-                    None if announcer.due() <= end => {
-                        now = announcer.due().max(now);
+                    None if announcer.next_timer() <= end => {
+                        now = announcer.next_timer().max(now);
                         announcer.step(now, Input::Timer)
                     }
                     None => break,
                 };
                 for effect in effects {
                     match effect {
-                        Effect::Stand { prefix: at, stance, .. } => {
+                        Effect::SetState { prefix: at, state, .. } => {
                             let address = usize::from(at == prefix(1));
-                            prop_assert!(!stopped, "a change after the end");
-                            let old = std::mem::replace(&mut stances[address], stance);
-                            prop_assert!(!drains || stance < old, "a drain made it better");
-                            if stance > old {
+                            prop_assert!(!stopped, "a change after the drain is complete");
+                            let old = std::mem::replace(&mut states[address], state);
+                            prop_assert!(!drains || state < old, "a drain improved an address");
+                            if state > old {
                                 better.push(now);
                                 let last = better.iter().filter(|at| **at > now - 60_000.0).count();
-                                prop_assert!(last <= 6, "{last} changes for the better in a minute");
+                                prop_assert!(last <= 6, "{last} improvements in a minute");
                             }
                         }
-                        Effect::MayStop => {
-                            prop_assert!(!std::mem::replace(&mut stopped, true), "stopped twice");
-                            prop_assert_eq!(stances, [Stance::Withdrawn; 2]);
+                        Effect::DrainComplete => {
+                            prop_assert!(!std::mem::replace(&mut stopped, true), "completed twice");
+                            prop_assert_eq!(states, [RouteState::Withdrawn; 2]);
                         }
                     }
                 }
             }
             now = end;
             if let Some(since) = unusable_since && now - since >= 1000.0 && !drains {
-                prop_assert_eq!(stances, [Stance::Withdrawn; 2]);
+                prop_assert_eq!(states, [RouteState::Withdrawn; 2]);
             }
         }
     }
 }
 
-/// Who else announces: nobody, unless it is sure.
 #[test]
-fn a_route_that_may_be_the_mixers_own_is_nobody_elses() {
+fn doubtful_routes_are_not_of_another_announcer() {
     let id = "10.0.0.1".parse().expect("an identifier");
     let hop = |last: u8| Some(format!("192.0.2.{last}").parse().expect("an address"));
     let own = hop(1);
-    let by = |seen: Seen| others(&seen, id, own);
-    let other = Seen { next_hop: hop(2), ..Seen::default() };
-    assert!(by(other), "another next hop and no own AS in the path");
-    assert!(!by(Seen { next_hop: own, ..other }), "the own next hop");
-    assert!(!by(Seen { own_as: true, ..other }), "its path leads through the own AS");
-    assert!(!by(Seen { last: true, ..other }), "itself a last resort");
-    assert!(!by(Seen::default()), "it says nothing of itself");
-    let reflected = |last: u8| Some(format!("10.0.0.{last}").parse().expect("an identifier"));
-    assert!(by(Seen { originator: reflected(2), own_as: true, ..other }), "a reflector names another");
-    assert!(!by(Seen { originator: reflected(1), ..other }), "a reflector names this mixer");
+    let is_other = |route: ObservedRoute| is_other_announcer(&route, id, own);
+    let other = ObservedRoute { next_hop: hop(2), ..ObservedRoute::default() };
+    assert!(is_other(other), "another next hop and no own AS in the path");
+    assert!(!is_other(ObservedRoute { next_hop: own, ..other }), "the mixer's own next hop");
+    assert!(!is_other(ObservedRoute { own_as_in_path: true, ..other }), "own AS in the path");
+    assert!(!is_other(ObservedRoute { graceful_shutdown: true, ..other }), "depreferenced itself");
+    assert!(!is_other(ObservedRoute::default()), "no attributes");
+    let originator = |last: u8| Some(format!("10.0.0.{last}").parse().expect("an identifier"));
+    assert!(
+        is_other(ObservedRoute { originator_id: originator(2), own_as_in_path: true, ..other }),
+        "ORIGINATOR_ID of another"
+    );
+    assert!(
+        !is_other(ObservedRoute { originator_id: originator(1), ..other }),
+        "ORIGINATOR_ID of this mixer"
+    );
 }
 
 #[test]
-fn a_table_type_is_served_as_far_as_what_it_needs_is_usable() {
-    // Whole with three fifths of its parts, and no answer under two.
+fn servable_share_of_need() {
+    // Complete with three fifths of the parts, no answer below two fifths.
     assert_eq!(
-        [0.0, 0.3, 0.4, 0.6, 1.0].map(|usable| served(usable, 0.6, 0.4)),
+        [0.0, 0.3, 0.4, 0.6, 1.0].map(|usable| servable_share(usable, 0.6, 0.4)),
         [0.0, 0.0, 0.4 / 0.6, 1.0, 1.0]
     );
-    assert_eq!(served(0.99, 1.0, 1.0), 0.0, "one that needs all fails without");
-    assert_eq!(served(1.0 - 1e-12, 1.0, 1.0), 1.0 - 1e-12);
-    assert_eq!(served(0.5, 0.0, 0.0), 0.5);
+    assert_eq!(servable_share(0.99, 1.0, 1.0), 0.0, "a type that needs all parts");
+    assert_eq!(servable_share(1.0 - 1e-12, 1.0, 1.0), 1.0 - 1e-12);
+    assert_eq!(servable_share(0.5, 0.0, 0.0), 0.5);
 }
 
-/// Two that announce the same, both cut to a third of their searchers at once, and told of each other late.
+/// Two mixers announce the same address and lose most of their searchers at the same time, each learning of the other's
+/// route late. They must not withdraw because of each other.
 #[test]
-fn two_that_fall_together_do_not_leave_nobody() {
-    let keep = || {
-        let mut terms = terms();
-        terms.addresses.remove(0);
-        Announcer::new(terms)
+fn two_announcers_failing_together() {
+    let announcer = || {
+        let mut config = config();
+        config.addresses.remove(0);
+        Announcer::new(config)
     };
-    let (mut both, mut stances) = ([keep(), keep()], [Stance::Withdrawn; 2]);
-    let mut told = [false; 2]; // whether each knows of the other
-    let (mut nobody_since, mut longest, mut alone) = (None, 0.0f64, 0);
+    let mut both = [announcer(), announcer()];
+    let mut states = [RouteState::Withdrawn; 2];
+    let mut knows_other = [false; 2];
+    let mut withdrawn_since = None;
+    let mut longest_ms = 0.0f64;
+    let mut announced_steps = 0;
     let mut share = 1.0;
     for ms in 0..600 {
         let now = f64::from(ms) * 100.0;
@@ -308,44 +326,44 @@
         for me in 0..2 {
             let mut effects = both[me].step(now, Input::Sessions(1));
             effects.extend(both[me].step(now, Input::Health(usable(share, share))));
-            effects.extend(both[me].step(now, Input::Others(prefix(1), told[me])));
+            effects.extend(both[me].step(now, Input::OtherAnnouncer(prefix(1), knows_other[me])));
             for effect in effects {
-                if let Effect::Stand { stance, .. } = effect {
-                    stances[me] = stance;
+                if let Effect::SetState { state, .. } = effect {
+                    states[me] = state;
                 }
             }
         }
         if ms % 5 == 0 {
-            // What the other announces as more than a last resort, half a second late.
-            told = [1, 0].map(|other: usize| stances[other] == Stance::Announced);
+            // Routes that are not depreferenced, learned up to half a second late.
+            knows_other = [1, 0].map(|other: usize| states[other] == RouteState::Announced);
         }
-        if stances == [Stance::Withdrawn; 2] {
-            let since = *nobody_since.get_or_insert(now);
-            longest = longest.max(if ms >= 200 { now - since } else { 0.0 });
+        if states == [RouteState::Withdrawn; 2] {
+            let since = *withdrawn_since.get_or_insert(now);
+            longest_ms = longest_ms.max(if ms >= 200 { now - since } else { 0.0 });
         } else {
-            nobody_since = None;
-            alone += 1;
+            withdrawn_since = None;
+            announced_steps += 1;
         }
     }
-    assert!(alone > 0 && longest <= 5500.0, "nobody for {longest} ms");
-    assert_eq!(stances, [Stance::Depreferenced; 2]);
+    assert!(announced_steps > 0 && longest_ms <= 5500.0, "not announced for {longest_ms} ms");
+    assert_eq!(states, [RouteState::Depreferenced; 2]);
 }
 
 #[test]
-fn what_stays_in_the_operators_file_keeps_its_standing() {
-    let mut rig = Rig::ready();
-    let mut new = terms();
+fn configuration_change_keeps_the_state_of_remaining_addresses() {
+    let mut fixture = Fixture::ready();
+    let mut new = config();
     new.addresses.remove(0);
-    new.addresses.push(Address { prefix: prefix(2), table_types: vec![1], keep_last: false });
-    new.down_ms = 100.0;
-    rig.tell(Input::Terms(new.clone()));
-    rig.pass(60_000.0);
-    rig.out += "the second table type is unusable; worse lasts 100 ms now\n";
-    rig.tell(Input::Health(usable(1.0, 0.0)));
-    rig.pass(60_000.0);
-    rig.out += "in a drain, a new address stays where it is\n";
-    rig.tell(Input::Drain);
-    rig.tell(Input::Terms(terms()));
-    rig.pass(60_000.0);
-    assert_snapshot!(rig.out);
+    new.addresses.push(ServiceAddress { prefix: prefix(2), table_types: vec![1], keep_last: false });
+    new.down_delay_ms = 100.0;
+    fixture.step(Input::Configure(new.clone()));
+    fixture.advance(60_000.0);
+    fixture.log += "the second table type is unusable; worse lasts 100 ms now\n";
+    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.advance(60_000.0);
+    fixture.log += "in a drain, a new address stays where it is\n";
+    fixture.step(Input::Drain);
+    fixture.step(Input::Configure(config()));
+    fixture.advance(60_000.0);
+    assert_snapshot!(fixture.log);
 }
