--- a/crates/mixer/src/link.rs
+++ b/crates/mixer/src/link.rs
@@ -12,13 +12,13 @@
 use crate::stream::write_some;
 
 /// What the service and the reading thread share of a link.
-pub struct Shared {
+pub struct SharedLink {
     pub stream: TcpStream,
     /// The service has more to write, and the reading thread has to report when the link is writable.
     is_blocked: AtomicBool,
 }
 
-impl Shared {
+impl SharedLink {
     pub fn new(stream: TcpStream) -> Self {
         Self { stream, is_blocked: AtomicBool::new(false) }
     }
@@ -70,7 +70,7 @@
 #[derive(Default)]
 pub struct Link {
     /// Absent until the link is up.
-    shared: Option<Arc<Shared>>,
+    shared: Option<Arc<SharedLink>>,
     closed: bool,
     /// The rest of a partly written frame.
     rest: Vec<u8>,
@@ -80,7 +80,7 @@
 }
 
 impl Link {
-    pub fn set_up(&mut self, shared: Arc<Shared>) {
+    pub fn set_up(&mut self, shared: Arc<SharedLink>) {
         self.shared = Some(shared);
         if self.closed {
             self.close();
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -11,7 +11,7 @@
 use crate::client_handle::ClientHandle;
 use crate::clock::Clock;
 use crate::inputs::Input;
-use crate::link;
+use crate::link::SharedLink;
 
 /// Stack size of the threads. There is one thread of each kind.
 pub(crate) const STACK_BYTES: usize = 256 * 1024;
@@ -26,7 +26,7 @@
     LinkUp {
         at: f64,
         link: u64,
-        shared: Arc<link::Shared>,
+        shared: Arc<SharedLink>,
     },
     Input {
         at: f64,
@@ -58,7 +58,7 @@
         self.clock.now()
     }
 
-    pub fn send_link_up(&self, link: u64, shared: Arc<link::Shared>) {
+    pub fn send_link_up(&self, link: u64, shared: Arc<SharedLink>) {
         let at = self.clock.now();
         let _ = self.sender.send(Message::LinkUp { at, link, shared }); // fails once the service has ended
     }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -92,7 +92,7 @@
     warns_again_at: f64,
     /// No client waits to be accepted, and none can connect any more.
     listener_closed: bool,
-    /// What the decision module has not been told yet.
+    /// Events that the decision module has not handled yet.
     events: Vec<Event>,
     effects: Vec<Effect>,
     counters: Counters,
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -18,13 +18,13 @@
 
 /// A frame whose first byte is to be written now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingFrame {
     pub bytes: Vec<u8>,
     /// The clients that it is sent for. Writing must not begin once one of them has disconnected.
     pub clients: Vec<u64>,
 }
 
-impl Outgoing {
+impl OutgoingFrame {
     fn without_clients(bytes: Vec<u8>) -> Self {
         Self { bytes, clients: Vec::new() }
     }
@@ -50,7 +50,7 @@
     ///
     /// The first byte has to be written at once, as the frame states the time left at `now`, and only while none of its clients has
     /// disconnected. Otherwise the frame has to be [returned](Self::return_frame).
-    pub fn next_frame(&mut self, now: f64, link_id: u64, disconnected: &[u64]) -> Option<Outgoing> {
+    pub fn next_frame(&mut self, now: f64, link_id: u64, disconnected: &[u64]) -> Option<OutgoingFrame> {
         loop {
             let link = self.links.get_mut(&link_id)?;
             let queued = match link.state {
@@ -60,10 +60,10 @@
             };
             let (outgoing, queued) = match queued? {
                 QueuedFrame::Probe => {
-                    (self.probe_frame(link_id).map(Outgoing::without_clients), QueuedFrame::Probe)
+                    (self.probe_frame(link_id).map(OutgoingFrame::without_clients), QueuedFrame::Probe)
                 }
                 QueuedFrame::Cancel(part_name) => {
-                    let frame = Outgoing::without_clients(frame::encode_cancel(&part_name));
+                    let frame = OutgoingFrame::without_clients(frame::encode_cancel(&part_name));
                     (Some(frame), QueuedFrame::Cancel(part_name))
                 }
                 QueuedFrame::Call { call, attempt_ids } => {
@@ -175,7 +175,7 @@
     }
 
     /// The frame of a call with these attempts; `None` if there are none.
-    fn call_frame(&self, now: f64, attempt_ids: &[AttemptId]) -> Option<Outgoing> {
+    fn call_frame(&self, now: f64, attempt_ids: &[AttemptId]) -> Option<OutgoingFrame> {
         let call_part = |id: &AttemptId| {
             let attempt = self.attempts.get(id)?;
             let part = self.parts.get(&id.part)?;
@@ -189,7 +189,7 @@
         }
         let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.part)?.scan)?.conn);
         let clients: BTreeSet<u64> = attempt_ids.iter().filter_map(client).collect();
-        Some(Outgoing { bytes: frame::encode_call(&call_parts), clients: clients.into_iter().collect() })
+        Some(OutgoingFrame { bytes: frame::encode_call(&call_parts), clients: clients.into_iter().collect() })
     }
 
     fn may_send(
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -68,7 +68,7 @@
     CachedList,
     /// The next step of draining may be due.
     DrainStep,
-    /// The decision module has not been told yet of attempts that were refused at the time of the write.
+    /// The decision module has not handled yet that attempts were refused at the time of the write.
     UnsentAttempts,
 }
 
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -16,7 +16,7 @@
 use crate::buffer::{Buffer, MemoryBudget};
 use crate::frame;
 use crate::inputs::Input;
-use crate::link::Shared;
+use crate::link::SharedLink;
 use crate::messages::MessageSender;
 
 /// Reads of one link in a row. If there is more to read, the other links are read first.
@@ -49,7 +49,7 @@
 /// A link, as the thread holds it.
 struct Connection {
     addr: SocketAddrV4,
-    shared: Arc<Shared>,
+    shared: Arc<SharedLink>,
     up: bool,
     buffer: Buffer,
     /// When it has to be up, or when a frame that has begun to arrive has to go on.
@@ -174,7 +174,7 @@
         self.poll.registry().register(&mut stream, Token(link as usize), interest)?;
         let deadline = Some(Instant::now() + self.connect_timeout);
         let buffer = Buffer::new(&self.budget);
-        Ok(Connection { addr, shared: Arc::new(Shared::new(stream)), up: false, buffer, deadline })
+        Ok(Connection { addr, shared: Arc::new(SharedLink::new(stream)), up: false, buffer, deadline })
     }
 
     fn end(&mut self, link: u64, error: &io::Error) {
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -36,9 +36,9 @@
 /// Messages that may wait to be received. A thread that sends more, faster than they are received, waits. The service's own thread,
 /// which receives them, sends none.
 const MAX_WAITING_MESSAGES: usize = 128;
-/// The buffers of clients, the buffers of searchers, and the partly written frames may each take this fraction of the configured
-/// memory.
-const MEMORY_FRACTION: usize = 8;
+/// The buffers of clients, the buffers of searchers, and the partly written frames may each take the configured memory divided by
+/// this.
+const MEMORY_DIVISOR: usize = 8;
 /// Messages that are received in one turn at most, so that no burst delays what is due.
 const MAX_INPUTS_PER_TURN: usize = 256;
 
@@ -60,7 +60,7 @@
     /// Inputs from the service itself, for the reducer's next step.
     own_inputs: Vec<(f64, Input)>,
     outbox: Outbox,
-    /// What the partly written frames of all links may take.
+    /// The memory that the partly written frames of all links may take.
     partial_frames: MemoryBudget,
     pauses: PauseDetector,
     /// The process was paused since inputs were last received.
@@ -132,7 +132,7 @@
         let (listener, missed_signals) = listen(startup.listen.into(), &mut signals)?;
         let listen_addr = local_addr(&listener)?;
         let max_connections = reducer.max_client_connections();
-        let budget = || MemoryBudget::new(startup.memory_bytes / MEMORY_FRACTION);
+        let budget = || MemoryBudget::new(startup.memory_bytes / MEMORY_DIVISOR);
         let clients = Clients::open(listener, max_connections, budget(), messages.clone())
             .context("connections of clients")?;
         let client_commands = clients.commands();
