--- a/crates/mixer/tests/drills/fleet.lisp
+++ b/crates/mixer/tests/drills/fleet.lisp
@@ -1,6 +1,6 @@
-; Drills of several processes; each is one test of drills.rs, by its title.
+; Drills of several mixer processes. Each is a test of drills.rs, found by its title.
 
-(drill "half the fleet is cut off" (mixers 5) (searchers 8) (load 40)
+(drill "partition of the fleet" (mixers 5) (searchers 8) (load 40)
   (at 1s (partition (m1 m2) (m3 m4 m5)))
   (at 2s (hang s3))
   (at 4s (stall m2 3s)) (at 4s (kill m4)) (at 6s (start m4))
@@ -9,7 +9,7 @@
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-(drill "one hears and is not heard" (mixers 3) (searchers 4) (load 20)
+(drill "one-way message loss" (mixers 3) (searchers 4) (load 20)
   (at 500ms (drop (from m1) (to m2)))
   (at 2s (hang s2))
   (at 6s (return s2))
@@ -17,7 +17,7 @@
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-(drill "a ring of partial cuts where no two see the same" (mixers 5) (searchers 4) (load 20)
+(drill "ring of partial cuts" (mixers 5) (searchers 4) (load 20)
   (at 500ms (cut m1 m3)) (at 500ms (cut m2 m4)) (at 500ms (cut m3 m5)) (at 500ms (cut m4 m1)) (at 500ms (cut m5 m2))
   (at 3s (hang s1))
   (at 5s (return s1))
@@ -25,7 +25,7 @@
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-(drill "a stall longer than every time-out, then all that came at once" (mixers 3) (searchers 4) (load 20)
+(drill "stall longer than all timeouts" (mixers 3) (searchers 4) (load 20)
   (at 500ms (stall m2 9s))
   (at 4s (hang s1))
   (at 7s (return s1))
@@ -34,7 +34,7 @@
   (expect (members 3 (within 30s)))
   (expect (answered 0.5)))
 
-(drill "a link that flaps" (mixers 3) (searchers 4) (load 20)
+(drill "flapping link" (mixers 3) (searchers 4) (load 20)
   (at 500ms (cut m1 m2)) (at 800ms (heal m1 m2)) (at 1100ms (cut m1 m2)) (at 1400ms (heal m1 m2))
   (at 1700ms (cut m1 m2)) (at 2s (heal m1 m2)) (at 2300ms (cut m1 m2)) (at 2600ms (heal m1 m2))
   (at 2900ms (half-open m1 m2)) (at 3500ms (heal m1 m2)) (at 3800ms (refuse m1 m2)) (at 4500ms (heal m1 m2))
@@ -42,7 +42,7 @@
   (expect (members 3 (within 30s)))
   (expect (answered 0.9)))
 
-(drill "killed in the midst of catching up" (mixers 3) (searchers 8) (load 20)
+(drill "killed while catching up" (mixers 3) (searchers 8) (load 20)
   (at 300ms (drain s1)) (at 400ms (die s2)) (at 500ms (slow m3 m1 2000)) (at 500ms (slow m3 m2 2000))
   (at 1s (kill m3)) (at 1500ms (start m3)) (at 1600ms (kill m3)) (at 1700ms (start m3)) (at 1750ms (kill m1))
   (at 2500ms (start m1)) (at 2600ms (heal))
@@ -50,7 +50,7 @@
   (expect (members 3 (within 30s)))
   (expect (answered 0.6)))
 
-(drill "a source that is behind itself" (mixers 4) (searchers 8) (load 20)
+(drill "outdated source for catching up" (mixers 4) (searchers 8) (load 20)
   (at 300ms (partition (m1 m2 m3) (m4)))
   (at 500ms (die s1)) (at 700ms (drain s2)) (at 900ms (hang s3))
   (at 2s (kill m1)) (at 2s (cut m1 m2)) (at 2s (cut m1 m3))
@@ -60,7 +60,7 @@
   (expect (members 4 (within 30s)))
   (expect (answered 0.6)))
 
-(drill "all killed and started together" (mixers 4) (searchers 4) (load 20)
+(drill "all killed and restarted together" (mixers 4) (searchers 4) (load 20)
   (at 500ms (hang s1))
   (at 2s (kill m1)) (at 2s (kill m2)) (at 2s (kill m3)) (at 2s (kill m4))
   (at 2500ms (start m1)) (at 2500ms (start m2)) (at 2500ms (start m3)) (at 2500ms (start m4 fresh))
@@ -69,41 +69,41 @@
   (expect (members 4 (within 30s)))
   (expect (answered 0.3)))
 
-(drill "the same name twice" (mixers 3) (searchers 4) (load 20)
+(drill "duplicate name" (mixers 3) (searchers 4) (load 20)
   (at 4s (twin m2))
   (expect (aside m2 (within 30s)))
   (expect (agree (within 30s)))
   (expect (members 3 (within 30s)))
   (expect (answered 0.9)))
 
-(drill "bytes are flipped on a way" (mixers 3) (searchers 4) (load 20)
+(drill "corrupted bytes on links" (mixers 3) (searchers 4) (load 20)
   (at 500ms (flip m1 m2)) (at 1s (hang s1)) (at 3s (flip m2 m3)) (at 5s (return s1)) (at 6s (heal))
   (expect (agree (within 30s)))
   (expect (members 3 (within 30s)))
   (expect (answered 0.8)))
 
-(drill "a drain is kept by who is cut off from discovery" (mixers 3) (searchers 8) (load 40)
+(drill "drain while a mixer has no discovery" (mixers 3) (searchers 8) (load 40)
   (at 500ms (lose-discovery m3))
   (at 1s (drain s1)) (at 2s (die s2)) (at 5s (return s2))
   (at 7s (find-discovery m3))
   (expect (agree (within 30s)))
   (expect (answered 0.9)))
 
-(drill "one leaves with a word and comes back" (mixers 3) (searchers 4) (load 20)
+(drill "graceful leave and return" (mixers 3) (searchers 4) (load 20)
   (at 500ms (term m2)) (at 3s (start m2)) (at 3500ms (term m1)) (at 6s (start m1))
   (expect (members 3 (within 30s)))
   (expect (agree (within 30s)))
   (expect (answered 0.9)))
 
-(drill "slow and late ways" (mixers 4) (searchers 4) (load 20)
+(drill "slow and delayed links" (mixers 4) (searchers 4) (load 20)
   (at 300ms (delay m1 m2 400ms)) (at 300ms (delay (from m3) (to m1) 300ms)) (at 300ms (slow m2 m4 3000))
   (at 1s (hang s1)) (at 4s (return s1)) (at 6s (heal))
   (expect (agree (within 30s)))
   (expect (members 4 (within 30s)))
   (expect (answered 0.8)))
 
-; The marks of s1 are held by m4 when the way is cut; they are deleted and forgotten on the other side before it is healed.
-(drill "rows deleted and forgotten while one was away do not come back" (mixers 4) (searchers 4) (load 60) (forget 1s)
+; m4 holds the marks of s1 when it is partitioned. They are deleted and forgotten on the other side before the partition heals.
+(drill "deleted records stay deleted" (mixers 4) (searchers 4) (load 60) (forget 1s)
   (at 300ms (hang s1))
   (at 4s (partition (m1 m2 m3) (m4)))
   (at 4500ms (return s1))
@@ -113,7 +113,7 @@
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-(drill "hosts whose clocks are an hour apart" (mixers 4) (searchers 4) (load 40)
+(drill "clocks an hour apart" (mixers 4) (searchers 4) (load 40)
   (at 100ms (clock m1 ahead 1h)) (at 100ms (clock m2 behind 1h))
   (at 300ms (kill m1)) (at 500ms (start m1)) (at 800ms (kill m2)) (at 1s (start m2))
   (at 2s (drain s1)) (at 2500ms (hang s2)) (at 5s (return s2)) (at 5s (die s3)) (at 7s (return s3))
@@ -122,16 +122,16 @@
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-; Found by lot: its new process gave way to the one that was still ending.
-(drill "started again while the process before still ends" (mixers 3) (searchers 4) (load 30)
+; Found by a random drill: the new process yielded to the one that was still ending.
+(drill "restart while the old process ends" (mixers 3) (searchers 4) (load 30)
   (at 500ms (term m2)) (at 600ms (start m2 fresh))
   (at 1500ms (term m1)) (at 1600ms (start m1)) (at 2500ms (term m3)) (at 2600ms (start m3))
   (expect (members 3 (within 30s)))
   (expect (agree (within 30s)))
   (expect (answered 0.8)))
 
-; Found by lot: the link to the process that was killed stood for good, as nobody had told this end of it.
-(drill "killed behind a way that is half open, and started again" (mixers 2) (searchers 8) (load 30)
+; Found by a random drill: the link to the killed process stayed open forever, as its end was never signalled to the other side.
+(drill "kill behind a half-open link" (mixers 2) (searchers 8) (load 30)
   (at 500ms (half-open (from m2) (to m1))) (at 900ms (kill m2))
   (at 2s (heal)) (at 2s (start m2))
   (expect (members 2 (within 30s)))
