--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -171,8 +171,8 @@
         at(2000, Fault::MixerEnds { mixer: 3, front_ms: 300 }),
         at(2600, Fault::ClientsLeave { mixer: 4 }),
     ];
-    let holds = Options { faults: Some(faults), clock_delays: true, ..options("holds", 7, 4) };
-    let report = soak(&holds);
+    let delays = Options { faults: Some(faults), clock_delays: true, ..options("holds", 7, 4) };
+    let report = soak(&delays);
     assert!(report.violations.is_empty(), "{:?}", report.by_rule());
 }
 
--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::clock::now_ms;
+use crate::clock::{TimeMs, now_ms};
 use crate::control::{self, AgentCommand, ListedSearcher};
 use crate::record::{self, Event, Recorder, Status};
 
@@ -36,8 +36,8 @@
 /// A span in which open watches send nothing.
 #[derive(Default)]
 struct Silence {
-    from: f64,
-    until: f64,
+    from: TimeMs,
+    until: TimeMs,
 }
 
 /// A change of the list and the version that it leads to.
@@ -53,12 +53,12 @@
     changes: Vec<Change>,
     /// Changes that are not yet applied, as discovery is down.
     pending: Vec<Vec<ListedSearcher>>,
-    down_until: f64,
-    slow_until: f64,
+    down_until: TimeMs,
+    slow_until: TimeMs,
     /// Applies to watches that began before it.
     silence: Silence,
     /// Watches that began before this time have ended.
-    reset_at: f64,
+    reset_at: TimeMs,
     /// The index of discovery's current address.
     active_address: usize,
 }
@@ -184,7 +184,7 @@
         &self,
         stream: &mut TcpStream,
         address_index: usize,
-        begun_at: f64,
+        begun_at: TimeMs,
         mut after: u64,
     ) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
@@ -217,7 +217,7 @@
         }
     }
 
-    fn is_silent(state: &State, begun_at: f64) -> bool {
+    fn is_silent(state: &State, begun_at: TimeMs) -> bool {
         let now = now_ms();
         now < state.down_until || begun_at < state.silence.from && now < state.silence.until
     }
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -5,6 +5,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use crate::clock::TimeMs;
 use crate::record::{Event, Status};
 use crate::settings::{self, Class, Effect, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 
@@ -39,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub rule: &'static str,
-    pub at: f64,
+    pub at: TimeMs,
     pub description: String,
 }
 
@@ -78,7 +79,7 @@
 }
 
 /// The time of an event.
-pub fn event_time(event: &Event) -> f64 {
+pub fn event_time(event: &Event) -> TimeMs {
     match event {
         Event::Sent { at, .. }
         | Event::HalfSent { at, .. }
@@ -105,7 +106,7 @@
 
 /// A request and what became of it.
 struct Request<'a> {
-    sent_at: f64,
+    sent_at: TimeMs,
     mixer: usize,
     class: &'static Class,
     deadline_ms: f64,
@@ -113,18 +114,18 @@
     is_first: bool,
     pipelined_behind: Option<&'a str>,
     /// When the first half was written, if the rest followed much later.
-    half_sent_at: Option<f64>,
+    half_sent_at: Option<TimeMs>,
     end: Option<&'a Event>,
     attempts: Vec<Attempt<'a>>,
     /// The parts as the mixer itself wrote them, if that was recorded.
     written: Vec<Write<'a>>,
     /// When each part was executed.
-    executions: BTreeMap<&'a str, Vec<f64>>,
+    executions: BTreeMap<&'a str, Vec<TimeMs>>,
 }
 
 struct Attempt<'a> {
     /// When the first byte was written, or read if the write was not recorded.
-    at: f64,
+    at: TimeMs,
     is_write_recorded: bool,
     part: &'a str,
     searcher: &'a str,
@@ -133,7 +134,7 @@
 
 /// The first byte of a part, at the mixer's own system call.
 struct Write<'a> {
-    at: f64,
+    at: TimeMs,
     part: &'a str,
     timeout_ms: f64,
 }
@@ -156,15 +157,15 @@
 
 /// A SIGKILL of a mixer's process.
 struct Kill {
-    at: f64,
+    at: TimeMs,
     /// Whether it followed a SIGTERM.
     follows_sigterm: bool,
 }
 
 #[derive(Clone, Copy)]
 struct Span {
-    from: f64,
-    until: f64,
+    from: TimeMs,
+    until: TimeMs,
 }
 
 /// The state of a mixer over the run.
@@ -176,17 +177,17 @@
     /// Spans in which a crowd of idle connections was open.
     crowds: Vec<Span>,
     /// When processes of the mixer ended.
-    exits: Vec<f64>,
+    exits: Vec<TimeMs>,
 }
 
 impl MixerHistory {
     /// Whether the mixer was stopped at some time of a span.
-    fn is_paused(&self, from: f64, until: f64) -> bool {
+    fn is_paused(&self, from: TimeMs, until: TimeMs) -> bool {
         overlaps(&self.pauses, from, until)
     }
 
     /// For how long of a span the mixer was stopped.
-    fn paused_ms(&self, from: f64, until: f64) -> f64 {
+    fn paused_ms(&self, from: TimeMs, until: TimeMs) -> f64 {
         let pauses = self.pauses.iter();
         pauses.map(|pause| (pause.until.min(until) - pause.from.max(from)).max(0.0)).sum()
     }
@@ -201,7 +202,7 @@
     requests: HashMap<&'a str, Request<'a>>,
     mixers: BTreeMap<usize, MixerHistory>,
     /// From when on a mixer may send nothing to a searcher.
-    closed_from: HashMap<MixerSearcher<'a>, f64>,
+    closed_from: HashMap<MixerSearcher<'a>, TimeMs>,
 }
 
 impl Run<'_> {
@@ -212,7 +213,7 @@
     }
 }
 
-fn overlaps(spans: &[Span], from: f64, until: f64) -> bool {
+fn overlaps(spans: &[Span], from: TimeMs, until: TimeMs) -> bool {
     spans.iter().any(|span| span.from <= until && span.until >= from)
 }
 
@@ -319,7 +320,7 @@
             match signal.as_str() {
                 "KILL" => history.kills.push(Kill { at: *at, follows_sigterm: false }),
                 "KILL after TERM" => history.kills.push(Kill { at: *at, follows_sigterm: true }),
-                "STOP" => history.pauses.push(Span { from: *at, until: f64::INFINITY }),
+                "STOP" => history.pauses.push(Span { from: *at, until: TimeMs::INFINITY }),
                 "CONT" => {
                     if let Some(pause) = history.pauses.last_mut() {
                         pause.until = pause.until.min(*at);
@@ -342,7 +343,7 @@
 }
 
 /// From when on each mixer may send nothing to a searcher that drains or is removed.
-fn closed_from(events: &[Event]) -> HashMap<MixerSearcher<'_>, f64> {
+fn closed_from(events: &[Event]) -> HashMap<MixerSearcher<'_>, TimeMs> {
     let mut closed = HashMap::new();
     for (nth, event) in events.iter().enumerate() {
         let Event::ListReceived { at, mixer, index, searchers } = event else { continue };
@@ -398,7 +399,7 @@
 
 /// An answer as its client read it.
 struct Answer {
-    at: f64,
+    at: TimeMs,
     status: u16,
     is_exact: bool,
     weight: f64,
@@ -434,7 +435,7 @@
 }
 
 /// Reports a late or missing answer; that of a pipelined request is a known violation.
-fn report_late(request: &Request, at: f64, description: String, report: &mut Report) {
+fn report_late(request: &Request, at: TimeMs, description: String, report: &mut Report) {
     let violation = Violation { rule: "L1", at, description };
     match request.pipelined_behind {
         None => report.violations.push(violation),
@@ -446,7 +447,7 @@
 fn connection_end_problem(
     run: &Run,
     request: &Request,
-    at: f64,
+    at: TimeMs,
     is_partial: bool,
     report: &mut Report,
 ) -> Option<&'static str> {
@@ -510,7 +511,7 @@
 }
 
 /// A remark for violations of a request whose mixer was stopped between its sending and this time.
-fn pause_suffix(run: &Run, request: &Request, at: f64) -> &'static str {
+fn pause_suffix(run: &Run, request: &Request, at: TimeMs) -> &'static str {
     if run.mixer(request.mixer).is_paused(request.sent_at, at) { " (the mixer had been stopped)" } else { "" }
 }
 
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::clock::now_ms;
+use crate::clock::{TimeMs, now_ms};
 use crate::control::{self, ClientsCommand};
 use crate::record::{self, ConnectionEnd, Event, Recorder};
 use crate::searcher;
@@ -223,7 +223,7 @@
         low + (high - low) * self.random().rand_float()
     }
 
-    fn sleep_ms(&self, low: f64, high: f64) {
+    fn sleep_between_ms(&self, low: f64, high: f64) {
         thread::sleep(Duration::from_secs_f64(self.draw_between(low, high) / 1000.0));
     }
 
@@ -253,9 +253,9 @@
     /// The pause between two rounds.
     fn pause(&self) {
         match self.behavior {
-            ClientBehavior::Idle => self.sleep_ms(500.0, 3500.0),
-            ClientBehavior::Stops => self.sleep_ms(300.0, 900.0),
-            _ => self.sleep_ms(15.0, 90.0),
+            ClientBehavior::Idle => self.sleep_between_ms(500.0, 3500.0),
+            ClientBehavior::Stops => self.sleep_between_ms(300.0, 900.0),
+            _ => self.sleep_between_ms(15.0, 90.0),
         }
     }
 
@@ -284,7 +284,7 @@
                 let request = self.draw_request();
                 self.write_request(&mut connection, &request).ok()?;
                 self.record_sent(&request, connection.requests, None);
-                self.sleep_ms(0.0, 60.0);
+                self.sleep_between_ms(0.0, 60.0);
                 self.leave(&connection, &request);
                 None
             }
@@ -357,7 +357,7 @@
             return connection.stream.write_all(&request.bytes);
         }
         for piece in request.bytes.chunks(request.bytes.len().div_ceil(SLOW_WRITE_PIECES)) {
-            self.sleep_ms(0.0, 400.0);
+            self.sleep_between_ms(0.0, 400.0);
             connection.stream.write_all(piece)?;
         }
         Ok(())
@@ -488,7 +488,7 @@
         self.shared.recorder.record(&Event::Abandoned { at, mixer, ended_after_ms });
     }
 
-    fn read_answer(&self, connection: &mut Connection, until: f64) -> Result<Answer, NoAnswer> {
+    fn read_answer(&self, connection: &mut Connection, until: TimeMs) -> Result<Answer, NoAnswer> {
         let leave_commands = self.shared.leave_commands.load(Ordering::SeqCst);
         let must_leave = || self.shared.leave_commands.load(Ordering::SeqCst) != leave_commands;
         let mut head = Vec::new();
@@ -508,7 +508,7 @@
     fn read_byte(
         &self,
         connection: &mut Connection,
-        until: f64,
+        until: TimeMs,
         bytes: &mut Vec<u8>,
         must_leave: &dyn Fn() -> bool,
     ) -> Result<(), NoAnswer> {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -12,7 +12,7 @@
 use rustix::net::sockopt;
 use serde::{Deserialize, Serialize};
 
-use crate::clock::now_ms;
+use crate::clock::{TimeMs, now_ms};
 use crate::control::{self, ProxyCommand, ProxyMode};
 use crate::record::{self, Event, Recorder};
 use crate::settings::{SMALL_BUFFER_BYTES, cell_holds};
@@ -116,7 +116,7 @@
     mut stream: &TcpStream,
     to: &Sender<Vec<u8>>,
     is_deaf: &dyn Fn() -> bool,
-    observe: &mut dyn FnMut(&[u8], &mut Vec<f64>) -> usize,
+    observe: &mut dyn FnMut(&[u8], &mut Vec<TimeMs>) -> usize,
 ) {
     let (mut unconsumed, mut times) = (Vec::new(), Vec::new());
     let mut bytes = vec![0; READ_BUFFER_BYTES];
@@ -165,7 +165,7 @@
 impl Recorder {
     /// Records the parts of the complete frames in these bytes, each of which arrived at its time; returns the length of these
     /// frames.
-    fn record_frames(&self, bytes: &[u8], times: &mut [f64], route: &Route) -> usize {
+    fn record_frames(&self, bytes: &[u8], times: &mut [TimeMs], route: &Route) -> usize {
         let mut consumed = 0;
         while let Some((head, rest)) = bytes[consumed..].split_first_chunk::<LENGTH_BYTES>() {
             let length = u32::from_be_bytes(*head) as usize;
@@ -179,7 +179,7 @@
         consumed
     }
 
-    fn record_call(&self, mut call: &[u8], at: f64, complete_at: f64, route: &Route) {
+    fn record_call(&self, mut call: &[u8], at: TimeMs, complete_at: TimeMs, route: &Route) {
         while !call.is_empty() {
             let mut header = String::new();
             if call.read_line(&mut header).is_err() {
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -7,6 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::clock::TimeMs;
+
 /// The status of a searcher in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -31,7 +33,7 @@
 pub enum Event {
     /// A client wrote the last byte of a request.
     Sent {
-        at: f64,
+        at: TimeMs,
         id: String,
         mixer: usize,
         class: String,
@@ -45,10 +47,10 @@
     },
     /// A client wrote the first half of a request on an open connection; the rest follows much later.
     #[serde(rename = "Begun")]
-    HalfSent { at: f64, id: String },
+    HalfSent { at: TimeMs, id: String },
     /// The client read the last byte of an answer.
     Answered {
-        at: f64,
+        at: TimeMs,
         id: String,
         status: u16,
         exact: bool,
@@ -58,10 +60,10 @@
         is_authentic: bool,
     },
     /// The client closed the connection while it waited for the answer.
-    ClientClosed { at: f64, id: String },
+    ClientClosed { at: TimeMs, id: String },
     /// The connection ended without a complete answer.
     ConnectionEnded {
-        at: f64,
+        at: TimeMs,
         id: String,
         how: ConnectionEnd,
         /// Whether the beginning of an answer had arrived.
@@ -70,17 +72,17 @@
     },
     /// No answer came until long after the deadline, and the connection is still open.
     #[serde(rename = "Silent")]
-    Unanswered { at: f64, id: String },
+    Unanswered { at: TimeMs, id: String },
     /// A client that stopped within a request: how long until it was answered or closed, `None` if it never was.
-    Abandoned { at: f64, mixer: usize, ended_after_ms: Option<f64> },
+    Abandoned { at: TimeMs, mixer: usize, ended_after_ms: Option<f64> },
     /// An idle client received an error without a request.
     #[serde(rename = "Unasked")]
-    UnsolicitedError { at: f64, mixer: usize, line: String },
+    UnsolicitedError { at: TimeMs, mixer: usize, line: String },
     /// A part was sent to a searcher, with the times of its frame's first and last byte at the proxy in between.
     Attempt {
-        at: f64,
+        at: TimeMs,
         #[serde(rename = "whole_at")]
-        complete_at: f64,
+        complete_at: TimeMs,
         part: String,
         searcher: String,
         /// The time that the searcher is given for its answer.
@@ -92,40 +94,40 @@
     },
     /// A mixer's own system call wrote the first byte of a part's frame, whether or not the searcher has read it.
     Written {
-        at: f64,
+        at: TimeMs,
         part: String,
         #[serde(rename = "told_ms")]
         timeout_ms: f64,
     },
     /// A searcher executed a part.
-    Ran { at: f64, part: String, searcher: String },
+    Ran { at: TimeMs, part: String, searcher: String },
     /// The agent of a mixer received this change of the list.
     #[serde(rename = "Held")]
-    ListReceived { at: f64, mixer: usize, index: u64, searchers: Vec<(String, Status)> },
+    ListReceived { at: TimeMs, mixer: usize, index: u64, searchers: Vec<(String, Status)> },
     /// The agent sent the list up to this version to its mixer.
     #[serde(rename = "Told")]
-    ListSent { at: f64, mixer: usize, index: u64 },
+    ListSent { at: TimeMs, mixer: usize, index: u64 },
     /// A fault, and when it ends.
     #[serde(rename = "Trouble")]
     Fault {
-        at: f64,
-        until: f64,
+        at: TimeMs,
+        until: TimeMs,
         /// The debug text of a [`crate::fault::Fault`].
         #[serde(rename = "what")]
         description: String,
     },
     /// A process of a mixer was started.
-    Started { at: f64, mixer: usize },
+    Started { at: TimeMs, mixer: usize },
     /// The process answered for the first time that it is ready.
-    Ready { at: f64, mixer: usize },
+    Ready { at: TimeMs, mixer: usize },
     /// The process was sent a signal.
-    Signalled { at: f64, mixer: usize, signal: String },
+    Signalled { at: TimeMs, mixer: usize, signal: String },
     /// The process ended; there is no status if a signal ended it.
-    Exited { at: f64, mixer: usize, status: Option<i32>, expected: bool },
+    Exited { at: TimeMs, mixer: usize, status: Option<i32>, expected: bool },
     /// One of the process's counters when the run ended, or when the process ended itself.
-    Counter { at: f64, mixer: usize, name: String, value: u64 },
+    Counter { at: TimeMs, mixer: usize, name: String, value: u64 },
     /// The resources that the process held when the run ended.
-    Resources { at: f64, mixer: usize, descriptors: u64, threads: u64, peak_kb: u64 },
+    Resources { at: TimeMs, mixer: usize, descriptors: u64, threads: u64, peak_kb: u64 },
 }
 
 /// Writes events to one file.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use crate::agent;
 use crate::checker::{self, Report};
 use crate::clients;
-use crate::clock::now_ms;
+use crate::clock::{TimeMs, now_ms};
 use crate::control::{AgentCommand, ClientsCommand, ListedSearcher};
 use crate::fault::{self, Fault, ScheduledFault, Sizes};
 use crate::process::{MixerProcess, Ports, Resources, RoleProcess, ShimLibrary, build_library, fetch_page};
@@ -90,7 +90,7 @@
 /// A process that ends while its successor already runs.
 struct EndingProcess {
     process: MixerProcess,
-    kill_at: f64,
+    kill_at: TimeMs,
 }
 
 /// A mixer and its current process.
@@ -105,9 +105,9 @@
     /// The number of processes started so far.
     processes: u32,
     /// When the process is killed unless it has ended; `None` if it was not sent SIGTERM.
-    kill_at: Option<f64>,
+    kill_at: Option<TimeMs>,
     /// The end of a series of stops.
-    stutters_until: f64,
+    stutters_until: TimeMs,
     is_ready: bool,
     agent: RoleProcess,
     clients: RoleProcess,
@@ -131,6 +131,11 @@
         &self.routes[self.generation]
     }
 
+    /// Whether the searcher runs and neither drains nor is removed.
+    fn is_up(&self) -> bool {
+        self.status == Status::Up && self.process.is_some()
+    }
+
     /// The searcher as discovery lists it.
     fn listed(&self) -> ListedSearcher {
         let (route, status) = (self.route(), self.status);
@@ -158,7 +163,7 @@
 }
 
 struct ScheduledAction {
-    due_at: f64,
+    due_at: TimeMs,
     action: Action,
 }
 
@@ -246,7 +251,7 @@
     }
 
     /// Schedules the faults of a run that begins at this time.
-    fn schedule_faults(&mut self, begun_at: f64) {
+    fn schedule_faults(&mut self, begun_at: TimeMs) {
         let Options { seed, seconds, sizes, .. } = self.options;
         let faults = match &self.options.faults {
             Some(faults) => faults.clone(),
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -4,7 +4,7 @@
 use rustix::process::Signal;
 
 use super::{Action, GENERATIONS, KILL_GRACE_MS, Run, unix_ms};
-use crate::clock::now_ms;
+use crate::clock::{TimeMs, now_ms};
 use crate::control::{
     AgentCommand, ClientsCommand, ProxyCommand, ProxyMode, SearcherBehavior, SearcherCommand,
 };
@@ -88,37 +88,28 @@
 
     fn begin_fault(&mut self, fault: Fault) -> Result<()> {
         let now = now_ms();
-        let end_after = |ms: u64| now + ms as f64;
-        let event = |until: f64| Event::Fault { at: now, until, description: format!("{fault:?}") };
+        let until = |ms: u64| now + ms as f64;
         match fault {
             Fault::MixerEnds { mixer, front_ms } => {
-                if !self.may_end(mixer) {
-                    return Ok(());
+                if self.begin_mixer_end(fault, mixer, now) {
+                    self.schedule_after(front_ms, Action::TakeOutOfRotation(mixer));
                 }
-                self.recorder.record(&event(now));
-                self.signal_mixer(mixer, Signal::TERM, "TERM");
-                self.mixers[mixer].kill_at = Some(now + LONGEST_TIMEOUT_MS + KILL_GRACE_MS);
-                self.schedule_after(front_ms, Action::TakeOutOfRotation(mixer));
             }
             Fault::MixerHandsOver { mixer, after_ms } => {
-                if !self.may_end(mixer) {
-                    return Ok(());
+                if self.begin_mixer_end(fault, mixer, now) {
+                    self.schedule_after(after_ms, Action::StartSuccessor(mixer));
                 }
-                self.recorder.record(&event(now));
-                self.signal_mixer(mixer, Signal::TERM, "TERM");
-                self.mixers[mixer].kill_at = Some(now + LONGEST_TIMEOUT_MS + KILL_GRACE_MS);
-                self.schedule_after(after_ms, Action::StartSuccessor(mixer));
             }
             Fault::MixerKilled { mixer } => {
                 if !self.may_end(mixer) {
                     return Ok(());
                 }
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.signal_mixer(mixer, Signal::KILL, "KILL");
-                self.mixers[mixer].kill_at = Some(f64::INFINITY);
+                self.mixers[mixer].kill_at = Some(TimeMs::INFINITY);
             }
             Fault::MixerPaused { mixer, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.signal_mixer(mixer, Signal::STOP, "STOP");
                 self.schedule_after(ms, Action::ResumeMixer(mixer));
             }
@@ -127,95 +118,110 @@
                 if now < self.mixers[mixer].stutters_until {
                     return Ok(());
                 }
-                self.mixers[mixer].stutters_until = end_after(u64::from(count) * (ms + apart_ms));
-                self.recorder.record(&event(end_after(u64::from(count) * (ms + apart_ms))));
+                let stutters_until = until(u64::from(count) * (ms + apart_ms));
+                self.mixers[mixer].stutters_until = stutters_until;
+                self.record_fault(fault, now, stutters_until);
                 self.perform(Action::Stutter { mixer, left: count, ms, apart_ms })?;
             }
             Fault::MixerReloads { mixer, signals } => {
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.mixers[mixer].discovery_index = 1 - self.mixers[mixer].discovery_index;
                 self.write_config(mixer)?;
                 self.mixers[mixer].agent.send(&AgentCommand::Move);
                 self.perform(Action::SendHangup { mixer, left: signals })?;
             }
             Fault::MixerReports { mixer } => {
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.signal_mixer(mixer, Signal::USR1, "USR1");
             }
             Fault::LogReaderGone { mixer } => {
-                self.recorder.record(&event(f64::MAX));
+                self.record_fault(fault, now, TimeMs::MAX);
                 self.mixers[mixer].process.iter().for_each(|process| process.log.close());
             }
             Fault::LogReaderStalls { mixer, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.mixers[mixer].process.iter().for_each(|process| process.log.stall(ms));
             }
             Fault::SearcherPaused { searcher, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 if let Some(process) = &self.searchers[searcher].process {
                     send_signal(&process.child, Signal::STOP);
                 }
                 self.schedule_after(ms, Action::ResumeSearcher(searcher));
             }
             Fault::SearcherRestarts { searcher, ms } => {
-                if self.searchers[searcher].status != Status::Up || self.searchers[searcher].process.is_none()
-                {
+                if !self.searchers[searcher].is_up() {
                     return Ok(());
                 }
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.searchers[searcher].process = None;
                 self.schedule_after(ms, Action::StartSearcher(searcher));
             }
             Fault::SearcherDoes { searcher, manner, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.set_searcher_behavior(searcher, manner);
                 self.schedule_after(ms, Action::RestoreSearcher(searcher));
             }
             Fault::SearcherReplaced { searcher, drains_ms } => {
                 let slot = &mut self.searchers[searcher];
-                if slot.status != Status::Up || slot.generation + 1 >= GENERATIONS || slot.process.is_none() {
+                if !slot.is_up() || slot.generation + 1 >= GENERATIONS {
                     return Ok(());
                 }
                 slot.status = Status::Draining;
-                self.recorder.record(&event(end_after(drains_ms)));
-                let listed = self.searchers[searcher].listed();
+                let listed = slot.listed();
+                self.record_fault(fault, now, until(drains_ms));
                 self.update_agents(&[listed]);
                 self.schedule_after(drains_ms, Action::RemoveSearcher(searcher));
             }
             Fault::ProxyPasses { proxy, passing, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.proxies[proxy].send(&ProxyCommand::SetMode(passing));
                 self.schedule_after(ms, Action::RestoreProxy(proxy));
             }
             Fault::AgentSilent { mixer, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.mixers[mixer].agent.send(&AgentCommand::Silent(ms));
             }
             Fault::AgentDown { mixer, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.mixers[mixer].agent.send(&AgentCommand::Down(ms));
             }
             Fault::AgentResets { mixer } => {
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.mixers[mixer].agent.send(&AgentCommand::Reset);
             }
             Fault::AgentSlow { mixer, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.mixers[mixer].agent.send(&AgentCommand::Slow(ms));
             }
             Fault::ClientsLeave { mixer } => {
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.mixers[mixer].clients.send(&ClientsCommand::LeaveAll);
             }
             Fault::ClientsBurst { mixer, count } => {
-                self.recorder.record(&event(now));
+                self.record_fault(fault, now, now);
                 self.mixers[mixer].clients.send(&ClientsCommand::Burst(count));
             }
             Fault::ClientsCrowd { mixer, count, ms } => {
-                self.recorder.record(&event(end_after(ms)));
+                self.record_fault(fault, now, until(ms));
                 self.mixers[mixer].clients.send(&ClientsCommand::Crowd(count, ms));
             }
         }
         Ok(())
     }
+
+    fn record_fault(&self, fault: Fault, at: TimeMs, until: TimeMs) {
+        self.recorder.record(&Event::Fault { at, until, description: format!("{fault:?}") });
+    }
+
+    /// Sends SIGTERM to a mixer, unless it is ending already; returns whether it did.
+    fn begin_mixer_end(&mut self, fault: Fault, mixer: usize, now: TimeMs) -> bool {
+        if !self.may_end(mixer) {
+            return false;
+        }
+        self.record_fault(fault, now, now);
+        self.signal_mixer(mixer, Signal::TERM, "TERM");
+        self.mixers[mixer].kill_at = Some(now + LONGEST_TIMEOUT_MS + KILL_GRACE_MS);
+        true
+    }
 }
