--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -862,10 +862,18 @@
     })
 }
 
-/// Decodes the withdrawn and the announced prefixes of an UPDATE, for tests and test peers.
-pub fn decode_prefixes(message: &[u8]) -> Option<(Vec<IpNet>, Vec<IpNet>)> {
+/// Prefixes of an UPDATE.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct UpdatePrefixes {
+    pub withdrawn: Vec<IpNet>,
+    pub announced: Vec<IpNet>,
+}
+
+/// Decodes the withdrawn and the announced prefixes of an UPDATE, for tests. Returns `None` if it is malformed.
+pub fn decode_prefixes(message: &[u8]) -> Option<UpdatePrefixes> {
     let mut rest = Cursor(message.get(HEADER_LEN..)?);
-    let (mut withdrawn, mut announced) = (Vec::new(), Vec::new());
+    let mut withdrawn = Vec::new();
+    let mut announced = Vec::new();
     let length = rest.u16()?;
     decode_nlri(rest.take(usize::from(length))?, Family::V4, |net| withdrawn.push(net))?;
     let length = rest.u16()?;
@@ -886,5 +894,5 @@
             _ => {}
         }
     }
-    Some((withdrawn, announced))
+    Some(UpdatePrefixes { withdrawn, announced })
 }
--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -210,7 +210,8 @@
     fn invariants_for_any_sequence_of_inputs(
         events in proptest::collection::vec((0u8..12, 0.0f64..4000.0, 0.0f64..1.2), 1..80),
     ) {
-        let (mut announcer, mut now) = (Announcer::new(config()), 0.0);
+        let mut announcer = Announcer::new(config());
+        let mut now = 0.0;
         let mut stopped = false;
         let mut drains = false;
         let mut states = [RouteState::Withdrawn; 2];
--- a/crates/bgp/tests/fuzz.rs
+++ b/crates/bgp/tests/fuzz.rs
@@ -128,7 +128,9 @@
         prefixes: config().announce.addresses.iter().map(|a| a.prefix).collect(),
         own_asn: 64_512,
     };
-    let (mut rest, mut four_octets, mut now) = (stream, true, 5.0);
+    let mut rest = stream;
+    let mut four_octets = true;
+    let mut now = 5.0;
     loop {
         let input = match message::message_length(rest) {
             Ok(Some(length)) if rest.len() >= length => {
--- a/crates/bgp/tests/message.rs
+++ b/crates/bgp/tests/message.rs
@@ -5,7 +5,7 @@
 use ipnet::IpNet;
 use pewterwharf_bgp::message::{
     self, Attributes, Family, HEADER_LEN, MAX_MESSAGE_LEN, Message, MessageError, Notification,
-    ObservedRoute, Open, Update, UpdateSummary, WatchedPrefixes, decode_prefixes,
+    ObservedRoute, Open, Update, UpdatePrefixes, UpdateSummary, WatchedPrefixes, decode_prefixes,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -59,7 +59,7 @@
         for bytes in update.encode(four_octets) {
             prop_assert!(bytes.len() <= MAX_MESSAGE_LEN);
             prop_assert_eq!(message::message_length(&bytes), Ok(Some(bytes.len())));
-            let (withdrawn, announced) = decode_prefixes(&bytes).expect("a valid UPDATE");
+            let UpdatePrefixes { withdrawn, announced } = decode_prefixes(&bytes).expect("a valid UPDATE");
             let decoded = message::decode(&bytes, four_octets, &WatchedPrefixes::default());
             let routes = UpdateSummary { announced: announced.len() as u32, withdrawn: withdrawn.len() as u32, ..UpdateSummary::default() };
             prop_assert_eq!(decoded, Ok(Message::Update(routes)));
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -69,10 +69,10 @@
         Err(error) if error.kind() == ErrorKind::AddrInUse => {
             // A file that is not a socket refuses connections as well, but must not be removed.
             if !fs::symlink_metadata(path)?.file_type().is_socket() {
-                return Err(Error::new(ErrorKind::AlreadyExists, "a file is there that is no socket"));
+                return Err(Error::new(ErrorKind::AlreadyExists, "the file is not a socket"));
             }
             match UnixStream::connect(path) {
-                Ok(_) => return Err(Error::new(ErrorKind::AddrInUse, "somebody answers there")),
+                Ok(_) => return Err(Error::new(ErrorKind::AddrInUse, "another process answers there")),
                 // No process listens: the socket file is stale.
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => fs::remove_file(path)?,
                 Err(error) => return Err(error),
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -54,7 +54,7 @@
     let console = open(&stale);
     assert!(query(&stale, "bgp show").is_ok());
     let second = Console::open(&stale, |_| Ok(String::new()));
-    assert_eq!(second.err().map(|e| e.to_string()), Some("somebody answers there".to_owned()));
+    assert_eq!(second.err().map(|e| e.to_string()), Some("another process answers there".to_owned()));
     assert_eq!(query(&stale, "bgp show").expect("the first still answers"), Ok("peers\n".to_owned()));
     drop(console);
     let file = path("file");
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -93,7 +93,7 @@
                         return Err(node.error(format!("two peers have the address {}", peer.address)));
                     }
                     if peer.address.port() == 0 || peer.address.ip().is_unspecified() {
-                        return Err(node.error(format!("nobody can be reached at {}", peer.address)));
+                        return Err(node.error(format!("{} is not an address to connect to", peer.address)));
                     }
                     if peers.len() == MAX_PEERS {
                         return Err(node.error(format!("over {MAX_PEERS} peers")));
--- a/crates/settings/src/sexpr.rs
+++ b/crates/settings/src/sexpr.rs
@@ -66,12 +66,12 @@
     /// Short text of the expression for error messages.
     pub fn describe(&self) -> String {
         match &self.kind {
-            NodeKind::Symbol(word) => word.clone(),
+            NodeKind::Symbol(symbol) => symbol.clone(),
             NodeKind::String(text) => format!("\"{text}\""),
             NodeKind::Number(number) => number.to_string(),
             NodeKind::Quantity(number, unit) => format!("{number}{unit}"),
             NodeKind::List(nodes) => match nodes.first().map(|n| &n.kind) {
-                Some(NodeKind::Symbol(word)) => format!("({word} ...)"),
+                Some(NodeKind::Symbol(head)) => format!("({head} ...)"),
                 _ => "a list".to_owned(),
             },
         }
@@ -83,9 +83,9 @@
     /// If this is not a list that starts with a symbol.
     pub fn head_and_args(&self, expected: &str) -> Result<(&str, &[Node]), ParseError> {
         if let NodeKind::List(nodes) = &self.kind
-            && let Some((Node { kind: NodeKind::Symbol(word), .. }, rest)) = nodes.split_first()
+            && let Some((Node { kind: NodeKind::Symbol(head), .. }, arguments)) = nodes.split_first()
         {
-            return Ok((word, rest));
+            return Ok((head, arguments));
         }
         Err(self.error(format!("found {}, expected {expected}", self.describe())))
     }
@@ -103,7 +103,7 @@
     /// If this is not a symbol.
     pub fn symbol(&self, expected: &str) -> Result<&str, ParseError> {
         match &self.kind {
-            NodeKind::Symbol(word) => Ok(word),
+            NodeKind::Symbol(symbol) => Ok(symbol),
             _ => Err(self.error(format!("found {}, expected {expected}", self.describe()))),
         }
     }
@@ -192,7 +192,7 @@
 fn check_limits(text: &str) -> Result<(), ParseError> {
     let mut position = Position { line: 1, column: 0 };
     if text.len() > MAX_TEXT_BYTES {
-        let message = format!("{} bytes are over the {MAX_TEXT_BYTES} that are read", text.len());
+        let message = format!("the text has {} bytes, the limit is {MAX_TEXT_BYTES}", text.len());
         return Err(ParseError { position: Position { line: 1, column: 1 }, message });
     }
     let mut lengths = Vec::with_capacity(MAX_DEPTH);
@@ -243,14 +243,17 @@
         if starts_item && let Some(length) = lengths.last_mut() {
             *length += 1;
             if *length > MAX_LIST_LEN {
-                return Err(ParseError { position, message: format!("a list of over {MAX_LIST_LEN} words") });
+                return Err(ParseError {
+                    position,
+                    message: format!("a list has more than {MAX_LIST_LEN} items"),
+                });
             }
         }
         if matches!(c, '(' | '[') {
             if lengths.len() == MAX_DEPTH {
                 return Err(ParseError {
                     position,
-                    message: format!("brackets nested over {MAX_DEPTH} deep"),
+                    message: format!("lists are nested more than {MAX_DEPTH} levels deep"),
                 });
             }
             lengths.push(0);
@@ -264,8 +267,8 @@
     let start = datum.span().start();
     let position = Position { line: start.line(), column: start.column() + 1 };
     let kind = match datum.value() {
-        Value::Symbol(word) => NodeKind::Symbol(word.to_string()),
-        Value::Keyword(word) => NodeKind::Symbol(format!(":{word}")),
+        Value::Symbol(symbol) => NodeKind::Symbol(symbol.to_string()),
+        Value::Keyword(keyword) => NodeKind::Symbol(format!(":{keyword}")),
         Value::String(text) => NodeKind::String(text.to_string()),
         Value::Number(number) => NodeKind::Number(number.as_f64().unwrap_or(f64::NAN)),
         Value::Bool(_) | Value::Char(_) | Value::Vector(_) | Value::Bytes(_) | Value::Nil => {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -37,10 +37,10 @@
 #[test]
 fn bgp_section() {
     assert_eq!(Settings::read("").map(|s| s.bgp), Ok(None));
-    let whole = r#"(bgp (as 4200000000) (id "10.0.0.1") (up 0.8 4s) (drain 1s 2s)
+    let text = r#"(bgp (as 4200000000) (id "10.0.0.1") (up 0.8 4s) (drain 1s 2s)
         (peer (address "127.0.0.2:179") (as 64513) (hold 3s) (next-hop "192.0.2.1"))
         (announce "198.51.100.1/32" (keep-last)) (announce "2001:db8::1/128"))"#;
-    let bgp = Settings::read(whole).expect("valid settings").bgp.expect("a bgp section");
+    let bgp = Settings::read(text).expect("valid settings").bgp.expect("a bgp section");
     assert_eq!(
         (bgp.asn, bgp.up, bgp.drain, bgp.peers.len()),
         (
@@ -94,10 +94,10 @@
 #[test]
 fn limits_on_depth_list_length_and_size() {
     let nested = "(".repeat(100_000);
-    assert_eq!(outcome(&nested), "1:65: brackets nested over 64 deep");
+    assert_eq!(outcome(&nested), "1:65: lists are nested more than 64 levels deep");
     let wide = format!("({})", "a ".repeat(50_000));
-    assert_eq!(outcome(&wide), "1:20002: a list of over 10000 words");
-    assert_eq!(outcome(&"x".repeat((1 << 20) + 1)), "1:1: 1048577 bytes are over the 1048576 that are read");
+    assert_eq!(outcome(&wide), "1:20002: a list has more than 10000 items");
+    assert_eq!(outcome(&"x".repeat((1 << 20) + 1)), "1:1: the text has 1048577 bytes, the limit is 1048576");
     assert_eq!(
         outcome(&format!("; {}\n\"{}\"", nested, "(".repeat(99))),
         format!("2:1: found \"{}\", expected a section, as (log ...)", "(".repeat(99))
@@ -117,9 +117,9 @@
 #[test]
 fn fleet_section() {
     assert_eq!(Settings::read("").map(|s| s.fleet), Ok(None));
-    let whole = r#"(fleet (name "praha") (me "m1" (listen "127.0.0.1:9001"))
+    let text = r#"(fleet (name "praha") (me "m1" (listen "127.0.0.1:9001"))
         (peer "m1" "127.0.0.1:9001") (peer "m2" "127.0.0.2:9001"))"#;
-    let fleet = Settings::read(whole).expect("valid settings").fleet.expect("a fleet section");
+    let fleet = Settings::read(text).expect("valid settings").fleet.expect("a fleet section");
     assert_eq!((fleet.name.as_str(), fleet.own_name.as_str()), ("praha", "m1"));
     assert_eq!(
         fleet.peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(),
@@ -141,7 +141,7 @@
             format!(r#"{me}(peer "m2" "127.0.0.1"))"#),
             "1:63: found \"127.0.0.1\", expected fleet peer, an address and port",
         ),
-        (format!(r#"{me}(peer "m2" "0.0.0.0:1"))"#), "1:52: nobody can be reached at 0.0.0.0:1"),
+        (format!(r#"{me}(peer "m2" "0.0.0.0:1"))"#), "1:52: 0.0.0.0:1 is not an address to connect to"),
         (
             format!(r#"{me}(peer "m2" "127.0.0.2:1") (peer "m2" "127.0.0.3:1"))"#),
             "1:78: peer m2 is given twice",
