--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,11 @@
 use tracing::level_filters::LevelFilter;
 
 #[derive(Parser)]
-#[command(name = "pewterwharf", version, about = "Checks, plans and tries what mixers will do")]
+#[command(
+    name = "pewterwharf",
+    version,
+    about = "Checks expectations about mixers, plans changes, and runs drills and trials"
+)]
 struct CommandLine {
     /// The operator's settings file
     #[arg(long, global = true, value_name = "FILE")]
--- a/crates/expect/src/explore/world.rs
+++ b/crates/expect/src/explore/world.rs
@@ -635,7 +635,7 @@
 
     /// Rule 4: in any fall window, one part, or this mixer's equal share of the multiple of what it can do.
     fn spare(&mut self, which: &str, place: usize) {
-        let (now, guards) = (self.now, &self.arena.terms.guards);
+        let (now, guards) = (self.now, &self.arena.terms.safety_limits);
         let work = WORK * self.arena.terms.table_types[self.arena.plans[0].table_type].target_ms;
         let state = &mut self.places[place];
         // What the list does not tell, a mixer can't spare; it is held to what it was told.
@@ -661,7 +661,7 @@
 
     /// Rule 6, where a budget is stated.
     fn afford(&mut self) {
-        let Some(budget) = self.arena.terms.guards.retry_budget else { return };
+        let Some(budget) = self.arena.terms.safety_limits.retry_budget else { return };
         let from = self.now - budget.window_ms;
         for queue in [&mut self.taken, &mut self.extras] {
             while queue.front().is_some_and(|t| *t < from) {
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -84,7 +84,7 @@
     let real = stated.clone();
     if fault == Some(Fault::BudgetIgnored) {
         // The module is opened on a budget that is wider than the one stated.
-        stated.guards.retry_budget = Some(RetryBudget { free: 0.0, share: 0.1, window_ms: 1000.0 });
+        stated.safety_limits.retry_budget = Some(RetryBudget { free: 0.0, share: 0.1, window_ms: 1000.0 });
     }
     let fleet = Fleet::new(stated, &common::six()).expect("a fleet");
     let suite = suite(fleet, "").expect("no claims");
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -123,7 +123,7 @@
     pub customer_names: Vec<String>,
     pub layout: Layout,
     pub shard_count: u32,
-    pub guards: SafetyLimits,
+    pub safety_limits: SafetyLimits,
     pub permissions: Permissions,
     pub placement: Placement,
     pub zones: Vec<String>,
@@ -162,7 +162,7 @@
             self.table_types.clone(),
             self.customers.clone(),
             self.layout.clone(),
-            self.guards.clone(),
+            self.safety_limits.clone(),
             self.permissions.clone(),
             self.placement.clone(),
         )
@@ -217,7 +217,7 @@
             customer_names,
             layout,
             shard_count: values.optional("family_info.ranges")?.unwrap_or(u32::MAX),
-            guards: guards(values)?,
+            safety_limits: safety_limits(values)?,
             permissions,
             placement,
             zones: values.items("zones"),
@@ -271,7 +271,7 @@
     })
 }
 
-fn guards(values: &FlatConfig) -> Result<SafetyLimits> {
+fn safety_limits(values: &FlatConfig) -> Result<SafetyLimits> {
     let retry_budget = match values.optional_number("rules.repeat_ratio")? {
         Some(share) => Some(RetryBudget {
             free: values.optional_number("rules.free_resends")?.unwrap_or(0.0),
