--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -79,7 +79,7 @@
         ProgressStyle::default_bar()
     }));
     bar.enable_steady_tick(Duration::from_millis(200));
-    let open = |seed| Box::new(suite.fleet().terms().open(seed)) as Box<dyn Subject>;
+    let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let verdicts = suite.check(options, &open, &|done, steps| {
         bar.set_length(steps as u64);
         bar.set_position(done as u64);
@@ -128,7 +128,7 @@
     let moves = verdict["counterexample"]["moves"].as_array().filter(|m| !m.is_empty());
     let moves = moves.with_context(|| format!("\"{}\" has no moves to replay", args.name))?;
     let moves: Vec<&str> = moves.iter().filter_map(|m| m.as_str()).collect();
-    let open = |seed| Box::new(loaded.suite.fleet().terms().open(seed)) as Box<dyn Subject>;
+    let open = |seed| Box::new(loaded.suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let arena = verdict["counterexample"]["arena"].as_u64().context("arena is missing")?;
     let replayed = loaded.suite.replay(arena as usize, &moves, args.seed, &open);
     let (lines, broken) = replayed.map_err(|error| anyhow!(error))?;
--- a/crates/expect/src/explore/arena.rs
+++ b/crates/expect/src/explore/arena.rs
@@ -78,7 +78,7 @@
         let shape = |class: usize| {
             let mut places = Vec::new();
             hold(fleet, scene, order, holding.sets_of_class(class), &mut places);
-            alike(&places, fleet.terms().placement.zone, halls_count)
+            alike(&places, fleet.config().placement.zone, halls_count)
         };
         let takes = |class: usize| {
             let held = holding.sets_of_class(class);
@@ -116,7 +116,7 @@
                     Plan { table_type, parts: spread.iter().map(|s| (*s, weight)).collect() },
                     Plan { table_type, parts: spread.iter().take(1).map(|s| (*s, 1.0)).collect() },
                 ];
-                Self { terms: fleet.terms().clone(), places, plans, allow, seed }
+                Self { terms: fleet.config().clone(), places, plans, allow, seed }
             })
             .collect()
     }
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -213,7 +213,7 @@
         let fleet = self.fleet;
         let holding = fleet.placement();
         let sets = ranges(scene, holding.sets());
-        let cold = fleet.terms().safety_limits.cold_capacity_share;
+        let cold = fleet.config().safety_limits.cold_capacity_share;
         let (weights, classes, average) = (self.weights.clone(), self.classes.clone(), self.average);
         let mut least = None;
         for (set, held) in classes.iter().enumerate() {
--- a/crates/expect/src/plain.rs
+++ b/crates/expect/src/plain.rs
@@ -147,7 +147,7 @@
 
     fn load(&self, most: f64, standing: &Conditions) -> bool {
         let (searchers, cold) =
-            (self.fleet.searchers(), self.fleet.terms().safety_limits.cold_capacity_share);
+            (self.fleet.searchers(), self.fleet.config().safety_limits.cold_capacity_share);
         let mut loads = vec![0.0; searchers.len()];
         for slice in 0..self.fleet.slices() {
             let holders: Vec<u32> = self.fleet.holders(slice).collect();
--- a/crates/expect/src/plan.rs
+++ b/crates/expect/src/plan.rs
@@ -93,9 +93,9 @@
         let mut union = new_list.clone();
         // One who leaves stands in no set of the new layout; any will do, its own slices are told by its group.
         union.entries.extend(old_list.entries.iter().filter(joined).map(|e| Entry { cell: 0, ..e.clone() }));
-        let mut fleet = Fleet::new(new.terms().clone(), &union).map_err(|e| apart(e.to_string()))?;
+        let mut fleet = Fleet::new(new.config().clone(), &union).map_err(|e| apart(e.to_string()))?;
         for owned in new.customer_slices() {
-            let name = &new.terms().customer_names[owned.customer];
+            let name = &new.config().customer_names[owned.customer];
             for slices in &owned.slices {
                 fleet.add_customer_slices(name, slices.clone()).map_err(|e| apart(e.to_string()))?;
             }
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -334,7 +334,7 @@
                 for (watch, scene, befell, allow) in asked {
                     let types = match watch.table_type {
                         Some(table_type) => table_type..table_type + 1,
-                        None => 0..self.fleet.terms().table_types.len(),
+                        None => 0..self.fleet.config().table_types.len(),
                     };
                     for table_type in types {
                         let named = matches!(watch.deed, Deed::Sent { hall: Some(_), .. });
@@ -356,7 +356,7 @@
             }
         }
         let kinds = Kinds::of(&self.fleet, 0.0, 0.0);
-        for table_type in 0..self.fleet.terms().table_types.len() {
+        for table_type in 0..self.fleet.config().table_types.len() {
             let (fleet, scene, order) = (&self.fleet, &kinds.scene, &kinds.order);
             for arena in Arena::of(fleet, scene, order, table_type, RULES_MEET, false, terms.seed) {
                 jobs.push(Job { arena, watches: Vec::new(), whose: Vec::new(), befell: Vec::new() });
--- a/crates/expect/tests/common/mod.rs
+++ b/crates/expect/tests/common/mod.rs
@@ -66,7 +66,7 @@
 
 /// The verdicts on a file's own claims.
 pub fn verdicts(suite: &Suite) -> Vec<Verdict> {
-    let open = |seed| Box::new(suite.fleet().terms().open(seed)) as Box<dyn Subject>;
+    let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let mut verdicts = suite.check(TERMS, &open, &|_, _| {});
     verdicts.truncate(suite.expects().len());
     verdicts
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -142,7 +142,7 @@
 fn a_counterexample_runs_again_and_the_verdict_does_not_depend_on_threads() {
     let claims = r#"(expect "fresh only" (while-list-younger 6s (never (sent (to gone)))))"#;
     let suite = suite(fleet(), claims).expect("it is well formed");
-    let open = |seed| Box::new(suite.fleet().terms().open(seed)) as Box<dyn Subject>;
+    let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let alone = suite.check(pewterwharf_expect::Terms { threads: 1, ..TERMS }, &open, &|_, _| {});
     assert_eq!(alone, suite.check(TERMS, &open, &|_, _| {}));
     let Outcome::Fails(case) = &alone[0].outcome else { panic!("it holds") };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -56,7 +56,7 @@
 /// A listed fleet with indices over it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    terms: MixerConfig,
+    config: MixerConfig,
     halls: Vec<String>,
     searchers: Vec<Searcher>,
     by_name: BTreeMap<String, usize>,
@@ -84,19 +84,19 @@
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
-    pub fn new(terms: MixerConfig, list: &List) -> Result<Self> {
+    pub fn new(config: MixerConfig, list: &List) -> Result<Self> {
         ensure!(list.entries.len() <= MAX_SEARCHERS, "the list names over {MAX_SEARCHERS} searchers");
         let mut fleet = Self {
-            halls: terms.zones.clone(),
+            halls: config.zones.clone(),
             searchers: Vec::with_capacity(list.entries.len()),
             by_name: BTreeMap::new(),
             by_hall: Vec::new(),
             by_state: [const { FixedBitSet::new() }; 3],
-            members_by_set: vec![Vec::new(); terms.layout.cells as usize],
-            placement: Placement::from_layout(&terms)?,
+            members_by_set: vec![Vec::new(); config.layout.cells as usize],
+            placement: Placement::from_layout(&config)?,
             customer_slices: Vec::new(),
             skipped_entries: list.bad.clone(),
-            terms,
+            config,
         };
         for entry in &list.entries {
             if entry.cell as usize >= fleet.members_by_set.len() {
@@ -181,8 +181,8 @@
         Ok(fleet)
     }
 
-    pub fn terms(&self) -> &MixerConfig {
-        &self.terms
+    pub fn config(&self) -> &MixerConfig {
+        &self.config
     }
 
     pub fn searchers(&self) -> &[Searcher] {
@@ -253,7 +253,7 @@
         for owned in &self.customer_slices {
             let reads = |slice: &usize| owned.slices.iter().any(|range| range.contains(&(*slice as u32)));
             let read: Vec<usize> = (0..count).filter(reads).collect();
-            let share = self.terms.customers[owned.customer].scans_per_s / read.len().max(1) as f64;
+            let share = self.config.customers[owned.customer].scans_per_s / read.len().max(1) as f64;
             read.into_iter().for_each(|slice| weights[slice] += share);
         }
         weights
@@ -268,13 +268,13 @@
     /// # Errors
     /// Suggests the customer with the most similar name.
     pub fn customer(&self, name: &str) -> Result<usize> {
-        find("customer", name, &self.terms.customer_names)
+        find("customer", name, &self.config.customer_names)
     }
 
     /// # Errors
     /// Suggests the table type with the most similar name.
     pub fn table_type(&self, name: &str) -> Result<usize> {
-        find("table type", name, &self.terms.table_type_names)
+        find("table type", name, &self.config.table_type_names)
     }
 
     /// # Errors
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -25,10 +25,10 @@
     ///
     /// # Errors
     /// If there are more than [`MAX_SLICES`] slices.
-    pub fn from_layout(terms: &MixerConfig) -> Result<Self> {
-        let layout = &terms.layout;
+    pub fn from_layout(config: &MixerConfig) -> Result<Self> {
+        let layout = &config.layout;
         // Without a configured number of slices, the placement repeats with the sets.
-        let slices = if terms.shard_count == u32::MAX { layout.cells } else { terms.shard_count };
+        let slices = if config.shard_count == u32::MAX { layout.cells } else { config.shard_count };
         ensure!(slices <= MAX_SLICES, "{slices} slices are over {MAX_SLICES}");
         let sets_per_slice = layout.cells_per_shard.min(layout.cells);
         let sets =
