--- a/crates/council/src/file.rs
+++ b/crates/council/src/file.rs
@@ -74,8 +74,8 @@
     /// Opens the file, or creates it with this member number.
     ///
     /// # Errors
-    /// If the file can't be opened, belongs to another member, is corrupt, or is open in another process. An existing file is
-    /// never replaced: that would be a member that has forgotten what it promised.
+    /// If the file can't be opened, belongs to another member, is corrupt, or is open in another process. An
+    /// existing file is never replaced: that would be a member that has forgotten what it promised.
     pub fn open(path: &Path, owner: &Owner, new_member: MemberId) -> Result<OpenedFile, StorageError> {
         if !path.exists() {
             Self::create(path, owner, new_member)?;
@@ -86,8 +86,8 @@
         Ok(OpenedFile { storage, member, state })
     }
 
-    /// Creates the file under another name and renames it once it is complete, so that a crash in between leaves nothing that
-    /// looks like a corrupt file.
+    /// Creates the file under another name and renames it once it is complete, so that a crash in between
+    /// leaves nothing that looks like a corrupt file.
     fn create(path: &Path, owner: &Owner, member: MemberId) -> Result<(), StorageError> {
         let temporary = path.with_extension("new");
         match std::fs::remove_file(&temporary) {
--- a/crates/council/src/log.rs
+++ b/crates/council/src/log.rs
@@ -10,8 +10,8 @@
 use crate::storage::{PersistedState, StorageChange};
 use crate::wire::{WireEntry, WireSnapshot};
 
-/// What the log is about. Commands are applied in log order, once each, and with the same result on all members: they must
-/// not depend on clocks or random numbers.
+/// What the log is about. Commands are applied in log order, once each, and with the same result on all
+/// members: they must not depend on clocks or random numbers.
 pub trait StateMachine: Clone + Debug + Default + Serialize + DeserializeOwned {
     type Command: Clone + Debug + Serialize + DeserializeOwned;
 
--- a/crates/council/src/node.rs
+++ b/crates/council/src/node.rs
@@ -16,8 +16,8 @@
 pub const TICK_INTERVAL_MS: u64 = 20;
 /// Interval of the leader's heartbeats: longer than a write to a slow disk and a round trip.
 const HEARTBEAT_TICKS: usize = 5;
-/// Shortest election timeout. The actual one is random, up to twice as long: a stall of a fifth of a second causes no
-/// election, and a leader that is gone is replaced within a second.
+/// Shortest election timeout. The actual one is random, up to twice as long: a stall of a fifth of a second
+/// causes no election, and a leader that is gone is replaced within a second.
 const ELECTION_TICKS: usize = 20;
 /// Entries that are kept before the latest snapshot. A member that is further behind is sent the snapshot.
 const RETAINED_ENTRIES: u64 = 512;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The core draws a new election timeout from an unseeded generator whenever its role changes. It is replaced here by one
-    /// from a seeded generator, so that test runs can be reproduced.
+    /// The core draws a new election timeout from an unseeded generator whenever its role changes. It is
+    /// replaced here by one from a seeded generator, so that test runs can be reproduced.
     fn reseed_election_timeout(&mut self) {
         if self.raft.raft.randomized_election_timeout() != self.election_timeout_ticks {
             self.election_timeout_ticks =
@@ -178,7 +178,8 @@
         self.raft.propose(Vec::new(), encode(command)).map_err(|_| ProposeError::NoLeader)
     }
 
-    /// Returns the messages to send. Everything they depend on is persisted by then; if that fails, nothing is sent any more.
+    /// Returns the messages to send. Everything they depend on is persisted by then; if that fails, nothing
+    /// is sent any more.
     pub fn messages(&mut self) -> Vec<OutgoingMessage> {
         let mut outgoing = Vec::new();
         while self.failure.is_none() && self.raft.has_ready() {
@@ -219,8 +220,8 @@
         outgoing
     }
 
-    /// Installs a snapshot from another member, if there is one. Returns false if its state can't be decoded: the sender then
-    /// runs an incompatible version, and this member can't continue with it.
+    /// Installs a snapshot from another member, if there is one. Returns false if its state can't be decoded:
+    /// the sender then runs an incompatible version, and this member can't continue with it.
     fn install_snapshot(&mut self, snapshot: &raft::eraftpb::Snapshot) -> bool {
         if snapshot.get_metadata().index == 0 {
             return true;
@@ -238,8 +239,8 @@
 
     fn encode_message(&mut self, message: &Message, outgoing: &mut Vec<OutgoingMessage>) {
         if message.get_msg_type() == MessageType::MsgSnapshot {
-            // If the snapshot is lost, the core would wait for its outcome for ever. Reported as finished, it is sent again
-            // with the next heartbeat that is answered.
+            // If the snapshot is lost, the core would wait for its outcome for ever. Reported as finished, it
+            // is sent again with the next heartbeat that is answered.
             self.raft.report_snapshot(message.to, raft::SnapshotStatus::Finish);
         }
         let bytes = wire::encode(message);
@@ -278,8 +279,8 @@
         }
     }
 
-    /// Why this member no longer takes part, if its storage has failed. It takes part again after a restart with a storage that
-    /// works.
+    /// Why this member no longer takes part, if its storage has failed. It takes part again after a restart
+    /// with a storage that works.
     pub fn failure(&self) -> Option<&StorageError> {
         self.failure.as_ref()
     }
--- a/crates/council/src/routing.rs
+++ b/crates/council/src/routing.rs
@@ -1,9 +1,9 @@
 //! Routes between members whose direct path is cut: over one or several other members.
 //!
-//! Each member periodically tells all others which members it hears, and passes on what others told it. So each member knows
-//! which paths work in which direction, and sends over the shortest route. This guards against partial partitions in which
-//! each member hears different neighbours: without relaying, consensus stops once its leader dies, although every member could
-//! reach every other one over some route.
+//! Each member periodically tells all others which members it hears, and passes on what others told it. So
+//! each member knows which paths work in which direction, and sends over the shortest route. This guards
+//! against partial partitions in which each member hears different neighbours: without relaying, consensus
+//! stops once its leader dies, although every member could reach every other one over some route.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Wraps a message and returns the member to send it to over the direct path. If no route is known, the direct path to the
-    /// receiver is tried.
+    /// Wraps a message and returns the member to send it to over the direct path. If no route is known, the
+    /// direct path to the receiver is tried.
     pub fn send(&self, now_ms: f64, to: MemberId, bytes: Vec<u8>) -> (MemberId, Packet) {
         let next = self.next_hop(now_ms, to).unwrap_or(to);
         (next, Packet::Message { to, bytes, hops_left: self.members.len() as u8 })
@@ -219,8 +219,8 @@
 mod tests {
     use super::*;
 
-    /// Creates the routers of members 1 to n and exchanges link states over the working paths for some rounds. Returns them
-    /// with the time.
+    /// Creates the routers of members 1 to n and exchanges link states over the working paths for some
+    /// rounds. Returns them with the time.
     fn exchange_link_states(
         n: u64,
         works: impl Fn(MemberId, MemberId) -> bool,
--- a/crates/council/src/storage.rs
+++ b/crates/council/src/storage.rs
@@ -2,7 +2,8 @@
 
 use std::fmt;
 
-/// A change to durable state. Values of the consensus core are opaque bytes here, so a storage need not understand them.
+/// A change to durable state. Values of the consensus core are opaque bytes here, so a storage need not
+/// understand them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StorageChange {
     /// Replaces the log from this index on.
@@ -84,7 +85,7 @@
     /// Applies all changes or none, and returns once they would survive a crash.
     ///
     /// # Errors
-    /// If durability is uncertain. After an error, nothing that depends on these changes may be sent, and nothing more may be
-    /// written.
+    /// If durability is uncertain. After an error, nothing that depends on these changes may be sent, and
+    /// nothing more may be written.
     fn persist(&mut self, changes: &[StorageChange]) -> Result<(), StorageError>;
 }
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -42,7 +42,8 @@
     priority: i64,
 }
 
-/// The message types in the order of their numbers on the wire. Types that never leave a process are not listed.
+/// The message types in the order of their numbers on the wire. Types that never leave a process are not
+/// listed.
 const MESSAGE_TYPES: [MessageType; 12] = [
     MessageType::MsgPropose,
     MessageType::MsgAppend,
--- a/crates/council/tests/agreement.rs
+++ b/crates/council/tests/agreement.rs
@@ -1,5 +1,6 @@
-//! A consensus group on a seeded network with seeded storages: cuts in one direction and both, loss, stalls, crashes during a
-//! write, failing writes, lost files. Whatever was applied on any member stays applied, in its order, on all members.
+//! A consensus group on a seeded network with seeded storages: cuts in one direction and both, loss, stalls,
+//! crashes during a write, failing writes, lost files. Whatever was applied on any member stays applied, in
+//! its order, on all members.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +36,8 @@
     WriteFails,
     /// The process crashes before the next write, or after it if `written`.
     Crash { written: bool },
-    /// Writes succeed but are lost. No consensus algorithm can tolerate that: used to check that the tests detect faults.
+    /// Writes succeed but are lost. No consensus algorithm can tolerate that: used to check that the tests
+    /// detect faults.
     LostWrites,
 }
 
@@ -325,8 +327,8 @@
         }
     }
 
-    /// Runs until all members run and have applied more than any of them had before. Returns how long that took, or `None`
-    /// after the timeout.
+    /// Runs until all members run and have applied more than any of them had before. Returns how long that
+    /// took, or `None` after the timeout.
     fn run_until_progress(&mut self, timeout_ms: u64) -> Option<u64> {
         let (began_ms, before) = (self.now_ms, self.longest.len());
         while self.now_ms - began_ms < timeout_ms {
@@ -378,7 +380,8 @@
     }
 }
 
-/// Runs one seed: faults of all kinds, then a heal. Returns the time until all members made progress, or the violation.
+/// Runs one seed: faults of all kinds, then a heal. Returns the time until all members made progress, or the
+/// violation.
 fn run_faults(seed: u64, planted: DiskFault) -> Result<u64, String> {
     let n = 3 + 2 * (seed % 3) as usize;
     let mut net = Net::new(n, seed);
@@ -517,7 +520,8 @@
     }
 }
 
-/// Partial partitions in which every member can still reach every other one over some route, also after the leader dies.
+/// Partial partitions in which every member can still reach every other one over some route, also after the
+/// leader dies.
 #[test]
 fn partial_partitions_are_bridged_by_relaying() {
     type Works = fn(usize, usize) -> bool;
--- a/crates/duties/src/assigner.rs
+++ b/crates/duties/src/assigner.rs
@@ -4,8 +4,8 @@
 
 use crate::table::{DutyTable, LeaseCommand};
 
-/// A mixer whose lease has expired gets the duty again only after a cooldown, which doubles with each consecutive loss: a mixer
-/// that stalls again and again would otherwise keep the duty from being performed.
+/// A mixer whose lease has expired gets the duty again only after a cooldown, which doubles with each
+/// consecutive loss: a mixer that stalls again and again would otherwise keep the duty from being performed.
 const MIN_COOLDOWN_MS: f64 = 2000.0;
 const MAX_COOLDOWN_MS: f64 = 120_000.0;
 /// Consecutive losses up to which the cooldown doubles.
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Observes the log. Has to be called after every turn in which a command may have been applied, and before
-    /// [`LeaseAssigner::grants`]. A late call is safe: a renewal only counts as later than it was.
+    /// Observes the log. Has to be called after every turn in which a command may have been applied, and
+    /// before [`LeaseAssigner::grants`]. A late call is safe: a renewal only counts as later than it was.
     pub fn observe(&mut self, now_ms: f64, table: &DutyTable) {
         for (name, duty) in &table.duties {
             let (epoch, renewals) = (duty.epoch, duty.renewals);
@@ -93,7 +93,8 @@
     }
 
     fn is_cooling_down(&self, now_ms: f64, table: &DutyTable, duty: &str, name: &str) -> bool {
-        // If another holder is looked for, the lease of the current one has just expired. Its loss is not in the log yet.
+        // If another holder is looked for, the lease of the current one has just expired. Its loss is not in
+        // the log yet.
         if table.duties.get(duty).is_some_and(|duty| duty.holder.as_deref() == Some(name)) {
             return true;
         }
@@ -104,9 +105,9 @@
         losses > 0 && lost_at_ms.is_some_and(|at_ms| now_ms - at_ms < cooldown_ms)
     }
 
-    /// Chooses the next holder: the mixer that the duty is reserved for, otherwise the one that holds the fewest duties, then
-    /// has the least load, then comes first in the duty's own order. Mixers that are cooling down are chosen only if there are
-    /// no others.
+    /// Chooses the next holder: the mixer that the duty is reserved for, otherwise the one that holds the
+    /// fewest duties, then has the least load, then comes first in the duty's own order. Mixers that are
+    /// cooling down are chosen only if there are no others.
     pub fn choose<'a>(
         &self,
         now_ms: f64,
@@ -131,8 +132,8 @@
         candidates.iter().min_by_key(|candidate| rank(candidate))
     }
 
-    /// Returns the grants to propose. Only for a leader that has applied everything that was committed before it was elected.
-    /// `wanted` are all duties with their lease lengths in milliseconds.
+    /// Returns the grants to propose. Only for a leader that has applied everything that was committed before
+    /// it was elected. `wanted` are all duties with their lease lengths in milliseconds.
     pub fn grants(
         &mut self,
         now_ms: f64,
@@ -174,8 +175,8 @@
     }
 }
 
-/// Orders the mixers differently for each duty, so that ties are not always decided in favour of the same mixer (rendezvous
-/// hashing).
+/// Orders the mixers differently for each duty, so that ties are not always decided in favour of the same
+/// mixer (rendezvous hashing).
 fn rendezvous_hash(duty: &str, name: &str) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in duty.bytes().chain([0]).chain(name.bytes()) {
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -4,8 +4,8 @@
 
 use crate::table::{DutyTable, LeaseCommand};
 
-/// Share of the lease length after which a renewal is requested, counted from the request of the last applied renewal. If it is
-/// not applied, another one is requested after half of that.
+/// Share of the lease length after which a renewal is requested, counted from the request of the last applied
+/// renewal. If it is not applied, another one is requested after half of that.
 const RENEWAL_SHARE: f64 = 1.0 / 3.0;
 
 /// A renewal request and when it was made.
@@ -67,17 +67,17 @@
 }
 
 impl LeaseHolder {
-    /// A mixer that has just started holds nothing. `name` identifies its process: it contains the mixer's name and its
-    /// incarnation, so that the process takes over nothing from an earlier one and shares nothing with another one under the
-    /// same name. `clock_drift` is usually [`crate::MAX_CLOCK_DRIFT`].
+    /// A mixer that has just started holds nothing. `name` identifies its process: it contains the mixer's
+    /// name and its incarnation, so that the process takes over nothing from an earlier one and shares
+    /// nothing with another one under the same name. `clock_drift` is usually [`crate::MAX_CLOCK_DRIFT`].
     pub fn new(name: &str, clock_drift: f64) -> Self {
         Self { name: name.to_owned(), clock_drift, last_request: 0, leases: BTreeMap::new() }
     }
 
     /// Updates the leases from the log, and returns the renewals to propose.
     ///
-    /// A lease begins with an applied renewal request of this mixer's own, because it can rely only on the time before it made
-    /// the request. So a grant alone does not allow it to act; the first renewal does.
+    /// A lease begins with an applied renewal request of this mixer's own, because it can rely only on the
+    /// time before it made the request. So a grant alone does not allow it to act; the first renewal does.
     pub fn update(&mut self, now_ms: f64, table: &DutyTable) -> Vec<LeaseCommand> {
         let is_held = |name: &String, epoch: u64| {
             table
@@ -109,8 +109,8 @@
         commands
     }
 
-    /// The epoch under which this mixer may act now, if it may. Has to be called right before each effect, with the time as it
-    /// is then.
+    /// The epoch under which this mixer may act now, if it may. Has to be called right before each effect,
+    /// with the time as it is then.
     pub fn valid_epoch(&self, now_ms: f64, duty: &str) -> Option<u64> {
         self.leases.get(duty).filter(|lease| now_ms < lease.valid_until_ms).map(|lease| lease.epoch)
     }
--- a/crates/duties/src/table.rs
+++ b/crates/duties/src/table.rs
@@ -14,12 +14,14 @@
 /// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseCommand {
-    /// From the leader: grants a duty to a mixer. Void if the duty's epoch or number of renewals has changed by then.
+    /// From the leader: grants a duty to a mixer. Void if the duty's epoch or number of renewals has changed
+    /// by then.
     Grant { duty: String, to: String, length_ms: u64, epoch: u64, renewals: u64 },
-    /// From the holder, which acts on only until the end of the lease that this renewal begins. `request` tells its own
-    /// renewals apart.
+    /// From the holder, which acts on only until the end of the lease that this renewal begins. `request`
+    /// tells its own renewals apart.
     Renew { duty: String, by: String, epoch: u64, request: u64 },
-    /// From the holder, which has stopped before: releases a duty to a certain mixer, or to whoever is chosen.
+    /// From the holder, which has stopped before: releases a duty to a certain mixer, or to whoever is
+    /// chosen.
     Release { duty: String, by: String, epoch: u64, to: Option<String> },
 }
 
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model checking of the actual code: all orders of events within bounds. Two mixers hold leases and two assign them; clocks
-//! drift; messages are lost, delayed and reordered; turns come late; and a pause separates the check of the clock from the
-//! effect.
+//! Model checking of the actual code: all orders of events within bounds. Two mixers hold leases and two
+//! assign them; clocks drift; messages are lost, delayed and reordered; turns come late; and a pause
+//! separates the check of the clock from the effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -13,7 +13,8 @@
 const LENGTH_MS: u64 = 2;
 /// Clock drift that the code under test assumes.
 const MAX_CLOCK_DRIFT: f64 = 0.25;
-/// Rates of the clocks: an eighth too slow for holders, an eighth too fast for assigners, which is the worst case.
+/// Rates of the clocks: an eighth too slow for holders, an eighth too fast for assigners, which is the worst
+/// case.
 const HOLDER_CLOCK_RATE: f64 = 0.875;
 const ASSIGNER_CLOCK_RATE: f64 = 1.125;
 /// Commands that may be in flight at once.
--- a/crates/expect/src/scene.rs
+++ b/crates/expect/src/scene.rs
@@ -87,7 +87,7 @@
     pub fn of(fleet: &Fleet, list_ms: f64, sure_ms: f64) -> Self {
         let kind = |at: &u32| {
             let s = &fleet.searchers()[*at as usize];
-            (s.set, s.hall as u32, Condition::listed(s.life), s.age_ms + list_ms >= sure_ms)
+            (s.set, s.hall as u32, Condition::listed(s.status), s.age_ms + list_ms >= sure_ms)
         };
         let mut order: Vec<u32> = (0..fleet.searchers().len() as u32).collect();
         order.sort_by_key(kind);
--- a/crates/fleet/src/conditions.rs
+++ b/crates/fleet/src/conditions.rs
@@ -17,9 +17,10 @@
 }
 
 impl Condition {
-    /// The condition that the list states. It states nobody as cold, because there is no time to compare the start time with.
-    pub fn listed(life: SearcherStatus) -> Self {
-        match life {
+    /// The condition that the list states. It states nobody as cold, because there is no time to compare the
+    /// start time with.
+    pub fn listed(status: SearcherStatus) -> Self {
+        match status {
             SearcherStatus::Ready => Self::Up,
             SearcherStatus::Draining => Self::Draining,
             SearcherStatus::Gone => Self::Gone,
@@ -44,7 +45,7 @@
 impl Conditions {
     /// The conditions that the list states.
     pub fn listed(fleet: &Fleet) -> Self {
-        Self(fleet.searchers().iter().map(|searcher| Condition::listed(searcher.life)).collect())
+        Self(fleet.searchers().iter().map(|searcher| Condition::listed(searcher.status)).collect())
     }
 
     pub fn get(&self, searcher: u32) -> Condition {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,16 +1,17 @@
 //! The model of a fleet of searchers, for all packages that analyse one without sending anything to it.
 //!
-//! A [`Fleet`] is built from a mixer's settings ([`MixerConfig`]) and a searcher list as discovery sends it ([`List`]). It never
-//! changes; failures are described by [`Conditions`] on top of it. MixerConfig:
+//! A [`Fleet`] is built from a mixer's settings ([`MixerConfig`]) and a searcher list as discovery sends it
+//! ([`List`]). It never changes; failures are described by [`Conditions`] on top of it. MixerConfig:
 //!
 //! - **hall**: the location of a searcher (`zone` on the wire).
 //! - **set**: searchers that hold the same slices (`group` on the wire, a cell of the layout).
-//! - **slice**: a shard of the data. Slices that are held by the same sets form a **class**: every structural question has
-//!   the same answer for all of them, so it is evaluated once for the class.
+//! - **slice**: a shard of the data. Slices that are held by the same sets form a **class**: every structural
+//!   question has the same answer for all of them, so it is evaluated once for the class.
 //! - **kind**: searchers that no structural question can tell apart: same hall, set, state and age.
 //!
-//! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and one set; the
-//! members of a set are ascending; every slice has exactly one class. Nothing here does I/O or makes decisions.
+//! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and
+//! one set; the members of a set are ascending; every slice has exactly one class. Nothing here does I/O or
+//! makes decisions.
 
 mod conditions;
 mod placement;
@@ -39,10 +40,10 @@
     pub name: String,
     pub hall: usize,
     pub set: u32,
-    pub life: SearcherStatus,
-    /// When its process started, in milliseconds since 1970; zero for long ago.
-    pub since: f64,
-    /// Age of its last report when the list was written, in milliseconds.
+    pub status: SearcherStatus,
+    /// When its process started, since 1970; zero for long ago.
+    pub started_at_ms: f64,
+    /// Age of its last report when the list was written.
     pub age_ms: f64,
 }
 
@@ -61,7 +62,7 @@
     searchers: Vec<Searcher>,
     by_name: BTreeMap<String, usize>,
     by_hall: Vec<FixedBitSet>,
-    by_state: [FixedBitSet; 3],
+    by_status: [FixedBitSet; 3],
     /// The searchers of each set.
     members_by_set: Vec<Vec<u32>>,
     placement: Placement,
@@ -70,8 +71,8 @@
     skipped_entries: Vec<String>,
 }
 
-fn state_index(life: SearcherStatus) -> usize {
-    match life {
+fn status_index(status: SearcherStatus) -> usize {
+    match status {
         SearcherStatus::Ready => 0,
         SearcherStatus::Draining => 1,
         SearcherStatus::Gone => 2,
@@ -79,8 +80,8 @@
 }
 
 impl Fleet {
-    /// Builds the model. An entry with a set outside the layout can hold nothing and is skipped with its reason. A name that
-    /// is listed twice is an error, because it is undefined which entry counts.
+    /// Builds the model. An entry with a set outside the layout can hold nothing and is skipped with its
+    /// reason. A name that is listed twice is an error, because it is undefined which entry counts.
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
@@ -91,7 +92,7 @@
             searchers: Vec::with_capacity(list.entries.len()),
             by_name: BTreeMap::new(),
             by_hall: Vec::new(),
-            by_state: [const { FixedBitSet::new() }; 3],
+            by_status: [const { FixedBitSet::new() }; 3],
             members_by_set: vec![Vec::new(); config.layout.cells as usize],
             placement: Placement::from_layout(&config)?,
             customer_slices: Vec::new(),
@@ -115,8 +116,8 @@
                 name: entry.name.clone(),
                 hall,
                 set: entry.cell,
-                life: entry.life,
-                since: entry.since,
+                status: entry.life,
+                started_at_ms: entry.since,
                 age_ms: entry.age_ms,
             });
         }
@@ -135,17 +136,18 @@
     fn build_indices(&mut self) {
         let count = self.searchers.len();
         self.by_hall = vec![FixedBitSet::with_capacity(count); self.halls.len()];
-        self.by_state = std::array::from_fn(|_| FixedBitSet::with_capacity(count));
+        self.by_status = std::array::from_fn(|_| FixedBitSet::with_capacity(count));
         for (index, searcher) in self.searchers.iter().enumerate() {
             self.by_hall[searcher.hall].insert(index);
-            self.by_state[state_index(searcher.life)].insert(index);
+            self.by_status[status_index(searcher.status)].insert(index);
         }
     }
 
     /// States which slices a customer's scans read. Several calls for one customer add up.
     ///
     /// # Errors
-    /// Names a customer that the settings don't contain, with the nearest that they do, or a range out of bounds.
+    /// Names a customer that the settings don't contain, with the nearest that they do, or a range out of
+    /// bounds.
     pub fn add_customer_slices(&mut self, customer: &str, slices: RangeInclusive<u32>) -> Result<()> {
         let index = self.customer(customer)?;
         let count = self.slices();
@@ -158,8 +160,8 @@
         Ok(())
     }
 
-    /// The same searchers with another placement, as between two steps of a migration. `sets` contains the new set of each
-    /// searcher.
+    /// The same searchers with another placement, as between two steps of a migration. `sets` contains the
+    /// new set of each searcher.
     ///
     /// # Errors
     /// If a set is not part of the placement.
@@ -199,8 +201,8 @@
     }
 
     /// The searchers that the list has in this state.
-    pub fn in_state(&self, life: SearcherStatus) -> &FixedBitSet {
-        &self.by_state[state_index(life)]
+    pub fn in_state(&self, status: SearcherStatus) -> &FixedBitSet {
+        &self.by_status[status_index(status)]
     }
 
     /// The searchers of a set, ascending; none if the set is not in the layout.
@@ -213,7 +215,8 @@
         self.members_by_set.len()
     }
 
-    /// Number of slices. If the settings don't state it, one for each set, as all further ones are placed like these.
+    /// Number of slices. If the settings don't state it, one for each set, as all further ones are placed
+    /// like these.
     pub fn slices(&self) -> u32 {
         self.placement.slices()
     }
@@ -242,8 +245,8 @@
         owned.any(|owned| owned.slices.iter().any(|range| range.contains(&slice)))
     }
 
-    /// The load that each slice causes: each customer's scan rate is divided equally among the slices that it reads. All
-    /// weights are one if no customer's slices are stated.
+    /// The load that each slice causes: each customer's scan rate is divided equally among the slices that it
+    /// reads. All weights are one if no customer's slices are stated.
     pub fn weights(&self) -> Vec<f64> {
         let count = self.slices() as usize;
         if self.customer_slices.is_empty() {
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -21,7 +21,8 @@
 }
 
 impl Placement {
-    /// The placement that the layout defines: a slice is held by `cells_per_shard` consecutive sets, starting at its own number.
+    /// The placement that the layout defines: a slice is held by `cells_per_shard` consecutive sets, starting
+    /// at its own number.
     ///
     /// # Errors
     /// If there are more than [`MAX_SLICES`] slices.
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -11,8 +11,8 @@
 /// Length and checksum.
 const HEADER_BYTES: usize = 8;
 
-/// The body of a frame. The first one on a link is the hello, which has the same layout in all formats up to and including
-/// its format number.
+/// The body of a frame. The first one on a link is the hello, which has the same layout in all formats up to
+/// and including its format number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     Hello(Hello),
@@ -53,8 +53,9 @@
 impl std::error::Error for FrameError {}
 
 impl Frame {
-    /// Encodes the frame with its length and checksum. The checksum guards against corruption that still decodes: a single
-    /// flipped bit in the incarnation of a hello once made a mixer give way to a process that never existed.
+    /// Encodes the frame with its length and checksum. The checksum guards against corruption that still
+    /// decodes: a single flipped bit in the incarnation of a hello once made a mixer give way to a process
+    /// that never existed.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
         // Serialization into a vector can't fail.
@@ -65,7 +66,8 @@
         bytes
     }
 
-    /// Decodes the first frame and returns it with the number of bytes it took, or `None` while it is incomplete.
+    /// Decodes the first frame and returns it with the number of bytes it took, or `None` while it is
+    /// incomplete.
     ///
     /// # Errors
     /// If the bytes can't become a frame.
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -22,8 +22,8 @@
 const STACK_BYTES: usize = 256 * 1024;
 /// Commands that may be queued for the thread. A caller that finds the queue full has to try again later.
 const COMMAND_QUEUE: usize = 64;
-/// Up to this number of peers, each has a permanent link. In a larger fleet links are opened on demand, and the least
-/// recently used one is closed for another.
+/// Up to this number of peers, each has a permanent link. In a larger fleet links are opened on demand, and
+/// the least recently used one is closed for another.
 const MAX_OUTGOING_LINKS: usize = 32;
 /// Links that peers may hold open to this mixer.
 const MAX_INCOMING_LINKS: usize = 64;
@@ -33,7 +33,8 @@
 const MIN_RETRY_DELAY_MS: f64 = 100.0;
 const MAX_RETRY_DELAY_MS: f64 = 2000.0;
 const RETRY_JITTER: f64 = 0.25;
-/// A link that was open for this long counts as a success: one that breaks earlier may only have seemed to work.
+/// A link that was open for this long counts as a success: one that breaks earlier may only have seemed to
+/// work.
 const STABLE_LINK_MS: f64 = 2000.0;
 /// A link to a peer that is down is opened anew once it is this old: longer than all timeouts of membership.
 const DEAD_LINK_AGE_MS: f64 = 5000.0;
@@ -170,8 +171,8 @@
         self.counters_text.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// This mixer was asked to shut down and still serves the scans that it has accepted. From now on a later process may
-    /// take its name.
+    /// This mixer was asked to shut down and still serves the scans that it has accepted. From now on a later
+    /// process may take its name.
     pub fn begin_shutdown(&self) {
         self.handle.send(Command::BeginShutdown);
     }
@@ -179,7 +180,8 @@
     /// Leaves the fleet and announces it to the peers. Takes at most twice [`LEAVE_TIMEOUT_MS`].
     pub fn leave(self) {
         self.handle.send(Command::Leave);
-        // Does not wait longer, because the thread may be blocked handing advice to the very caller of this function.
+        // Does not wait longer, because the thread may be blocked handing advice to the very caller of this
+        // function.
         let _ = self.thread_ended.recv_timeout(Duration::from_secs_f64(2.0 * LEAVE_TIMEOUT_MS / 1000.0));
     }
 }
@@ -726,7 +728,8 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    // For example out of descriptors. The listener becomes ready again with the next connection.
+                    // For example out of descriptors. The listener becomes ready again with the next
+                    // connection.
                     self.warn("accept", &format!("accepting a link failed: {error}"));
                     return;
                 }
@@ -937,7 +940,8 @@
         for name in &names {
             self.close(now_ms, name, "connecting timed out", false);
         }
-        // Guards against a link whose other end vanished without closing it: writes succeed but nothing arrives.
+        // Guards against a link whose other end vanished without closing it: writes succeed but nothing
+        // arrives.
         let up = self.node.membership.up();
         let dead = self
             .outgoing
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -21,8 +21,8 @@
 
 /// Memory for the records of all mixers together.
 const MAX_RECORD_BYTES: usize = 2 << 20;
-/// A longer time between two turns is a pause of this process: records received then may be older than they say by the
-/// length of the pause.
+/// A longer time between two turns is a pause of this process: records received then may be older than they
+/// say by the length of the pause.
 const PAUSE_THRESHOLD_MS: f64 = 300.0;
 /// How long the departure of a searcher stays published: well above the time in which every list contains it.
 const GONE_RETENTION_MS: f64 = 60_000.0;
@@ -34,8 +34,9 @@
 /// An observation of this mixer to publish.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LocalReport {
-    /// What this mixer knows about a searcher; `status` is `None` once its list no longer contains the searcher.
-    /// `latency_ratio` and `parts` are the evidence for a mark; `cold` tells whether it is cold since its start.
+    /// What this mixer knows about a searcher; `status` is `None` once its list no longer contains the
+    /// searcher. `latency_ratio` and `parts` are the evidence for a mark; `cold` tells whether it is cold
+    /// since its start.
     Searcher {
         address: SocketAddrV4,
         status: Option<LocalStatus>,
@@ -85,7 +86,8 @@
     last_turn_ms: Option<f64>,
     /// How much older the records that are read in this turn may be than they say.
     delay_ms: f64,
-    /// Searchers that have left the list, and when. Their departure is retracted once all mixers had time to receive it.
+    /// Searchers that have left the list, and when. Their departure is retracted once all mixers had time to
+    /// receive it.
     gone_since_ms: BTreeMap<SocketAddrV4, f64>,
     /// Longest time between two turns since the start.
     longest_pause_ms: f64,
@@ -194,8 +196,8 @@
         None
     }
 
-    /// Publishes what peers need to know about a searcher. Nothing is published about one that has always been up, warm and
-    /// not marked.
+    /// Publishes what peers need to know about a searcher. Nothing is published about one that has always
+    /// been up, warm and not marked.
     fn publish_searcher(
         &mut self,
         now_ms: f64,
--- a/crates/mesh/tests/fleet.rs
+++ b/crates/mesh/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Membership and replication of many mixers on a seeded network, through loss, reordering, partitions, stalls and
-//! crashes.
+//! Membership and replication of many mixers on a seeded network, through loss, reordering, partitions,
+//! stalls and crashes.
 
 mod net;
 
@@ -8,8 +8,8 @@
 use pewterwharf_peers::{Hello, Incarnation, MembershipState};
 use pewterwharf_replica::{Advice, BatchKind, CatchUpProgress, RecordBatch, ReplicaMessage, WireRecord};
 
-/// Runs one seed: faults for some seconds, then a heal. Returns the time to convergence, or the state of all mixers if
-/// they do not converge.
+/// Runs one seed: faults for some seconds, then a heal. Returns the time to convergence, or the state of all
+/// mixers if they do not converge.
 fn run_faults(seed: u64) -> Result<f64, String> {
     let mut net = Net::new(3 + (seed % 3) as usize, seed);
     let n = net.processes.len();
--- a/crates/mesh/tests/links.rs
+++ b/crates/mesh/tests/links.rs
@@ -237,8 +237,8 @@
     m2.leave();
 }
 
-/// At shutdown the service no longer takes advice while the thread of the links may be handing some to it: neither may
-/// wait for the other.
+/// At shutdown the service no longer takes advice while the thread of the links may be handing some to it:
+/// neither may wait for the other.
 #[test]
 fn leaving_does_not_wait_for_blocked_advice() {
     let (a, b) = (free_address(), free_address());
--- a/crates/mesh/tests/net/mod.rs
+++ b/crates/mesh/tests/net/mod.rs
@@ -1,5 +1,6 @@
-//! A seeded network of nodes. Every path has delay, loss and reordering; paths can be cut, processes can stall, crash and
-//! restart. The nodes' clocks have different origins and are monotonic, as those of real processes.
+//! A seeded network of nodes. Every path has delay, loss and reordering; paths can be cut, processes can
+//! stall, crash and restart. The nodes' clocks have different origins and are monotonic, as those of real
+//! processes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/peers/src/incarnation.rs
+++ b/crates/peers/src/incarnation.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one process among all that ever ran under a name. The greater incarnation supersedes the others. The number
-/// grows when a process learns of another one under its name that it has to supersede; the nonce, drawn at process start,
-/// tells any two processes apart.
+/// Identifies one process among all that ever ran under a name. The greater incarnation supersedes the
+/// others. The number grows when a process learns of another one under its name that it has to supersede; the
+/// nonce, drawn at process start, tells any two processes apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     pub number: u64,
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -19,9 +19,11 @@
 
 /// Interval between probes of one member each: with three mixers each one is probed once a second.
 const PROBE_INTERVAL_MS: u64 = 500;
-/// Timeout of a direct probe before other members probe indirectly: a hundred round trips within a data centre.
+/// Timeout of a direct probe before other members probe indirectly: a hundred round trips within a data
+/// centre.
 const PROBE_TIMEOUT_MS: u64 = 200;
-/// Members that are asked for an indirect probe, that gossip is sent to, or that are asked whether they are down.
+/// Members that are asked for an indirect probe, that gossip is sent to, or that are asked whether they are
+/// down.
 const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Time that a suspect has to refute the suspicion: four probes.
 const SUSPICION_TIMEOUT_MS: u64 = 2000;
@@ -33,10 +35,10 @@
 const RECONNECT_INTERVAL_MS: u64 = 1000;
 /// Largest message: about twenty members.
 const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1400).unwrap();
-/// A longer time between two ticks is a pause of this process, as ticks are much more frequent.
+/// A longer time between two ticks is a pause of this process: ticks come about twenty times as often.
 const PAUSE_THRESHOLD_MS: f64 = 300.0;
-/// Process ages that differ by less are not told apart, as messages take time to arrive: the greater nonce then counts as
-/// the later process.
+/// Process ages that differ by less are not told apart, as messages take time to arrive: the greater nonce
+/// then counts as the later process.
 const AGE_TOLERANCE_MS: f64 = 3000.0;
 /// Number of other processes of its own name that a mixer remembers.
 const MAX_RIVALS: usize = 16;
@@ -85,7 +87,8 @@
 
 impl std::error::Error for CodecError {}
 
-/// Accepts messages about configured names only. Otherwise a peer that keeps sending new names would fill the memory.
+/// Accepts messages about configured names only. Otherwise a peer that keeps sending new names would fill the
+/// memory.
 struct ConfiguredNamesCodec {
     local_name: String,
     names: Arc<BTreeSet<String>>,
@@ -181,7 +184,8 @@
     /// No peer has confirmed this incarnation yet.
     Joining,
     Member,
-    /// A later incarnation uses this name. This process still serves its clients but sends nothing more to mixers.
+    /// A later incarnation uses this name. This process still serves its clients but sends nothing more to
+    /// mixers.
     Superseded(Incarnation),
     Left,
 }
@@ -310,8 +314,8 @@
 }
 
 impl Membership {
-    /// Creates the membership of a mixer that has just started. `names` are its peers, at most [`crate::MAX_MIXERS`]; the
-    /// seed must differ between starts.
+    /// Creates the membership of a mixer that has just started. `names` are its peers, at most
+    /// [`crate::MAX_MIXERS`]; the seed must differ between starts.
     pub fn new(fleet: &str, local_name: &str, names: impl IntoIterator<Item = String>, seed: u64) -> Self {
         let names: Arc<BTreeSet<String>> =
             Arc::new(names.into_iter().filter(|name| name != local_name).take(crate::MAX_MIXERS).collect());
@@ -516,16 +520,16 @@
         let by = KnownIncarnation { incarnation, age_ms: None };
         self.effects.push(Effect::CloseSupersededLinks { name: name.to_owned(), by });
         self.effects.push(Effect::PeerRestarted { name: name.to_owned(), incarnation });
-        // The new process may not be able to reach this mixer yet, and may have to be told which incarnation of itself is
-        // known here.
+        // The new process may not be able to reach this mixer yet, and may have to be told which incarnation
+        // of itself is known here.
         self.effects.push(Effect::SendHello { to: name.to_owned() });
     }
 
-    /// A peer knows a later incarnation under this mixer's name. This mixer takes a number above it: a dead process does
-    /// not react to that, a live one takes a higher number in turn. Only in the second case the process that has run for
-    /// less time is the later one, and the other is superseded. Otherwise a restarted mixer could give way to its own dead
-    /// predecessor: a peer that did not know of the restart may have accepted it already, and a process that died young
-    /// keeps a small age for long.
+    /// A peer knows a later incarnation under this mixer's name. This mixer takes a number above it: a dead
+    /// process does not react to that, a live one takes a higher number in turn. Only in the second case the
+    /// process that has run for less time is the later one, and the other is superseded. Otherwise a
+    /// restarted mixer could give way to its own dead predecessor: a peer that did not know of the restart
+    /// may have accepted it already, and a process that died young keeps a small age for long.
     pub fn handle_later_incarnation(&mut self, now_ms: f64, by: KnownIncarnation) {
         if by.incarnation <= self.incarnation || !self.is_active() {
             return;
@@ -555,9 +559,9 @@
         self.supersede(by.incarnation);
     }
 
-    /// This mixer was asked to shut down: any other process under its name counts as the later one from now on, whatever
-    /// the ages. Otherwise a process restarted within [`AGE_TOLERANCE_MS`] could lose, by nonce, to the one that is still
-    /// serving its last scans.
+    /// This mixer was asked to shut down: any other process under its name counts as the later one from now
+    /// on, whatever the ages. Otherwise a process restarted within [`AGE_TOLERANCE_MS`] could lose, by nonce,
+    /// to the one that is still serving its last scans.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
@@ -572,9 +576,9 @@
         self.effects.extend(self.names.iter().map(|to| Effect::SendHello { to: to.clone() }));
     }
 
-    /// A replication message mentions an incarnation of a mixer. `beyond_held_version` tells whether it attributes records
-    /// to that mixer that are not held here. Guards against records of a dead incarnation that arrive through a third
-    /// mixer: the live process of that name has to supersede it.
+    /// A replication message mentions an incarnation of a mixer. `beyond_held_version` tells whether it
+    /// attributes records to that mixer that are not held here. Guards against records of a dead incarnation
+    /// that arrive through a third mixer: the live process of that name has to supersede it.
     pub fn observe_incarnation(
         &mut self,
         now_ms: f64,
@@ -620,7 +624,8 @@
         }
     }
 
-    /// Leaves the fleet. The last messages are returned as effects by the next tick; nothing is sent after them.
+    /// Leaves the fleet. The last messages are returned as effects by the next tick; nothing is sent after
+    /// them.
     pub fn leave(&mut self) {
         if self.is_active() {
             let result = self.foca.leave_cluster(&mut self.foca_output);
@@ -680,7 +685,8 @@
         mem::take(&mut self.effects)
     }
 
-    /// After a pause of this process: answers of others that arrived meanwhile are still unread, so nobody is late.
+    /// After a pause of this process: answers of others that arrived meanwhile are still unread, so nobody is
+    /// late.
     fn postpone_timers(&mut self, pause_ms: f64) {
         let pause_us = to_micros(pause_ms);
         let postponed = |(key, timer): (TimerKey, Timer<Identity>)| {
@@ -689,8 +695,9 @@
         self.timers = mem::take(&mut self.timers).into_iter().map(postponed).collect();
     }
 
-    /// `foca` may hold a dead incarnation of a name that is above the one known to be alive, and would then ignore the live
-    /// one until it supersedes the dead one. It sends no notification about a member that it never knew alive.
+    /// `foca` may hold a dead incarnation of a name that is above the one known to be alive, and would then
+    /// ignore the live one until it supersedes the dead one. It sends no notification about a member that it
+    /// never knew alive.
     fn compare_with_foca_state(&mut self) {
         let known_to_foca = |member: &Member<Identity>| (member.id().name.clone(), member.id().incarnation);
         let members: Vec<(String, Incarnation)> =
@@ -702,8 +709,8 @@
         }
     }
 
-    /// Contacts some of the known peers that are down. Guards against a fleet that was partitioned into single mixers: once
-    /// the links work again, none of them has a live member left to probe.
+    /// Contacts some of the known peers that are down. Guards against a fleet that was partitioned into
+    /// single mixers: once the links work again, none of them has a live member left to probe.
     fn announce_to_down_peers(&mut self) {
         let is_down = |name: &&String| !self.up.contains_key(*name) && !self.left.contains(*name);
         let mut down: Vec<(String, Incarnation)> = self
@@ -739,8 +746,8 @@
         self.effects.extend(sends.into_iter().map(|(to, bytes)| Effect::Send { to: to.name, bytes }));
     }
 
-    /// Compares the known live members with those of `foca`. Its notifications only tell that something has changed: there
-    /// is none if a name moves from one live incarnation to the next.
+    /// Compares the known live members with those of `foca`. Its notifications only tell that something has
+    /// changed: there is none if a name moves from one live incarnation to the next.
     fn update_live_members(&mut self) {
         let identities: Vec<Identity> = self.foca.iter_members().map(|member| member.id().clone()).collect();
         for identity in &identities {
--- a/crates/replica/src/exchange.rs
+++ b/crates/replica/src/exchange.rs
@@ -1,9 +1,9 @@
 //! Anti-entropy: what is sent to whom, and when.
 //!
-//! This mixer's new records go to all peers at once, or to some of them in a large fleet. In periodic rounds a random
-//! peer that is up gets a digest of everything that is held. Only if it differs do version vectors follow, then the
-//! missing records in pieces, then digests of counter ranges where versions agree and records do not. Whatever is lost,
-//! cut off or reordered is made up for by a later round.
+//! This mixer's new records go to all peers at once, or to some of them in a large fleet. In periodic rounds
+//! a random peer that is up gets a digest of everything that is held. Only if it differs do version vectors
+//! follow, then the missing records in pieces, then digests of counter ranges where versions agree and
+//! records do not. Whatever is lost, cut off or reordered is made up for by a later round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -87,7 +87,8 @@
 const MAX_MESSAGE_BYTES: usize = 12 * 1024;
 /// New records go at once to all peers up to this number, and to this many random ones of a larger fleet.
 const MAX_PUSH_PEERS: usize = 32;
-/// Rate and burst of the records that one peer is sent: catch-up of a restarted mixer must not delay messages to others.
+/// Rate and burst of the records that one peer is sent: catch-up of a restarted mixer must not delay messages
+/// to others.
 const PEER_BYTES_PER_S: f64 = 512.0 * 1024.0;
 const PEER_BURST_BYTES: f64 = 64.0 * 1024.0;
 /// Bytes that a record counts against the rate besides its name.
--- a/crates/replica/src/kinds/departure.rs
+++ b/crates/replica/src/kinds/departure.rs
@@ -28,7 +28,8 @@
         self.started_at_ms.is_finite() && self.started_at_ms >= 0.0
     }
 
-    /// A later process supersedes all reports about an earlier one. Within one process a drain is never undone.
+    /// A later process supersedes all reports about an earlier one. Within one process a drain is never
+    /// undone.
     fn join(self, other: Self) -> Self {
         let later = (other.started_at_ms, other.stage) > (self.started_at_ms, self.stage);
         if later { other } else { self }
--- a/crates/replica/src/kinds/mark.rs
+++ b/crates/replica/src/kinds/mark.rs
@@ -2,8 +2,9 @@
 
 use super::RecordKind;
 
-/// Evidence against a searcher, identified by its address: either this mixer marked it, or a single part is late there.
-/// A late part alone is no mark, but the late parts of several mixers add up to a slice sooner than those of one.
+/// Evidence against a searcher, identified by its address: either this mixer marked it, or a single part is
+/// late there. A late part alone is no mark, but the late parts of several mixers add up to a slice sooner
+/// than those of one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
     /// Average latency in the slice that caused the mark, as a multiple of the baseline.
@@ -17,15 +18,16 @@
 impl RecordKind for Mark {
     const CODE: u8 = 1;
     const NAME: &'static str = "mark";
-    /// Long enough for two probes: a mixer probes a marked searcher every half second and reports when it readmits it.
+    /// Long enough for two probes: a mixer probes a marked searcher every half second and reports when it
+    /// readmits it.
     const VALIDITY_MS: f64 = 1500.0;
 
     fn is_valid(&self) -> bool {
         self.latency_ratio.is_finite() && self.latency_ratio >= 0.0
     }
 
-    /// The better evidence: a mark before a late part, then more parts, then the higher average. Where the number of
-    /// marks matters they are counted one by one instead.
+    /// The better evidence: a mark before a late part, then more parts, then the higher average. Where the
+    /// number of marks matters they are counted one by one instead.
     fn join(self, other: Self) -> Self {
         let more =
             (!other.late, other.parts, other.latency_ratio) > (!self.late, self.parts, self.latency_ratio);
--- a/crates/replica/src/kinds/process_start.rs
+++ b/crates/replica/src/kinds/process_start.rs
@@ -18,8 +18,8 @@
         self.started_at_ms.is_finite() && self.started_at_ms >= 0.0
     }
 
-    /// The later start: a cold searcher that is mistaken for warm is overloaded, a warm one that is mistaken for cold
-    /// only gets less work.
+    /// The later start: a cold searcher that is mistaken for warm is overloaded, a warm one that is mistaken
+    /// for cold only gets less work.
     fn join(self, other: Self) -> Self {
         Self { started_at_ms: greater(self.started_at_ms, other.started_at_ms) }
     }
--- a/crates/replica/src/kinds/searcher_list.rs
+++ b/crates/replica/src/kinds/searcher_list.rs
@@ -21,8 +21,8 @@
         true
     }
 
-    /// The higher version. Two discovery services number independently, so versions are only displayed side by side and
-    /// no decision depends on them.
+    /// The higher version. Two discovery services number independently, so versions are only displayed side
+    /// by side and no decision depends on them.
     fn join(self, other: Self) -> Self {
         let higher = (other.index, other.ready) > (self.index, self.ready);
         if higher { other } else { self }
--- a/crates/replica/src/kinds/usage.rs
+++ b/crates/replica/src/kinds/usage.rs
@@ -18,8 +18,8 @@
         self.span_ms > 0
     }
 
-    /// The greater usage of two reports of one origin. Usage at several mixers is added up by the reader instead, from
-    /// the separate reports.
+    /// The greater usage of two reports of one origin. Usage at several mixers is added up by the reader
+    /// instead, from the separate reports.
     fn join(self, other: Self) -> Self {
         let more = (other.scans, other.span_ms) > (self.scans, self.span_ms);
         if more { other } else { self }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,21 +1,24 @@
-//! State that is replicated between the mixers of a fleet. No I/O: messages and the time go in, messages and advice come
-//! out.
+//! State that is replicated between the mixers of a fleet. No I/O: messages and the time go in, messages and
+//! advice come out.
 //!
-//! A *record* is what one mixer, its *origin*, reports about one subject: kind, name, value, and the time of its
-//! evidence. Only its origin writes it, so two values of one record never conflict: the later incarnation of the origin
-//! wins, and within an incarnation the higher counter. The reports of several origins about one subject are kept side by
-//! side and joined when they are read ([`kinds::RecordKind`]).
+//! A *record* is what one mixer, its *origin*, reports about one subject: kind, name, value, and the time of
+//! its evidence. Only its origin writes it, so two values of one record never conflict: the later incarnation
+//! of the origin wins, and within an incarnation the higher counter. The reports of several origins about one
+//! subject are kept side by side and joined when they are read ([`kinds::RecordKind`]).
 //!
-//! - [`Replica`] holds the records. Mixers exchange them as a [`RecordBatch`]: *all* records of an origin whose counter
-//!   lies in an interval. Batches are applied without gaps only, so one version for each origin describes everything that
-//!   a mixer holds (delta-state CRDTs, Almeida et al., 2018; the ordering of Scuttlebutt, van Renesse et al., 2008).
-//! - [`Exchange`] decides what is sent to whom and when: new records at once, digests in periodic rounds, deltas where
-//!   version vectors differ, digests of counter ranges where versions agree and records do not, and catch-up in pieces.
-//! - [`PeerReportPolicy`] decides what a mixer makes of its peers' reports: bounded advice to its decision module,
-//!   weighted by how often each peer was right lately.
+//! - [`Replica`] holds the records. Mixers exchange them as a [`RecordBatch`]: *all* records of an origin
+//!   whose counter lies in an interval. Batches are applied without gaps only, so one version for each origin
+//!   describes everything that a mixer holds (delta-state CRDTs, Almeida et al., 2018; the ordering of
+//!   Scuttlebutt, van Renesse et al., 2008).
+//! - [`Exchange`] decides what is sent to whom and when: new records at once, digests in periodic rounds,
+//!   deltas where version vectors differ, digests of counter ranges where versions agree and records do not,
+//!   and catch-up in pieces.
+//! - [`PeerReportPolicy`] decides what a mixer makes of its peers' reports: bounded advice to its decision
+//!   module, weighted by how often each peer was right lately.
 //!
-//! Invariants: merges are commutative, associative and idempotent; wall clocks are never compared; the number of records,
-//! their bytes and an origin's quota are bounded whatever is received; a deleted record never comes back from an old copy.
+//! Invariants: merges are commutative, associative and idempotent; wall clocks are never compared; the number
+//! of records, their bytes and an origin's quota are bounded whatever is received; a deleted record never
+//! comes back from an old copy.
 
 pub mod kinds;
 
--- a/crates/replica/src/policy.rs
+++ b/crates/replica/src/policy.rs
@@ -1,9 +1,9 @@
 //! Policy on peer reports: which advice for the decision module follows from them.
 //!
-//! The effect of a report is limited twice. Here: probes are rate-limited whatever peers report, departures and restarts
-//! that this mixer's own list does not confirm are retracted, and a peer that was wrong loses trust. In the decision
-//! module: advice can't make it send anything that the rules forbid, because all that it does on advice is to probe a
-//! searcher, to send it less, or to leave it alone.
+//! The effect of a report is limited twice. Here: probes are rate-limited whatever peers report, departures
+//! and restarts that this mixer's own list does not confirm are retracted, and a peer that was wrong loses
+//! trust. In the decision module: advice can't make it send anything that the rules forbid, because all that
+//! it does on advice is to probe a searcher, to send it less, or to leave it alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -26,7 +26,8 @@
     const NEUTRAL: f64 = 0.5;
     /// Reports of a peer with a lower score are ignored.
     const THRESHOLD: f64 = 0.2;
-    /// Within this time a score returns two thirds of the way to neutral, because a faulty mixer may have been repaired.
+    /// Within this time a score returns two thirds of the way to neutral, because a faulty mixer may have
+    /// been repaired.
     const DECAY_MS: f64 = 30_000.0;
     /// Weight of one outcome: three wrong reports in a row take a neutral score below the threshold.
     const OUTCOME_WEIGHT: f64 = 0.3;
@@ -74,16 +75,16 @@
 impl Advice {
     /// The event for the decision module.
     pub fn to_event(self) -> Event {
-        let of = |searcher, word| Event::PeerReport { searcher, report: word };
+        let about = |searcher, report| Event::PeerReport { searcher, report };
         match self {
-            Self::Probe(searcher) => of(searcher, PeerReport::Marked),
-            Self::Suspect(searcher) => of(searcher, PeerReport::MarkedBySeveral),
-            Self::Departing(searcher) => of(searcher, PeerReport::Leaving { leaving: true }),
-            Self::DepartureRetracted(searcher) => of(searcher, PeerReport::Leaving { leaving: false }),
+            Self::Probe(searcher) => about(searcher, PeerReport::Marked),
+            Self::Suspect(searcher) => about(searcher, PeerReport::MarkedBySeveral),
+            Self::Departing(searcher) => about(searcher, PeerReport::Leaving { leaving: true }),
+            Self::DepartureRetracted(searcher) => about(searcher, PeerReport::Leaving { leaving: false }),
             Self::Restarted(searcher, started_at_ms) => {
-                of(searcher, PeerReport::Restarted { started_at: started_at_ms })
+                about(searcher, PeerReport::Restarted { started_at: started_at_ms })
             }
-            Self::RestartRetracted(searcher) => of(searcher, PeerReport::Restarted { started_at: 0.0 }),
+            Self::RestartRetracted(searcher) => about(searcher, PeerReport::Restarted { started_at: 0.0 }),
             Self::IdleConnectionsLost => Event::IdleConnectionsLost,
             Self::MixerCount(count) => Event::MixerCount { mixers: count },
         }
@@ -104,13 +105,18 @@
 
 impl LocalStatus {
     /// Converts the decision module's report about a searcher.
-    pub fn from_report(known: &ObservedSearcher) -> Self {
-        let stage = match known.status {
+    pub fn from_report(observed: &ObservedSearcher) -> Self {
+        let stage = match observed.status {
             SearcherStatus::Ready => Stage::Up,
             SearcherStatus::Draining => Stage::Draining,
             SearcherStatus::Gone => Stage::Gone,
         };
-        Self { marked: known.marked, late: known.overdue > 0.0, started_at_ms: known.started_at, stage }
+        Self {
+            marked: observed.marked,
+            late: observed.overdue > 0.0,
+            started_at_ms: observed.started_at,
+            stage,
+        }
     }
 }
 
@@ -123,10 +129,11 @@
 const PROBE_SHARE_PER_PEER: f64 = 0.5;
 /// Time after which a probe has shown who was right: a probe and the next slice.
 const PROBE_OUTCOME_MS: f64 = 1500.0;
-/// A reported departure or restart is retracted if this mixer's own list does not confirm it in time. Lists are seconds
-/// late, not more.
+/// A reported departure or restart is retracted if this mixer's own list does not confirm it in time. Lists
+/// are seconds late, not more.
 const CONFIRMATION_TIMEOUT_MS: f64 = 10_000.0;
-/// Share of the searchers that are up by this mixer's own list that peer reports alone may take out of use at a time.
+/// Share of the searchers that are up by this mixer's own list that peer reports alone may take out of use at
+/// a time.
 const MAX_SHARE_TAKEN_OUT: f64 = 0.25;
 /// Share of all mixers, and minimum number of them, that count as several.
 const AGREEING_MIXERS_DIVISOR: usize = 10;
@@ -174,8 +181,8 @@
     refilled_at_ms: f64,
     next_idle_advice_ms: f64,
     mixers: u32,
-    /// Number of ignored reports: about a searcher that is not on this mixer's own list, from a peer that is not trusted,
-    /// or over a limit.
+    /// Number of ignored reports: about a searcher that is not on this mixer's own list, from a peer that is
+    /// not trusted, or over a limit.
     pub ignored_reports: u64,
 }
 
@@ -211,8 +218,8 @@
         self.trust.entry(peer.to_owned()).or_insert(Trust::NEW).record_outcome(now_ms, right);
     }
 
-    /// Updates what this mixer itself knows about a searcher; `None` once its own list no longer contains the searcher.
-    /// Compares peer reports with it and returns the retraction of advice that is no longer needed.
+    /// Updates what this mixer itself knows about a searcher; `None` once its own list no longer contains the
+    /// searcher. Compares peer reports with it and returns the retraction of advice that is no longer needed.
     #[must_use]
     pub fn local_status_changed(
         &mut self,
@@ -227,8 +234,8 @@
         if let Some(probe) = self.pending_probes.get_mut(&searcher) {
             probe.confirmed |= local.marked;
         }
-        // Once this mixer's own list confirms a departure, the list alone decides when it is over. Otherwise a drain that
-        // is undone within one process lifetime would stay in effect for ever.
+        // Once this mixer's own list confirms a departure, the list alone decides when it is over. Otherwise
+        // a drain that is undone within one process lifetime would stay in effect for ever.
         let mut retraction = None;
         let confirmed = |report: &UnconfirmedReport| {
             local.stage > Stage::Up || local.started_at_ms > report.started_at_ms
@@ -336,7 +343,8 @@
             .filter(|report| report.age_ms <= Mark::VALIDITY_MS)
             .filter(|report| report.origin != self.local_name && self.is_trusted(report.origin, now_ms))
             .collect();
-        // A mark counts as a whole slice; late parts of several mixers, including this one, add up to a slice.
+        // A mark counts as a whole slice; late parts of several mixers, including this one, add up to a
+        // slice.
         let reported_parts = reports.iter().map(|report| if report.value.late { 1 } else { SLICE_PARTS });
         let parts: u32 = reported_parts.sum::<u32>() + u32::from(local.late);
         let reporters: BTreeSet<String> = reports.iter().map(|report| report.origin.to_owned()).collect();
@@ -371,7 +379,8 @@
         }
     }
 
-    /// Whether peer reports may take another searcher out of use besides those that they have taken out already.
+    /// Whether peer reports may take another searcher out of use besides those that they have taken out
+    /// already.
     fn may_take_out_another(&self, taken_out: usize) -> bool {
         let up = self.searchers.values().filter(|local| local.stage == Stage::Up).count();
         (taken_out + 1) as f64 <= MAX_SHARE_TAKEN_OUT * up as f64
@@ -495,8 +504,8 @@
     reports.into_iter().find(valid).map(|report| report.value)
 }
 
-/// Retracts expired reports, and forgets those that were retracted long ago. Returns the retracted searchers with their
-/// reporters.
+/// Retracts expired reports, and forgets those that were retracted long ago. Returns the retracted searchers
+/// with their reporters.
 fn retract_expired(
     reports: &mut BTreeMap<SocketAddrV4, UnconfirmedReport>,
     now_ms: f64,
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -8,8 +8,8 @@
 /// Number of counter ranges whose digests are compared when two mixers hold the same version of an origin.
 pub const DIGEST_RANGES: u64 = 16;
 
-/// A record on the wire. The age of its evidence is sent instead of a timestamp: each mixer counts the age by its own
-/// clock while it holds the record, so no two clocks are ever compared.
+/// A record on the wire. The age of its evidence is sent instead of a timestamp: each mixer counts the age by
+/// its own clock while it holds the record, so no two clocks are ever compared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireRecord {
     pub kind: u8,
@@ -38,8 +38,8 @@
 pub enum BatchKind {
     /// The records that follow the receiver's version.
     Delta,
-    /// A piece of all records, starting at counter zero. Sent when tombstones newer than the receiver's version may
-    /// have been discarded. `last` marks the final piece.
+    /// A piece of all records, starting at counter zero. Sent when tombstones newer than the receiver's
+    /// version may have been discarded. `last` marks the final piece.
     FullSync { last: bool },
     /// A counter range in which the records differ although the versions agree.
     Repair,
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -10,8 +10,8 @@
     RejectReason, WireRecord,
 };
 
-/// Default lifetime of a tombstone: well above the time in which gossip reaches every mixer that is up. A mixer that was
-/// away for longer gets a full sync.
+/// Default lifetime of a tombstone: well above the time in which gossip reaches every mixer that is up. A
+/// mixer that was away for longer gets a full sync.
 pub const TOMBSTONE_TTL_MS: f64 = 60_000.0;
 /// Memory that a record takes besides its name and value: its entries in two maps.
 const RECORD_OVERHEAD_BYTES: usize = 160;
@@ -183,7 +183,8 @@
 
     fn insert(&mut self, key: RecordKey, record: Record) {
         self.remove(&key);
-        // Versions can't tell two records with the same counter apart: the one that arrives later replaces the other.
+        // Versions can't tell two records with the same counter apart: the one that arrives later replaces
+        // the other.
         if let Some(other) = self.by_counter.get(&record.counter).cloned() {
             self.remove(&other);
         }
@@ -274,12 +275,13 @@
                 held.evidence_at_ms = held.evidence_at_ms.min(record.evidence_at_ms);
                 false
             }
-            // Two values under one counter are a fault of the origin. The greater value wins on all mixers, in
-            // whatever order they arrive.
+            // Two values under one counter are a fault of the origin. The greater value wins on all mixers,
+            // in whatever order they arrive.
             Some(held) if held.counter == record.counter && held.value > record.value && !sent_by_origin => {
                 false
             }
-            // A record below the version that is not held was deleted or lost: only a repair or a full sync can tell.
+            // A record below the version that is not held was deleted or lost: only a repair or a full sync
+            // can tell.
             None if record.counter <= self.version && batch.kind == BatchKind::Delta => false,
             None if record.counter <= self.tombstone_floor
                 && batch.kind == BatchKind::Repair
@@ -302,8 +304,8 @@
             }
             BatchKind::FullSync { last: true } => {
                 if let Some(sync) = self.full_sync.take() {
-                    // Deletions whose tombstones were discarded during the sync may have been missed: the version
-                    // then stays below them.
+                    // Deletions whose tombstones were discarded during the sync may have been missed: the
+                    // version then stays below them.
                     let complete_through = if batch.tombstone_floor > sync.tombstone_floor {
                         sync.tombstone_floor
                     } else {
@@ -319,8 +321,8 @@
 }
 
 impl Replica {
-    /// Creates a replica without records. `configured` are the mixers of the settings file; whether this mixer is among
-    /// them makes no difference.
+    /// Creates a replica without records. `configured` are the mixers of the settings file; whether this
+    /// mixer is among them makes no difference.
     pub fn new(
         local_name: &str,
         incarnation: Incarnation,
@@ -387,7 +389,8 @@
         self.origins.entry(self.local_name.clone()).or_default()
     }
 
-    /// Publishes a value of this mixer, with the time of its evidence. Returns false if there is no room for it.
+    /// Publishes a value of this mixer, with the time of its evidence. Returns false if there is no room for
+    /// it.
     pub fn publish<K: RecordKind>(
         &mut self,
         now_ms: f64,
@@ -494,7 +497,8 @@
         theirs.iter().map(lag).fold(0, u64::saturating_add)
     }
 
-    /// The records that this mixer holds and a peer with this version vector lacks, limited to `budget` bytes.
+    /// The records that this mixer holds and a peer with this version vector lacks, limited to `budget`
+    /// bytes.
     pub fn delta(&self, now_ms: f64, theirs: &[OriginVersion], budget: usize) -> Delta {
         let theirs: BTreeMap<&str, &OriginVersion> = theirs.iter().map(|e| (e.origin.as_str(), e)).collect();
         let mut batches = Vec::new();
@@ -613,8 +617,8 @@
         batches
     }
 
-    /// Applies a batch from a peer. `delay_ms` is how much older the records may be than they say, because the message
-    /// waited to be read.
+    /// Applies a batch from a peer. `delay_ms` is how much older the records may be than they say, because
+    /// the message waited to be read.
     ///
     /// # Errors
     /// Why the batch was rejected; the rejection is counted.
@@ -642,8 +646,8 @@
         self.validate(batch)?;
         let limits = self.limits;
         let held = self.records_for(batch)?;
-        // A full sync lists everything that exists in its interval. In a repair, only the origin itself can tell that a
-        // record does not exist.
+        // A full sync lists everything that exists in its interval. In a repair, only the origin itself can
+        // tell that a record does not exist.
         let lists_all_records = match batch.kind {
             BatchKind::Delta => {
                 if batch.after > held.version {
--- a/crates/replica/tests/policy.rs
+++ b/crates/replica/tests/policy.rs
@@ -90,7 +90,8 @@
     let mut fixture = Fixture::new();
     let drains = Departure { started_at_ms: 5.0, stage: Stage::Draining };
     assert_eq!(fixture.report(10.0, 0, 1, &drains), [Advice::Departing(address(1))]);
-    // This mixer's own list confirms it: from now on it alone decides, also if the drain is undone within one process.
+    // This mixer's own list confirms it: from now on it alone decides, also if the drain is undone within one
+    // process.
     let draining = LocalStatus { stage: Stage::Draining, ..UP };
     assert_eq!(
         fixture.policy.local_status_changed(500.0, address(1), Some(draining)),
--- a/crates/replica/tests/records.rs
+++ b/crates/replica/tests/records.rs
@@ -1,5 +1,5 @@
-//! Replicas converge whatever the order, number and size of the batches and whoever sends them, and stay within their
-//! limits.
+//! Replicas converge whatever the order, number and size of the batches and whoever sends them, and stay
+//! within their limits.
 
 use pewterwharf_peers::Incarnation;
 use pewterwharf_replica::kinds::{
@@ -104,8 +104,8 @@
         assert_join_laws(a, b, c);
     }
 
-    /// An origin publishes, retracts and restarts; its batches arrive in any order and number. Whoever catches up then
-    /// holds the same as the origin.
+    /// An origin publishes, retracts and restarts; its batches arrive in any order and number. Whoever
+    /// catches up then holds the same as the origin.
     #[test]
     fn any_order_of_batches_converges(
         actions in prop::collection::vec((0u8..8, 0u8..4), 1..40),
@@ -147,8 +147,8 @@
     shorter.iter().flat_map(|p| (0..n).map(move |at| [&p[..at], &[n - 1], &p[at..]].concat())).collect()
 }
 
-/// All orders of six batches, a deletion and a restart among them: after a final catch-up the receiver holds the same as
-/// the origin, and its version never goes back on the way.
+/// All orders of six batches, a deletion and a restart among them: after a final catch-up the receiver holds
+/// the same as the origin, and its version never goes back on the way.
 #[test]
 fn all_orders_of_six_batches_converge() {
     let mut origin = replica("a");
@@ -183,7 +183,8 @@
     }
 }
 
-/// A mixer that was away while records were deleted and their tombstones discarded must neither keep nor spread them.
+/// A mixer that was away while records were deleted and their tombstones discarded must neither keep nor
+/// spread them.
 #[test]
 fn deleted_records_do_not_come_back_from_an_absent_mixer() {
     let (mut a, mut b, mut away) = (replica("a"), replica("b"), replica("c"));
@@ -200,7 +201,8 @@
     a.tick(100_000.0);
     b.tick(100_000.0);
     assert_eq!(a.size().records, 10);
-    // Its records are not accepted, and it loses the deleted ones whoever it catches up from, in small pieces.
+    // Its records are not accepted, and it loses the deleted ones whoever it catches up from, in small
+    // pieces.
     let from_away = away.delta(100_000.0, &b.version_vector(), UNLIMITED).batches;
     assert!(from_away.iter().all(|batch| batch.origin == "c" || batch.records.is_empty()), "{from_away:?}");
     let pieces = catch_up(&b, &mut away, 100_000.0, 200);
