--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -20,6 +20,7 @@
 use pewterwharf_speaker::{Speaker, StatusHandle};
 use tracing::warn;
 
+use crate::clock::UnixMs;
 use crate::discovery::WatchStatus;
 use crate::inputs::Phase;
 use crate::messages::{MessageSender, STACK_BYTES, spawn};
@@ -44,7 +45,7 @@
 struct ActiveSpeaker {
     speaker: Speaker,
     listen: Option<SocketAddr>,
-    next_report_at: f64,
+    next_report_at: UnixMs,
     /// Counters when the share of throttled scans was last computed.
     scans_taken: u64,
     scans_throttled: u64,
@@ -182,7 +183,7 @@
         })
     }
 
-    fn report_health(&mut self, now: f64, watch_status: &WatchStatus, reducer: &Reducer) {
+    fn report_health(&mut self, now: UnixMs, watch_status: &WatchStatus, reducer: &Reducer) {
         self.next_report_at = now + REPORT_INTERVAL_MS;
         let phase = match reducer.phase() {
             Phase::Starting => AnnouncerPhase::Opening,
@@ -298,7 +299,7 @@
     }
 
     /// When [`Announcer::report_health`] has to be called again.
-    pub fn next_report_at(&self) -> f64 {
+    pub fn next_report_at(&self) -> UnixMs {
         match &self.active {
             Some(active) if self.stop != StopProgress::Draining => active.next_report_at,
             _ => f64::INFINITY,
@@ -306,7 +307,7 @@
     }
 
     /// Reports what the mixer can serve, if it is time.
-    pub fn report_health(&mut self, now: f64, watch_status: &WatchStatus, reducer: &Reducer) {
+    pub fn report_health(&mut self, now: UnixMs, watch_status: &WatchStatus, reducer: &Reducer) {
         if now >= self.next_report_at() {
             self.active.iter_mut().for_each(|active| active.report_health(now, watch_status, reducer));
         }
--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -20,7 +20,8 @@
 
 use crate::buffer::MemoryBudget;
 use crate::client_handle::{ClientHandle, Command, CommandSender, SharedConnection};
-use crate::inputs::Input;
+use crate::clock::UnixMs;
+use crate::inputs::{ConnectionId, Input};
 use crate::messages::MessageSender;
 use crate::pauses::ArrivalTracker;
 use crate::stream::write_some;
@@ -53,16 +54,16 @@
     stopping: bool,
     /// The number of connections that may be open, so that accepting never exceeds the limit on descriptors.
     max_connections: usize,
-    connections: HashMap<u64, Connection>,
-    last_id: u64,
+    connections: HashMap<ConnectionId, Connection>,
+    last_id: ConnectionId,
     /// A connection has ended since connections were last accepted.
     has_new_room: bool,
     /// Nothing is accepted until then.
     accept_paused_until: Option<Instant>,
     /// Connections may wait to be accepted, none of which arrived earlier than this.
-    waiting_since: Option<f64>,
+    waiting_since: Option<UnixMs>,
     /// Connections that could not be registered with the poll. They are read after each delay.
-    not_polled: Vec<u64>,
+    not_polled: Vec<ConnectionId>,
     budget: MemoryBudget,
     commands: CommandSender,
     received: Receiver<Command>,
@@ -163,7 +164,7 @@
                 LISTENER => self.accept(),
                 COMMANDS => has_commands = true,
                 Token(token) => {
-                    let conn = token as u64;
+                    let conn = token as ConnectionId;
                     if event.is_writable() {
                         self.flush(conn);
                     }
@@ -195,7 +196,7 @@
     }
 
     /// Accepts all waiting connections, which arrived no earlier than `since`; false if some may be left.
-    fn accept_all(&mut self, since: f64) -> bool {
+    fn accept_all(&mut self, since: UnixMs) -> bool {
         while self.connections.len() < self.max_connections
             && self.accept_paused_until.is_none()
             && let Some(listener) = &self.listener
@@ -223,7 +224,7 @@
     }
 
     /// Begins to serve a connection that arrived no earlier than `since`.
-    fn begin(&mut self, mut stream: TcpStream, since: f64) {
+    fn begin(&mut self, mut stream: TcpStream, since: UnixMs) {
         if let Err(error) = stream.set_nodelay(true) {
             debug!("a client's answers may wait for its acknowledgements: {error}");
         }
@@ -316,7 +317,7 @@
         }
     }
 
-    fn flush(&mut self, conn: u64) {
+    fn flush(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn).filter(|c| !c.unsent.is_empty()) else {
             return;
         };
@@ -337,13 +338,13 @@
         }
     }
 
-    fn peer_ended(&mut self, conn: u64) {
+    fn peer_ended(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.peer_ended = true;
         }
     }
 
-    fn read(&mut self, conn: u64) {
+    fn read(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let is_open = connection.read(conn, self.arrivals.earliest_arrival(), &self.messages);
         if !is_open || connection.is_done_closing() {
@@ -354,7 +355,7 @@
     }
 
     /// Ends a connection, which makes room for another.
-    fn end(&mut self, conn: u64) {
+    fn end(&mut self, conn: ConnectionId) {
         if self.connections.remove(&conn).is_some() {
             self.messages.send(Input::ClientDisconnected { conn });
             self.has_new_room = true;
--- a/crates/mixer/src/client/arrival_times.rs
+++ b/crates/mixer/src/client/arrival_times.rs
@@ -2,6 +2,8 @@
 
 use std::collections::VecDeque;
 
+use crate::clock::UnixMs;
+
 /// Reads that are kept apart. If there are more, the oldest ones are merged.
 const MAX_READS: usize = 32;
 
@@ -10,10 +12,10 @@
     /// The connection's bytes up to this count came with this read or an earlier one.
     up_to: u64,
     /// They arrived no earlier than this.
-    since: f64,
+    since: UnixMs,
 }
 
-/// The reads whose bytes are not consumed yet. Times are milliseconds of one clock.
+/// The reads whose bytes are not consumed yet.
 #[derive(Default)]
 pub(super) struct ArrivalTimes {
     bytes_read: u64,
@@ -23,7 +25,7 @@
 
 impl ArrivalTimes {
     /// Records a read of that many bytes, which arrived no earlier than `since`.
-    pub(super) fn add(&mut self, count: usize, since: f64) {
+    pub(super) fn add(&mut self, count: usize, since: UnixMs) {
         self.bytes_read += count as u64;
         if let Some(last) = self.reads.back_mut().filter(|last| last.since == since) {
             last.up_to = self.bytes_read;
@@ -40,7 +42,7 @@
     }
 
     /// Consumes bytes, at least one; the time before which the last of them did not arrive.
-    pub(super) fn consume(&mut self, count: usize) -> Option<f64> {
+    pub(super) fn consume(&mut self, count: usize) -> Option<UnixMs> {
         self.bytes_consumed = self.bytes_consumed.saturating_add(count as u64).min(self.bytes_read);
         while self.reads.front().is_some_and(|read| read.up_to < self.bytes_consumed) {
             self.reads.pop_front();
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -8,8 +8,9 @@
 use super::arrival_times::ArrivalTimes;
 use crate::buffer::{Buffer, MemoryBudget};
 use crate::client_handle::SharedConnection;
+use crate::clock::UnixMs;
 use crate::http::{Ask, Request, RequestParser};
-use crate::inputs::Input;
+use crate::inputs::{ConnectionId, Input};
 use crate::messages::MessageSender;
 
 /// Bytes that are read and discarded after a connection's last request, so that no reset overtakes its answer. A client that sends
@@ -26,7 +27,7 @@
     /// The connection ends with its answer.
     close: bool,
     /// It arrived no earlier than this.
-    since: f64,
+    since: UnixMs,
 }
 
 /// A connection, as the reading thread holds it.
@@ -38,7 +39,7 @@
     /// The poll reports its events. If not, it is read in every turn.
     pub(super) is_polled: bool,
     /// Bytes may wait to be read, none of which arrived earlier than this.
-    pub(super) unread_since: Option<f64>,
+    pub(super) unread_since: Option<UnixMs>,
     pub(super) parser: RequestParser,
     /// The beginning of a request was reported.
     pub(super) start_reported: bool,
@@ -76,7 +77,7 @@
     pub(super) fn new(
         shared: Arc<SharedConnection>,
         budget: &MemoryBudget,
-        since: f64,
+        since: UnixMs,
         is_polled: bool,
     ) -> Self {
         Self {
@@ -136,7 +137,7 @@
     /// for a client that had disconnected while it waited to be accepted, or for its turn.
     ///
     /// `since`: whatever the poll has found in this turn arrived no earlier.
-    pub(super) fn read(&mut self, conn: u64, since: f64, messages: &MessageSender) -> bool {
+    pub(super) fn read(&mut self, conn: ConnectionId, since: UnixMs, messages: &MessageSender) -> bool {
         let just_accepted = std::mem::take(&mut self.just_accepted);
         self.unread_since.get_or_insert(since);
         if self.peer_ended {
@@ -200,7 +201,7 @@
     }
 
     /// Reads once, and records when the bytes may have arrived.
-    fn fill(&mut self, since: f64) -> io::Result<usize> {
+    fn fill(&mut self, since: UnixMs) -> io::Result<usize> {
         let read = self.buffer.fill(&mut &self.shared.stream);
         match &read {
             Ok(count) => {
@@ -223,7 +224,7 @@
     }
 
     /// Reads and discards one turn's share of what has arrived after the last request; false at the connection's end.
-    fn discard(&mut self, conn: u64, messages: &MessageSender) -> bool {
+    fn discard(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
         let mut discarded = 0;
         while discarded < MAX_DISCARDED_BYTES_PER_TURN {
             let mut bytes = [0; 4096];
@@ -247,7 +248,7 @@
     }
 
     /// Reports once that more arrived after the last answer.
-    fn report_late_data(&mut self, conn: u64, messages: &MessageSender) {
+    fn report_late_data(&mut self, conn: ConnectionId, messages: &MessageSender) {
         if !self.late_data_reported && self.is_finished() {
             self.late_data_reported = true;
             messages.send(Input::DataAfterLastAnswer { conn });
@@ -278,7 +279,7 @@
     }
 
     /// Reports the pending request, with the time that its client still waits; false if there is none.
-    fn report_request(&mut self, conn: u64, messages: &MessageSender) -> bool {
+    fn report_request(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
         let Some(PendingRequest { mut ask, close, since }) = self.pending.take() else { return false };
         if let Ask::Scan(scan) = &mut ask {
             scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
@@ -292,7 +293,7 @@
     }
 
     /// Reports once that more was read behind the open request, whose answer then must not end the connection.
-    fn report_buffered_data(&mut self, conn: u64, messages: &MessageSender) {
+    fn report_buffered_data(&mut self, conn: ConnectionId, messages: &MessageSender) {
         let is_open = self.pending.is_none() && self.awaits_answer();
         let is_new =
             self.discard_limit.is_none() && self.has_buffered_request() && !self.buffered_data_reported;
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -10,6 +10,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 
+use crate::inputs::ConnectionId;
 use crate::stream::write_some;
 
 /// What the service and the reading thread share of a client's connection.
@@ -54,19 +55,19 @@
 pub(crate) enum Command {
     /// Writes the rest of an answer.
     Write {
-        conn: u64,
+        conn: ConnectionId,
         bytes: Vec<u8>,
         /// The connection ends with the answer.
         last: bool,
     },
     /// Reads again, as the answer that the connection waited for is written.
-    Resume(u64),
+    Resume(ConnectionId),
     /// Ends a connection once everything is written.
-    Release(u64),
+    Release(ConnectionId),
     /// Ends a connection once everything that has arrived is read and answered.
-    Close(u64),
+    Close(ConnectionId),
     /// Ends a connection whose client has had its last answer and its time to close.
-    CloseFinished(u64),
+    CloseFinished(ConnectionId),
     StopListening,
 }
 
@@ -84,7 +85,7 @@
     }
 
     /// Has a connection read again in another turn.
-    pub(crate) fn resume(&self, conn: u64) {
+    pub(crate) fn resume(&self, conn: ConnectionId) {
         self.send(Command::Resume(conn));
     }
 
@@ -95,7 +96,7 @@
 
 /// A client's connection as the service holds it. Dropping it releases the connection.
 pub struct ClientHandle {
-    pub(crate) conn: u64,
+    pub(crate) conn: ConnectionId,
     pub(crate) shared: Arc<SharedConnection>,
     pub(crate) commands: CommandSender,
     /// An answer could not be written at once: from then on the reading thread writes.
--- a/crates/mixer/src/clock.rs
+++ b/crates/mixer/src/clock.rs
@@ -2,11 +2,14 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A time in milliseconds since the Unix epoch.
+pub type UnixMs = f64;
+
 /// Reads the system's clock once, and follows the monotonic clock from then on.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    origin_unix_ms: f64,
+    origin_unix_ms: UnixMs,
 }
 
 impl Clock {
@@ -22,13 +25,12 @@
         Self { origin: Instant::now(), origin_unix_ms: unix_time.as_secs_f64() * 1000.0 + offset_ms }
     }
 
-    /// The time in milliseconds since the Unix epoch.
-    pub fn now(&self) -> f64 {
+    pub fn now(&self) -> UnixMs {
         self.origin_unix_ms + self.origin.elapsed().as_secs_f64() * 1000.0
     }
 
     /// The time that is left until `at`, one day at most.
-    pub fn until(&self, at: f64) -> Duration {
+    pub fn until(&self, at: UnixMs) -> Duration {
         const MAX_S: f64 = 86_400.0;
         Duration::from_secs_f64(((at - self.now()) / 1000.0).clamp(0.0, MAX_S))
     }
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -16,7 +16,7 @@
 
 use crate::buffer::{Buffer, MemoryBudget};
 use crate::http::{self, BodyFraming, Chunk};
-use crate::inputs::Input;
+use crate::inputs::{Input, WatchNumber};
 use crate::messages::MessageSender;
 
 /// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no longer trusted, and
@@ -52,14 +52,14 @@
 }
 
 impl WatchStatus {
-    fn is_needed(&self, number: u64) -> bool {
+    fn is_needed(&self, number: WatchNumber) -> bool {
         self.newest.load(Ordering::Acquire) == number || self.active.load(Ordering::Acquire) == number
     }
 }
 
 /// A watch to be started.
 pub struct Watch {
-    pub number: u64,
+    pub number: WatchNumber,
     /// The address of discovery.
     pub addr: SocketAddrV4,
     /// The version of the list that is held, if it is one of this discovery service.
@@ -98,7 +98,7 @@
 
 struct RunningWatch<'a> {
     poll: Poll,
-    number: u64,
+    number: WatchNumber,
     addr: SocketAddrV4,
     index: Option<u64>,
     budget: MemoryBudget,
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -11,6 +11,7 @@
 use pewterwharf_terms::StartupConfig;
 use tracing::{info, warn};
 
+use crate::clock::UnixMs;
 use crate::inputs::Input;
 use crate::messages::MessageSender;
 use crate::reducer::{ListStatus, RecentUsage, Reducer};
@@ -30,7 +31,7 @@
 #[derive(Clone, Copy, PartialEq)]
 struct SharedReport {
     status: LocalStatus,
-    at: f64,
+    at: UnixMs,
 }
 
 /// This mixer's membership in its fleet, if it has one.
@@ -44,8 +45,8 @@
     shared: BTreeMap<SocketAddrV4, SharedReport>,
     shared_list: Option<ListStatus>,
     lost_idle_connections: bool,
-    next_share_at: f64,
-    next_usage_at: f64,
+    next_share_at: UnixMs,
+    next_usage_at: UnixMs,
     /// Scans of each customer, as shared last.
     shared_usage: Vec<usize>,
 }
@@ -109,12 +110,12 @@
     }
 
     /// When [`FleetMember::share`] has to be called again.
-    pub fn next_share_at(&self) -> f64 {
+    pub fn next_share_at(&self) -> UnixMs {
         self.active.as_ref().map_or(f64::INFINITY, |member| member.next_share_at)
     }
 
     /// Shares what is new with the other mixers, if it is time.
-    pub fn share(&mut self, now: f64, reducer: &Reducer) {
+    pub fn share(&mut self, now: UnixMs, reducer: &Reducer) {
         if let Some(member) = self.active.as_mut().filter(|member| now >= member.next_share_at) {
             member.next_share_at = now + SHARE_INTERVAL_MS;
             member.share(now, reducer);
@@ -138,7 +139,7 @@
 }
 
 impl ActiveMember {
-    fn share(&mut self, now: f64, reducer: &Reducer) {
+    fn share(&mut self, now: UnixMs, reducer: &Reducer) {
         let mut reports = Vec::new();
         let shared = self.collect_searchers(now, reducer, &mut reports);
         let list = reducer.list_status();
@@ -174,7 +175,7 @@
     /// Adds reports on the searchers whose state is new or has to be repeated; what is shared of all searchers once they are sent.
     fn collect_searchers(
         &self,
-        now: f64,
+        now: UnixMs,
         reducer: &Reducer,
         reports: &mut Vec<LocalReport>,
     ) -> BTreeMap<SocketAddrV4, SharedReport> {
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -7,43 +7,51 @@
 use pewterwharf_terms::ConfigChange;
 use pewterwharf_terms::list::List;
 
+use crate::clock::UnixMs;
 use crate::frame::Frame;
 use crate::http::Ask;
 
+/// Identifies a client's connection. Ids are assigned in the order in which connections are accepted.
+pub type ConnectionId = u64;
+/// Identifies a link, which is a connection to a searcher.
+pub type LinkId = u64;
+/// The number of a watch. A later watch has a larger number.
+pub type WatchNumber = u64;
+
 /// What happened outside the reducer.
 #[derive(Clone, Debug)]
 pub enum Input {
     ClientConnected {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// A client's request has been read whole. With `close`, the connection ends with its answer.
     Request {
-        conn: u64,
+        conn: ConnectionId,
         ask: Ask,
         close: bool,
     },
     /// More bytes are buffered behind the request that is open, or behind the one that is reported next.
     MoreDataBuffered {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// The first bytes of a request have arrived, but not all of it.
     RequestStarted {
-        conn: u64,
+        conn: ConnectionId,
     },
     ClientDisconnected {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// An answer could not be written at once.
     AnswerDelayed {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// The delayed answer has been written completely.
     AnswerWritten {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// The client still sends after its last answer.
     DataAfterLastAnswer {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// All connections that waited to be accepted are accepted, and no more will be.
     ListenerClosed,
@@ -53,33 +61,33 @@
         out_of_descriptors: bool,
     },
     LinkUp {
-        link: u64,
+        link: LinkId,
     },
     /// A searcher accepts no more bytes for now: whatever waits for the link keeps waiting.
     LinkBlocked {
-        link: u64,
+        link: LinkId,
         /// The searcher accepted some bytes since the last report.
         made_progress: bool,
     },
     /// The searcher accepts bytes again.
     LinkWritable {
-        link: u64,
+        link: LinkId,
     },
     LinkClosed {
-        link: u64,
+        link: LinkId,
         /// Number of frames that were written completely.
         frames_written: u64,
     },
     /// Frames that arrived together on a link.
     Frames {
-        link: u64,
+        link: LinkId,
         frames: Vec<Frame>,
         /// Why nothing after these frames can be read.
         error: Option<String>,
     },
     /// A searcher list that arrived on the watch with this number.
     List {
-        watch: u64,
+        watch: WatchNumber,
         list: List,
     },
     /// The configuration was read again, or the reason why it is unusable.
@@ -98,41 +106,41 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Answer {
-        conn: u64,
+        conn: ConnectionId,
         bytes: Vec<u8>,
         last: bool,
     },
     /// Closes a client's connection once everything that it has sent so far is read and answered.
     CloseClient {
-        conn: u64,
+        conn: ConnectionId,
     },
     /// Releases a connection once all its answers are written.
     ReleaseClient {
-        conn: u64,
+        conn: ConnectionId,
     },
     Connect {
-        link: u64,
+        link: LinkId,
         addr: SocketAddrV4,
     },
     /// Something waits to be written on a link; see [`crate::reducer::Reducer::next_frame`].
     Send {
-        link: u64,
+        link: LinkId,
     },
     /// Tries again to write on a blocked link.
     RetryWrite {
-        link: u64,
+        link: LinkId,
     },
     CloseLink {
-        link: u64,
+        link: LinkId,
     },
     StopListening,
     StartWatch {
-        number: u64,
+        number: WatchNumber,
         addr: SocketAddrV4,
     },
     /// From now on this watch's lists are used.
     WatchActivated {
-        watch: u64,
+        watch: WatchNumber,
     },
     PrintCounters(String),
 }
@@ -145,10 +153,10 @@
     Ready,
     /// The process was asked to end: new connections are served until `listen_until`, and every request taken is answered.
     Draining {
-        listen_until: f64,
+        listen_until: UnixMs,
         listening: bool,
         /// The latest time to exit, as the platform waits no longer.
-        until: f64,
+        until: UnixMs,
     },
     Closed,
 }
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -9,8 +9,8 @@
 use pewterwharf_settings::Settings;
 
 use crate::client_handle::ClientHandle;
-use crate::clock::Clock;
-use crate::inputs::Input;
+use crate::clock::{Clock, UnixMs};
+use crate::inputs::{ConnectionId, Input, LinkId};
 use crate::link::SharedLink;
 
 /// Stack size of the threads. There is one thread of each kind.
@@ -19,17 +19,17 @@
 /// A message of a thread to the service.
 pub(crate) enum Message {
     ClientConnected {
-        at: f64,
-        conn: u64,
+        at: UnixMs,
+        conn: ConnectionId,
         handle: ClientHandle,
     },
     LinkUp {
-        at: f64,
-        link: u64,
+        at: UnixMs,
+        link: LinkId,
         shared: Arc<SharedLink>,
     },
     Input {
-        at: f64,
+        at: UnixMs,
         input: Input,
     },
     /// No route leads to this mixer any more.
@@ -54,11 +54,11 @@
     }
 
     /// The time by the service's clock.
-    pub fn now(&self) -> f64 {
+    pub fn now(&self) -> UnixMs {
         self.clock.now()
     }
 
-    pub fn send_link_up(&self, link: u64, shared: Arc<SharedLink>) {
+    pub fn send_link_up(&self, link: LinkId, shared: Arc<SharedLink>) {
         let at = self.clock.now();
         let _ = self.sender.send(Message::LinkUp { at, link, shared }); // fails once the service has ended
     }
@@ -75,7 +75,7 @@
         let _ = self.sender.send(Message::RoutesWithdrawn); // fails once the service has ended
     }
 
-    pub fn send_client_connected(&self, conn: u64, handle: ClientHandle) {
+    pub fn send_client_connected(&self, conn: ConnectionId, handle: ClientHandle) {
         let at = self.clock.now();
         let _ = self.sender.send(Message::ClientConnected { at, conn, handle }); // fails once the service has ended
     }
--- a/crates/mixer/src/outbox.rs
+++ b/crates/mixer/src/outbox.rs
@@ -3,21 +3,24 @@
 
 use std::collections::{HashSet, VecDeque};
 
+use crate::clock::UnixMs;
+use crate::inputs::LinkId;
+
 /// Writing goes on for this long before inputs are received again, so that what is sent is decided on recent knowledge.
 const WRITE_SLICE_MS: f64 = 5.0;
 /// The write of a frame has to begin this soon after the frame was produced. After that it is produced again.
 const MAX_FRAME_AGE_MS: f64 = 5.0;
 
 /// Whether a frame that was produced at `produced_at` may still begin now.
-pub fn may_begin(produced_at: f64, now: f64) -> bool {
+pub fn may_begin(produced_at: UnixMs, now: UnixMs) -> bool {
     now - produced_at <= MAX_FRAME_AGE_MS
 }
 
 /// Links that have something to write, each once, in the order in which they were added.
 #[derive(Default)]
 pub struct Outbox {
-    queue: VecDeque<u64>,
-    queued: HashSet<u64>,
+    queue: VecDeque<LinkId>,
+    queued: HashSet<LinkId>,
 }
 
 impl Outbox {
@@ -26,14 +29,14 @@
     }
 
     /// Adds a link at the end, unless it is queued already.
-    pub fn add(&mut self, link: u64) {
+    pub fn add(&mut self, link: LinkId) {
         if self.queued.insert(link) {
             self.queue.push_back(link);
         }
     }
 
     /// The link that has waited longest. It stays queued until it is [removed](Self::remove_first).
-    pub fn first(&self) -> Option<u64> {
+    pub fn first(&self) -> Option<LinkId> {
         self.queue.front().copied()
     }
 
@@ -46,16 +49,16 @@
 
 /// The time that a turn has for writing.
 pub struct WriteSlice {
-    began_at: f64,
+    began_at: UnixMs,
 }
 
 impl WriteSlice {
-    pub fn new(now: f64) -> Self {
+    pub fn new(now: UnixMs) -> Self {
         Self { began_at: now }
     }
 
     /// Whether inputs have to be received before more is written.
-    pub fn is_over(&self, now: f64) -> bool {
+    pub fn is_over(&self, now: UnixMs) -> bool {
         now - self.began_at >= WRITE_SLICE_MS
     }
 }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -1,7 +1,7 @@
 //! All state of a mixer and every change to it: inputs in, effects out, no I/O. The reducer owns the scans, their attempts, the
 //! links to searchers and the decision module. It takes none of the decisions that are the module's.
 //!
-//! All times are milliseconds since the Unix epoch by the service's clock (see [`crate::clock`]).
+//! All times are by the service's [clock](crate::clock).
 
 mod attempts;
 mod clients;
@@ -22,11 +22,12 @@
 use pewterwharf_terms::list::List;
 use tracing::{debug, error, info, warn};
 
+use crate::clock::UnixMs;
 use crate::counters::{Counters, TableTypeCounters};
 use crate::http;
-use crate::inputs::{Effect, Input, Phase};
+use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, WatchNumber};
 use rules::Violation;
-use state::{Attempt, AttemptId, Client, Link, Part, Scan, ScheduledTimer, Searcher, Timer};
+use state::{Attempt, AttemptId, Client, Link, Part, PartId, Scan, ScanId, ScheduledTimer, Searcher, Timer};
 
 /// After a warning, further ones are logged at the debug level for this long.
 const WARNING_INTERVAL_MS: f64 = 1000.0;
@@ -57,7 +58,7 @@
 /// An input, its time, and the rank by which the inputs of one step are ordered.
 struct RankedInput {
     rank: u8,
-    at: f64,
+    at: UnixMs,
     input: Input,
 }
 
@@ -68,28 +69,28 @@
     phase: Phase,
     max_clients: usize,
     max_links: usize,
-    clients: BTreeMap<u64, Client>,
-    scans: BTreeMap<u64, Scan>,
+    clients: BTreeMap<ConnectionId, Client>,
+    scans: BTreeMap<ScanId, Scan>,
     open_request_ids: HashSet<String>,
-    parts: HashMap<u64, Part>,
+    parts: HashMap<PartId, Part>,
     attempts: BTreeMap<AttemptId, Attempt>,
     /// By the address under which the decision module knows them.
     searchers: BTreeMap<SocketAddrV4, Searcher>,
     /// The keys of `searchers`.
     keys_by_name: HashMap<String, SocketAddrV4>,
-    links: BTreeMap<u64, Link>,
+    links: BTreeMap<LinkId, Link>,
     list_index: u64,
     /// The list held before the start, until the watch sends one or has sent none for long.
     cached_list: Option<List>,
     /// The watch whose lists are used.
-    active_watch: u64,
-    newest_watch: u64,
+    active_watch: WatchNumber,
+    newest_watch: WatchNumber,
     /// The address of the newest watch.
     discovery: Option<SocketAddrV4>,
     timers: BTreeSet<ScheduledTimer>,
     last_id: u64,
     scan_number: u32,
-    warns_again_at: f64,
+    warns_again_at: UnixMs,
     /// No client waits to be accepted, and none can connect any more.
     listener_closed: bool,
     /// Events that the decision module has not handled yet.
@@ -184,7 +185,7 @@
     }
 
     /// When [`Reducer::step`] has to be called next, if nothing happens before.
-    pub fn next_timer_at(&self) -> Option<f64> {
+    pub fn next_timer_at(&self) -> Option<UnixMs> {
         self.timers.first().map(|scheduled| scheduled.at())
     }
 
@@ -234,7 +235,7 @@
     }
 
     /// Sets the list held before the start. It is applied once the watch has sent the changes since, or nothing for a while.
-    pub fn set_cached_list(&mut self, now: f64, list: List) {
+    pub fn set_cached_list(&mut self, now: UnixMs, list: List) {
         self.cached_list = Some(list);
         self.add_timer(now + CACHED_LIST_DELAY_MS, Timer::CachedList);
     }
@@ -243,8 +244,8 @@
     ///
     /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of clients and links are next:
     /// nothing is sent for a client that has disconnected or on a link that has closed, even if that stands behind other inputs.
-    pub fn step(&mut self, now: f64, inputs: Vec<(f64, Input)>) -> Vec<Effect> {
-        let rank = |(at, input): (f64, Input)| RankedInput { rank: self.rank(&input), at, input };
+    pub fn step(&mut self, now: UnixMs, inputs: Vec<(UnixMs, Input)>) -> Vec<Effect> {
+        let rank = |(at, input): (UnixMs, Input)| RankedInput { rank: self.rank(&input), at, input };
         let mut ranked: Vec<RankedInput> = inputs.into_iter().map(rank).collect();
         ranked.sort_by_key(|ranked| ranked.rank); // stable: inputs of one rank keep their order
         for RankedInput { at, input, .. } in ranked {
@@ -270,7 +271,7 @@
 
     /// Abandons scans whose deadline has passed. The decision module ends its scans before that, which after a pause of the machine
     /// is only now.
-    fn abandon_overdue(&mut self, now: f64, scans: Vec<u64>) {
+    fn abandon_overdue(&mut self, now: UnixMs, scans: Vec<u64>) {
         let still_open: Vec<u64> = scans.into_iter().filter(|scan| self.scans.contains_key(scan)).collect();
         for scan in still_open {
             self.warn(now, "a scan was still open at its time");
@@ -295,7 +296,7 @@
     }
 
     /// Logs a warning. Further ones within a while are logged at the debug level, so that no flood from outside floods the log.
-    fn warn(&mut self, now: f64, line: &str) {
+    fn warn(&mut self, now: UnixMs, line: &str) {
         if now < self.warns_again_at {
             return debug!("{line}");
         }
@@ -339,7 +340,7 @@
         }
     }
 
-    fn add_timer(&mut self, at: f64, timer: Timer) {
+    fn add_timer(&mut self, at: UnixMs, timer: Timer) {
         self.timers.insert(ScheduledTimer::new(at, timer));
     }
 
@@ -348,7 +349,7 @@
         self.last_id
     }
 
-    fn apply(&mut self, now: f64, input: Input) {
+    fn apply(&mut self, now: UnixMs, input: Input) {
         match input {
             Input::ClientConnected { conn } => self.client_connected(now, conn),
             Input::Request { conn, ask, close } => self.receive_request(now, conn, ask, close),
@@ -390,7 +391,7 @@
         }
     }
 
-    fn fire(&mut self, now: f64, timer: Timer) {
+    fn fire(&mut self, now: UnixMs, timer: Timer) {
         match timer {
             Timer::ModuleWakeup => self.events.push(Event::Wake),
             Timer::AttemptTimeout(attempt_id) => self.time_out(now, attempt_id),
@@ -407,7 +408,7 @@
     }
 
     /// Tells the decision module what has happened and carries out its actions, until those cause no new events.
-    fn run_module(&mut self, now: f64) {
+    fn run_module(&mut self, now: UnixMs) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             let mut dispatched: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
@@ -424,7 +425,12 @@
     }
 
     /// Performs an action of the decision module. Dispatches are collected by searcher, as several may be sent in one call.
-    fn perform(&mut self, now: f64, action: Action, dispatched: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>) {
+    fn perform(
+        &mut self,
+        now: UnixMs,
+        action: Action,
+        dispatched: &mut BTreeMap<SocketAddrV4, Vec<AttemptId>>,
+    ) {
         match action {
             Action::Dispatch { part, searcher, timeout_ms } => {
                 if let Some(attempt_id) = self.dispatch(now, part, searcher, timeout_ms) {
@@ -453,7 +459,7 @@
         }
     }
 
-    fn complete_scan(&mut self, now: f64, scan: u64, whole: bool) {
+    fn complete_scan(&mut self, now: UnixMs, scan: ScanId, whole: bool) {
         let Some(query) = self.scans.get(&scan) else { return };
         self.counters.scans_completed += 1;
         self.counters.scans_whole += u64::from(whole);
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -8,15 +8,17 @@
 
 use super::Reducer;
 use super::rules::SendRefusal;
-use super::state::{Attempt, AttemptId, ExpectedAnswer, QueuedFrame, Timer};
+use super::state::{Attempt, AttemptId, ExpectedAnswer, PartId, QueuedFrame, Timer};
+use crate::clock::UnixMs;
 use crate::frame::{Frame, Verdict};
+use crate::inputs::LinkId;
 
 impl Reducer {
     /// Starts an attempt of a part; `None` if it is not to be sent.
     pub(super) fn dispatch(
         &mut self,
-        now: f64,
-        part_id: u64,
+        now: UnixMs,
+        part_id: PartId,
         searcher: SocketAddrV4,
         timeout_ms: f64,
     ) -> Option<AttemptId> {
@@ -63,11 +65,11 @@
     }
 
     /// Queues a call on the first link with room, or on a new one.
-    pub(super) fn queue_call(&mut self, now: f64, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) {
+    pub(super) fn queue_call(&mut self, now: UnixMs, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) {
         let part_names: Vec<&Rc<str>> =
             attempt_ids.iter().filter_map(|id| Some(&self.attempts.get(id)?.part_name)).collect();
         let usable_links = self.usable_links(searcher);
-        let has_room = |id: &&u64| {
+        let has_room = |id: &&LinkId| {
             self.links.get(id).is_some_and(|link| {
                 // An answer to an earlier attempt of a part must not be taken for the answer to this one.
                 let expects_other = |name: &&Rc<str>| {
@@ -97,7 +99,7 @@
         self.enqueue(link_id, QueuedFrame::Call { call, attempt_ids: attempt_ids.to_vec() });
     }
 
-    pub(super) fn time_out(&mut self, now: f64, attempt_id: AttemptId) {
+    pub(super) fn time_out(&mut self, now: UnixMs, attempt_id: AttemptId) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         // An attempt that still waits for its connection was never sent.
         let outcome = if attempt.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::Moot };
@@ -108,7 +110,7 @@
     }
 
     /// Ends an attempt that is no longer waited for, and tells its searcher where the deployment allows that.
-    pub(super) fn cancel_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
+    pub(super) fn cancel_attempt(&mut self, now: UnixMs, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.config.permissions.cancel {
             let link_id = attempt.link;
@@ -118,14 +120,14 @@
         self.end_attempt(now, attempt_id, outcome);
     }
 
-    pub(super) fn end_attempt(&mut self, now: f64, attempt_id: AttemptId, outcome: DispatchOutcome) {
+    pub(super) fn end_attempt(&mut self, now: UnixMs, attempt_id: AttemptId, outcome: DispatchOutcome) {
         self.end_attempt_with_load(now, attempt_id, outcome, None);
     }
 
     /// Records and reports the one outcome of an attempt, with the busy share that its searcher reported.
     fn end_attempt_with_load(
         &mut self,
-        now: f64,
+        now: UnixMs,
         attempt_id: AttemptId,
         outcome: DispatchOutcome,
         busy: Option<f64>,
@@ -170,7 +172,7 @@
         self.events.push(Event::DispatchEnded { part, dispatch: number, searcher, outcome, took_ms, busy });
     }
 
-    pub(super) fn receive_frame(&mut self, now: f64, link_id: u64, frame: Frame) {
+    pub(super) fn receive_frame(&mut self, now: UnixMs, link_id: LinkId, frame: Frame) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.last_received_at = now;
         link.silent = false;
@@ -198,7 +200,7 @@
 
     fn receive_answer(
         &mut self,
-        now: f64,
+        now: UnixMs,
         attempt_id: AttemptId,
         verdict: Verdict,
         value: String,
@@ -216,7 +218,7 @@
         self.end_attempt_with_load(now, attempt_id, outcome, busy);
     }
 
-    fn receive_probe_answer(&mut self, now: f64, link_id: u64, verdict: Option<Verdict>) {
+    fn receive_probe_answer(&mut self, now: UnixMs, link_id: LinkId, verdict: Option<Verdict>) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(probe) = link.probes.pop_front() else {
             self.counters.answers_stale += 1;
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -5,10 +5,11 @@
 
 use super::Reducer;
 use super::rules::{self, ClientCloseReason, Violation};
-use super::state::{Client, ClientState, Part, Scan, Timer};
+use super::state::{Client, ClientState, Part, PartId, Scan, ScanId, Timer};
+use crate::clock::UnixMs;
 use crate::counters::TableTypeCounters;
 use crate::http::{self, Ask, PartAsk, ScanAsk};
-use crate::inputs::{Effect, Phase};
+use crate::inputs::{ConnectionId, Effect, Phase};
 
 /// The protocol's time after which a client without an open request may be disconnected. A client that has begun a request must
 /// have sent all of it by then.
@@ -32,7 +33,7 @@
 }
 
 impl Reducer {
-    pub(super) fn client_connected(&mut self, now: f64, conn: u64) {
+    pub(super) fn client_connected(&mut self, now: UnixMs, conn: ConnectionId) {
         self.counters.clients_accepted += 1;
         self.clients.insert(conn, Client::new(now));
         self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
@@ -46,7 +47,7 @@
         }
     }
 
-    pub(super) fn request_started(&mut self, now: f64, conn: u64) {
+    pub(super) fn request_started(&mut self, now: UnixMs, conn: ConnectionId) {
         let is_open = |c: &&mut Client| c.scan.is_none() && c.state != ClientState::Finished;
         if let Some(client) = self.clients.get_mut(&conn).filter(is_open) {
             client.state = ClientState::AwaitingRequest;
@@ -55,13 +56,13 @@
         }
     }
 
-    pub(super) fn more_data_buffered(&mut self, conn: u64) {
+    pub(super) fn more_data_buffered(&mut self, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.has_buffered_data = true;
         }
     }
 
-    fn start_idle_timer(&mut self, now: f64, conn: u64) {
+    fn start_idle_timer(&mut self, now: UnixMs, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn).filter(|c| !c.idle_timer_set) {
             client.idle_timer_set = true;
             self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
@@ -69,7 +70,7 @@
     }
 
     /// Answers a client whose request is not complete in time. An idle client is closed once half of the places are taken.
-    pub(super) fn check_idle_client(&mut self, now: f64, conn: u64) {
+    pub(super) fn check_idle_client(&mut self, now: UnixMs, conn: ConnectionId) {
         let crowded = 2 * self.clients.len() > self.max_clients;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.idle_timer_set = false;
@@ -94,7 +95,7 @@
     }
 
     /// Answers a client whose request is not complete in time.
-    pub(super) fn answer_incomplete_request(&mut self, now: f64, conn: u64) {
+    pub(super) fn answer_incomplete_request(&mut self, now: UnixMs, conn: ConnectionId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.close_after_answer = true;
         self.counters.clients_slow += 1;
@@ -103,7 +104,7 @@
 
     /// Closes the least important client: one that has had its last answer, else one that has sent no request in time, else an idle
     /// one, else one that has just connected. Among these, the one that has been in its state for longest.
-    pub(super) fn make_room(&mut self, now: f64) {
+    pub(super) fn make_room(&mut self, now: UnixMs) {
         let candidates = self.clients.iter().filter(|(_, c)| c.scan.is_none() && !c.closing);
         let rank = |c: &Client| match c.state {
             ClientState::Finished => 0,
@@ -124,7 +125,7 @@
     }
 
     /// Closes a client's connection if the rules allow it now. Requests that it has sent by then are still read and answered.
-    pub(super) fn close_client(&mut self, now: f64, conn: u64, reason: ClientCloseReason) {
+    pub(super) fn close_client(&mut self, now: UnixMs, conn: ConnectionId, reason: ClientCloseReason) {
         let draining = self.is_draining();
         let Some(client) = self.clients.get_mut(&conn) else { return };
         if !rules::may_close_client(client, reason, draining, now) {
@@ -143,7 +144,7 @@
         self.effects.push(Effect::CloseClient { conn });
     }
 
-    pub(super) fn client_disconnected(&mut self, now: f64, conn: u64) {
+    pub(super) fn client_disconnected(&mut self, now: UnixMs, conn: ConnectionId) {
         let Some(client) = self.clients.get(&conn) else { return };
         let scan = client.scan;
         self.clients.remove(&conn);
@@ -160,7 +161,7 @@
         }
     }
 
-    pub(super) fn receive_request(&mut self, now: f64, conn: u64, ask: Ask, close: bool) {
+    pub(super) fn receive_request(&mut self, now: UnixMs, conn: ConnectionId, ask: Ask, close: bool) {
         let is_open = |c: &&mut Client| c.state != ClientState::Finished && c.scan.is_none();
         let Some(client) = self.clients.get_mut(&conn).filter(is_open) else { return };
         client.close_after_answer |= close;
@@ -176,7 +177,7 @@
         }
     }
 
-    fn answer_page(&mut self, now: f64, conn: u64, page: &Ask) {
+    fn answer_page(&mut self, now: UnixMs, conn: ConnectionId, page: &Ask) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.unusable_requests = 0;
         }
@@ -213,7 +214,7 @@
         Ok(ScanIds { table_type, customer })
     }
 
-    fn reject_request(&mut self, now: f64, conn: u64, rejection: &Rejection) {
+    fn reject_request(&mut self, now: UnixMs, conn: ConnectionId, rejection: &Rejection) {
         let Rejection { status, reason } = rejection;
         self.counters.requests_unusable += 1;
         debug!("a request was answered {status}: {reason}");
@@ -224,7 +225,7 @@
     }
 
     /// Takes a scan, or answers it at once if it can't be taken now.
-    fn receive_scan(&mut self, now: f64, conn: u64, scan: ScanAsk, ids: &ScanIds) {
+    fn receive_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanAsk, ids: &ScanIds) {
         self.counters.scans_taken += 1;
         self.counters.by_type[ids.table_type].taken += 1;
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -248,7 +249,7 @@
         self.start_scan(now, conn, scan, ids);
     }
 
-    fn start_scan(&mut self, now: f64, conn: u64, scan: ScanAsk, ids: &ScanIds) {
+    fn start_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanAsk, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
@@ -296,12 +297,12 @@
     /// Adds one part of a scan, and returns the part's id.
     fn start_part(
         &mut self,
-        scan_id: u64,
+        scan_id: ScanId,
         scan_number: u32,
         request_id: &str,
         part: &PartAsk,
-        repeat_until: f64,
-    ) -> u64 {
+        repeat_until: UnixMs,
+    ) -> PartId {
         let id = self.next_id();
         self.events.push(Event::Part { id, number: scan_number, shard: part.shard, weight: part.weight });
         let added = Part {
@@ -321,8 +322,8 @@
     /// Gives a scan its final answer.
     pub(super) fn answer_scan(
         &mut self,
-        now: f64,
-        scan: u64,
+        now: UnixMs,
+        scan: ScanId,
         status: u16,
         retry_after_ms: Option<f64>,
         body: &[u8],
@@ -340,7 +341,7 @@
     }
 
     /// Adds one to a count of the scan's table type.
-    pub(super) fn count_for_type(&mut self, scan: u64, count: fn(&mut TableTypeCounters) -> &mut u64) {
+    pub(super) fn count_for_type(&mut self, scan: ScanId, count: fn(&mut TableTypeCounters) -> &mut u64) {
         let table_type = self.scans.get(&scan).map(|s| s.table_type);
         if let Some(counts) = table_type.and_then(|table_type| self.counters.by_type.get_mut(table_type)) {
             *count(counts) += 1;
@@ -348,7 +349,7 @@
     }
 
     /// Removes a scan and its parts. Its open attempts end by themselves.
-    fn remove_scan(&mut self, scan: u64) {
+    fn remove_scan(&mut self, scan: ScanId) {
         let Some(scan) = self.scans.remove(&scan) else { return };
         self.open_request_ids.remove(&scan.request_id);
         for id in scan.parts {
@@ -356,7 +357,14 @@
         }
     }
 
-    fn answer(&mut self, now: f64, conn: u64, status: u16, retry_after_ms: Option<f64>, body: &[u8]) {
+    fn answer(
+        &mut self,
+        now: UnixMs,
+        conn: ConnectionId,
+        status: u16,
+        retry_after_ms: Option<f64>,
+        body: &[u8],
+    ) {
         let drain_serves_until = self.drain_serves_until(now);
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let was_awaited = std::mem::take(&mut client.awaits_answer);
@@ -381,13 +389,13 @@
     }
 
     /// An answer is still being written: its client's time to close begins once that is done.
-    pub(super) fn answer_delayed(&mut self, conn: u64) {
+    pub(super) fn answer_delayed(&mut self, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.answer_delayed = true;
         }
     }
 
-    pub(super) fn answer_written(&mut self, now: f64, conn: u64) {
+    pub(super) fn answer_written(&mut self, now: UnixMs, conn: ConnectionId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.answer_delayed = false;
         client.state_since = now;
@@ -396,7 +404,7 @@
         }
     }
 
-    pub(super) fn data_after_last_answer(&mut self, conn: u64) {
+    pub(super) fn data_after_last_answer(&mut self, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.still_sends = true;
         }
@@ -404,7 +412,7 @@
 
     /// Closes the connection of a client that has had its last answer and its time to close. While draining, a client that still
     /// sends may stay until it closes, or until the end.
-    pub(super) fn close_finished_client(&mut self, now: f64, conn: u64) {
+    pub(super) fn close_finished_client(&mut self, now: UnixMs, conn: ConnectionId) {
         self.close_client(now, conn, ClientCloseReason::LastAnswerGiven);
     }
 }
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -5,12 +5,13 @@
 
 use super::Reducer;
 use super::rules::{self, ClientCloseReason, DrainTimes};
-use super::state::{Client, ClientState, Timer};
-use crate::inputs::{Effect, Phase};
+use super::state::{Client, ClientState, ScanId, Timer};
+use crate::clock::UnixMs;
+use crate::inputs::{ConnectionId, Effect, Phase};
 
 impl Reducer {
     /// Until when buffered requests are served, if the mixer drains.
-    pub(super) fn drain_serves_until(&self, now: f64) -> Option<f64> {
+    pub(super) fn drain_serves_until(&self, now: UnixMs) -> Option<UnixMs> {
         match self.phase {
             Phase::Starting | Phase::Ready => None,
             Phase::Draining { listen_until, until, .. } => {
@@ -21,7 +22,7 @@
     }
 
     /// When everything has to be answered, if the mixer drains.
-    pub(super) fn drain_answers_until(&self) -> Option<f64> {
+    pub(super) fn drain_answers_until(&self) -> Option<UnixMs> {
         match self.phase {
             Phase::Draining { until, .. } => Some(rules::drain_answers_until(until)),
             _ => None,
@@ -33,7 +34,7 @@
     }
 
     /// Begins to drain. A second request to stop ends all open queries at once.
-    pub(super) fn stop(&mut self, now: f64) {
+    pub(super) fn stop(&mut self, now: UnixMs) {
         match self.phase {
             Phase::Closed => {}
             Phase::Draining { .. } => {
@@ -53,7 +54,7 @@
         }
     }
 
-    fn abandon_all(&mut self, now: f64) {
+    fn abandon_all(&mut self, now: UnixMs) {
         for scan in self.scans.keys().copied().collect::<Vec<_>>() {
             self.counters.scans_abandoned += 1;
             self.count_for_type(scan, |counts| &mut counts.abandoned);
@@ -63,9 +64,9 @@
     }
 
     /// Brings the deadline of all queries forward to `until`.
-    fn end_queries_by(&mut self, until: f64) {
+    fn end_queries_by(&mut self, until: UnixMs) {
         let later = self.scans.iter().filter(|(_, query)| query.deadline_at > until);
-        let later: Vec<u64> = later.map(|(id, _)| *id).collect();
+        let later: Vec<ScanId> = later.map(|(id, _)| *id).collect();
         for scan in later {
             self.add_timer(until, Timer::ScanDeadline(scan));
         }
@@ -73,7 +74,7 @@
 
     /// Takes the next steps of draining that are due. The process ends once no new connections can come and every request taken is
     /// answered.
-    pub(super) fn continue_drain(&mut self, now: f64) {
+    pub(super) fn continue_drain(&mut self, now: UnixMs) {
         let Phase::Draining { listen_until, listening, until } = self.phase else { return };
         if now < listen_until {
             return;
@@ -102,7 +103,7 @@
     }
 
     /// When the process may end if nothing more happens.
-    fn drain_ends_at(&self, listen_until: f64, until: f64) -> f64 {
+    fn drain_ends_at(&self, listen_until: UnixMs, until: UnixMs) -> UnixMs {
         if !self.listener_closed {
             return until; // clients may still wait to be accepted
         }
@@ -114,11 +115,11 @@
     }
 
     /// Answers clients whose requests are incomplete, as the platform waits no longer.
-    fn answer_incomplete_requests(&mut self, now: f64) {
+    fn answer_incomplete_requests(&mut self, now: UnixMs) {
         let is_incomplete =
             |client: &Client| client.state == ClientState::AwaitingRequest && client.scan.is_none();
         let clients = self.clients.iter().filter(|(_, client)| is_incomplete(client));
-        let conns: Vec<u64> = clients.map(|(conn, _)| *conn).collect();
+        let conns: Vec<ConnectionId> = clients.map(|(conn, _)| *conn).collect();
         for conn in conns {
             self.answer_incomplete_request(now, conn);
         }
@@ -127,10 +128,10 @@
     /// Closes the connections of clients that wait for nothing. Those that have just connected or are sending a request are closed
     /// only with `include_awaiting`, at the end of listening: while clients may still connect, no new connection is closed without
     /// an answer.
-    fn close_idle_clients(&mut self, now: f64, include_awaiting: bool) {
+    fn close_idle_clients(&mut self, now: UnixMs, include_awaiting: bool) {
         let is_due = |client: &Client| include_awaiting || client.state == ClientState::Idle;
         let clients = self.clients.iter().filter(|(_, client)| is_due(client));
-        let conns: Vec<u64> = clients.map(|(conn, _)| *conn).collect();
+        let conns: Vec<ConnectionId> = clients.map(|(conn, _)| *conn).collect();
         for conn in conns {
             self.close_client(now, conn, ClientCloseReason::Draining);
         }
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -8,9 +8,10 @@
 
 use super::Reducer;
 use super::rules::{self, LinkCloseReason, SendRefusal, SendRequest, Violation};
-use super::state::{AttemptId, LinkState, QueuedFrame, Timer};
+use super::state::{AttemptId, CallId, LinkState, QueuedFrame, Timer};
+use crate::clock::UnixMs;
 use crate::frame::{self, CallPart};
-use crate::inputs::Effect;
+use crate::inputs::{ConnectionId, Effect, LinkId};
 
 /// The first delay after which a write on a blocked link is tried again. It doubles each time. The reading thread reports that a
 /// link is writable again, but not that a write failed for a moment.
@@ -21,7 +22,7 @@
 pub struct OutgoingFrame {
     pub bytes: Vec<u8>,
     /// The clients that it is sent for. Writing must not begin once one of them has disconnected.
-    pub clients: Vec<u64>,
+    pub clients: Vec<ConnectionId>,
 }
 
 impl OutgoingFrame {
@@ -32,7 +33,7 @@
 
 impl Reducer {
     /// Queues a frame on a link.
-    pub(super) fn enqueue(&mut self, link_id: u64, queued: QueuedFrame) {
+    pub(super) fn enqueue(&mut self, link_id: LinkId, queued: QueuedFrame) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         match queued {
             // Written before new calls, as it frees capacity of the searcher.
@@ -50,7 +51,12 @@
     ///
     /// The first byte has to be written at once, as the frame states the time left at `now`, and only while none of its clients has
     /// disconnected. Otherwise the frame has to be [returned](Self::return_frame).
-    pub fn next_frame(&mut self, now: f64, link_id: u64, disconnected: &[u64]) -> Option<OutgoingFrame> {
+    pub fn next_frame(
+        &mut self,
+        now: UnixMs,
+        link_id: LinkId,
+        disconnected: &[ConnectionId],
+    ) -> Option<OutgoingFrame> {
         loop {
             let link = self.links.get_mut(&link_id)?;
             let queued = match link.state {
@@ -83,7 +89,7 @@
     }
 
     /// Returns the frame that was handed out last for a link and of which no byte was written. It is queued again.
-    pub fn return_frame(&mut self, link_id: u64) {
+    pub fn return_frame(&mut self, link_id: LinkId) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(queued) = link.last_frame.take() else { return };
         link.frames_begun -= 1;
@@ -113,7 +119,7 @@
     }
 
     /// A searcher accepts no more bytes. If that lasts for the connect timeout, its link is closed.
-    pub(super) fn link_blocked(&mut self, now: f64, link_id: u64, made_progress: bool) {
+    pub(super) fn link_blocked(&mut self, now: UnixMs, link_id: LinkId, made_progress: bool) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let still_blocked = link.blocked_since.is_some() && !made_progress;
         link.write_retry_ms = if still_blocked { 2.0 * link.write_retry_ms } else { FIRST_WRITE_RETRY_MS };
@@ -131,19 +137,19 @@
         self.add_timer(retry_at, Timer::LinkWriteRetry(link_id));
     }
 
-    pub(super) fn retry_blocked(&mut self, link_id: u64) {
+    pub(super) fn retry_blocked(&mut self, link_id: LinkId) {
         if self.links.get(&link_id).is_some_and(|link| link.blocked_since.is_some()) {
             self.effects.push(Effect::RetryWrite { link: link_id });
         }
     }
 
-    pub(super) fn link_writable(&mut self, link_id: u64) {
+    pub(super) fn link_writable(&mut self, link_id: LinkId) {
         if let Some(link) = self.links.get_mut(&link_id) {
             link.blocked_since = None;
         }
     }
 
-    pub(super) fn close_if_stuck(&mut self, now: f64, link_id: u64) {
+    pub(super) fn close_if_stuck(&mut self, now: UnixMs, link_id: LinkId) {
         let since = self.links.get(&link_id).and_then(|link| link.blocked_since);
         if since.is_some_and(|since| now >= since + self.config.connect_timeout_ms) {
             self.close_link(link_id, LinkCloseReason::Stuck);
@@ -153,11 +159,11 @@
     /// The attempts of a call that may be sent now, marked as sent. The others end unsent.
     fn take_sendable(
         &mut self,
-        now: f64,
-        link_id: u64,
-        call: u64,
+        now: UnixMs,
+        link_id: LinkId,
+        call: CallId,
         attempt_ids: Vec<AttemptId>,
-        disconnected: &[u64],
+        disconnected: &[ConnectionId],
     ) -> Vec<AttemptId> {
         let is_open = |id: &AttemptId| self.attempts.get(id).is_some_and(|attempt| attempt.call == call);
         let open: Vec<AttemptId> = attempt_ids.into_iter().filter(is_open).collect();
@@ -175,7 +181,7 @@
     }
 
     /// The frame of a call with these attempts; `None` if there are none.
-    fn call_frame(&self, now: f64, attempt_ids: &[AttemptId]) -> Option<OutgoingFrame> {
+    fn call_frame(&self, now: UnixMs, attempt_ids: &[AttemptId]) -> Option<OutgoingFrame> {
         let call_part = |id: &AttemptId| {
             let attempt = self.attempts.get(id)?;
             let part = self.parts.get(&id.part)?;
@@ -188,16 +194,16 @@
             return None;
         }
         let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.part)?.scan)?.conn);
-        let clients: BTreeSet<u64> = attempt_ids.iter().filter_map(client).collect();
+        let clients: BTreeSet<ConnectionId> = attempt_ids.iter().filter_map(client).collect();
         Some(OutgoingFrame { bytes: frame::encode_call(&call_parts), clients: clients.into_iter().collect() })
     }
 
     fn may_send(
         &self,
-        now: f64,
-        link_id: u64,
+        now: UnixMs,
+        link_id: LinkId,
         attempt_id: AttemptId,
-        disconnected: &[u64],
+        disconnected: &[ConnectionId],
     ) -> Result<(), SendRefusal> {
         let attempt = self.attempts.get(&attempt_id).ok_or(SendRefusal::QueryOver)?;
         let link = self.links.get(&link_id).ok_or(SendRefusal::SearcherNotReady)?;
@@ -216,7 +222,7 @@
     }
 
     /// Records that an attempt is sent with the next frame of a link.
-    fn mark_sent(&mut self, now: f64, link_id: u64, attempt_id: AttemptId) {
+    fn mark_sent(&mut self, now: UnixMs, link_id: LinkId, attempt_id: AttemptId) {
         let frame = self.links.get(&link_id).map(|link| link.frames_begun);
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return };
         attempt.frame = frame;
@@ -238,7 +244,7 @@
     }
 
     /// Ends an attempt that is not sent, and counts the reason.
-    pub(super) fn refuse_send(&mut self, now: f64, attempt_id: AttemptId, refusal: SendRefusal) {
+    pub(super) fn refuse_send(&mut self, now: UnixMs, attempt_id: AttemptId, refusal: SendRefusal) {
         let count = match refusal {
             SendRefusal::QueryOver => &mut self.counters.sends_refused_query_over,
             SendRefusal::ClientLeft => &mut self.counters.sends_refused_client_left,
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -9,15 +9,16 @@
 use super::Reducer;
 use super::rules::{self, LinkCloseReason};
 use super::state::{AttemptId, ExpectedAnswer, Link, LinkState, Probe, QueuedFrame, Timer};
+use crate::clock::UnixMs;
 use crate::frame;
-use crate::inputs::Effect;
+use crate::inputs::{Effect, LinkId};
 
 /// A link is closed here after this share of the time after which searchers close idle connections, so that no call meets a close.
 const IDLE_SHARE: f64 = 0.8;
 
 impl Reducer {
     /// Closes a link after an unusable frame.
-    pub(super) fn reject_frame(&mut self, now: f64, link_id: u64, reason: &str) {
+    pub(super) fn reject_frame(&mut self, now: UnixMs, link_id: LinkId, reason: &str) {
         self.counters.frames_bad += 1;
         if let Some(link) = self.links.get(&link_id) {
             let line = format!("a link to {} is closed after {reason}", link.addr);
@@ -26,7 +27,7 @@
         self.close_link(link_id, LinkCloseReason::Unusable);
     }
 
-    pub(super) fn probe(&mut self, now: f64, searcher: SocketAddrV4) {
+    pub(super) fn probe(&mut self, now: UnixMs, searcher: SocketAddrV4) {
         self.counters.probes += 1;
         let usable_link = self.usable_links(searcher).first().copied();
         let Some(link_id) = usable_link.or_else(|| self.connect(now, searcher)) else {
@@ -40,7 +41,7 @@
         self.enqueue(link_id, QueuedFrame::Probe);
     }
 
-    pub(super) fn time_out_probe(&mut self, now: f64, link_id: u64, number: u64) {
+    pub(super) fn time_out_probe(&mut self, now: UnixMs, link_id: LinkId, number: u64) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(probe) = link.probes.iter_mut().find(|p| p.number == number && !p.reported) else { return };
         probe.reported = true;
@@ -55,7 +56,7 @@
     /// Marks a link as silent if nothing has arrived since something was sent that timed out. It may have been cut off without a
     /// close, and the system would keep it for as long as it retransmits. Other links are opened, and this one closes once nothing
     /// is open on it.
-    pub(super) fn check_silent(&mut self, link_id: u64, sent_at: f64) {
+    pub(super) fn check_silent(&mut self, link_id: LinkId, sent_at: UnixMs) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.silent |= link.state == LinkState::Up && link.last_received_at < sent_at;
         if link.silent {
@@ -70,7 +71,7 @@
     }
 
     /// The links to a searcher on which new calls and probes may be sent.
-    pub(super) fn usable_links(&self, searcher: SocketAddrV4) -> Vec<u64> {
+    pub(super) fn usable_links(&self, searcher: SocketAddrV4) -> Vec<LinkId> {
         let Some(searcher) = self.searchers.get(&searcher) else { return Vec::new() };
         let is_usable =
             |link: &Link| link.state != LinkState::Closing && !link.silent && link.addr == searcher.addr;
@@ -78,7 +79,7 @@
     }
 
     /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is none.
-    pub(super) fn connect(&mut self, now: f64, searcher: SocketAddrV4) -> Option<u64> {
+    pub(super) fn connect(&mut self, now: UnixMs, searcher: SocketAddrV4) -> Option<LinkId> {
         let addr = self.searchers.get(&searcher)?.addr;
         if self.links.len() >= self.max_links {
             let idle = self.links.iter().find(|(_, link)| link.is_idle()).map(|(id, _)| *id);
@@ -112,7 +113,7 @@
         Some(link_id)
     }
 
-    pub(super) fn link_up(&mut self, now: f64, link_id: u64) {
+    pub(super) fn link_up(&mut self, now: UnixMs, link_id: LinkId) {
         self.counters.links_opened += 1;
         let Some(link) = self.links.get_mut(&link_id) else { return };
         if link.state == LinkState::Opening {
@@ -125,7 +126,7 @@
     }
 
     /// Starts the idle timer of a link that has become idle, or closes the link if it must not be used again.
-    pub(super) fn check_idle(&mut self, now: f64, link_id: u64) {
+    pub(super) fn check_idle(&mut self, now: UnixMs, link_id: LinkId) {
         let Some(link) = self.links.get_mut(&link_id).filter(|link| link.open_calls.is_empty()) else {
             return;
         };
@@ -144,7 +145,7 @@
         }
     }
 
-    pub(super) fn close_if_idle(&mut self, now: f64, link_id: u64) {
+    pub(super) fn close_if_idle(&mut self, now: UnixMs, link_id: LinkId) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.idle_timer_set = false;
         let until = link.idle_since + IDLE_SHARE * self.config.idle_close_ms;
@@ -156,7 +157,7 @@
         }
     }
 
-    pub(super) fn close_link(&mut self, link_id: u64, reason: LinkCloseReason) {
+    pub(super) fn close_link(&mut self, link_id: LinkId, reason: LinkCloseReason) {
         let may_close = |link: &&mut Link| rules::may_close_link(link, reason);
         let Some(link) = self.links.get_mut(&link_id).filter(may_close) else { return };
         link.state = LinkState::Closing;
@@ -176,7 +177,7 @@
     }
 
     /// The frame of the probe that has waited longest on a link; `None` if no probe is waited for any more.
-    pub(super) fn probe_frame(&mut self, link_id: u64) -> Option<Vec<u8>> {
+    pub(super) fn probe_frame(&mut self, link_id: LinkId) -> Option<Vec<u8>> {
         let link = self.links.get_mut(&link_id)?;
         link.probes.retain(|p| p.frame.is_some() || !p.reported);
         let probe = link.probes.iter_mut().find(|p| p.frame.is_none())?;
@@ -185,7 +186,7 @@
     }
 
     /// Ends everything that is open on a closed link. An attempt may have run only if its frame was written completely.
-    pub(super) fn link_closed(&mut self, now: f64, link_id: u64, frames_written: u64) {
+    pub(super) fn link_closed(&mut self, now: UnixMs, link_id: LinkId, frames_written: u64) {
         let failed = self.links.get(&link_id).is_some_and(|link| link.state == LinkState::Opening);
         self.counters.links_failed += u64::from(failed);
         self.close_link(link_id, LinkCloseReason::Ended);
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -11,7 +11,8 @@
 use super::Reducer;
 use super::rules::LinkCloseReason;
 use super::state::Searcher;
-use crate::inputs::{Effect, Phase};
+use crate::clock::UnixMs;
+use crate::inputs::{Effect, Phase, WatchNumber};
 
 /// How a list relates to the one that is held.
 #[derive(Clone, Copy, PartialEq)]
@@ -26,14 +27,14 @@
 
 /// A searcher's process that was reported to drain or to be gone.
 struct Departure {
-    started_at: f64,
+    started_at: UnixMs,
     life: SearcherStatus,
 }
 
 impl Reducer {
     /// Handles a list from a watch. It is ignored if a newer watch has sent one (which may number its versions differently), or if
     /// its watch was replaced before it sent any.
-    pub(super) fn receive_list(&mut self, now: f64, watch: u64, list: List) {
+    pub(super) fn receive_list(&mut self, now: UnixMs, watch: WatchNumber, list: List) {
         if watch != self.active_watch && watch != self.newest_watch {
             self.counters.lists_late += 1;
             return;
@@ -58,14 +59,14 @@
     }
 
     /// Applies the list held before the start, unless a newer one has arrived.
-    pub(super) fn use_cached_list(&mut self, now: f64) {
+    pub(super) fn use_cached_list(&mut self, now: UnixMs) {
         if let Some(list) = self.cached_list.take() {
             self.apply_list(now, list, ListKind::Cached, ListAge::Newer);
         }
     }
 
     /// Applies a new configuration: a new place of discovery at once, anything else at the next start.
-    pub(super) fn reload_config(&mut self, now: f64, change: Result<ConfigChange, String>) {
+    pub(super) fn reload_config(&mut self, now: UnixMs, change: Result<ConfigChange, String>) {
         let change = match change {
             Ok(change) => change,
             Err(reason) => {
@@ -85,7 +86,7 @@
         }
     }
 
-    fn apply_list(&mut self, now: f64, list: List, kind: ListKind, age: ListAge) {
+    fn apply_list(&mut self, now: UnixMs, list: List, kind: ListKind, age: ListAge) {
         self.counters.lists += 1;
         self.counters.list_entries_bad += list.bad.len() as u64;
         self.list_index = if age == ListAge::Older { self.list_index } else { list.index };
@@ -133,7 +134,7 @@
     }
 
     /// Ends the attempts that still wait for a connection to a searcher that takes no new calls.
-    fn end_unsent_to_departed(&mut self, now: f64) {
+    fn end_unsent_to_departed(&mut self, now: UnixMs) {
         let unsent = self.attempts.iter().filter(|(_, attempt)| attempt.frame.is_none());
         let to_departed = unsent.filter(|(_, attempt)| {
             self.searchers
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -10,6 +10,8 @@
 
 use super::state::{Client, ClientState, Link, LinkState, Part, Searcher};
 
+use crate::clock::UnixMs;
+
 /// A draining mixer serves new connections for this long. Clients may still open some for 0.4 s.
 pub(super) const LISTEN_MS: f64 = 600.0;
 /// Time that a client has to close its connection after its last answer.
@@ -79,7 +81,7 @@
     /// The number of the attempt among those of its part.
     pub(super) number: u8,
     /// Until when its answer is waited for.
-    pub(super) wait_until: f64,
+    pub(super) wait_until: UnixMs,
     /// The number of attempts that the deployment allows for a part.
     pub(super) max_attempts: u32,
     pub(super) searcher: Option<&'a Searcher>,
@@ -87,7 +89,7 @@
 }
 
 /// Whether an attempt may be sent now.
-pub(super) fn may_send(request: &SendRequest, now: f64) -> Result<(), SendRefusal> {
+pub(super) fn may_send(request: &SendRequest, now: UnixMs) -> Result<(), SendRefusal> {
     let part = request.part;
     if u32::from(request.number) >= request.max_attempts {
         return Err(SendRefusal::AttemptsUsedUp);
@@ -137,7 +139,12 @@
 }
 
 /// Whether a client's connection may be closed now for that reason. A client with an open scan may not.
-pub(super) fn may_close_client(client: &Client, reason: ClientCloseReason, draining: bool, now: f64) -> bool {
+pub(super) fn may_close_client(
+    client: &Client,
+    reason: ClientCloseReason,
+    draining: bool,
+    now: UnixMs,
+) -> bool {
     if client.scan.is_some() {
         return false;
     }
@@ -158,12 +165,12 @@
 const SERVE_BUFFERED_MS: f64 = 1000.0;
 
 /// Until when the buffered requests of a client are served whose connection begins to close at `now`.
-pub(super) fn serves_buffered_until(now: f64) -> f64 {
+pub(super) fn serves_buffered_until(now: UnixMs) -> UnixMs {
     now + SERVE_BUFFERED_MS
 }
 
 /// The same for all clients of a draining mixer: half of the time up to its end. The other half is for reading the answers.
-pub(super) fn drain_serves_buffered_until(listen_until: f64, until: f64) -> f64 {
+pub(super) fn drain_serves_buffered_until(listen_until: UnixMs, until: UnixMs) -> UnixMs {
     let began_at = listen_until - LISTEN_MS;
     began_at + (until - began_at) / 2.0
 }
@@ -172,33 +179,33 @@
 const MAX_BUFFERED_REFUSED: u32 = 16;
 
 /// Until when the buffered requests of a client are served, if the mixer drains or the connection is closing.
-pub(super) fn serves_until(client: &Client, drain_serves_until: Option<f64>) -> Option<f64> {
+pub(super) fn serves_until(client: &Client, drain_serves_until: Option<UnixMs>) -> Option<UnixMs> {
     drain_serves_until.into_iter().chain(client.serves_buffered_until).reduce(f64::min)
 }
 
 /// Whether an answer to a client ends its connection. While the mixer drains (`drain_serves_until` is given) or the connection is
 /// closing, requests that were read already are answered first: served for a while, then some of them refused.
-pub(super) fn is_last_answer(client: &Client, drain_serves_until: Option<f64>, now: f64) -> bool {
+pub(super) fn is_last_answer(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     let Some(until) = serves_until(client, drain_serves_until) else { return client.close_after_answer };
     let is_flooding = now >= until && client.buffered_refused >= MAX_BUFFERED_REFUSED;
     client.close_after_answer || !client.has_buffered_data || is_flooding
 }
 
 /// Whether a query is refused because more requests are buffered behind it and the time to serve those is over.
-pub(super) fn is_buffered_refused(client: &Client, drain_serves_until: Option<f64>, now: f64) -> bool {
+pub(super) fn is_buffered_refused(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     client.has_buffered_data && serves_until(client, drain_serves_until).is_some_and(|until| now >= until)
 }
 
 /// The schedule of a drain.
 pub(super) struct DrainTimes {
     /// Until when new connections are served.
-    pub(super) listen_until: f64,
+    pub(super) listen_until: UnixMs,
     /// When everything has to be answered, as the platform waits no longer.
-    pub(super) until: f64,
+    pub(super) until: UnixMs,
 }
 
 /// The schedule of a mixer that is asked to end at `now`.
-pub(super) fn drain_times(now: f64, longest_query_timeout_ms: f64) -> DrainTimes {
+pub(super) fn drain_times(now: UnixMs, longest_query_timeout_ms: f64) -> DrainTimes {
     DrainTimes {
         listen_until: now + LISTEN_MS,
         until: now + longest_query_timeout_ms.min(MAX_DRAIN_QUERY_MS) + LISTEN_MS,
@@ -206,7 +213,7 @@
 }
 
 /// When all queries of a draining mixer are answered that ends at `until` at the latest. The remaining time is for slow clients.
-pub(super) fn drain_answers_until(until: f64) -> f64 {
+pub(super) fn drain_answers_until(until: UnixMs) -> UnixMs {
     until - ANSWERED_BEFORE_END_MS
 }
 
@@ -214,7 +221,7 @@
 ///
 /// Every client without a last answer is being closed by then. The reading thread reports its end, unless a request has begun to
 /// arrive, which may not be known here yet. An answer that is not written yet, and a client that still sends, delay the end as well.
-pub(super) fn client_delays_end_until(client: &Client, until: f64) -> f64 {
+pub(super) fn client_delays_end_until(client: &Client, until: UnixMs) -> UnixMs {
     let is_finished = client.state == ClientState::Finished;
     if is_finished && !client.answer_delayed && !client.still_sends {
         client.state_since + LINGER_MS
@@ -225,7 +232,12 @@
 
 /// When a query has to be answered: after the time that its client waits, at most the agreed query timeout, and before the end of a
 /// draining mixer.
-pub(super) fn query_deadline(now: f64, wait_ms: f64, query_timeout_ms: f64, ends_at: Option<f64>) -> f64 {
+pub(super) fn query_deadline(
+    now: UnixMs,
+    wait_ms: f64,
+    query_timeout_ms: f64,
+    ends_at: Option<UnixMs>,
+) -> UnixMs {
     let deadline_at = now + wait_ms.min(query_timeout_ms);
     ends_at.map_or(deadline_at, |ends_at| deadline_at.min(ends_at))
 }
@@ -306,6 +318,6 @@
 }
 
 /// Whether a searcher may be given time until `wait_until` if the client gives up at `deadline_at`.
-pub(super) fn is_within_deadline(wait_until: f64, deadline_at: f64) -> bool {
+pub(super) fn is_within_deadline(wait_until: UnixMs, deadline_at: UnixMs) -> bool {
     wait_until <= deadline_at + DEADLINE_SLACK_MS
 }
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -7,27 +7,35 @@
 use pewterwharf::interface::{DispatchOutcome, SearcherStatus};
 use tracing::info;
 
+use crate::clock::UnixMs;
+use crate::inputs::{ConnectionId, LinkId};
+
+/// Scans, parts, calls and links have ids of one common sequence.
+pub(super) type ScanId = u64;
+pub(super) type PartId = u64;
+pub(super) type CallId = u64;
+
 /// An attempt: a part and the number of its dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
-    pub(super) part: u64,
+    pub(super) part: PartId,
     pub(super) number: u8,
 }
 
 pub(super) struct Scan {
-    pub(super) conn: u64,
+    pub(super) conn: ConnectionId,
     /// The id that its client gave.
     pub(super) request_id: String,
     pub(super) text: String,
     pub(super) table_type: usize,
     /// When its client gives up.
-    pub(super) deadline_at: f64,
-    pub(super) received_at: f64,
-    pub(super) parts: Vec<u64>,
+    pub(super) deadline_at: UnixMs,
+    pub(super) received_at: UnixMs,
+    pub(super) parts: Vec<PartId>,
 }
 
 pub(super) struct Part {
-    pub(super) scan: u64,
+    pub(super) scan: ScanId,
     /// Its name on the wire.
     pub(super) name: Rc<str>,
     pub(super) shard: u32,
@@ -37,7 +45,7 @@
     pub(super) may_have_run: u8,
     /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be repeated, minus
     /// infinity for parts that must not be.
-    pub(super) repeat_until: f64,
+    pub(super) repeat_until: UnixMs,
     /// How its latest attempt ended.
     pub(super) last_outcome: Option<DispatchOutcome>,
     pub(super) value: Option<String>,
@@ -50,20 +58,20 @@
     ModuleWakeup,
     AttemptTimeout(AttemptId),
     ProbeTimeout {
-        link: u64,
+        link: LinkId,
         number: u64,
     },
-    ScanDeadline(u64),
+    ScanDeadline(ScanId),
     /// A link may have been idle for too long.
-    LinkIdle(u64),
+    LinkIdle(LinkId),
     /// A link may have been blocked for too long.
-    LinkStuck(u64),
+    LinkStuck(LinkId),
     /// Retries a write on a blocked link.
-    LinkWriteRetry(u64),
+    LinkWriteRetry(LinkId),
     /// The time to close that a client has after its last answer is over.
-    ClientLinger(u64),
+    ClientLinger(ConnectionId),
     /// A client may have sent no request for too long.
-    ClientIdle(u64),
+    ClientIdle(ConnectionId),
     /// The list held before the start is used if the watch has sent none.
     CachedList,
     /// The next step of draining may be due.
@@ -80,11 +88,11 @@
 }
 
 impl ScheduledTimer {
-    pub(super) fn new(at: f64, timer: Timer) -> Self {
+    pub(super) fn new(at: UnixMs, timer: Timer) -> Self {
         Self { at_bits: at.max(0.0).to_bits(), timer }
     }
 
-    pub(super) fn at(self) -> f64 {
+    pub(super) fn at(self) -> UnixMs {
         f64::from_bits(self.at_bits)
     }
 }
@@ -101,7 +109,7 @@
 
 pub(super) struct Client {
     /// The scan that it waits for.
-    pub(super) scan: Option<u64>,
+    pub(super) scan: Option<ScanId>,
     pub(super) state: ClientState,
     /// It has sent a request, for a scan or a page, that has no answer yet.
     pub(super) awaits_answer: bool,
@@ -112,7 +120,7 @@
     /// The connection is being closed; requests that it had sent before are still answered.
     pub(super) closing: bool,
     /// While closing: until when buffered requests are served.
-    pub(super) serves_buffered_until: Option<f64>,
+    pub(super) serves_buffered_until: Option<UnixMs>,
     /// Number of buffered requests answered after that time, or after the drain's.
     pub(super) buffered_refused: u32,
     /// Its last answer is not written completely yet.
@@ -120,14 +128,14 @@
     /// It has sent more after its last answer. Closing while bytes are unread would reset the connection before it reads the answer.
     pub(super) still_sends: bool,
     /// When it entered its state.
-    pub(super) state_since: f64,
+    pub(super) state_since: UnixMs,
     pub(super) idle_timer_set: bool,
     /// Number of unusable requests in a row.
     pub(super) unusable_requests: u32,
 }
 
 impl Client {
-    pub(super) fn new(now: f64) -> Self {
+    pub(super) fn new(now: UnixMs) -> Self {
         Self {
             scan: None,
             state: ClientState::AwaitingRequest,
@@ -151,8 +159,8 @@
     pub(super) addr: SocketAddrV4,
     pub(super) life: SearcherStatus,
     /// When its process started, according to the list.
-    pub(super) started_at: f64,
-    pub(super) links: Vec<u64>,
+    pub(super) started_at: UnixMs,
+    pub(super) links: Vec<LinkId>,
 }
 
 impl Searcher {
@@ -187,23 +195,23 @@
     /// The frame that was handed out for writing last.
     pub(super) last_frame: Option<QueuedFrame>,
     /// Since when its searcher accepts nothing although something waits to be written.
-    pub(super) blocked_since: Option<f64>,
+    pub(super) blocked_since: Option<UnixMs>,
     /// Delay until the next write is tried on a blocked link, in case nothing reports that it is writable.
     pub(super) write_retry_ms: f64,
     /// Number of frames whose writing has begun.
     pub(super) frames_begun: u64,
     /// Open calls, and the number of unfinished parts of each.
-    pub(super) open_calls: BTreeMap<u64, usize>,
+    pub(super) open_calls: BTreeMap<CallId, usize>,
     /// Part names that were sent on it, and which answer may still arrive for each.
     pub(super) expected: HashMap<Rc<str>, ExpectedAnswer>,
     /// Those names whose attempts have ended, oldest first.
     pub(super) finished_names: VecDeque<Rc<str>>,
     pub(super) probes: VecDeque<Probe>,
     /// When anything last arrived on it.
-    pub(super) last_received_at: f64,
+    pub(super) last_received_at: UnixMs,
     /// Something sent on it timed out and nothing has arrived since: nothing new is sent on it.
     pub(super) silent: bool,
-    pub(super) idle_since: f64,
+    pub(super) idle_since: UnixMs,
     pub(super) idle_timer_set: bool,
 }
 
@@ -226,14 +234,14 @@
 
 /// A frame that waits to be written. Its bytes are produced at the time of the write.
 pub(super) enum QueuedFrame {
-    Call { call: u64, attempt_ids: Vec<AttemptId> },
+    Call { call: CallId, attempt_ids: Vec<AttemptId> },
     Probe,
     Cancel(Rc<str>),
 }
 
 pub(super) struct Probe {
     pub(super) number: u64,
-    pub(super) sent_at: f64,
+    pub(super) sent_at: UnixMs,
     /// The number of its frame, once writing that has begun.
     pub(super) frame: Option<u64>,
     /// Its outcome has been reported to the decision module.
@@ -242,12 +250,12 @@
 
 pub(super) struct Attempt {
     pub(super) part_name: Rc<str>,
-    pub(super) link: u64,
-    pub(super) call: u64,
+    pub(super) link: LinkId,
+    pub(super) call: CallId,
     /// The address by which the decision module knows its searcher.
     pub(super) searcher: SocketAddrV4,
-    pub(super) dispatched_at: f64,
-    pub(super) wait_until: f64,
+    pub(super) dispatched_at: UnixMs,
+    pub(super) wait_until: UnixMs,
     /// The number of its frame, once writing that has begun.
     pub(super) frame: Option<u64>,
 }
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -15,7 +15,7 @@
 
 use crate::buffer::{Buffer, MemoryBudget};
 use crate::frame;
-use crate::inputs::Input;
+use crate::inputs::{Input, LinkId};
 use crate::link::SharedLink;
 use crate::messages::MessageSender;
 
@@ -27,7 +27,7 @@
 
 /// A command to open a link.
 struct OpenLink {
-    link: u64,
+    link: LinkId,
     addr: SocketAddrV4,
 }
 
@@ -39,7 +39,7 @@
 
 impl LinkOpener {
     /// Opens a link, whose end is reported once. False if the thread has ended and will not report it.
-    pub fn open(&self, link: u64, addr: SocketAddrV4) -> bool {
+    pub fn open(&self, link: LinkId, addr: SocketAddrV4) -> bool {
         let was_sent = self.sender.send(OpenLink { link, addr }).is_ok();
         let _ = self.waker.wake();
         was_sent
@@ -59,9 +59,9 @@
 /// All connections to searchers.
 pub struct Searchers {
     poll: Poll,
-    connections: HashMap<u64, Connection>,
+    connections: HashMap<LinkId, Connection>,
     /// Links that may have more to read.
-    unfinished: Vec<u64>,
+    unfinished: Vec<LinkId>,
     /// The time that a connection may take to be established, and that a frame may take between two pieces.
     connect_timeout: Duration,
     budget: MemoryBudget,
@@ -109,7 +109,7 @@
                 match event.token() {
                     COMMANDS => self.run_commands(),
                     Token(token) => {
-                        let link = token as u64;
+                        let link = token as LinkId;
                         if event.is_writable() {
                             self.report_writable(link);
                         }
@@ -150,7 +150,7 @@
         }
     }
 
-    fn report_writable(&self, link: u64) {
+    fn report_writable(&self, link: LinkId) {
         if self.connections.get(&link).is_some_and(|connection| connection.shared.take_blocked()) {
             self.messages.send(Input::LinkWritable { link });
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    fn connect(&self, link: u64, addr: SocketAddrV4) -> io::Result<Connection> {
+    fn connect(&self, link: LinkId, addr: SocketAddrV4) -> io::Result<Connection> {
         let mut stream = TcpStream::connect(SocketAddr::V4(addr))?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(link as usize), interest)?;
@@ -177,7 +177,7 @@
         Ok(Connection { addr, shared: Arc::new(SharedLink::new(stream)), up: false, buffer, deadline })
     }
 
-    fn end(&mut self, link: u64, error: &io::Error) {
+    fn end(&mut self, link: LinkId, error: &io::Error) {
         if let Some(connection) = self.connections.remove(&link) {
             debug!("{}: {error}", connection.addr);
             let _ = connection.shared.stream.shutdown(Shutdown::Both); // fails if it has ended, or never came up
@@ -185,7 +185,7 @@
         }
     }
 
-    fn report_closed(&self, link: u64) {
+    fn report_closed(&self, link: LinkId) {
         self.messages.send(Input::LinkClosed { link, frames_written: 0 }); // the service fills in the number of frames
     }
 }
@@ -193,7 +193,7 @@
 impl Drop for Searchers {
     /// Reports the end of all links however the thread ends, even by a panic.
     fn drop(&mut self) {
-        let not_opened: Vec<u64> = self.received.try_iter().map(|command| command.link).collect();
+        let not_opened: Vec<LinkId> = self.received.try_iter().map(|command| command.link).collect();
         for link in self.connections.keys().copied().chain(not_opened) {
             self.report_closed(link);
         }
@@ -204,7 +204,7 @@
     /// Handles an event: whether there may be more to read, or why the connection ends.
     fn handle_event(
         &mut self,
-        link: u64,
+        link: LinkId,
         frame_timeout: Duration,
         messages: &MessageSender,
     ) -> io::Result<bool> {
@@ -236,7 +236,7 @@
     /// Reports the frames that have arrived completely.
     fn report_frames(
         &mut self,
-        link: u64,
+        link: LinkId,
         frame_timeout: Duration,
         messages: &MessageSender,
     ) -> io::Result<()> {
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -19,10 +19,10 @@
 use crate::buffer::MemoryBudget;
 use crate::client::Clients;
 use crate::client_handle::{ClientHandle, CommandSender};
-use crate::clock::Clock;
+use crate::clock::{Clock, UnixMs};
 use crate::discovery::{self, Watch, WatchStatus};
 use crate::fleet::FleetMember;
-use crate::inputs::{Effect, Input, Phase};
+use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, WatchNumber};
 use crate::link::Link;
 use crate::listener::{listen, local_addr};
 use crate::log;
@@ -53,12 +53,12 @@
     inbox: Receiver<Message>,
     messages: MessageSender,
     client_commands: CommandSender,
-    clients: HashMap<u64, ClientHandle>,
-    links: HashMap<u64, Link>,
+    clients: HashMap<ConnectionId, ClientHandle>,
+    links: HashMap<LinkId, Link>,
     link_opener: LinkOpener,
     watch_status: Arc<WatchStatus>,
     /// Inputs from the service itself, for the reducer's next step.
-    own_inputs: Vec<(f64, Input)>,
+    own_inputs: Vec<(UnixMs, Input)>,
     outbox: Outbox,
     /// The memory that the partly written frames of all links may take.
     partial_frames: MemoryBudget,
@@ -71,7 +71,7 @@
 
 /// Inputs for one step of the reducer.
 struct Inputs {
-    inputs: Vec<(f64, Input)>,
+    inputs: Vec<(UnixMs, Input)>,
     /// They include what happened while the process was paused.
     caught_up: bool,
 }
@@ -82,7 +82,7 @@
 
 /// Sets the list held before the start, if there is one. Returns the version that the first watch begins with: zero without a held
 /// list, as the first list that a watch sends is a whole one. With a held list it is `None`, and the whole list is requested.
-fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: f64) -> Option<u64> {
+fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: UnixMs) -> Option<u64> {
     match discovery::parse_list(cached_list) {
         Ok(list) if list.entries.is_empty() => Some(list.index),
         Ok(list) => {
@@ -231,7 +231,7 @@
     }
 
     /// Receives what happened while the process was paused.
-    fn catch_up(&mut self, inputs: &mut Vec<(f64, Input)>) {
+    fn catch_up(&mut self, inputs: &mut Vec<(UnixMs, Input)>) {
         debug!("the process was paused: inputs from that time are received first");
         inputs.push((self.clock.now(), Input::ProcessPaused));
         let until = Instant::now() + CATCH_UP;
@@ -241,7 +241,7 @@
         self.was_paused = false; // the clients' thread has reported the same pause, or one that is over as well
     }
 
-    fn receive(&mut self, message: Message, inputs: &mut Vec<(f64, Input)>) {
+    fn receive(&mut self, message: Message, inputs: &mut Vec<(UnixMs, Input)>) {
         match message {
             Message::ClientConnected { at, conn, handle } => {
                 self.clients.insert(conn, handle);
@@ -274,7 +274,7 @@
         }
     }
 
-    fn receive_input(&mut self, at: f64, input: Input, inputs: &mut Vec<(f64, Input)>) {
+    fn receive_input(&mut self, at: UnixMs, input: Input, inputs: &mut Vec<(UnixMs, Input)>) {
         match input {
             Input::ProcessPaused => self.was_paused = true,
             Input::LinkWritable { link } => {
@@ -340,7 +340,7 @@
         }
     }
 
-    fn start_watch(&self, number: u64, addr: SocketAddrV4) {
+    fn start_watch(&self, number: WatchNumber, addr: SocketAddrV4) {
         self.watch_status.newest.store(number, Ordering::Release);
         let watch = Watch { number, addr, index: None };
         let messages = self.messages.clone();
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -2,7 +2,7 @@
 
 use super::Service;
 use crate::client_handle::ClientHandle;
-use crate::inputs::Input;
+use crate::inputs::{ConnectionId, Input, LinkId};
 use crate::link::WriteOutcome;
 use crate::outbox::{self, WriteSlice};
 
@@ -34,7 +34,7 @@
     }
 
     /// Writes the next frame of a link, or the rest of a partly written one; false if nothing more can be written on it for now.
-    pub(super) fn write_next(&mut self, link_id: u64) -> bool {
+    pub(super) fn write_next(&mut self, link_id: LinkId) -> bool {
         let Some(link) = self.links.get_mut(&link_id).filter(|link| !link.is_blocked()) else { return false };
         let outcome = if link.has_partial_frame() {
             link.write_rest()
@@ -60,7 +60,7 @@
 
     /// The next frame of a link. Its write has to begin at once: nothing may come between the last look at its clients and the
     /// write, not even a look at the clock.
-    fn next_frame(&mut self, link_id: u64) -> Next {
+    fn next_frame(&mut self, link_id: LinkId) -> Next {
         let mut disconnected = Vec::new();
         loop {
             let now = self.clock.now();
@@ -72,8 +72,9 @@
                 return Next::Stale;
             }
             let clients = &self.clients;
-            let has_left = |conn: &u64| clients.get(conn).is_none_or(ClientHandle::has_disconnected);
-            let newly_disconnected: Vec<u64> = frame.clients.iter().copied().filter(has_left).collect();
+            let has_left = |conn: &ConnectionId| clients.get(conn).is_none_or(ClientHandle::has_disconnected);
+            let newly_disconnected: Vec<ConnectionId> =
+                frame.clients.iter().copied().filter(has_left).collect();
             if newly_disconnected.is_empty() {
                 return Next::Frame(frame.bytes);
             }
