--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -47,8 +47,13 @@
     )
 }
 
-/// Sends a request on a new connection and returns status and body of the answer.
-fn send_request(address: SocketAddr, request: &str) -> Result<(u16, String)> {
+struct Answer {
+    status: u16,
+    body: String,
+}
+
+/// Sends a request on a new connection and reads the answer.
+fn send_request(address: SocketAddr, request: &str) -> Result<Answer> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(READY_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
@@ -71,7 +76,7 @@
     }
     let mut body = vec![0; length];
     input.read_exact(&mut body)?;
-    Ok((status, String::from_utf8_lossy(&body).into_owned()))
+    Ok(Answer { status, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
 /// Startup configuration of the trial: `lookup` is complete with three fifths of its parts, `entry` needs all parts and must
@@ -120,7 +125,7 @@
     loop {
         let id = format!("l{client}-{}", ok + other);
         match send_request(mixer, &request("lookup", &id, LOOKUP)) {
-            Ok((200, _)) => ok += 1,
+            Ok(Answer { status: 200, .. }) => ok += 1,
             Err(error) if is_refused(&error) => {
                 return LoadResult { refused_at: Instant::now(), ok, other };
             }
@@ -137,17 +142,22 @@
     error.downcast_ref::<io::Error>().is_some_and(|e| REFUSED.contains(&e.kind()))
 }
 
+struct TimelineEvent {
+    at: Instant,
+    text: String,
+}
+
 /// Drains the mixer under load and prints a timeline as seen by the peer and the clients. Returns whether the routes were
 /// withdrawn before the first connection was refused, and every scan was answered.
 fn drain(peer: &Peer, mixer: SocketAddr, mixer_thread: thread::JoinHandle<Result<()>>) -> Result<bool> {
-    let mut events: Vec<(Instant, String)> = Vec::new();
+    let mut events: Vec<TimelineEvent> = Vec::new();
     for text in ["announce 198.51.100.1", "announce 198.51.100.2"] {
-        events.push((peer.wait_for(text).0.at, format!("the peer heard {text}")));
+        events.push(TimelineEvent { at: peer.wait_for(text).0.at, text: format!("the peer heard {text}") });
     }
     let clients: Vec<_> = (0..4).map(|client| thread::spawn(move || load(client, mixer))).collect();
     let drain_started = Instant::now();
     raise(SIGTERM)?;
-    events.push((drain_started, "SIGTERM; scans keep coming".to_owned()));
+    events.push(TimelineEvent { at: drain_started, text: "SIGTERM; scans keep coming".to_owned() });
     let mut withdrawn = Vec::new();
     loop {
         let event = peer.next_event();
@@ -155,7 +165,7 @@
             withdrawn.push(event.at);
         }
         let is_closed = event.text == "closed";
-        events.push((event.at, format!("the peer heard {}", event.text)));
+        events.push(TimelineEvent { at: event.at, text: format!("the peer heard {}", event.text) });
         if is_closed {
             break;
         }
@@ -171,11 +181,12 @@
         first_refused_at = Some(first_refused_at.map_or(refused_at, |first| first.min(refused_at)));
     }
     let first_refused_at = first_refused_at.context("no client")?;
-    events.push((first_refused_at, "a connection was refused for the first time".to_owned()));
+    let text = "a connection was refused for the first time".to_owned();
+    events.push(TimelineEvent { at: first_refused_at, text });
     join_mixer(mixer_thread)?;
-    events.push((Instant::now(), "the mixer has ended".to_owned()));
-    events.sort_by_key(|e| e.0);
-    for (at, text) in &events {
+    events.push(TimelineEvent { at: Instant::now(), text: "the mixer has ended".to_owned() });
+    events.sort_by_key(|e| e.at);
+    for TimelineEvent { at, text } in &events {
         let ms = at.saturating_duration_since(drain_started).as_millis() as i64
             - drain_started.saturating_duration_since(*at).as_millis() as i64;
         println!("{ms:>7} ms {text}");
@@ -224,7 +235,7 @@
     let mixer = thread::spawn(move || Service::open(start, &settings, signals, reloaders)?.run());
     let started = Instant::now();
     while !send_request(listen, "GET /-/ready HTTP/1.1\r\nHost: mixer\r\n\r\n")
-        .is_ok_and(|(status, _)| status == 200)
+        .is_ok_and(|answer| answer.status == 200)
     {
         ensure!(started.elapsed() < READY_TIMEOUT, "the mixer is not ready after {READY_TIMEOUT:?}");
         thread::yield_now();
@@ -239,7 +250,7 @@
         };
         let request = request(table_type, &format!("q{nth}"), body);
         let sent_at = Instant::now();
-        let (status, answer) = send_request(listen, &request)?;
+        let Answer { status, body: answer } = send_request(listen, &request)?;
         answered += 1;
         let ms = sent_at.elapsed().as_millis();
         println!("scan q{nth} {table_type}: {status} after {ms} ms {}", answer.trim());
