--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -37,7 +37,7 @@
 }
 
 /// Health with these servable shares of two table types.
-fn usable(first: f64, second: f64) -> Health {
+fn health(first: f64, second: f64) -> Health {
     Health {
         phase: Phase::Ready,
         servable_shares: vec![first, second],
@@ -64,12 +64,9 @@
     /// All addresses announced, with no change in the last minute.
     fn ready() -> Self {
         let mut fixture = Self::new();
-        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Health(health(1.0, 1.0)));
         fixture.advance(120_000.0);
         fixture.log.clear();
-        fixture.now = 0.0;
-        fixture.announcer = fixture.announcer.clone();
-        fixture.now = 120_000.0;
         fixture
     }
 
@@ -97,18 +94,18 @@
 fn announced_when_servable_and_withdrawn_when_not() {
     let mut fixture = Fixture::new();
     fixture.advance(10_000.0);
-    fixture.step(Input::Health(usable(1.0, 1.0)));
+    fixture.step(Input::Health(health(1.0, 1.0)));
     fixture.advance(60_000.0);
     fixture.log += "one table type is unusable: its addresses go, the other's stays\n";
-    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.step(Input::Health(health(1.0, 0.0)));
     fixture.advance(60_000.0);
     fixture.log += "no searcher is usable\n";
-    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.step(Input::Health(health(0.0, 0.0)));
     fixture.advance(60_000.0);
     fixture.log += "half is back, then enough\n";
-    fixture.step(Input::Health(usable(0.7, 0.7)));
+    fixture.step(Input::Health(health(0.7, 0.7)));
     fixture.advance(60_000.0);
-    fixture.step(Input::Health(usable(0.95, 0.95)));
+    fixture.step(Input::Health(health(0.95, 0.95)));
     fixture.advance(60_000.0);
     assert_snapshot!(fixture.log);
 }
@@ -116,7 +113,7 @@
 #[test]
 fn reasons_to_depreference() {
     let mut fixture = Fixture::ready();
-    let healthy = usable(1.0, 1.0);
+    let healthy = health(1.0, 1.0);
     let worse = [
         Health { list_age_ms: 31_000.0, ..healthy.clone() },
         Health { has_client_capacity: false, ..healthy.clone() },
@@ -134,7 +131,7 @@
 #[test]
 fn last_announcer_is_withdrawn_only_if_nothing_is_servable() {
     let mut fixture = Fixture::ready();
-    fixture.step(Input::Health(usable(0.3, 0.3)));
+    fixture.step(Input::Health(health(0.3, 0.3)));
     fixture.advance(10_000.0);
     fixture.log += "another announces it too\n";
     fixture.step(Input::OtherAnnouncer(prefix(1), true));
@@ -143,7 +140,7 @@
     fixture.step(Input::OtherAnnouncer(prefix(1), false));
     fixture.advance(10_000.0);
     fixture.log += "nothing at all is usable\n";
-    fixture.step(Input::Health(usable(0.0, 0.0)));
+    fixture.step(Input::Health(health(0.0, 0.0)));
     fixture.advance(10_000.0);
     assert_snapshot!(fixture.log);
 }
@@ -152,17 +149,17 @@
 fn flapping_searchers_do_not_flap_routes() {
     let mut fixture = Fixture::ready();
     for _ in 0..120 {
-        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.step(Input::Health(health(0.0, 0.0)));
         fixture.advance(400.0);
-        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Health(health(1.0, 1.0)));
         fixture.advance(600.0);
     }
     fixture.log += "slowly, for ten minutes\n";
     let before = fixture.log.lines().count();
     for _ in 0..40 {
-        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.step(Input::Health(health(0.0, 0.0)));
         fixture.advance(5_000.0);
-        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Health(health(1.0, 1.0)));
         fixture.advance(10_000.0);
     }
     let changes = fixture.log.lines().count() - before;
@@ -182,9 +179,9 @@
     };
     drain("alone", &|_| {});
     drain("health gets better and worse meanwhile", &|fixture| {
-        fixture.step(Input::Health(usable(0.0, 0.0)));
+        fixture.step(Input::Health(health(0.0, 0.0)));
         fixture.advance(1500.0);
-        fixture.step(Input::Health(usable(1.0, 1.0)));
+        fixture.step(Input::Health(health(1.0, 1.0)));
         fixture.step(Input::Drain);
     });
     drain("asked a second time", &|fixture| {
@@ -212,22 +209,22 @@
     ) {
         let mut announcer = Announcer::new(config());
         let mut now = 0.0;
-        let mut stopped = false;
-        let mut drains = false;
+        let mut drain_complete = false;
+        let mut is_draining = false;
         let mut states = [RouteState::Withdrawn; 2];
-        let mut better: Vec<f64> = Vec::new();
-        let mut unusable_since = Some(0.0);
+        let mut improved_at: Vec<f64> = Vec::new();
+        let mut unservable_since = Some(0.0);
         for (event, ms, share) in events {
             let end = now + ms;
             let share = if share < 0.4 { 0.0 } else { share.min(1.0) };
             let input = match event {
                 0 => Input::Sessions(usize::from(share > 0.3)),
                 1 => Input::OtherAnnouncer(prefix(1), share > 0.5),
-                2 if share > 0.9 => { drains = true; Input::Drain }
-                3 if share >= 1.0 => { drains = true; Input::DrainNow }
+                2 if share > 0.9 => { is_draining = true; Input::Drain }
+                3 if share >= 1.0 => { is_draining = true; Input::DrainNow }
                 _ => {
-                    if share > 0.0 { unusable_since = None } else { unusable_since = unusable_since.or(Some(now)) }
-                    Input::Health(usable(share, share))
+                    if share > 0.0 { unservable_since = None } else { unservable_since = unservable_since.or(Some(now)) }
+                    Input::Health(health(share, share))
                 }
             };
             let mut input = Some(input);
@@ -244,24 +241,24 @@
                     match effect {
                         Effect::SetState { prefix: at, state, .. } => {
                             let address = usize::from(at == prefix(1));
-                            prop_assert!(!stopped, "a change after the drain is complete");
+                            prop_assert!(!drain_complete, "a change after the drain is complete");
                             let old = std::mem::replace(&mut states[address], state);
-                            prop_assert!(!drains || state < old, "a drain improved an address");
+                            prop_assert!(!is_draining || state < old, "a drain improved an address");
                             if state > old {
-                                better.push(now);
-                                let last = better.iter().filter(|at| **at > now - 60_000.0).count();
+                                improved_at.push(now);
+                                let last = improved_at.iter().filter(|at| **at > now - 60_000.0).count();
                                 prop_assert!(last <= 6, "{last} improvements in a minute");
                             }
                         }
                         Effect::DrainComplete => {
-                            prop_assert!(!std::mem::replace(&mut stopped, true), "completed twice");
+                            prop_assert!(!std::mem::replace(&mut drain_complete, true), "completed twice");
                             prop_assert_eq!(states, [RouteState::Withdrawn; 2]);
                         }
                     }
                 }
             }
             now = end;
-            if let Some(since) = unusable_since && now - since >= 1000.0 && !drains {
+            if let Some(since) = unservable_since && now - since >= 1000.0 && !is_draining {
                 prop_assert_eq!(states, [RouteState::Withdrawn; 2]);
             }
         }
@@ -326,7 +323,7 @@
         }
         for me in 0..2 {
             let mut effects = both[me].step(now, Input::Sessions(1));
-            effects.extend(both[me].step(now, Input::Health(usable(share, share))));
+            effects.extend(both[me].step(now, Input::Health(health(share, share))));
             effects.extend(both[me].step(now, Input::OtherAnnouncer(prefix(1), knows_other[me])));
             for effect in effects {
                 if let Effect::SetState { state, .. } = effect {
@@ -360,7 +357,7 @@
     fixture.step(Input::Configure(new.clone()));
     fixture.advance(60_000.0);
     fixture.log += "the second table type is unusable; worse lasts 100 ms now\n";
-    fixture.step(Input::Health(usable(1.0, 0.0)));
+    fixture.step(Input::Health(health(1.0, 0.0)));
     fixture.advance(60_000.0);
     fixture.log += "in a drain, a new address stays where it is\n";
     fixture.step(Input::Drain);
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -43,7 +43,7 @@
         list::parse_list(&read_json(&list_path)?).with_context(|| format!("in {}", list_path.display()))?;
     let fleet = Fleet::new(config, &list).with_context(|| format!("in {}", list_path.display()))?;
     for reason in fleet.skipped_entries() {
-        warn!(list = %list_path.display(), "an entry was passed over: {reason}");
+        warn!(list = %list_path.display(), "skipped an entry of the searcher list: {reason}");
     }
     info!(
         searchers = fleet.searchers().len(),
