--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -166,7 +166,7 @@
         self.handle.send(Command::Publish(reports))
     }
 
-    /// Counters, one per line, at most [`COUNTERS_INTERVAL_MS`] old. Does not wait for the thread.
+    /// Counters, one per line, at most `COUNTERS_INTERVAL_MS` old. Does not wait for the thread.
     pub fn counters_text(&self) -> String {
         self.counters_text.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -177,7 +177,7 @@
         self.handle.send(Command::BeginShutdown);
     }
 
-    /// Leaves the fleet and announces it to the peers. Takes at most twice [`LEAVE_TIMEOUT_MS`].
+    /// Leaves the fleet and announces it to the peers. Takes at most twice `LEAVE_TIMEOUT_MS`.
     pub fn leave(self) {
         self.handle.send(Command::Leave);
         // Does not wait longer, because the thread may be blocked handing advice to the very caller of this
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -544,7 +544,7 @@
             .superseded_numbers
             .get(&by.incarnation.nonce)
             .is_some_and(|number| by.incarnation.number > *number);
-        // An incarnation with this mixer's own nonce is its own echo, however it got that number.
+        // An incarnation with this mixer's own nonce is this process itself, reported back by a peer.
         let gives_way = self.shutting_down || is_later && is_alive;
         if gives_way && by.incarnation.nonce != self.incarnation.nonce {
             self.state = MembershipState::Superseded(by.incarnation);
@@ -560,7 +560,7 @@
     }
 
     /// This mixer was asked to shut down: any other process under its name counts as the later one from now
-    /// on, whatever the ages. Otherwise a process restarted within [`AGE_TOLERANCE_MS`] could lose, by nonce,
+    /// on, whatever the ages. Otherwise a process restarted within `AGE_TOLERANCE_MS` could lose, by nonce,
     /// to the one that is still serving its last scans.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
--- a/crates/replica/src/kinds/mod.rs
+++ b/crates/replica/src/kinds/mod.rs
@@ -1,4 +1,4 @@
-//! The kinds of records, one type in one file each. A new kind needs a file and a line in [`known_kinds`]. A
+//! The kinds of records, one type in one file each. A new kind needs a file and a line in `known_kinds`. A
 //! mixer that does not know a kind keeps its records undecoded and passes them on.
 
 mod departure;
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub records: usize,
-    /// Bytes of all records, including [`RECORD_OVERHEAD_BYTES`] for each.
+    /// Bytes of all records, including `RECORD_OVERHEAD_BYTES` for each.
     pub bytes: usize,
 }
 
