--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -12,7 +12,7 @@
 //! - If the direct path to a member fails, messages are relayed by other members ([`Router`]).
 //! - Messages have an encoding of their own (`wire`), so that no data from other members is parsed by the
 //!   core's.
-//! - [`mod`] stores everything in a file that contains the names of its fleet and its member. Files of
+//! - [`mod@file`] stores everything in a file that contains the names of its fleet and its member. Files of
 //!   others are rejected.
 
 pub mod file;
