--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use pewterwharf_expect::explore::{Bounds, Subject};
-use pewterwharf_expect::{Outcome, Suite, Terms, Verdict};
+use pewterwharf_expect::{CheckOptions, Outcome, Suite, Verdict};
 use pewterwharf_settings::Settings;
 use tracing::info;
 
@@ -61,18 +61,18 @@
     seed: u64,
 }
 
-fn check_options(settings: &Settings, args: &CheckArgs) -> Terms {
+fn check_options(settings: &Settings, args: &CheckArgs) -> CheckOptions {
     let explore = settings.explore;
     let departures = args.departures.unwrap_or(explore.departures);
     let states = args.states.unwrap_or(explore.states);
-    Terms {
+    CheckOptions {
         bounds: Bounds { departures, states, merge: args.merge },
         threads: explore.threads as usize,
         seed: args.seed,
     }
 }
 
-fn check(suite: &Suite, options: Terms) -> Vec<Verdict> {
+fn check(suite: &Suite, options: CheckOptions) -> Vec<Verdict> {
     let bar = ProgressBar::new(0);
     bar.set_style(ProgressStyle::with_template("{wide_bar} {pos}/{len} {elapsed}").unwrap_or_else(|_| {
         // Only if a future version of the library rejects the fixed template.
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use clap::Args;
-use pewterwharf_expect::plan::{Deed, Season, Stuck};
+use pewterwharf_expect::plan::{Migration, PlanError, StepKind};
 
 use crate::load::load;
 
@@ -22,23 +22,23 @@
 pub fn run(args: &PlanArgs) -> Result<bool> {
     let old = load(&args.from, None)?;
     let new = load(&args.to, None)?;
-    let season = Season::new(old.suite.fleet(), new.suite.fleet(), &old.list, &new.list);
-    let planned = season.and_then(|season| {
-        let plan = season.plan(new.suite.expects(), new.suite.pace())?;
-        Ok((season, plan))
+    let migration = Migration::new(old.suite.fleet(), new.suite.fleet(), &old.list, &new.list);
+    let planned = migration.and_then(|migration| {
+        let plan = migration.plan(new.suite.expectations(), new.suite.pace())?;
+        Ok((migration, plan))
     });
     match planned {
-        Ok((season, plan)) => {
+        Ok((migration, plan)) => {
             for (nth, step) in plan.steps.iter().enumerate() {
-                let deed = match step.deed {
-                    Deed::Copy => "copy slice",
-                    Deed::Drop => "drop slice",
+                let action = match step.kind {
+                    StepKind::Copy => "copy slice",
+                    StepKind::Drop => "drop slice",
                 };
-                let preposition = if step.deed == Deed::Copy { "to" } else { "at" };
-                let names = season.groups()[step.group as usize].searchers.join(", ");
-                println!("{:>4}  {deed} {} {preposition} {names}", nth + 1, step.slice);
+                let preposition = if step.kind == StepKind::Copy { "to" } else { "at" };
+                let names = migration.groups()[step.group as usize].searchers.join(", ");
+                println!("{:>4}  {action} {} {preposition} {names}", nth + 1, step.slice);
             }
-            for name in &plan.not_yet {
+            for name in &plan.initially_failing {
                 println!("\"{name}\" does not hold before the change, and is asked of its end alone");
             }
             println!("{} steps, {} states looked at", plan.steps.len(), plan.states);
@@ -46,21 +46,21 @@
         }
         Err(stuck) => {
             match stuck {
-                Stuck::Excluded { names, smallest } => {
+                PlanError::Excluded { names, smallest } => {
                     let most =
                         if smallest { "the smallest set that does" } else { "none of them can be left out" };
                     println!("no order of the moves keeps these expectations ({most}):");
                     names.iter().for_each(|name| println!("      {name}"));
                 }
-                Stuck::GaveUp { states } => {
+                PlanError::SearchLimitReached { states } => {
                     println!("no order was found among {states} states; there may be one")
                 }
-                Stuck::Sets { name } => {
+                PlanError::DependsOnSets { name } => {
                     println!(
                         "\"{name}\" speaks of sets, which have no meaning while searchers move between them"
                     );
                 }
-                Stuck::Apart { why } => println!("the two fleets can't be compared: {why}"),
+                PlanError::NotComparable { reason } => println!("the two fleets can't be compared: {reason}"),
             }
             Ok(false)
         }
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use anyhow::Result;
-use pewterwharf_expect::{Outcome, Shown, Suite, Verdict};
+use pewterwharf_expect::{Counterexample, Outcome, Suite, Verdict};
 use quick_junit::{NonSuccessKind, Report, TestCase, TestCaseStatus, TestSuite};
 use serde_json::{Value, json};
 
@@ -22,31 +22,31 @@
 /// What was checked, and the conditions under which the verdict holds.
 fn coverage(verdict: &Verdict) -> String {
     let mut parts = Vec::new();
-    match (verdict.wanted_ms, verdict.fails_at_ms) {
+    match (verdict.required_ms, verdict.fails_at_ms) {
         (Some(_), Some(at)) => parts.push(format!("while the list is younger than {}", seconds(at))),
         (Some(_), None) => parts.push("at all ages of the list that were looked at".to_owned()),
         _ => {}
     }
-    let effort = &verdict.effort;
-    match effort.departures {
-        Some(0) => parts.push(format!("{} states, usual runs alone", effort.states)),
+    let coverage = &verdict.coverage;
+    match coverage.departures {
+        Some(0) => parts.push(format!("{} states, usual runs alone", coverage.states)),
         Some(n) => {
-            parts.push(format!("{} states, all runs in which up to {n} things go wrong", effort.states))
+            parts.push(format!("{} states, all runs in which up to {n} things go wrong", coverage.states))
         }
-        None if effort.runs > 0 => parts.push(format!("{} states", effort.states)),
-        None if verdict.effort.cases > 1 => parts.push(format!("{} cases", verdict.effort.cases)),
+        None if coverage.explorations > 0 => parts.push(format!("{} states", coverage.states)),
+        None if verdict.coverage.cases > 1 => parts.push(format!("{} cases", verdict.coverage.cases)),
         None => {}
     }
     parts.join("; ")
 }
 
 /// Appends a counterexample.
-fn write_counterexample(out: &mut String, case: &Shown) {
-    for line in &case.befell {
+fn write_counterexample(out: &mut String, case: &Counterexample) {
+    for line in &case.failures {
         let _ = writeln!(out, "          {line}");
     }
     let slice = case.slice.map(|s| format!("slice {s}: ")).unwrap_or_default();
-    let _ = writeln!(out, "          {slice}{}", case.found);
+    let _ = writeln!(out, "          {slice}{}", case.observed);
     for line in &case.trace {
         let _ = writeln!(out, "          |{line}");
     }
@@ -119,15 +119,15 @@
     let one = |verdict: &Verdict| {
         let case = match &verdict.outcome {
             Outcome::Fails(case) => json!({
-                "befell": case.befell, "slice": case.slice, "found": case.found,
+                "befell": case.failures, "slice": case.slice, "found": case.observed,
                 "trace": case.trace, "moves": case.moves, "arena": case.arena,
             }),
             _ => Value::Null,
         };
         json!({
             "name": verdict.name, "line": verdict.line, "verdict": outcome_text(verdict).to_lowercase(),
-            "fails_at_ms": verdict.fails_at_ms, "wanted_ms": verdict.wanted_ms,
-            "cases": verdict.effort.cases, "states": verdict.effort.states, "departures": verdict.effort.departures,
+            "fails_at_ms": verdict.fails_at_ms, "wanted_ms": verdict.required_ms,
+            "cases": verdict.coverage.cases, "states": verdict.coverage.states, "departures": verdict.coverage.departures,
             "counterexample": case,
         })
     };
@@ -153,7 +153,7 @@
                 let mut status = TestCaseStatus::non_success(NonSuccessKind::Failure);
                 let mut text = String::new();
                 write_counterexample(&mut text, case);
-                status.set_message(case.found.clone());
+                status.set_message(case.observed.clone());
                 status.set_description(text);
                 status
             }
--- a/crates/expect/benches/verdicts.rs
+++ b/crates/expect/benches/verdicts.rs
@@ -9,7 +9,7 @@
 use pewterwharf_expect::claim::{Claim, Pace};
 use pewterwharf_expect::judge::Judge;
 use pewterwharf_expect::plain;
-use pewterwharf_expect::read::Draft;
+use pewterwharf_expect::read::ParsedFile;
 use pewterwharf_fleet::Fleet;
 use pewterwharf_terms::MixerConfig;
 use pewterwharf_terms::list::{self, List};
@@ -64,7 +64,7 @@
         let form = form.replace("for-all-slices", &format!("for-all-slices (of \"c{}\")", n % 59));
         text += &format!("(expect \"{name} {n}\" {form})\n");
     }
-    Suite::new(&Draft::read(&text).expect("it reads"), fleet).expect("names are there")
+    Suite::new(&ParsedFile::parse(&text).expect("it reads"), fleet).expect("names are there")
 }
 
 fn all(suite: &Suite) -> u64 {
@@ -74,7 +74,7 @@
         assert!(failed.is_none(), "{failed:?}");
         judge.cases()
     };
-    suite.expects().iter().map(|e| judge(&e.claim)).sum()
+    suite.expectations().iter().map(|e| judge(&e.claim)).sum()
 }
 
 fn peak_mb() -> f64 {
@@ -98,7 +98,7 @@
     }
     // The plain evaluator takes seconds a claim: one run of each form, on the smallest fleet alone.
     let suite = suite(fleet(188, 300));
-    for (expect, (name, _)) in suite.expects().iter().zip(FORMS) {
+    for (expect, (name, _)) in suite.expectations().iter().zip(FORMS) {
         let begun = Instant::now();
         let plain = plain::holds(suite.fleet(), &expect.claim, Pace::default(), 0.0);
         let plain_ms = begun.elapsed().as_secs_f64() * 1e3;
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -25,15 +25,15 @@
 /// A case in which a claim does not hold, the smallest there is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Case {
-    pub befell: Vec<Befell>,
+    pub failures: Vec<Befell>,
     pub slice: Option<u32>,
     /// What was found instead.
-    pub found: String,
+    pub observed: String,
 }
 
 impl Case {
     fn units(&self) -> u32 {
-        self.befell.iter().map(Befell::units).sum()
+        self.failures.iter().map(Befell::units).sum()
     }
 }
 
@@ -141,7 +141,7 @@
                 let mut found = Vec::new();
                 for claim in claims {
                     match self.find(claim, scene, sure, &[])? {
-                        Some(case) => found.push(case.found),
+                        Some(case) => found.push(case.observed),
                         None => return Ok(None),
                     }
                 }
@@ -323,7 +323,7 @@
 }
 
 fn case(befell: &[Befell], slice: Option<u32>, found: String) -> Case {
-    Case { befell: befell.to_vec(), slice, found }
+    Case { failures: befell.to_vec(), slice, observed: found }
 }
 
 fn lesser(least: &mut Option<Case>, other: Option<Case>) {
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -17,4 +17,4 @@
 pub mod scene;
 mod suite;
 
-pub use suite::{Effort, Outcome, Shown, Suite, Terms, Verdict};
+pub use suite::{CheckOptions, Counterexample, Coverage, Outcome, Suite, Verdict};
--- a/crates/expect/src/plan.rs
+++ b/crates/expect/src/plan.rs
@@ -1,7 +1,7 @@
 //! The order of a season's moves.
 //!
 //! Between two seasons searchers come to hold other slices. The step is one slice of one group of searchers that move
-//! alike; a slice is copied to all who get it before anybody drops it. [`Season::plan`] finds an order in which every
+//! alike; a slice is copied to all who get it before anybody drops it. [`Migration::plan`] finds an order in which every
 //! structural expectation holds after each step, by depth-first search over the sets of steps done: drops first, as
 //! they make room; states from which the rest can't be done are remembered and never entered again. If there is no
 //! order, it names the smallest set of expectations that excludes one.
@@ -13,7 +13,7 @@
 
 use crate::claim::{Claim, Local, Pace, Whom};
 use crate::judge::Judge;
-use crate::read::Expect;
+use crate::read::Expectation;
 
 /// States that one search looks at, at most.
 const MOST_STATES: usize = 20_000;
@@ -22,7 +22,7 @@
 
 /// What is done to a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Deed {
+pub enum StepKind {
     Drop,
     Copy,
 }
@@ -30,15 +30,15 @@
 /// One step: searchers that move alike get a slice, or drop it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
-    pub deed: Deed,
+    pub kind: StepKind,
     pub slice: u32,
-    /// Index into [`Season::groups`].
+    /// Index into [`Migration::groups`].
     pub group: u32,
 }
 
 /// Searchers that leave one set for another together, or stay in theirs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Troop {
+pub struct SearcherGroup {
     pub old: Option<u32>,
     pub new: Option<u32>,
     pub searchers: Vec<String>,
@@ -46,15 +46,15 @@
 
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stuck {
+pub enum PlanError {
     /// These expectations exclude any order; no smaller set of them does, where `smallest`.
     Excluded { names: Vec<String>, smallest: bool },
     /// None was found among the states looked at.
-    GaveUp { states: usize },
+    SearchLimitReached { states: usize },
     /// An expectation speaks of sets, which have no meaning while searchers move between them.
-    Sets { name: String },
+    DependsOnSets { name: String },
     /// The two fleets can't be compared.
-    Apart { why: String },
+    NotComparable { reason: String },
 }
 
 /// An order of all steps.
@@ -62,26 +62,26 @@
 pub struct Plan {
     pub steps: Vec<Step>,
     /// Expectations that the old fleet does not meet; they are asked of the last step alone.
-    pub not_yet: Vec<String>,
+    pub initially_failing: Vec<String>,
     /// States that the search looked at.
     pub states: usize,
 }
 
 /// Two fleets, and the steps from one to the other.
-pub struct Season {
+pub struct Migration {
     /// All searchers of both, those of the new one first, so that its numbers hold.
     fleet: Fleet,
     sets: Vec<u32>,
-    groups: Vec<Troop>,
+    groups: Vec<SearcherGroup>,
     start: Vec<BTreeSet<u32>>,
     steps: Vec<Step>,
 }
 
-impl Season {
+impl Migration {
     /// # Errors
     /// If the fleets can't be compared, or hold too much.
-    pub fn new(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Self, Stuck> {
-        let apart = |why: String| Stuck::Apart { why };
+    pub fn new(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Self, PlanError> {
+        let apart = |reason: String| PlanError::NotComparable { reason };
         if old.slices() != new.slices() {
             return Err(apart(format!(
                 "{} slices in the old fleet, {} in the new",
@@ -102,13 +102,13 @@
         }
         let set_in =
             |fleet: &Fleet, name: &str| fleet.searcher(name).ok().map(|at| fleet.searchers()[at].set);
-        let mut groups: Vec<Troop> = Vec::new();
+        let mut groups: Vec<SearcherGroup> = Vec::new();
         let mut known: BTreeMap<(Option<u32>, Option<u32>), u32> = BTreeMap::new();
         let mut sets = Vec::new();
         for searcher in fleet.searchers() {
             let (from, to) = (set_in(old, &searcher.name), set_in(new, &searcher.name));
             let group = *known.entry((from, to)).or_insert_with(|| {
-                groups.push(Troop { old: from, new: to, searchers: Vec::new() });
+                groups.push(SearcherGroup { old: from, new: to, searchers: Vec::new() });
                 groups.len() as u32 - 1
             });
             groups[group as usize].searchers.push(searcher.name.clone());
@@ -121,15 +121,15 @@
         let (mut start, mut steps) = (Vec::new(), Vec::new());
         for (group, troop) in (0u32..).zip(&groups) {
             let (from, to) = (held(old, troop.old), held(new, troop.new));
-            steps.extend(from.difference(&to).map(|s| Step { deed: Deed::Drop, slice: *s, group }));
-            steps.extend(to.difference(&from).map(|s| Step { deed: Deed::Copy, slice: *s, group }));
+            steps.extend(from.difference(&to).map(|s| Step { kind: StepKind::Drop, slice: *s, group }));
+            steps.extend(to.difference(&from).map(|s| Step { kind: StepKind::Copy, slice: *s, group }));
             start.push(from);
         }
         steps.sort();
         Ok(Self { fleet, sets, groups, start, steps })
     }
 
-    pub fn groups(&self) -> &[Troop] {
+    pub fn groups(&self) -> &[SearcherGroup] {
         &self.groups
     }
 
@@ -142,45 +142,45 @@
     ///
     /// # Errors
     /// If the holding can't be told, which steps of this season never cause.
-    pub fn after(&self, done: &[bool]) -> Result<Fleet, Stuck> {
+    pub fn after(&self, done: &[bool]) -> Result<Fleet, PlanError> {
         let mut held_by = vec![Vec::new(); self.fleet.slices() as usize];
         for (group, slices) in (0u32..).zip(&self.start) {
             slices.iter().for_each(|slice| held_by[*slice as usize].push(group));
         }
         for (step, _) in self.steps.iter().zip(done).filter(|(_, done)| **done) {
             let held = &mut held_by[step.slice as usize];
-            match step.deed {
-                Deed::Copy => held.push(step.group),
-                Deed::Drop => held.retain(|g| *g != step.group),
+            match step.kind {
+                StepKind::Copy => held.push(step.group),
+                StepKind::Drop => held.retain(|g| *g != step.group),
             }
         }
         let holding = Placement::new(self.groups.len(), held_by);
         let fleet = holding.and_then(|holding| self.fleet.with_placement(holding, &self.sets));
-        fleet.map_err(|e| Stuck::Apart { why: e.to_string() })
+        fleet.map_err(|e| PlanError::NotComparable { reason: e.to_string() })
     }
 
     /// An order of all steps after each of which every structural expectation holds.
     ///
     /// # Errors
     /// Why there is none, or none was found.
-    pub fn plan(&self, expects: &[Expect], pace: Pace) -> Result<Plan, Stuck> {
-        let asked: Vec<&Expect> = expects.iter().filter(|e| e.claim.structural()).collect();
+    pub fn plan(&self, expects: &[Expectation], pace: Pace) -> Result<Plan, PlanError> {
+        let asked: Vec<&Expectation> = expects.iter().filter(|e| e.claim.structural()).collect();
         if let Some(expect) = asked.iter().find(|e| of_sets(&e.claim)) {
-            return Err(Stuck::Sets { name: expect.name.clone() });
+            return Err(PlanError::DependsOnSets { name: expect.name.clone() });
         }
         let first = self.search(&asked, pace);
         match first {
             Ok(Ok(plan)) => Ok(plan),
-            Ok(Err(states)) if states >= MOST_STATES => Err(Stuck::GaveUp { states }),
+            Ok(Err(states)) if states >= MOST_STATES => Err(PlanError::SearchLimitReached { states }),
             Ok(Err(_)) => Err(self.excluding(&asked, pace)?),
             Err(stuck) => Err(stuck),
         }
     }
 
     /// The plan, or the number of states in which none was found.
-    fn search(&self, asked: &[&Expect], pace: Pace) -> Result<Result<Plan, usize>, Stuck> {
+    fn search(&self, asked: &[&Expectation], pace: Pace) -> Result<Result<Plan, usize>, PlanError> {
         let none = vec![false; self.steps.len()];
-        let holds = |done: &[bool], asked: &[&Expect]| -> Result<bool, Stuck> {
+        let holds = |done: &[bool], asked: &[&Expectation]| -> Result<bool, PlanError> {
             let fleet = self.after(done)?;
             let mut judge = Judge::new(&fleet, pace, 0.0);
             Ok(asked.iter().all(|e| judge.fails(&e.claim) == Ok(None)))
@@ -188,13 +188,13 @@
         if !holds(&vec![true; self.steps.len()], asked)? {
             return Ok(Err(1));
         }
-        let mut not_yet = Vec::new();
+        let mut initially_failing = Vec::new();
         let mut always = Vec::new();
         for expect in asked {
             if holds(&none, &[*expect])? {
                 always.push(*expect);
             } else {
-                not_yet.push(expect.name.clone());
+                initially_failing.push(expect.name.clone());
             }
         }
         let mut dead: HashSet<Vec<bool>> = HashSet::new();
@@ -206,7 +206,7 @@
         loop {
             if way.len() == self.steps.len() {
                 let steps = way.iter().map(|(step, _)| self.steps[*step]).collect();
-                return Ok(Ok(Plan { steps, not_yet, states }));
+                return Ok(Ok(Plan { steps, initially_failing, states }));
             }
             let step = (next..self.steps.len()).find(|s| !done[*s] && self.allowed(*s, &done));
             let Some(step) = step else {
@@ -233,16 +233,16 @@
 
     /// A slice is dropped once all who get it have it.
     fn allowed(&self, step: usize, done: &[bool]) -> bool {
-        let Step { deed, slice, .. } = self.steps[step];
+        let Step { kind, slice, .. } = self.steps[step];
         let copied =
-            |(other, done): (&Step, &bool)| other.slice != slice || other.deed != Deed::Copy || *done;
-        deed == Deed::Copy || self.steps.iter().zip(done).all(copied)
+            |(other, done): (&Step, &bool)| other.slice != slice || other.kind != StepKind::Copy || *done;
+        kind == StepKind::Copy || self.steps.iter().zip(done).all(copied)
     }
 
     /// The smallest set of expectations that has no plan.
-    fn excluding(&self, asked: &[&Expect], pace: Pace) -> Result<Stuck, Stuck> {
+    fn excluding(&self, asked: &[&Expectation], pace: Pace) -> Result<PlanError, PlanError> {
         // One that was given up is no proof.
-        let stuck = |set: &[&Expect]| -> Result<bool, Stuck> {
+        let stuck = |set: &[&Expectation]| -> Result<bool, PlanError> {
             Ok(matches!(self.search(set, pace)?, Err(states) if states < MOST_STATES))
         };
         let mut searches = 0;
@@ -267,7 +267,7 @@
                     smallest = false;
                     break 'sizes;
                 }
-                let set: Vec<&Expect> = chosen.iter().map(|i| asked[*i]).collect();
+                let set: Vec<&Expectation> = chosen.iter().map(|i| asked[*i]).collect();
                 searches += 1;
                 if stuck(&set)? {
                     core = set;
@@ -278,7 +278,7 @@
                 (at + 1..size).for_each(|i| chosen[i] = chosen[i - 1] + 1);
             }
         }
-        Ok(Stuck::Excluded { names: core.iter().map(|e| e.name.clone()).collect(), smallest })
+        Ok(PlanError::Excluded { names: core.iter().map(|e| e.name.clone()).collect(), smallest })
     }
 }
 
--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -14,38 +14,38 @@
 
 /// What a file says of the fleet it speaks of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct About {
+pub struct FleetSource {
     /// Paths as written, to be taken from the file's own folder.
-    pub terms: String,
-    pub list: String,
+    pub config_path: String,
+    pub list_path: String,
     /// Customers and the slices that their scans read.
-    pub slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
+    pub customer_slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
     pub pace: Option<Pace>,
 }
 
 /// A file of which the names are not yet looked up.
 #[derive(Clone, Debug)]
-pub struct Draft {
-    pub about: About,
+pub struct ParsedFile {
+    pub source: FleetSource,
     expects: Vec<(String, Node)>,
 }
 
 /// One expectation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expect {
+pub struct Expectation {
     pub name: String,
     /// Line of the file.
     pub line: usize,
     pub claim: Claim,
 }
 
-impl Draft {
+impl ParsedFile {
     /// Reads a file's text: one `(fleet ...)`, then any number of `(expect "name" CLAIM)`.
     ///
     /// # Errors
     /// The place that can't be read, and what was expected there.
-    pub fn read(text: &str) -> Result<Self, ParseError> {
-        let (mut about, mut expects) = (None, Vec::new());
+    pub fn parse(text: &str) -> Result<Self, ParseError> {
+        let (mut source, mut expects) = (None, Vec::new());
         let nodes = sexpr::parse(text)?;
         if nodes.len() > MOST {
             return Err(nodes[MOST].error(format!("over {MOST} forms")));
@@ -53,7 +53,7 @@
         for node in nodes {
             let (head, rest) = node.head_and_args("(fleet ...) or (expect \"name\" ...)")?;
             match (head, rest) {
-                ("fleet", rest) if about.is_none() => about = Some(read_about(&node, rest)?),
+                ("fleet", rest) if source.is_none() => source = Some(read_about(&node, rest)?),
                 ("fleet", _) => return Err(node.error("a second (fleet ...)")),
                 ("expect", [name, claim]) => {
                     let name = name.string("the name of an expectation")?.to_owned();
@@ -67,9 +67,9 @@
             }
         }
         let nowhere = sexpr::Position { line: 1, column: 1 };
-        let about = about
+        let source = source
             .ok_or(ParseError { position: nowhere, message: "expected a form (fleet ...)".to_owned() })?;
-        Ok(Self { about, expects })
+        Ok(Self { source, expects })
     }
 
     /// States the customers' slices in the fleet.
@@ -77,7 +77,7 @@
     /// # Errors
     /// The place of a customer or slice that the fleet does not have.
     pub fn own(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
-        for (customer, slices, at) in &self.about.slices {
+        for (customer, slices, at) in &self.source.customer_slices {
             let done = fleet.add_customer_slices(customer, slices.clone());
             done.map_err(|error| ParseError { position: *at, message: error.to_string() })?;
         }
@@ -88,18 +88,18 @@
     ///
     /// # Errors
     /// The place of a word that does not belong there, or of a name that the fleet does not have.
-    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expect>, ParseError> {
+    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expectation>, ParseError> {
         let reader = Reader { fleet };
         let read = |(name, node): &(String, Node)| {
             let claim = reader.claim(node, Within::default())?;
-            Ok(Expect { name: name.clone(), line: node.position.line, claim })
+            Ok(Expectation { name: name.clone(), line: node.position.line, claim })
         };
         self.expects.iter().map(read).collect()
     }
 }
 
-fn read_about(whole: &Node, rest: &[Node]) -> Result<About, ParseError> {
-    let (mut about, mut told) = (About::default(), Vec::new());
+fn read_about(whole: &Node, rest: &[Node]) -> Result<FleetSource, ParseError> {
+    let (mut source, mut told) = (FleetSource::default(), Vec::new());
     for node in rest {
         let (key, values) = node.head_and_args("a part of the fleet, as (terms \"mixer.json\")")?;
         if key != "slices" && told.contains(&key) {
@@ -107,24 +107,26 @@
         }
         told.push(key);
         match (key, values) {
-            ("terms", [path]) => about.terms = path.string("the path of a mixer's configuration")?.to_owned(),
-            ("list", [path]) => about.list = path.string("the path of a searcher list")?.to_owned(),
+            ("terms", [path]) => {
+                source.config_path = path.string("the path of a mixer's configuration")?.to_owned()
+            }
+            ("list", [path]) => source.list_path = path.string("the path of a searcher list")?.to_owned(),
             ("slices", [customer, from, to]) => {
                 let range = range(from, to)?;
                 let customer = customer.string("a customer's name")?.to_owned();
-                about.slices.push((customer, range, node.position));
+                source.customer_slices.push((customer, range, node.position));
             }
-            ("pace", [changes, every]) => about.pace = Some(pace(changes, every)?),
+            ("pace", [changes, every]) => source.pace = Some(pace(changes, every)?),
             ("terms" | "list" | "slices" | "pace", values) => {
                 return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
             }
             (other, _) => return Err(unexpected_name(node, other, &["terms", "list", "slices", "pace"])),
         }
     }
-    match (about.terms.is_empty(), about.list.is_empty()) {
+    match (source.config_path.is_empty(), source.list_path.is_empty()) {
         (true, _) => Err(whole.error("expected (terms \"PATH\") in (fleet ...)")),
         (_, true) => Err(whole.error("expected (list \"PATH\") in (fleet ...)")),
-        _ => Ok(about),
+        _ => Ok(source),
     }
 }
 
@@ -150,7 +152,7 @@
 /// What stands around a claim.
 #[derive(Clone, Copy, Default)]
 struct Within {
-    /// Under `some` or `not`, where a claim about behaviour can't be explored.
+    /// Under `some` or `not`, where a claim source behaviour can't be explored.
     turned: bool,
     younger: bool,
 }
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -14,12 +14,12 @@
 use crate::explore::world::Open;
 use crate::explore::{Allow, Arena, Bounds, Explored, Move, Rule, explore, shrink};
 use crate::judge::{Case, Judge, TooMany};
-use crate::read::{Draft, Expect};
+use crate::read::{Expectation, ParsedFile};
 use crate::scene::{Befell, Group, Kinds};
 
 /// How far a check goes, and on which seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct CheckOptions {
     pub bounds: Bounds,
     /// Explorations that run side by side.
     pub threads: usize,
@@ -28,7 +28,7 @@
 
 /// What was looked at for a verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Effort {
+pub struct Coverage {
     /// Cases of failures.
     pub cases: u64,
     /// States of the decision module.
@@ -36,16 +36,16 @@
     /// All runs with so many departures were looked at; absent where the module was not asked, or fewer were.
     pub departures: Option<u32>,
     /// Explorations that this stands for.
-    pub runs: u32,
+    pub explorations: u32,
 }
 
 /// A case in which an expectation fails, for people and for replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct Counterexample {
     /// What had to happen first.
-    pub befell: Vec<String>,
+    pub failures: Vec<String>,
     pub slice: Option<u32>,
-    pub found: String,
+    pub observed: String,
     /// What the module was told and did, a line each.
     pub trace: Vec<String>,
     /// The moves of the trace, to be run again, and the arena of the check that they belong to.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Holds,
-    Fails(Box<Shown>),
+    Fails(Box<Counterexample>),
     /// There were more cases than are gone through.
     Undecided,
 }
@@ -72,8 +72,8 @@
     /// ages that were looked at.
     pub fails_at_ms: Option<f64>,
     /// The age of the list up to which it has to hold; absent where it does not say.
-    pub wanted_ms: Option<f64>,
-    pub effort: Effort,
+    pub required_ms: Option<f64>,
+    pub coverage: Coverage,
 }
 
 impl Verdict {
@@ -114,7 +114,7 @@
 pub struct Suite {
     fleet: Fleet,
     pace: Pace,
-    expects: Vec<Expect>,
+    expects: Vec<Expectation>,
 }
 
 impl Suite {
@@ -122,10 +122,10 @@
     ///
     /// # Errors
     /// The place of what can't be read or does not exist.
-    pub fn new(draft: &Draft, mut fleet: Fleet) -> Result<Self, ParseError> {
-        draft.own(&mut fleet)?;
-        let expects = draft.settle(&fleet)?;
-        Ok(Self { fleet, pace: draft.about.pace.unwrap_or_default(), expects })
+    pub fn new(parsed: &ParsedFile, mut fleet: Fleet) -> Result<Self, ParseError> {
+        parsed.own(&mut fleet)?;
+        let expects = parsed.settle(&fleet)?;
+        Ok(Self { fleet, pace: parsed.source.pace.unwrap_or_default(), expects })
     }
 
     pub fn fleet(&self) -> &Fleet {
@@ -136,13 +136,18 @@
         self.pace
     }
 
-    pub fn expects(&self) -> &[Expect] {
+    pub fn expectations(&self) -> &[Expectation] {
         &self.expects
     }
 
     /// Checks all expectations, then the six rules, on the module that `open` starts. `done` hears of finished steps
     /// and their number.
-    pub fn check(&self, terms: Terms, open: &Open, done: &(dyn Fn(usize, usize) + Sync)) -> Vec<Verdict> {
+    pub fn check(
+        &self,
+        terms: CheckOptions,
+        open: &Open,
+        done: &(dyn Fn(usize, usize) + Sync),
+    ) -> Vec<Verdict> {
         let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
         let jobs = self.jobs(terms, &mut verdicts);
         let steps = self.expects.len() + jobs.len();
@@ -152,7 +157,7 @@
         for (at, (job, found)) in jobs.iter().zip(&found).enumerate() {
             if job.watches.is_empty() {
                 for (rule, verdict) in RULES.iter().zip(&mut rules) {
-                    add(&mut verdict.effort, found);
+                    add(&mut verdict.coverage, found);
                     if let Some((moves, _)) = found.breaches.get(rule)
                         && verdict.holds()
                     {
@@ -163,14 +168,14 @@
                 continue;
             }
             for (expect, _) in &job.whose {
-                add(&mut verdicts[*expect].effort, found);
+                add(&mut verdicts[*expect].coverage, found);
             }
         }
         self.watched(&jobs, &found, terms, open, &mut verdicts);
         verdicts.extend(rules);
         // Where not even the usual runs were looked at to their end, nothing holds by that.
         for verdict in &mut verdicts {
-            if verdict.holds() && verdict.effort.runs > 0 && verdict.effort.departures.is_none() {
+            if verdict.holds() && verdict.coverage.explorations > 0 && verdict.coverage.departures.is_none() {
                 verdict.outcome = Outcome::Undecided;
             }
         }
@@ -189,7 +194,8 @@
         seed: u64,
         open: &Open,
     ) -> Result<(Vec<String>, bool), String> {
-        let terms = Terms { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
+        let terms =
+            CheckOptions { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
         let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
         let jobs = self.jobs(terms, &mut verdicts);
         let job = jobs.get(arena).ok_or_else(|| format!("there is no arena {arena} of {}", jobs.len()))?;
@@ -200,7 +206,14 @@
     }
 
     /// The youngest list, and then the simplest case, in which a watch saw what it must not.
-    fn watched(&self, jobs: &[Job], found: &[Explored], terms: Terms, open: &Open, verdicts: &mut [Verdict]) {
+    fn watched(
+        &self,
+        jobs: &[Job],
+        found: &[Explored],
+        terms: CheckOptions,
+        open: &Open,
+        verdicts: &mut [Verdict],
+    ) {
         let mut worst: BTreeMap<usize, (usize, usize, usize)> = BTreeMap::new();
         for (at, (job, found)) in jobs.iter().zip(found).enumerate() {
             for (nth, (expect, age)) in job.whose.iter().enumerate() {
@@ -214,7 +227,7 @@
         for (expect, (age, _, at)) in worst {
             let verdict = &mut verdicts[expect];
             let ages = self.ages(&self.expects[expect].claim);
-            let at_ms = ages.get(age).copied().filter(|_| verdict.wanted_ms.is_some());
+            let at_ms = ages.get(age).copied().filter(|_| verdict.required_ms.is_some());
             // What follows from who holds what has gone before, and may have failed on a younger list.
             if !verdict.holds() && verdict.fails_at_ms.unwrap_or(0.0) <= at_ms.unwrap_or(0.0) {
                 continue;
@@ -224,22 +237,30 @@
             let rule = Rule::Watched(nth);
             if let Some((moves, _)) = found[at].breaches.get(&rule) {
                 verdict.fails_at_ms = at_ms;
-                if verdict.wanted_ms.is_none_or(|wanted| at_ms.is_some_and(|at| at < wanted)) {
+                if verdict.required_ms.is_none_or(|wanted| at_ms.is_some_and(|at| at < wanted)) {
                     verdict.outcome = Outcome::Fails(Box::new(self.shown(at, job, terms, open, moves, rule)));
                 }
             }
         }
     }
 
-    fn shown(&self, at: usize, job: &Job, terms: Terms, open: &Open, moves: &[Move], rule: Rule) -> Shown {
+    fn shown(
+        &self,
+        at: usize,
+        job: &Job,
+        terms: CheckOptions,
+        open: &Open,
+        moves: &[Move],
+        rule: Rule,
+    ) -> Counterexample {
         let arena = Arena { seed: terms.seed, ..job.arena.clone() };
         let moves = shrink(&arena, &job.watches, open, moves, rule);
         let trace = tell(&arena, &job.watches, open, &moves);
         let broken = trace.iter().find_map(|l| l.split_once("!!  ")).map(|l| l.1.to_owned());
-        Shown {
-            befell: job.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
+        Counterexample {
+            failures: job.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
             slice: None,
-            found: broken.unwrap_or_default(),
+            observed: broken.unwrap_or_default(),
             trace,
             moves: moves.iter().map(ToString::to_string).collect(),
             arena: Some(at),
@@ -263,9 +284,9 @@
         ages.into_iter().map(|ms| ms as f64 / 1024.0).collect()
     }
 
-    fn structural(&self, expect: &Expect) -> Verdict {
+    fn structural(&self, expect: &Expectation) -> Verdict {
         let mut verdict = verdict(expect.name.clone(), Some(expect.line));
-        verdict.wanted_ms = expect.claim.younger().map(|y| y.0);
+        verdict.required_ms = expect.claim.younger().map(|y| y.0);
         let mut changes = None;
         for ms in self.ages(&expect.claim) {
             let mut judge = Judge::new(&self.fleet, self.pace, ms);
@@ -276,8 +297,8 @@
                 continue;
             }
             let failed = judge.fails(&expect.claim);
-            verdict.effort.cases += judge.cases();
-            let in_time = verdict.wanted_ms.is_none_or(|wanted| ms < wanted);
+            verdict.coverage.cases += judge.cases();
+            let in_time = verdict.required_ms.is_none_or(|wanted| ms < wanted);
             match failed {
                 Ok(None) => {}
                 Err(TooMany) if in_time => {
@@ -286,7 +307,7 @@
                 }
                 Err(TooMany) => return verdict,
                 Ok(Some(case)) => {
-                    verdict.fails_at_ms = verdict.wanted_ms.map(|_| ms);
+                    verdict.fails_at_ms = verdict.required_ms.map(|_| ms);
                     if in_time {
                         verdict.outcome = Outcome::Fails(Box::new(self.case(&case)));
                     }
@@ -297,17 +318,17 @@
         verdict
     }
 
-    fn case(&self, case: &Case) -> Shown {
-        Shown {
-            befell: case.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
+    fn case(&self, case: &Case) -> Counterexample {
+        Counterexample {
+            failures: case.failures.iter().map(|b| b.tell(&self.fleet)).collect(),
             slice: case.slice,
-            found: case.found.clone(),
-            ..Shown::default()
+            observed: case.observed.clone(),
+            ..Counterexample::default()
         }
     }
 
     /// All explorations that the expectations need, those alike joined; then those of the six rules.
-    fn jobs(&self, terms: Terms, verdicts: &mut [Verdict]) -> Vec<Job> {
+    fn jobs(&self, terms: CheckOptions, verdicts: &mut [Verdict]) -> Vec<Job> {
         let mut jobs: Vec<Job> = Vec::new();
         let mut known: BTreeMap<String, usize> = BTreeMap::new();
         for (at, expect) in self.expects.iter().enumerate() {
@@ -317,7 +338,7 @@
             let mut last = None;
             for (age, ms) in self.ages(&expect.claim).into_iter().enumerate() {
                 // Beyond the wanted age the module is not asked: it costs seconds, and says little more.
-                if verdicts[at].wanted_ms.is_some_and(|wanted| ms >= wanted) && age > 0 {
+                if verdicts[at].required_ms.is_some_and(|wanted| ms >= wanted) && age > 0 {
                     break;
                 }
                 let kinds = Kinds::of(&self.fleet, ms, self.pace.every_ms);
@@ -428,17 +449,17 @@
 }
 
 fn verdict(name: String, line: Option<usize>) -> Verdict {
-    let (outcome, effort) = (Outcome::Holds, Effort::default());
-    Verdict { name, line, outcome, fails_at_ms: None, wanted_ms: None, effort }
+    let (outcome, coverage) = (Outcome::Holds, Coverage::default());
+    Verdict { name, line, outcome, fails_at_ms: None, required_ms: None, coverage }
 }
 
-fn add(effort: &mut Effort, found: &Explored) {
-    effort.states += found.reached;
-    effort.departures = match effort.runs {
+fn add(coverage: &mut Coverage, found: &Explored) {
+    coverage.states += found.reached;
+    coverage.departures = match coverage.explorations {
         0 => found.departures,
-        _ => effort.departures.zip(found.departures).map(|(one, other)| one.min(other)),
+        _ => coverage.departures.zip(found.departures).map(|(one, other)| one.min(other)),
     };
-    effort.runs += 1;
+    coverage.explorations += 1;
 }
 
 /// Arenas that the module can't tell apart have the same key.
@@ -449,7 +470,7 @@
 }
 
 /// Runs the explorations side by side; what each finds depends on it alone.
-fn run(jobs: &[Job], terms: Terms, open: &Open, done: &(dyn Fn(usize) + Sync)) -> Vec<Explored> {
+fn run(jobs: &[Job], terms: CheckOptions, open: &Open, done: &(dyn Fn(usize) + Sync)) -> Vec<Explored> {
     let (next, finished) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let found: Vec<Mutex<Option<Explored>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
     let work = || {
--- a/crates/expect/tests/common/mod.rs
+++ b/crates/expect/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // each test file uses a part
 
 use pewterwharf_expect::explore::{Bounds, Subject};
-use pewterwharf_expect::read::Draft;
-use pewterwharf_expect::{Outcome, Suite, Terms, Verdict};
+use pewterwharf_expect::read::ParsedFile;
+use pewterwharf_expect::{CheckOptions, Outcome, Suite, Verdict};
 use pewterwharf_fleet::Fleet;
 use pewterwharf_terms::list::{self, List};
 use serde_json::{Value, json};
@@ -57,18 +57,18 @@
 pub fn suite(fleet: Fleet, claims: &str) -> Result<Suite, String> {
     let text =
         format!("(fleet (terms \"-\") (list \"-\") (slices \"one\" 0 1) (slices \"two\" 1 1))\n{claims}");
-    let draft = Draft::read(&text).map_err(|fault| fault.to_string())?;
-    Suite::new(&draft, fleet).map_err(|fault| fault.to_string())
+    let parsed = ParsedFile::parse(&text).map_err(|fault| fault.to_string())?;
+    Suite::new(&parsed, fleet).map_err(|fault| fault.to_string())
 }
 
-pub const TERMS: Terms =
-    Terms { bounds: Bounds { departures: 2, states: 120_000, merge: false }, threads: 4, seed: 7 };
+pub const CHECK_OPTIONS: CheckOptions =
+    CheckOptions { bounds: Bounds { departures: 2, states: 120_000, merge: false }, threads: 4, seed: 7 };
 
 /// The verdicts on a file's own claims.
 pub fn verdicts(suite: &Suite) -> Vec<Verdict> {
     let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
-    let mut verdicts = suite.check(TERMS, &open, &|_, _| {});
-    verdicts.truncate(suite.expects().len());
+    let mut verdicts = suite.check(CHECK_OPTIONS, &open, &|_, _| {});
+    verdicts.truncate(suite.expectations().len());
     verdicts
 }
 
@@ -82,8 +82,8 @@
             Outcome::Undecided => out += &format!("{}: undecided\n", verdict.name),
             Outcome::Fails(case) => {
                 let slice = case.slice.map(|s| format!("slice {s}: ")).unwrap_or_default();
-                let befell = case.befell.iter().map(|b| format!("{b}; ")).collect::<String>();
-                out += &format!("{}: fails{at}: {befell}{slice}{}\n", verdict.name, case.found);
+                let befell = case.failures.iter().map(|b| format!("{b}; ")).collect::<String>();
+                out += &format!("{}: fails{at}: {befell}{slice}{}\n", verdict.name, case.observed);
                 case.trace.iter().for_each(|line| out += &format!("  {line}\n"));
             }
         }
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{TERMS, fleet, suite, told, verdicts};
+use common::{CHECK_OPTIONS, fleet, suite, told, verdicts};
 use insta::assert_snapshot;
 use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, RetryBudget, SearcherStatus};
 use pewterwharf::logic::Mixer;
@@ -90,18 +90,20 @@
     let suite = suite(fleet, "").expect("no claims");
     let open = |seed: u64| -> Box<dyn Subject> {
         match fault {
-            Some(fault) => Box::new(Faulty { mixer: real.open(seed), fault, restarted: seed != TERMS.seed }),
+            Some(fault) => {
+                Box::new(Faulty { mixer: real.open(seed), fault, restarted: seed != CHECK_OPTIONS.seed })
+            }
             None => Box::new(real.open(seed)),
         }
     };
-    suite.check(TERMS, &open, &|_, _| {})
+    suite.check(CHECK_OPTIONS, &open, &|_, _| {})
 }
 
 #[test]
 fn the_module_keeps_the_six_rules_in_all_runs_in_which_two_things_go_wrong() {
     let verdicts = rules(None);
     assert_snapshot!(told(&verdicts));
-    assert!(verdicts.iter().all(|v| v.effort.departures == Some(2)), "{verdicts:?}");
+    assert!(verdicts.iter().all(|v| v.coverage.departures == Some(2)), "{verdicts:?}");
 }
 
 #[test]
@@ -143,12 +145,13 @@
     let claims = r#"(expect "fresh only" (while-list-younger 6s (never (sent (to gone)))))"#;
     let suite = suite(fleet(), claims).expect("it is well formed");
     let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
-    let alone = suite.check(pewterwharf_expect::Terms { threads: 1, ..TERMS }, &open, &|_, _| {});
-    assert_eq!(alone, suite.check(TERMS, &open, &|_, _| {}));
+    let alone =
+        suite.check(pewterwharf_expect::CheckOptions { threads: 1, ..CHECK_OPTIONS }, &open, &|_, _| {});
+    assert_eq!(alone, suite.check(CHECK_OPTIONS, &open, &|_, _| {}));
     let Outcome::Fails(case) = &alone[0].outcome else { panic!("it holds") };
     let moves: Vec<&str> = case.moves.iter().map(String::as_str).collect();
-    let again = suite.replay(case.arena.expect("an arena"), &moves, TERMS.seed, &open);
+    let again = suite.replay(case.arena.expect("an arena"), &moves, CHECK_OPTIONS.seed, &open);
     assert_eq!(again, Ok((case.trace.clone(), true)));
-    let other = suite.replay(case.arena.expect("an arena"), &["scan 0", "jump"], TERMS.seed, &open);
+    let other = suite.replay(case.arena.expect("an arena"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
     assert_eq!(other, Err("no move is written \"jump\"".to_owned()));
 }
--- a/crates/expect/tests/plan.rs
+++ b/crates/expect/tests/plan.rs
@@ -6,7 +6,7 @@
 use insta::assert_snapshot;
 use pewterwharf_expect::claim::Pace;
 use pewterwharf_expect::judge::Judge;
-use pewterwharf_expect::plan::{Deed, Season, Stuck};
+use pewterwharf_expect::plan::{Migration, PlanError, StepKind};
 use pewterwharf_fleet::Fleet;
 use pewterwharf_terms::list::List;
 
@@ -24,25 +24,28 @@
     let (old_list, new_list) = lists();
     let fleet = |list: &List| Fleet::new(terms(2, 1, 4), list).expect("a fleet");
     let suite = suite(fleet(&new_list), claims).expect("well formed");
-    let season = Season::new(&fleet(&old_list), suite.fleet(), &old_list, &new_list).expect("they compare");
-    match season.plan(suite.expects(), Pace::default()) {
+    let migration =
+        Migration::new(&fleet(&old_list), suite.fleet(), &old_list, &new_list).expect("they compare");
+    match migration.plan(suite.expectations(), Pace::default()) {
         Ok(plan) => {
-            let mut done = vec![false; season.steps().len()];
+            let mut done = vec![false; migration.steps().len()];
             let mut out = String::new();
             for step in &plan.steps {
-                let at = season.steps().iter().position(|s| s == step).expect("a step of the season");
+                let at = migration.steps().iter().position(|s| s == step).expect("a step of the migration");
                 assert!(!std::mem::replace(&mut done[at], true), "a step is done twice");
-                let fleet = season.after(&done).expect("a fleet");
-                for expect in suite.expects().iter().filter(|e| !plan.not_yet.contains(&e.name)) {
+                let fleet = migration.after(&done).expect("a fleet");
+                for expect in
+                    suite.expectations().iter().filter(|e| !plan.initially_failing.contains(&e.name))
+                {
                     let failed = Judge::new(&fleet, Pace::default(), 0.0).fails(&expect.claim);
                     assert_eq!(failed, Ok(None), "{} after {out}", expect.name);
                 }
-                let deed = if step.deed == Deed::Copy { "copy" } else { "drop" };
-                let names = season.groups()[step.group as usize].searchers.join(", ");
-                out += &format!("{deed} {} {names}\n", step.slice);
+                let kind = if step.kind == StepKind::Copy { "copy" } else { "drop" };
+                let names = migration.groups()[step.group as usize].searchers.join(", ");
+                out += &format!("{kind} {} {names}\n", step.slice);
             }
             assert!(done.iter().all(|d| *d), "steps are left");
-            plan.not_yet.iter().for_each(|name| out += &format!("not yet: {name}\n"));
+            plan.initially_failing.iter().for_each(|name| out += &format!("not yet: {name}\n"));
             out
         }
         Err(stuck) => format!("{stuck:?}\n"),
@@ -80,13 +83,13 @@
     assert!(planned(&format!("{halls}{three}")).contains("drop 3 s3"));
     assert!(planned(&format!("{halls}{one}")).contains("drop 3 s3"));
     let names = vec!["three before one".into(), "one before three".into()];
-    let pair = format!("{:?}\n", Stuck::Excluded { names, smallest: true });
+    let pair = format!("{:?}\n", PlanError::Excluded { names, smallest: true });
     assert_eq!(planned(&format!("{halls}{three}{one}")), pair);
     let never = r#"(expect "five" (for-all-slices (reachable (searchers 5)))) (expect "halls" (for-all-slices (reachable)))"#;
     assert_eq!(
         planned(never),
-        format!("{:?}\n", Stuck::Excluded { names: vec!["five".into()], smallest: true })
+        format!("{:?}\n", PlanError::Excluded { names: vec!["five".into()], smallest: true })
     );
     let sets = r#"(expect "sets" (after (lose-set any) (for-all-slices (reachable))))"#;
-    assert_eq!(planned(sets), format!("{:?}\n", Stuck::Sets { name: "sets".into() }));
+    assert_eq!(planned(sets), format!("{:?}\n", PlanError::DependsOnSets { name: "sets".into() }));
 }
--- a/crates/expect/tests/verdicts.rs
+++ b/crates/expect/tests/verdicts.rs
@@ -72,7 +72,7 @@
     // Two warm bear one each; one gone and one cold, at a fifth, leave ten.
     assert!(fails(10.0).is_none());
     let case = fails(9.9).expect("it fails");
-    assert_eq!(case.befell.iter().map(|b| b.what).collect::<Vec<_>>(), [Condition::Gone, Condition::Cold]);
+    assert_eq!(case.failures.iter().map(|b| b.what).collect::<Vec<_>>(), [Condition::Gone, Condition::Cold]);
 }
 
 #[test]
