--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -129,8 +129,8 @@
     let moves = moves.with_context(|| format!("\"{}\" has no moves to replay", args.name))?;
     let moves: Vec<&str> = moves.iter().filter_map(|m| m.as_str()).collect();
     let open = |seed| Box::new(loaded.suite.fleet().config().open(seed)) as Box<dyn Subject>;
-    let arena = verdict["counterexample"]["arena"].as_u64().context("arena is missing")?;
-    let replayed = loaded.suite.replay(arena as usize, &moves, args.seed, &open);
+    let scenario = verdict["counterexample"]["arena"].as_u64().context("arena is missing")?;
+    let replayed = loaded.suite.replay(scenario as usize, &moves, args.seed, &open);
     let (lines, broken) = replayed.map_err(|error| anyhow!(error))?;
     lines.iter().for_each(|line| println!("{line}"));
     Ok(!broken)
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -120,7 +120,7 @@
         let case = match &verdict.outcome {
             Outcome::Fails(case) => json!({
                 "befell": case.failures, "slice": case.slice, "found": case.observed,
-                "trace": case.trace, "moves": case.moves, "arena": case.arena,
+                "trace": case.trace, "moves": case.moves, "arena": case.scenario,
             }),
             _ => Value::Null,
         };
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -48,9 +48,9 @@
     pub observed: String,
     /// What the module was told and did, a line each.
     pub trace: Vec<String>,
-    /// The moves of the trace, to be run again, and the arena of the check that they belong to.
+    /// The moves of the trace, to be run again, and the index of the scenario in which they were found.
     pub moves: Vec<String>,
-    pub arena: Option<usize>,
+    pub scenario: Option<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -189,7 +189,7 @@
     /// If the check of this file has no such arena, or a move can't be read.
     pub fn replay(
         &self,
-        arena: usize,
+        scenario: usize,
         moves: &[&str],
         seed: u64,
         open: &SubjectFactory,
@@ -198,7 +198,8 @@
             CheckOptions { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
         let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
         let jobs = self.jobs(terms, &mut verdicts);
-        let job = jobs.get(arena).ok_or_else(|| format!("there is no arena {arena} of {}", jobs.len()))?;
+        let job =
+            jobs.get(scenario).ok_or_else(|| format!("there is no arena {scenario} of {}", jobs.len()))?;
         let moves = moves.iter().map(|m| m.parse()).collect::<Result<Vec<Move>, String>>()?;
         let lines = tell(&job.scenario, &job.watches, open, &moves);
         let broken = lines.iter().any(|line| line.contains("!!  "));
@@ -263,7 +264,7 @@
             observed: broken.unwrap_or_default(),
             trace,
             moves: moves.iter().map(ToString::to_string).collect(),
-            arena: Some(at),
+            scenario: Some(at),
         }
     }
 
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -150,8 +150,9 @@
     assert_eq!(alone, suite.check(CHECK_OPTIONS, &open, &|_, _| {}));
     let Outcome::Fails(case) = &alone[0].outcome else { panic!("it holds") };
     let moves: Vec<&str> = case.moves.iter().map(String::as_str).collect();
-    let again = suite.replay(case.arena.expect("an arena"), &moves, CHECK_OPTIONS.seed, &open);
+    let again = suite.replay(case.scenario.expect("an arena"), &moves, CHECK_OPTIONS.seed, &open);
     assert_eq!(again, Ok((case.trace.clone(), true)));
-    let other = suite.replay(case.arena.expect("an arena"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
+    let other =
+        suite.replay(case.scenario.expect("an arena"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
     assert_eq!(other, Err("no move is written \"jump\"".to_owned()));
 }
