--- a/src/logic.rs
+++ b/src/logic.rs
@@ -451,7 +451,7 @@
     searcher: SearcherIndex,
 }
 
-/// The replica that the replica rule chose for a part.
+/// The replica that [`Scheduler::best_replica`] chose for a part.
 struct Replica {
     tier: u8,
     cost: f64,
@@ -835,6 +835,8 @@
         }
     }
 
+    /// Answers a scan. The first answer of a scan with two steps opens its second step, which requires all of
+    /// its parts; the host sends them.
     fn complete(&mut self, index: ScanIndex, whole: bool, turn: &mut Turn) {
         let Some(scan) = self.scans.get_mut(&index) else { return };
         let whole = whole && scan.first_step_whole;
@@ -858,11 +860,11 @@
         let id = scan.id;
         let answered = scan.answered_weight() + Self::WEIGHT_TOLERANCE;
         // A first answer at the last moment would open a second step that nothing could end in time.
-        let opens_second_step = !scan.in_second_step
+        let opens_step_too_late = !scan.in_second_step
             && self.table_types[scan.table_type].has_second_step
             && turn.now >= scan.deadline_at;
         let has_answer = answered > 2.0 * Self::WEIGHT_TOLERANCE;
-        if has_answer && answered >= scan.minimum_weight && !opens_second_step {
+        if has_answer && answered >= scan.minimum_weight && !opens_step_too_late {
             return self.complete(index, answered >= scan.required_weight, turn);
         }
         let may_retry =
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,6 +6,9 @@
 use pewterwharf::interface::*;
 use pewterwharf::logic::Mixer;
 
+/// When a test begins, by the module's clock.
+const START_MS: f64 = 100_000.0;
+
 pub fn table_type(idempotency: Idempotency, required_weight: f64) -> TableType {
     TableType {
         target_ms: 1000.0,
@@ -60,22 +63,20 @@
 
     fn with(
         types: Vec<TableType>,
-        budget: Option<RetryBudget>,
+        retry_budget: Option<RetryBudget>,
         mixers: u32,
         probe: bool,
         resubscribe_within_ms: Option<f64>,
     ) -> Self {
         let layout = Layout { cells: 1, cells_per_shard: 1, parts_per_call: 1, call_work_ms: 0.0 };
-        let (cold_capacity_share, warm_up_ms, overload_multiple, overload_window_ms) =
-            (0.2, 10_000.0, 2.0, 1000.0);
-        let guards = SafetyLimits {
-            cold_capacity_share,
-            warm_up_ms,
-            overload_multiple,
-            overload_window_ms,
-            retry_budget: budget,
+        let limits = SafetyLimits {
+            cold_capacity_share: 0.2,
+            warm_up_ms: 10_000.0,
+            overload_multiple: 2.0,
+            overload_window_ms: 1000.0,
+            retry_budget,
         };
-        let permits = Permissions {
+        let permissions = Permissions {
             cancel: true,
             probe,
             hedge: true,
@@ -83,21 +84,21 @@
             retry_after_ms: Some(500.0),
             resubscribe_within_ms,
         };
-        let berth = Placement { mixers, zone: 0 };
+        let placement = Placement { mixers, zone: 0 };
         let customers = vec![Customer { scans_per_s: 100.0, over_quota_benefit_share: 0.2 }];
-        let mixer = Mixer::new(7, types, customers, layout, guards, permits, berth);
-        Self { mixer, now: 100_000.0, wake_at: 0.0, scans: 0, busy: None, trace: String::new() }
+        let mixer = Mixer::new(7, types, customers, layout, limits, permissions, placement);
+        Self { mixer, now: START_MS, wake_at: 0.0, scans: 0, busy: None, trace: String::new() }
     }
 
     /// Lists `n` warm searchers.
     pub fn list_warm(&mut self, n: u8) {
-        let lines = (1..=n).map(|n| listed(n, 0.0, SearcherStatus::Ready)).collect();
-        self.handle(vec![Event::List { kind: ListKind::Full, searchers: lines }]);
+        let searchers = (1..=n).map(|n| listed(n, 0.0, SearcherStatus::Ready)).collect();
+        self.handle(vec![Event::List { kind: ListKind::Full, searchers }]);
     }
 
     pub fn handle(&mut self, events: Vec<Event>) {
         for action in self.mixer.handle_events(self.now, events) {
-            let at = self.now - 100_000.0;
+            let at = self.now - START_MS;
             let line = match action {
                 Action::WakeAt { at } => {
                     self.wake_at = at;
@@ -142,14 +143,14 @@
     /// is 200.
     pub fn scan(&mut self, table_type: usize, parts: u32) {
         self.scans += 1;
-        let (id, number) = (u64::from(self.scans) * 100, self.scans);
-        let gone_at = self.now + 2000.0;
+        let number = self.scans;
+        let id = u64::from(number) * 100;
         let mut events = vec![Event::Scan {
             id,
             number,
             table_type,
             customer: 0,
-            deadline_at: gone_at,
+            deadline_at: self.now + 2000.0,
             work_ms: None,
             retry: false,
         }];
@@ -171,7 +172,7 @@
         outcome: DispatchOutcome,
         took_ms: f64,
     ) {
-        let _ = writeln!(self.trace, "{:>6}   {part}/{dispatch} ends {outcome:?}", self.now - 100_000.0);
+        let _ = writeln!(self.trace, "{:>6}   {part}/{dispatch} ends {outcome:?}", self.now - START_MS);
         self.handle(vec![Event::DispatchEnded {
             part,
             dispatch,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -12,8 +12,8 @@
     Rig::new(vec![table_type(Idempotency::Replayable, 2.0 / 3.0)], None)
 }
 
-fn all_parts_required(repeat: Idempotency) -> Rig {
-    Rig::new(vec![table_type(repeat, 1.0)], None)
+fn all_parts_required(idempotency: Idempotency) -> Rig {
+    Rig::new(vec![table_type(idempotency, 1.0)], None)
 }
 
 /// Serves `n` scans of one part, one after the other, on searchers that answer in 100 ms.
@@ -28,6 +28,14 @@
     rig.trace();
 }
 
+/// The searcher that a part was sent to, or 0.
+fn searcher_of(trace: &str, part: u64) -> u8 {
+    let line = trace.lines().find(|line| line.contains(&format!("part {part} ")));
+    line.and_then(|line| line.rsplit('s').next()).and_then(|number| number.parse().ok()).unwrap_or(0)
+}
+
+/// Of three parts two are required: two are sent, and a late one is replaced by the third, which was not sent
+/// yet.
 #[test]
 fn late_part_is_replaced_by_an_unsent_one() {
     let mut rig = two_of_three_parts_required();
@@ -37,6 +45,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// A slow searcher is marked, probed, readmitted on trial, and gets a part again.
 #[test]
 fn slow_searcher_is_marked_and_readmitted() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -51,6 +60,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Guards against a searcher that fails at once and so looks fast, and attracts all parts.
 #[test]
 fn fast_failures_attract_no_parts() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -64,6 +74,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// A scan ends before its deadline, and nothing is sent for it afterwards.
 #[test]
 fn rule_1_scan_ends_before_its_deadline() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -102,8 +113,8 @@
 fn rule_3_draining_searcher_gets_nothing() {
     let mut rig = all_parts_required(Idempotency::Replayable);
     rig.list_warm(2);
-    let lines = vec![listed(1, 0.0, SearcherStatus::Draining)];
-    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers: lines }]);
+    let searchers = vec![listed(1, 0.0, SearcherStatus::Draining)];
+    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers }]);
     rig.scan(0, 3);
     rig.handle(vec![Event::List {
         kind: ListKind::Full,
@@ -131,6 +142,8 @@
     assert_snapshot!(rig.trace());
 }
 
+/// An earlier process of the mixer may have used its share of a cold searcher: the new process sends nothing
+/// there for a window.
 #[test]
 fn rule_4_new_mixer_waits_for_a_window() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -167,6 +180,7 @@
     rig
 }
 
+/// Guards against admission control that applies the latency ratio of delayed short parts to long ones.
 #[test]
 fn delayed_short_parts_do_not_block_long_ones() {
     let mut rig = short_and_long();
@@ -181,6 +195,7 @@
     assert!(rig.trace().contains("part 2401 -> s1"), "it would be answered in time: 350 ms of 1000");
 }
 
+/// Guards against admission control that takes the age of a long part for lateness.
 #[test]
 fn long_parts_do_not_block_short_ones() {
     let mut rig = short_and_long();
@@ -191,6 +206,8 @@
     assert!(rig.trace().contains("part 2201 -> s1"), "the long part is no later than its baseline");
 }
 
+/// Guards against a table type that is rejected because its parts need much of its target time even when
+/// nothing is slow.
 #[test]
 fn parts_of_half_the_target_time_are_served() {
     let mut rig = Rig::with_mixers(60, vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -207,6 +224,7 @@
     }
 }
 
+/// An answer without all parts is never called whole, and a part that is reported twice counts once.
 #[test]
 fn rule_5_partial_answer_is_not_whole() {
     let mut short = table_type(Idempotency::Replayable, 1.0);
@@ -230,14 +248,14 @@
     rig.scan(0, 4); // a scan and four parts accepted: two extra dispatches fit
     let sent = rig.trace();
     for part in 101..=104 {
-        let to = sent.lines().find(|l| l.contains(&format!("part {part} ")));
-        let to = to.and_then(|l| l.rsplit('s').next()).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let to = searcher_of(&sent, part);
         rig.end_dispatch(part, 0, to, DispatchOutcome::Error, 5.0);
     }
     rig.advance_ms(1020.0);
     assert_snapshot!(rig.trace());
 }
 
+/// Guards against a second hedge of a part that is answered but was late before.
 #[test]
 fn answered_part_is_not_sent_again() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -254,8 +272,8 @@
     let mut rig = all_parts_required(Idempotency::Replayable);
     rig.scan(0, 1); // no searcher is listed
     rig.list_warm(1);
-    let lines = vec![listed(1, 0.0, SearcherStatus::Gone)];
-    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers: lines }]);
+    let searchers = vec![listed(1, 0.0, SearcherStatus::Gone)];
+    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers }]);
     rig.scan(0, 1);
     assert_snapshot!(rig.trace());
 }
@@ -267,17 +285,18 @@
     serve_scans(&mut rig, 4);
     rig.scan(0, 3);
     rig.advance_ms(900.0); // marked
-    let lines = vec![listed(1, 1000.0, SearcherStatus::Ready)];
-    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers: lines }]);
+    let searchers = vec![listed(1, 1000.0, SearcherStatus::Ready)];
+    rig.handle(vec![Event::List { kind: ListKind::Changes, searchers }]);
     rig.advance_ms(2000.0); // no further probe
     assert_snapshot!(rig.trace());
 }
 
+/// The first answer opens the second step, which requires all of its parts and ends the scan.
 #[test]
 fn second_step_requires_all_parts() {
-    let mut two = table_type(Idempotency::Replayable, 0.5);
-    two.has_second_step = true;
-    let mut rig = Rig::new(vec![two], None);
+    let mut two_steps = table_type(Idempotency::Replayable, 0.5);
+    two_steps.has_second_step = true;
+    let mut rig = Rig::new(vec![two_steps], None);
     rig.list_warm(2);
     rig.scan(0, 2);
     let first = if rig.trace().contains("101") { 101 } else { 102 };
@@ -289,6 +308,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// The capacity of a cold searcher grows with what warm searchers carry.
 #[test]
 fn rule_4_capacity_follows_warm_traffic() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -310,6 +330,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Marked searchers serve when all are marked, but not one that has no connection.
 #[test]
 fn disconnected_searcher_is_no_fallback() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -331,6 +352,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Guards against marks for latencies that come from a pause of the mixer itself.
 #[test]
 fn pause_of_the_mixer_marks_no_searcher() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -350,11 +372,13 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Guards against a first answer at the deadline that opens a second step which nothing ends.
 #[test]
 fn no_second_step_at_the_deadline() {
-    let mut two = table_type(Idempotency::Replayable, 1.0);
-    (two.has_second_step, two.minimum_weight) = (true, 0.5);
-    let mut rig = Rig::new(vec![two], None);
+    let mut two_steps = table_type(Idempotency::Replayable, 1.0);
+    two_steps.has_second_step = true;
+    two_steps.minimum_weight = 0.5;
+    let mut rig = Rig::new(vec![two_steps], None);
     rig.list_warm(2);
     rig.scan(0, 2);
     rig.advance_ms(1500.0); // past the target time, without any part answered
@@ -363,6 +387,8 @@
     assert_snapshot!(rig.trace());
 }
 
+/// A scan at whose parts searchers crash is not sent on, and the next scan of its customer sends one part
+/// first.
 #[test]
 fn deadly_scan_ends_and_its_customer_gets_caution() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -370,8 +396,7 @@
     rig.scan(0, 3);
     let sent = rig.trace();
     for part in [101, 102] {
-        let to = sent.lines().find(|l| l.contains(&format!("part {part} ")));
-        let to = to.and_then(|l| l.rsplit('s').next()).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let to = searcher_of(&sent, part);
         rig.end_dispatch(part, 0, to, DispatchOutcome::Reset, 5.0);
     }
     rig.scan(0, 3); // one part first
@@ -379,6 +404,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Connections that were idle are closed before use once parts are lost on idle connections only.
 #[test]
 fn idle_connections_with_losses_are_closed() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -398,6 +424,8 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Where a mixer's share of a cold searcher is less than a part, few scans are admitted, by their lottery
+/// numbers.
 #[test]
 fn rule_4_lottery_for_shares_under_one_part() {
     let mut rig = Rig::with_mixers(60, vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -411,6 +439,7 @@
     assert_snapshot!(sent.join("\n"), @"   750 part 301 -> s1");
 }
 
+/// A searcher that refused connections was restarted: it is cold though the list still has its old start.
 #[test]
 fn searcher_that_refused_connections_returns_cold() {
     let mut rig = Rig::with_mixers(60, vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -423,11 +452,12 @@
     assert_snapshot!(rig.trace());
 }
 
+/// A zone that is slow to reach from here counts for its searchers that were not used yet.
 #[test]
 fn slow_zone_counts_for_its_unused_searchers() {
     let mut rig = all_parts_required(Idempotency::Replayable);
     let far = |n| ListedSearcher { zone: 1, ..listed(n, 0.0, SearcherStatus::Ready) };
-    let list = |lines| vec![Event::List { kind: ListKind::Changes, searchers: lines }];
+    let list = |searchers| vec![Event::List { kind: ListKind::Changes, searchers }];
     rig.handle(list(vec![far(2)]));
     for i in 1..=26 {
         rig.scan(0, 1);
@@ -440,6 +470,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Where probes are not allowed, a marked searcher is tried with a part after a while.
 #[test]
 fn without_probes_marked_searcher_gets_a_part() {
     let mut rig = Rig::without_probes(vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -452,6 +483,7 @@
     assert_snapshot!(rig.trace());
 }
 
+/// Without calls in flight, a high smoothed latency rejects scans until it has decayed.
 #[test]
 fn high_latency_rejects_scans_until_it_decays() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -470,6 +502,8 @@
     assert_snapshot!(trace.lines().filter(is_decision).collect::<Vec<_>>().join("\n"));
 }
 
+/// Guards against marks when baselines, still those of the start, make the median of the slices far less than
+/// one.
 #[test]
 fn median_of_unlearned_baselines_marks_no_searcher() {
     let mut rig = all_parts_required(Idempotency::Replayable);
@@ -490,6 +524,7 @@
     assert_snapshot!(trace.lines().filter(|l| !l.contains("ends")).collect::<Vec<_>>().join("\n"));
 }
 
+/// Guards against rejected parts that wait for the own budget, which limits work that is done twice.
 #[test]
 fn parts_that_never_ran_are_free_of_the_own_budget() {
     let mut rig = Rig::without_probes(vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -503,6 +538,7 @@
     assert_eq!(rig.trace().matches("part ").count(), 12);
 }
 
+/// The more busy searchers report to be, the fewer late parts are hedged.
 #[test]
 fn hedges_shrink_with_free_cores() {
     let hedges = |busy: f64| {
@@ -518,6 +554,8 @@
     assert_eq!([hedges(0.2), hedges(0.6), hedges(0.95)], [6, 4, 0]);
 }
 
+/// Where probes are not allowed, readmission proves no restart: the searcher is not held to the capacity of a
+/// cold one.
 #[test]
 fn readmission_without_probe_is_not_cold() {
     let mut rig = Rig::without_probes(vec![table_type(Idempotency::Replayable, 1.0)]);
@@ -534,6 +572,7 @@
     assert_eq!(rig.trace().matches("-> s1").count(), 11);
 }
 
+/// A failed subscription is tried again after growing waits, within the stated time.
 #[test]
 fn failed_subscription_backs_off() {
     let mut rig = Rig::with_resubscription(10_000.0);
@@ -552,6 +591,7 @@
     assert!(waits[3..].iter().all(|w| (1250.0..=3770.0).contains(w)), "{waits:?}");
 }
 
+/// Where searchers report how busy they are, the capacity follows from what warm ones could carry.
 #[test]
 fn rule_4_capacity_uses_reported_busy_share() {
     let sent = |busy: Option<f64>| {
@@ -578,6 +618,7 @@
     assert!(no_report == full && half > full, "{no_report} {full} {half}");
 }
 
+/// Guards against a late scan that waits for the budget alone, and keeps its client from retrying.
 #[test]
 fn late_scan_without_parts_in_flight_ends() {
     let budget = RetryBudget { free: 0.0, share: 0.0, window_ms: 2000.0 };
@@ -592,6 +633,8 @@
     assert!(trace.contains("throttle 100"), "{trace}");
 }
 
+/// Where probes are not allowed, a slow part after a long idle time counts in full, and keeps parts away for
+/// longer.
 #[test]
 fn without_probes_slow_part_after_idle_time_is_remembered() {
     let again = |mut rig: Rig| {
@@ -617,6 +660,7 @@
     assert!(!again(Rig::without_probes(types())), "without probes, it has not");
 }
 
+/// Guards against a report of an impossible busy share that stops hedges for long.
 #[test]
 fn untrue_busy_reports_do_not_stop_hedges() {
     let hedges = |busy: f64| {
