--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1074,7 +1074,7 @@
         let demand = self.demand.iter().sum::<f64>().max(self.sent_work_rate);
         let demand_ms =
             Self::TRAFFIC_SURGE * demand * self.mixers_per_searcher() * self.limits.overload_window_ms;
-        // No mixer sends more than one scan and one part beyond that.
+        // A mixer sends a searcher the work of one scan and one part at most.
         let expected_ms = demand_ms.min(self.mixers * (scan_work_ms + work_ms));
         let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.lottery_number };
         admitted_share * expected_ms < mean_ms
@@ -1083,37 +1083,26 @@
 
 /// Dispatching.
 impl Scheduler {
-    /// A part is late, and may be hedged, after this share of the time that its scan has left, or earlier.
+    /// A dispatch is late after this share of the time that its scan has left until its target time, or
+    /// earlier: as soon as its age would mark a searcher.
     const LATE_TARGET_SHARE: f64 = 0.5;
 
     fn dispatch(&mut self, index: ScanIndex, part_index: usize, searcher: SearcherIndex, turn: &mut Turn) {
-        let Some(table_type) = self.scans.get(&index).map(|scan| scan.table_type) else { return };
         let now = turn.now;
+        let Some(scan) = self.scans.get(&index) else { return };
+        let table_type = scan.table_type;
+        let timeout_ms = self.timeout_ms(scan, now);
+        let late_at = now + self.late_after_ms(scan, now);
         let work_ms = self.work_ms(table_type, searcher);
         let on_idle_connection = self.open_call_if_needed(searcher, turn);
-        let Some(scan) = self.scans.get_mut(&index) else { return };
         let Some(open_call) = self.open_calls.get_mut(&searcher) else { return };
         open_call.parts += 1;
-        let part = &mut scan.parts[part_index];
-        let id = DispatchId { part: part.id, number: part.dispatches.len() as u8 };
-        // The module's own budget limits work that is done twice: what never ran costs nothing.
-        let is_retry = !part.dispatches.is_empty();
-        if is_retry && (self.limits.retry_budget.is_some() || !part.never_ran()) {
-            self.retry_budget.spent_at.push_back(now);
-        }
-        part.dispatches.push(PartDispatch { searcher, outcome: None });
-        part.state = PartState::InFlight;
-        part.hedge_due = false;
-        let is_late_useful = self.table_types[table_type].late_benefit_share > 0.0;
-        let end = if is_late_useful { scan.deadline_at } else { scan.deadline_at.min(scan.target_at) };
-        let timeout_ms = (end - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0;
         let call = open_call.call.clone();
+        let Some(id) = self.add_part_dispatch(index, part_index, searcher, now) else { return };
         let in_flight =
             InFlightDispatch { searcher, table_type, call, sent_at: now, timeout_ms, on_idle_connection };
         self.in_flight.insert(id, in_flight);
-        let late_after_ms = (self.baseline.mark_ratio * self.baseline.latency_ms[table_type])
-            .min((scan.target_at - now) * Self::LATE_TARGET_SHARE);
-        self.timers.add(now + late_after_ms.max(Self::ANSWER_LEAD_MS), Timer::DispatchLate(id));
+        self.timers.add(late_at, Timer::DispatchLate(id));
         self.record_sent_work(searcher, table_type, work_ms, now);
         let address = self.searchers[searcher].address;
         turn.actions.push(Action::Dispatch { part: id.part, searcher: address, timeout_ms });
@@ -1121,6 +1110,41 @@
         turn.send(Address::monitor(searcher), message);
     }
 
+    /// Time after which the host gives up a dispatch: as long as its answer is worth anything.
+    fn timeout_ms(&self, scan: &Scan, now: f64) -> f64 {
+        let is_late_useful = self.table_types[scan.table_type].late_benefit_share > 0.0;
+        let end = if is_late_useful { scan.deadline_at } else { scan.deadline_at.min(scan.target_at) };
+        (end - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0
+    }
+
+    /// Time after which a dispatch is late, and may be hedged.
+    fn late_after_ms(&self, scan: &Scan, now: f64) -> f64 {
+        let mark_ms = self.baseline.mark_ratio * self.baseline.latency_ms[scan.table_type];
+        let left_ms = (scan.target_at - now) * Self::LATE_TARGET_SHARE;
+        mark_ms.min(left_ms).max(Self::ANSWER_LEAD_MS)
+    }
+
+    /// Adds a dispatch to a part's history, and to the retry budget if the part was sent before. The module's
+    /// own budget limits work that is done twice: what never ran costs nothing.
+    fn add_part_dispatch(
+        &mut self,
+        index: ScanIndex,
+        part_index: usize,
+        searcher: SearcherIndex,
+        now: f64,
+    ) -> Option<DispatchId> {
+        let part = &mut self.scans.get_mut(&index)?.parts[part_index];
+        let id = DispatchId { part: part.id, number: part.dispatches.len() as u8 };
+        let was_sent = !part.dispatches.is_empty();
+        if was_sent && (self.limits.retry_budget.is_some() || !part.never_ran()) {
+            self.retry_budget.spent_at.push_back(now);
+        }
+        part.dispatches.push(PartDispatch { searcher, outcome: None });
+        part.state = PartState::InFlight;
+        part.hedge_due = false;
+        Some(id)
+    }
+
     /// Opens a call to a searcher unless one leaves in this turn that can carry one more part. Returns
     /// whether the connection had long been idle, or none if it is closed for that and a new one is used.
     fn open_call_if_needed(&mut self, searcher: SearcherIndex, turn: &mut Turn) -> Option<bool> {
