--- a/src/logic.rs
+++ b/src/logic.rs
@@ -24,6 +24,240 @@
 pub use crate::state::Mixer;
 use crate::state::*;
 
+impl DecisionModule for Mixer {
+    fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action> {
+        self.turn.now = now;
+        for event in events {
+            self.handle_event(event);
+        }
+        // All events are handled before ages are judged: a pause of the mixer itself must not look like a
+        // slow searcher.
+        self.deliver_messages();
+        self.tick_if_due(now);
+        self.deliver_messages();
+        self.turn.send(Address::SCHEDULER, Message::EndTurn);
+        self.deliver_messages();
+        std::mem::take(&mut self.turn.actions)
+    }
+}
+
+impl Mixer {
+    /// Period of the tick: short against the shortest times that matter here, which are tens of milliseconds.
+    const TICK_MS: f64 = 20.0;
+    /// Share of its target time that is taken for a table type's baseline latency until parts have come back.
+    const INITIAL_LATENCY_SHARE: f64 = 0.25;
+    /// First wait before a failed subscription is tried again; it doubles with each failure. Often enough for
+    /// a list that comes seconds late.
+    const RESUBSCRIBE_MS: f64 = 1000.0;
+    /// Failures in a row up to which the wait doubles.
+    const MAX_DOUBLED_FAILURES: u32 = 8;
+    /// Subscriptions that are tried, at least, in the time after which the deployment counts changes of the
+    /// list as missed.
+    const MIN_SUBSCRIPTIONS: f64 = 4.0;
+
+    /// Creates the decision module of one mixer. The seed determines its random choices.
+    pub fn new(
+        seed: u64,
+        table_types: Vec<TableType>,
+        customers: Vec<Customer>,
+        layout: Layout,
+        limits: SafetyLimits,
+        permissions: Permissions,
+        placement: Placement,
+    ) -> Self {
+        let initial_ms: Vec<f64> =
+            table_types.iter().map(|terms| terms.target_ms * Self::INITIAL_LATENCY_SHARE).collect();
+        let estimate = |ms: &f64| TypeEstimate { latency_ms: *ms, samples: 1.0, work_ms: *ms };
+        let decay_ms = if permissions.probe {
+            SearcherMonitor::LATENCY_DECAY_MS
+        } else {
+            SearcherMonitor::UNPROBED_LATENCY_DECAY_MS
+        };
+        let baseline_tracker = BaselineTracker {
+            types: initial_ms.iter().map(estimate).collect(),
+            slice_means: BTreeMap::new(),
+            median_slice_mean: 1.0,
+            zones: BTreeMap::new(),
+            decay_ms,
+        };
+        let baseline = Baseline {
+            latency_ms: initial_ms.clone(),
+            work_ms: initial_ms,
+            mark_ratio: BaselineTracker::MARK_MULTIPLE,
+            zones: BTreeMap::new(),
+            decay_ms,
+        };
+        let must_subscribe = permissions.resubscribe_within_ms.is_some();
+        let stated_mixers = f64::from(placement.mixers.max(1));
+        let retry_budget = BudgetWindow::new(limits.retry_budget.unwrap_or(BudgetWindow::OWN_BUDGET));
+        let hedge_budget = BudgetWindow::new(BudgetWindow::OWN_BUDGET);
+        let lottery_offset = Rand64::new(u128::from(!seed)).rand_float();
+        let scheduler = Scheduler::new(
+            table_types,
+            layout,
+            limits,
+            permissions,
+            stated_mixers,
+            Rc::new(baseline),
+            CustomerTraffic::new(customers),
+            retry_budget,
+            hedge_budget,
+            lottery_offset,
+        );
+        Self {
+            random: Rand64::new(u128::from(seed)),
+            zone: placement.zone,
+            stated_mixers,
+            directory: SearcherDirectory::default(),
+            subscribe_at: if must_subscribe { 0.0 } else { f64::INFINITY },
+            failed_subscriptions: 0,
+            next_tick_at: f64::NEG_INFINITY,
+            monitors: Vec::new(),
+            baseline_tracker,
+            scheduler,
+            turn: Turn::new(),
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::List { kind: ListKind::Failed, .. } => self.schedule_subscription(),
+            Event::List { kind, searchers } => self.update_list(kind, searchers),
+            Event::ProbeEnded { searcher, outcome, took_ms } => {
+                if let Some(searcher) = self.directory.find(searcher) {
+                    let message = Message::ProbeEnded { outcome, took_ms };
+                    self.turn.send(Address::monitor(searcher), message);
+                }
+            }
+            Event::PeerReport { searcher, report } => self.handle_peer_report(searcher, report),
+            // Never fewer than stated: a mixer that is not seen may be cut off and send all the same.
+            Event::MixerCount { mixers } => {
+                self.scheduler.mixers = self.stated_mixers.max(f64::from(mixers));
+            }
+            Event::IdleConnectionsLost => {
+                self.scheduler.connection_losses.distrusted_until =
+                    self.turn.now + ConnectionLosses::DISTRUST_MS;
+            }
+            event => self.turn.send(Address::SCHEDULER, Message::Host(event)),
+        }
+    }
+
+    /// Schedules the next subscription after one that failed, with jitter and exponential backoff: all mixers
+    /// may have been rejected at once, and spread out they are accepted as soon as there is room for some.
+    fn schedule_subscription(&mut self) {
+        self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_DOUBLED_FAILURES);
+        let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
+        let longest_wait_ms = within_ms / Self::MIN_SUBSCRIPTIONS;
+        let backoff = f64::from(1 << (self.failed_subscriptions - 1));
+        let wait_ms = (Self::RESUBSCRIBE_MS * backoff).min(longest_wait_ms);
+        self.subscribe_at = self.turn.now + wait_ms * (0.5 + self.random.rand_float());
+    }
+
+    fn update_list(&mut self, kind: ListKind, listed: Vec<ListedSearcher>) {
+        let is_first = self.scheduler.first_list_at.is_infinite();
+        self.failed_subscriptions = 0;
+        self.scheduler.first_list_at = self.scheduler.first_list_at.min(self.turn.now);
+        if kind != ListKind::Changes {
+            // A whole list: searchers that it does not name are gone.
+            for searcher in &mut self.scheduler.searchers {
+                searcher.status = SearcherStatus::Gone;
+            }
+        }
+        let is_known = |listed: &ListedSearcher| {
+            listed.status != SearcherStatus::Gone || self.directory.find(listed.searcher).is_some()
+        };
+        let listed: Vec<ListedSearcher> = listed.into_iter().filter(is_known).collect();
+        for entry in listed {
+            match self.directory.find(entry.searcher) {
+                Some(searcher) => self.update_searcher(searcher, entry),
+                None => self.add_searcher(entry),
+            }
+        }
+        self.remove_gone_searchers();
+        let is_ready = |searcher: &&SearcherState| searcher.status == SearcherStatus::Ready;
+        self.scheduler.ready_searchers = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
+        if is_first {
+            // Until there is traffic, it is taken for the work of one core at each searcher.
+            self.scheduler.sent_work_rate = self.scheduler.ready_searchers / self.scheduler.mixers;
+        }
+    }
+
+    fn add_searcher(&mut self, entry: ListedSearcher) {
+        let ListedSearcher { searcher: address, cell, zone, started_at, status } = entry;
+        let searcher = self.directory.add(address);
+        let monitor = SearcherMonitor::new(searcher, address, zone, self.scheduler.baseline.clone());
+        // Between equal searchers the own zone is preferred, and then a random order of each mixer's own: all
+        // mixers must not prefer the same searchers.
+        let tie_breaker = f64::from(u8::from(zone != self.zone)) + self.random.rand_float();
+        let now = self.turn.now;
+        let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker, now);
+        set_or_push(&mut self.monitors, searcher, monitor);
+        set_or_push(&mut self.scheduler.searchers, searcher, state);
+        self.scheduler.shard_map.add(cell, searcher);
+    }
+
+    /// Updates a searcher that is known by its address; a new start voids its history.
+    fn update_searcher(&mut self, searcher: SearcherIndex, entry: ListedSearcher) {
+        let ListedSearcher { cell, started_at, status, .. } = entry;
+        let state = &mut self.scheduler.searchers[searcher];
+        if state.listed_start != started_at && status == SearcherStatus::Ready {
+            state.listed_start = started_at;
+            state.found_start = started_at;
+            state.concurrency_limit = f64::INFINITY;
+            state.start_known_at = self.turn.now;
+            state.leaving = false;
+            self.turn.send(Address::monitor(searcher), Message::SearcherRestarted);
+        }
+        state.status = status;
+        let old_cell = std::mem::replace(&mut state.cell, cell);
+        self.scheduler.shard_map.remove(old_cell, searcher);
+        self.scheduler.shard_map.add(cell, searcher);
+    }
+
+    /// Frees the indices of searchers that are gone, as each release brings new ones.
+    fn remove_gone_searchers(&mut self) {
+        let is_unused = |searcher: SearcherIndex| {
+            let state = &self.scheduler.searchers[searcher];
+            state.status == SearcherStatus::Gone && state.calls == 0
+        };
+        for searcher in self.directory.remove_if(is_unused) {
+            self.scheduler.shard_map.remove(self.scheduler.searchers[searcher].cell, searcher);
+            self.turn.subscribe_to_ticks(Address::monitor(searcher), false);
+        }
+    }
+
+    /// Reports of other mixers make this one probe a searcher, send it less or send it nothing. They never
+    /// make it send what it would not send without them: a report that is wrong or old can cost service, but
+    /// breaks no rule. Reports count only for searchers on the own list.
+    fn handle_peer_report(&mut self, searcher: SocketAddrV4, report: PeerReport) {
+        let Some(searcher) = self.directory.find(searcher) else { return };
+        let state = &mut self.scheduler.searchers[searcher];
+        match report {
+            PeerReport::Marked => {
+                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: false });
+            }
+            PeerReport::MarkedBySeveral => {
+                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: true });
+            }
+            PeerReport::Leaving { leaving } => state.leaving = leaving,
+            PeerReport::Restarted { started_at } => state.reported_start = started_at.min(self.turn.now),
+        }
+    }
+
+    fn tick_if_due(&mut self, now: f64) {
+        if now < self.next_tick_at {
+            return;
+        }
+        self.next_tick_at = now + Self::TICK_MS;
+        self.turn.actions.push(Action::WakeAt { at: self.next_tick_at });
+        self.turn.send_to_tick_subscribers(|| Message::Tick);
+        if now >= self.subscribe_at {
+            self.subscribe_at = f64::INFINITY;
+            self.turn.actions.push(Action::Subscribe);
+        }
+    }
+}
+
 impl SearcherMonitor {
     /// Length of a time slice: the design's half second. The paper asks for the smallest that holds enough
     /// parts.
@@ -1242,236 +1476,3 @@
         (f64::from(calls + 1) > limit).then_some(RejectionReason::ConcurrencyLimit)
     }
 }
-
-impl Mixer {
-    /// Period of the tick: short against the shortest times that matter here, which are tens of milliseconds.
-    const TICK_MS: f64 = 20.0;
-    /// Share of its target time that is taken for a table type's baseline latency until parts have come back.
-    const INITIAL_LATENCY_SHARE: f64 = 0.25;
-    /// First wait before a failed subscription is tried again; it doubles with each failure. Often enough for
-    /// a list that comes seconds late.
-    const RESUBSCRIBE_MS: f64 = 1000.0;
-    /// Failures in a row up to which the wait doubles.
-    const MAX_DOUBLED_FAILURES: u32 = 8;
-    /// Subscriptions that are tried, at least, in the time after which the deployment counts changes of the
-    /// list as missed.
-    const MIN_SUBSCRIPTIONS: f64 = 4.0;
-
-    pub fn new(
-        seed: u64,
-        table_types: Vec<TableType>,
-        customers: Vec<Customer>,
-        layout: Layout,
-        limits: SafetyLimits,
-        permissions: Permissions,
-        placement: Placement,
-    ) -> Self {
-        let initial_ms: Vec<f64> =
-            table_types.iter().map(|terms| terms.target_ms * Self::INITIAL_LATENCY_SHARE).collect();
-        let estimate = |ms: &f64| TypeEstimate { latency_ms: *ms, samples: 1.0, work_ms: *ms };
-        let decay_ms = if permissions.probe {
-            SearcherMonitor::LATENCY_DECAY_MS
-        } else {
-            SearcherMonitor::UNPROBED_LATENCY_DECAY_MS
-        };
-        let baseline_tracker = BaselineTracker {
-            types: initial_ms.iter().map(estimate).collect(),
-            slice_means: BTreeMap::new(),
-            median_slice_mean: 1.0,
-            zones: BTreeMap::new(),
-            decay_ms,
-        };
-        let baseline = Baseline {
-            latency_ms: initial_ms.clone(),
-            work_ms: initial_ms,
-            mark_ratio: BaselineTracker::MARK_MULTIPLE,
-            zones: BTreeMap::new(),
-            decay_ms,
-        };
-        let must_subscribe = permissions.resubscribe_within_ms.is_some();
-        let stated_mixers = f64::from(placement.mixers.max(1));
-        let retry_budget = BudgetWindow::new(limits.retry_budget.unwrap_or(BudgetWindow::OWN_BUDGET));
-        let hedge_budget = BudgetWindow::new(BudgetWindow::OWN_BUDGET);
-        let lottery_offset = Rand64::new(u128::from(!seed)).rand_float();
-        let scheduler = Scheduler::new(
-            table_types,
-            layout,
-            limits,
-            permissions,
-            stated_mixers,
-            Rc::new(baseline),
-            CustomerTraffic::new(customers),
-            retry_budget,
-            hedge_budget,
-            lottery_offset,
-        );
-        Self {
-            random: Rand64::new(u128::from(seed)),
-            zone: placement.zone,
-            stated_mixers,
-            directory: SearcherDirectory::default(),
-            subscribe_at: if must_subscribe { 0.0 } else { f64::INFINITY },
-            failed_subscriptions: 0,
-            next_tick_at: f64::NEG_INFINITY,
-            monitors: Vec::new(),
-            baseline_tracker,
-            scheduler,
-            turn: Turn::new(),
-        }
-    }
-
-    fn handle_event(&mut self, event: Event) {
-        match event {
-            Event::List { kind: ListKind::Failed, .. } => self.schedule_subscription(),
-            Event::List { kind, searchers } => self.update_list(kind, searchers),
-            Event::ProbeEnded { searcher, outcome, took_ms } => {
-                if let Some(searcher) = self.directory.find(searcher) {
-                    let message = Message::ProbeEnded { outcome, took_ms };
-                    self.turn.send(Address::monitor(searcher), message);
-                }
-            }
-            Event::PeerReport { searcher, report } => self.handle_peer_report(searcher, report),
-            // Never fewer than stated: a mixer that is not seen may be cut off and send all the same.
-            Event::MixerCount { mixers } => {
-                self.scheduler.mixers = self.stated_mixers.max(f64::from(mixers));
-            }
-            Event::IdleConnectionsLost => {
-                self.scheduler.connection_losses.distrusted_until =
-                    self.turn.now + ConnectionLosses::DISTRUST_MS;
-            }
-            event => self.turn.send(Address::SCHEDULER, Message::Host(event)),
-        }
-    }
-
-    /// Schedules the next subscription after one that failed, with jitter and exponential backoff: all mixers
-    /// may have been rejected at once, and spread out they are accepted as soon as there is room for some.
-    fn schedule_subscription(&mut self) {
-        self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_DOUBLED_FAILURES);
-        let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
-        let longest_wait_ms = within_ms / Self::MIN_SUBSCRIPTIONS;
-        let backoff = f64::from(1 << (self.failed_subscriptions - 1));
-        let wait_ms = (Self::RESUBSCRIBE_MS * backoff).min(longest_wait_ms);
-        self.subscribe_at = self.turn.now + wait_ms * (0.5 + self.random.rand_float());
-    }
-
-    fn update_list(&mut self, kind: ListKind, listed: Vec<ListedSearcher>) {
-        let is_first = self.scheduler.first_list_at.is_infinite();
-        self.failed_subscriptions = 0;
-        self.scheduler.first_list_at = self.scheduler.first_list_at.min(self.turn.now);
-        if kind != ListKind::Changes {
-            // A whole list: searchers that it does not name are gone.
-            for searcher in &mut self.scheduler.searchers {
-                searcher.status = SearcherStatus::Gone;
-            }
-        }
-        let is_known = |listed: &ListedSearcher| {
-            listed.status != SearcherStatus::Gone || self.directory.find(listed.searcher).is_some()
-        };
-        let listed: Vec<ListedSearcher> = listed.into_iter().filter(is_known).collect();
-        for entry in listed {
-            match self.directory.find(entry.searcher) {
-                Some(searcher) => self.update_searcher(searcher, entry),
-                None => self.add_searcher(entry),
-            }
-        }
-        self.remove_gone_searchers();
-        let is_ready = |searcher: &&SearcherState| searcher.status == SearcherStatus::Ready;
-        self.scheduler.ready_searchers = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
-        if is_first {
-            // Until there is traffic, it is taken for the work of one core at each searcher.
-            self.scheduler.sent_work_rate = self.scheduler.ready_searchers / self.scheduler.mixers;
-        }
-    }
-
-    fn add_searcher(&mut self, entry: ListedSearcher) {
-        let ListedSearcher { searcher: address, cell, zone, started_at, status } = entry;
-        let searcher = self.directory.add(address);
-        let monitor = SearcherMonitor::new(searcher, address, zone, self.scheduler.baseline.clone());
-        // Between equal searchers the own zone is preferred, and then a random order of each mixer's own: all
-        // mixers must not prefer the same searchers.
-        let tie_breaker = f64::from(u8::from(zone != self.zone)) + self.random.rand_float();
-        let now = self.turn.now;
-        let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker, now);
-        set_or_push(&mut self.monitors, searcher, monitor);
-        set_or_push(&mut self.scheduler.searchers, searcher, state);
-        self.scheduler.shard_map.add(cell, searcher);
-    }
-
-    /// Updates a searcher that is known by its address; a new start voids its history.
-    fn update_searcher(&mut self, searcher: SearcherIndex, entry: ListedSearcher) {
-        let ListedSearcher { cell, started_at, status, .. } = entry;
-        let state = &mut self.scheduler.searchers[searcher];
-        if state.listed_start != started_at && status == SearcherStatus::Ready {
-            state.listed_start = started_at;
-            state.found_start = started_at;
-            state.concurrency_limit = f64::INFINITY;
-            state.start_known_at = self.turn.now;
-            state.leaving = false;
-            self.turn.send(Address::monitor(searcher), Message::SearcherRestarted);
-        }
-        state.status = status;
-        let old_cell = std::mem::replace(&mut state.cell, cell);
-        self.scheduler.shard_map.remove(old_cell, searcher);
-        self.scheduler.shard_map.add(cell, searcher);
-    }
-
-    /// Frees the indices of searchers that are gone, as each release brings new ones.
-    fn remove_gone_searchers(&mut self) {
-        let is_unused = |searcher: SearcherIndex| {
-            let state = &self.scheduler.searchers[searcher];
-            state.status == SearcherStatus::Gone && state.calls == 0
-        };
-        for searcher in self.directory.remove_if(is_unused) {
-            self.scheduler.shard_map.remove(self.scheduler.searchers[searcher].cell, searcher);
-            self.turn.subscribe_to_ticks(Address::monitor(searcher), false);
-        }
-    }
-
-    /// Reports of other mixers make this one probe a searcher, send it less or send it nothing. They never
-    /// make it send what it would not send without them: a report that is wrong or old can cost service, but
-    /// breaks no rule. Reports count only for searchers on the own list.
-    fn handle_peer_report(&mut self, searcher: SocketAddrV4, report: PeerReport) {
-        let Some(searcher) = self.directory.find(searcher) else { return };
-        let state = &mut self.scheduler.searchers[searcher];
-        match report {
-            PeerReport::Marked => {
-                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: false });
-            }
-            PeerReport::MarkedBySeveral => {
-                self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: true });
-            }
-            PeerReport::Leaving { leaving } => state.leaving = leaving,
-            PeerReport::Restarted { started_at } => state.reported_start = started_at.min(self.turn.now),
-        }
-    }
-
-    fn tick_if_due(&mut self, now: f64) {
-        if now < self.next_tick_at {
-            return;
-        }
-        self.next_tick_at = now + Self::TICK_MS;
-        self.turn.actions.push(Action::WakeAt { at: self.next_tick_at });
-        self.turn.send_to_tick_subscribers(|| Message::Tick);
-        if now >= self.subscribe_at {
-            self.subscribe_at = f64::INFINITY;
-            self.turn.actions.push(Action::Subscribe);
-        }
-    }
-}
-
-impl DecisionModule for Mixer {
-    fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action> {
-        self.turn.now = now;
-        for event in events {
-            self.handle_event(event);
-        }
-        // All events are handled before ages are judged: a pause of the mixer itself must not look like a
-        // slow searcher.
-        self.deliver_messages();
-        self.tick_if_due(now);
-        self.deliver_messages();
-        self.turn.send(Address::SCHEDULER, Message::EndTurn);
-        self.deliver_messages();
-        std::mem::take(&mut self.turn.actions)
-    }
-}
