--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -167,7 +167,7 @@
     }
 
     pub fn list_status(&self) -> ListStatus {
-        let ready = self.searchers.values().filter(|s| s.life == SearcherStatus::Ready).count();
+        let ready = self.searchers.values().filter(|s| s.status == SearcherStatus::Ready).count();
         ListStatus { index: self.list_index, ready_searchers: ready as u32 }
     }
 
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -28,7 +28,7 @@
 /// A searcher's process that was reported to drain or to be gone.
 struct Departure {
     started_at: UnixMs,
-    life: SearcherStatus,
+    status: SearcherStatus,
 }
 
 impl Reducer {
@@ -97,8 +97,8 @@
         let mut were_ready = Vec::new();
         if kind != ListKind::Changes {
             were_ready
-                .extend(self.searchers.iter().filter(|s| s.1.life == SearcherStatus::Ready).map(|s| *s.0));
-            self.searchers.values_mut().for_each(|s| s.life = SearcherStatus::Gone);
+                .extend(self.searchers.iter().filter(|s| s.1.status == SearcherStatus::Ready).map(|s| *s.0));
+            self.searchers.values_mut().for_each(|s| s.status = SearcherStatus::Gone);
         }
         let mut listed = Vec::with_capacity(list.entries.len());
         for mut entry in list.entries {
@@ -106,7 +106,7 @@
                 && entry.life == SearcherStatus::Ready
                 && entry.since <= departure.started_at
             {
-                entry.life = departure.life;
+                entry.life = departure.status;
             }
             listed.extend(self.update_searcher(entry));
         }
@@ -114,9 +114,10 @@
         self.end_unsent_to_departed(now);
         self.events.push(Event::List { kind, searchers: listed });
         // Searchers that are gone and have no open links are removed, as each release brings new ones.
-        self.searchers.retain(|_, s| s.life != SearcherStatus::Gone || !s.links.is_empty());
+        self.searchers.retain(|_, s| s.status != SearcherStatus::Gone || !s.links.is_empty());
         self.keys_by_name.retain(|_, key| self.searchers.contains_key(key));
-        if self.phase == Phase::Starting && self.searchers.values().any(|s| s.life == SearcherStatus::Ready) {
+        if self.phase == Phase::Starting && self.searchers.values().any(|s| s.status == SearcherStatus::Ready)
+        {
             self.enter_phase(Phase::Ready);
         }
     }
@@ -126,11 +127,11 @@
     fn departures_unknown_to(&self, age: ListAge) -> HashMap<String, Departure> {
         let is_unknown = |searcher: &&Searcher| match age {
             ListAge::Newer => false,
-            ListAge::OtherService => searcher.life == SearcherStatus::Draining,
-            ListAge::Older => searcher.life != SearcherStatus::Ready,
+            ListAge::OtherService => searcher.status == SearcherStatus::Draining,
+            ListAge::Older => searcher.status != SearcherStatus::Ready,
         };
         let unknown = self.searchers.values().filter(is_unknown);
-        unknown.map(|s| (s.name.clone(), Departure { started_at: s.started_at, life: s.life })).collect()
+        unknown.map(|s| (s.name.clone(), Departure { started_at: s.started_at, status: s.status })).collect()
     }
 
     /// Ends the attempts that still wait for a connection to a searcher that takes no new calls.
@@ -139,7 +140,7 @@
         let to_departed = unsent.filter(|(_, attempt)| {
             self.searchers
                 .get(&attempt.searcher)
-                .is_none_or(|searcher| searcher.life != SearcherStatus::Ready)
+                .is_none_or(|searcher| searcher.status != SearcherStatus::Ready)
         });
         for attempt_id in to_departed.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.end_attempt(now, attempt_id, DispatchOutcome::Moot);
@@ -149,22 +150,22 @@
     /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first address under which it was
     /// listed in the decision module.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
-        let Entry { name, addr, zone, cell, since, life, .. } = entry;
+        let Entry { name, addr, zone, cell, since: started_at, life: status, .. } = entry;
         let key = match self.keys_by_name.get(&name) {
             Some(key) => *key,
-            None if life == SearcherStatus::Gone => return None,
-            None => self.add_searcher(Searcher { name, addr, life, started_at: since, links: Vec::new() }),
+            None if status == SearcherStatus::Gone => return None,
+            None => self.add_searcher(Searcher { name, addr, status, started_at, links: Vec::new() }),
         };
         let zone =
             self.config.zones.iter().position(|z| *z == zone).unwrap_or(self.config.zones.len()) as u16;
         let searcher = self.searchers.get_mut(&key)?;
-        let was_ready = searcher.life == SearcherStatus::Ready;
-        searcher.life = life;
-        searcher.started_at = since;
+        let was_ready = searcher.status == SearcherStatus::Ready;
+        searcher.status = status;
+        searcher.started_at = started_at;
         if was_ready {
             searcher.log_if_left();
         }
-        if searcher.addr != addr && life != SearcherStatus::Gone {
+        if searcher.addr != addr && status != SearcherStatus::Gone {
             info!("{} has moved from {} to {addr}", searcher.name, searcher.addr);
             searcher.addr = addr;
             // Links to the former address get nothing new, and close once nothing is open on them.
@@ -172,7 +173,7 @@
                 self.close_link(link, LinkCloseReason::Moved);
             }
         }
-        Some(ListedSearcher { searcher: key, cell, zone, started_at: since, status: life })
+        Some(ListedSearcher { searcher: key, cell, zone, started_at, status })
     }
 
     /// Adds a searcher under the first free address from its own on, by which the decision module knows it.
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -106,7 +106,7 @@
     if part.may_have_run > 0 && now >= part.repeat_until {
         return Err(SendRefusal::WindowPassed);
     }
-    let is_ready = |searcher: &&Searcher| searcher.life == SearcherStatus::Ready;
+    let is_ready = |searcher: &&Searcher| searcher.status == SearcherStatus::Ready;
     let searcher = request.searcher.filter(is_ready).ok_or(SendRefusal::SearcherNotReady)?;
     if searcher.addr != request.link.addr {
         return Err(SendRefusal::SearcherMoved);
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -157,7 +157,7 @@
 pub(super) struct Searcher {
     pub(super) name: String,
     pub(super) addr: SocketAddrV4,
-    pub(super) life: SearcherStatus,
+    pub(super) status: SearcherStatus,
     /// When its process started, according to the list.
     pub(super) started_at: UnixMs,
     pub(super) links: Vec<LinkId>,
@@ -166,7 +166,7 @@
 impl Searcher {
     /// Logs that a searcher which was ready is no longer.
     pub(super) fn log_if_left(&self) {
-        match self.life {
+        match self.status {
             SearcherStatus::Ready => {}
             SearcherStatus::Draining => info!("{} drains", self.name),
             SearcherStatus::Gone => info!("{} is gone", self.name),
