--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -1,6 +1,6 @@
-//! Announces this mixer's service addresses by BGP. The operator's file becomes the speaker's configuration, the speaker is told what the
-//! mixer can serve, and a drain is delayed until no route leads here any more. Off unless the operator's file enables it. The
-//! console is opened here too.
+//! Announces this mixer's service addresses by BGP. The operator's file becomes the speaker's configuration,
+//! the speaker is told what the mixer can serve, and a drain is delayed until no route leads here any more.
+//! Off unless the operator's file enables it. The console is opened here too.
 
 use std::fmt::Write;
 use std::net::{IpAddr, SocketAddr};
@@ -26,7 +26,8 @@
 use crate::messages::{MessageSender, STACK_BYTES, spawn};
 use crate::reducer::Reducer;
 
-/// How often the mixer's health is reported. It is well under the time that a worse health has to last before it counts.
+/// How often the mixer's health is reported. It is well under the time that a worse health has to last before
+/// it counts.
 const REPORT_INTERVAL_MS: f64 = 250.0;
 /// The number of scans from which on the share of throttled ones is meaningful.
 const MIN_SCANS: u64 = 20;
@@ -221,7 +222,8 @@
 
 impl Announcer {
     /// # Errors
-    /// If the file names something that does not exist, or the console, the speaker's listener or a thread can't be had.
+    /// If the file names something that does not exist, or the console, the speaker's listener or a thread
+    /// can't be had.
     pub fn open(
         settings: &Settings,
         type_names: &[String],
@@ -313,7 +315,8 @@
         }
     }
 
-    /// The mixer is asked to end: whether it may begin to drain at once. If not, [`Announcer::routes_withdrawn`] is called when it may.
+    /// The mixer is asked to end: whether it may begin to drain at once. If not,
+    /// [`Announcer::routes_withdrawn`] is called when it may.
     pub fn stop(&mut self) -> bool {
         match (self.stop, &self.active) {
             (_, None) => self.stop = StopProgress::Draining,
--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -1,5 +1,6 @@
-//! Connections of clients. One thread accepts and reads them all: with a thread for each of hundreds of idle connections, most of
-//! the CPU time went to those threads. Answers are written at once, from the service's own thread.
+//! Connections of clients. One thread accepts and reads them all: with a thread for each of hundreds of idle
+//! connections, most of the CPU time went to those threads. Answers are written at once, from the service's
+//! own thread.
 
 mod arrival_times;
 mod connection;
@@ -31,17 +32,20 @@
 const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often stuck clients are looked for while an answer waits to be written.
 const STUCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest wait for events. The thread looks at the clock this often, so that a pause of the process is noticed.
+/// The longest wait for events. The thread looks at the clock this often, so that a pause of the process is
+/// noticed.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(40);
 /// Events that are taken from one poll.
 const MAX_EVENTS: usize = 256;
-/// The delay after a failed accept (because no descriptor is left, say), and between reads of connections that can't be polled.
+/// The delay after a failed accept (because no descriptor is left, say), and between reads of connections
+/// that can't be polled.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const INTEREST: Interest = Interest::READABLE.add(Interest::WRITABLE);
 const LISTENER: Token = Token(0);
 const COMMANDS: Token = Token(usize::MAX);
 
-/// Whether an accept failed because the process has no descriptor left. Only then does it help to close another client.
+/// Whether an accept failed because the process has no descriptor left. Only then does it help to close
+/// another client.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
@@ -85,7 +89,8 @@
         let poll = Poll::new()?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
-        // The service sends an answer and three further commands at most for each connection, so this channel needs no bound.
+        // The service sends an answer and three further commands at most for each connection, so this channel
+        // needs no bound.
         let (sender, received) = unbounded();
         let arrivals = ArrivalTracker::new(messages.now());
         Ok(Self {
@@ -130,7 +135,8 @@
             }
             let has_commands = self.handle_events(&events);
             self.read_not_polled();
-            // After the events on connections: a command to read on must not report a request whose client has disconnected.
+            // After the events on connections: a command to read on must not report a request whose client
+            // has disconnected.
             if has_commands {
                 self.run_commands();
             }
@@ -186,8 +192,8 @@
         }
     }
 
-    /// Accepts the connections that wait. Those left waiting, or that arrive until all are accepted, may have arrived at any time
-    /// from this turn on.
+    /// Accepts the connections that wait. Those left waiting, or that arrive until all are accepted, may have
+    /// arrived at any time from this turn on.
     fn accept(&mut self) {
         let since = *self.waiting_since.get_or_insert(self.arrivals.earliest_arrival());
         if self.accept_all(since) {
@@ -204,7 +210,8 @@
             match listener.accept() {
                 Ok((stream, _)) => self.begin(stream, since),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    // The listener is closed only now, as clients that waited to be accepted may have sent requests already.
+                    // The listener is closed only now, as clients that waited to be accepted may have sent
+                    // requests already.
                     if self.stopping {
                         self.listener = None;
                         self.messages.send(Input::ListenerClosed);
@@ -309,7 +316,8 @@
         }
     }
 
-    /// Goes on with all answers that wait to be written, as no event follows a write that failed for a moment.
+    /// Goes on with all answers that wait to be written, as no event follows a write that failed for a
+    /// moment.
     fn flush_all(&mut self) {
         let waiting = self.connections.iter().filter(|(_, c)| !c.unsent.is_empty()).map(|(conn, _)| *conn);
         for conn in waiting.collect::<Vec<_>>() {
--- a/crates/mixer/src/client/arrival_times.rs
+++ b/crates/mixer/src/client/arrival_times.rs
@@ -35,7 +35,8 @@
             && let Some(oldest) = self.reads.pop_front()
             && let Some(next) = self.reads.front_mut()
         {
-            // The earlier time of the two, as an answer that is due too early does less harm than one that is due too late.
+            // The earlier time of the two, as an answer that is due too early does less harm than one that is
+            // due too late.
             next.since = next.since.min(oldest.since);
         }
         self.reads.push_back(Read { up_to: self.bytes_read, since });
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a client, as the reading thread holds it: what has arrived on it, and what is reported of it when.
+//! One connection of a client, as the reading thread holds it: what has arrived on it, and what is reported
+//! of it when.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
@@ -13,8 +14,8 @@
 use crate::inputs::{ConnectionId, Input};
 use crate::messages::MessageSender;
 
-/// Bytes that are read and discarded after a connection's last request, so that no reset overtakes its answer. A client that sends
-/// more has had its answer and does not read it.
+/// Bytes that are read and discarded after a connection's last request, so that no reset overtakes its
+/// answer. A client that sends more has had its answer and does not read it.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 /// Bytes of one connection that are discarded in one turn, so that other connections have theirs.
 const MAX_DISCARDED_BYTES_PER_TURN: usize = 64 * 1024;
@@ -43,8 +44,8 @@
     pub(super) parser: RequestParser,
     /// The beginning of a request was reported.
     pub(super) start_reported: bool,
-    /// Set after the last request: how many more bytes are discarded. There is no limit where the mixer ends the connection, as its
-    /// client then has a limited time.
+    /// Set after the last request: how many more bytes are discarded. There is no limit where the mixer ends
+    /// the connection, as its client then has a limited time.
     pub(super) discard_limit: Option<usize>,
     /// It was reported that more arrived after the last answer.
     pub(super) late_data_reported: bool,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Whether it was to be closed and nothing of it is left: no request, no answer, and no beginning of a request. Once the last
-    /// answer is given, the client first has its time to read it and to close.
+    /// Whether it was to be closed and nothing of it is left: no request, no answer, and no beginning of a
+    /// request. Once the last answer is given, the client first has its time to read it and to close.
     pub(super) fn is_done_closing(&self) -> bool {
         if self.is_finished() {
             return self.closing_finished && self.unsent.is_empty();
@@ -127,14 +128,16 @@
         self.shared.awaits_answer.load(Ordering::SeqCst)
     }
 
-    /// Whether the buffer holds at least the beginning of a request. Line ends between requests belong to none.
+    /// Whether the buffer holds at least the beginning of a request. Line ends between requests belong to
+    /// none.
     fn has_buffered_request(&self) -> bool {
         !self.buffer.bytes().iter().all(u8::is_ascii_whitespace)
     }
 
-    /// Reads everything that has arrived, also ahead of the answer to the open request, and reports a request whose turn it is;
-    /// false at the connection's end. A request is reported only once nothing more is there to read. Otherwise parts would be sent
-    /// for a client that had disconnected while it waited to be accepted, or for its turn.
+    /// Reads everything that has arrived, also ahead of the answer to the open request, and reports a request
+    /// whose turn it is; false at the connection's end. A request is reported only once nothing more is there
+    /// to read. Otherwise parts would be sent for a client that had disconnected while it waited to be
+    /// accepted, or for its turn.
     ///
     /// `since`: whatever the poll has found in this turn arrived no earlier.
     pub(super) fn read(&mut self, conn: ConnectionId, since: UnixMs, messages: &MessageSender) -> bool {
@@ -144,7 +147,8 @@
             if self.awaits_answer() {
                 return false;
             }
-            // What the client sent is still read: a close over unread bytes would reset answers that it may still read.
+            // What the client sent is still read: a close over unread bytes would reset answers that it may
+            // still read.
             self.pending = None;
             self.begin_discarding(usize::MAX);
         }
@@ -223,7 +227,8 @@
         self.buffer.consume(usize::MAX);
     }
 
-    /// Reads and discards one turn's share of what has arrived after the last request; false at the connection's end.
+    /// Reads and discards one turn's share of what has arrived after the last request; false at the
+    /// connection's end.
     fn discard(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
         let mut discarded = 0;
         while discarded < MAX_DISCARDED_BYTES_PER_TURN {
@@ -258,7 +263,8 @@
     /// Parses the next request from the buffer, unless it has to wait for the answer to the open one.
     fn parse_next(&mut self) {
         if self.awaits_answer() && !self.buffer.bytes().is_empty() {
-            // The answering thread clears `awaits_answer` before it looks at `reader_waits`: checked again after setting that.
+            // The answering thread clears `awaits_answer` before it looks at `reader_waits`: checked again
+            // after setting that.
             self.shared.reader_waits.store(true, Ordering::SeqCst);
             if self.awaits_answer() {
                 return;
@@ -292,7 +298,8 @@
         true
     }
 
-    /// Reports once that more was read behind the open request, whose answer then must not end the connection.
+    /// Reports once that more was read behind the open request, whose answer then must not end the
+    /// connection.
     fn report_buffered_data(&mut self, conn: ConnectionId, messages: &MessageSender) {
         let is_open = self.pending.is_none() && self.awaits_answer();
         let is_new =
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -106,7 +106,8 @@
 }
 
 impl ClientHandle {
-    /// Whether the system knows that the client has closed its side, whether or not the reading thread has noticed.
+    /// Whether the system knows that the client has closed its side, whether or not the reading thread has
+    /// noticed.
     pub fn has_disconnected(&self) -> bool {
         self.shared.has_ended()
     }
@@ -135,8 +136,8 @@
         false
     }
 
-    /// Ends the connection once what has arrived is read and answered; at once if the last answer was given before. The reading side
-    /// is not shut down, as that would look the same as the client's disconnect.
+    /// Ends the connection once what has arrived is read and answered; at once if the last answer was given
+    /// before. The reading side is not shut down, as that would look the same as the client's disconnect.
     pub fn close(&self) {
         self.commands.send(match self.finished {
             true => Command::CloseFinished(self.conn),
--- a/crates/mixer/src/clock.rs
+++ b/crates/mixer/src/clock.rs
@@ -18,7 +18,8 @@
         reason = "the one place where the wall clock is read, once, so that a step of it has no effect"
     )]
     pub fn start() -> Self {
-        // Drills simulate a host whose clock is wrong by this variable, as a process can't be given a wall clock of its own.
+        // Drills simulate a host whose clock is wrong by this variable, as a process can't be given a wall
+        // clock of its own.
         let offset_ms =
             std::env::var("PEWTERWHARF_DRILL_CLOCK_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(0.0);
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/mixer/src/counters.rs
+++ b/crates/mixer/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of what a mixer has received, sent and answered. The names of the fields are the names of the metrics.
+//! Counters of what a mixer has received, sent and answered. The names of the fields are the names of the
+//! metrics.
 
 use std::fmt;
 
@@ -30,13 +31,15 @@
     /// Of the completed scans, those marked whole.
     scans_whole,
     scans_throttled,
-    /// Of the throttled scans, those rejected before the decision module saw them, as the mixer held its maximum of scans and parts.
+    /// Of the throttled scans, those rejected before the decision module saw them, as the mixer held its
+    /// maximum of scans and parts.
     scans_turned_away,
-    /// Of the throttled scans, those that were buffered behind other requests on a connection that was closing.
+    /// Of the throttled scans, those that were buffered behind other requests on a connection that was
+    /// closing.
     scans_refused_at_end,
-    /// Of the throttled scans, those rejected by the decision module's admission control, by what their first part met: no searcher
-    /// that is up; only cold searchers without room; the estimated cost at its searcher; an old part of this mixer that waits at it;
-    /// the limit on open calls to it.
+    /// Of the throttled scans, those rejected by the decision module's admission control, by what their first
+    /// part met: no searcher that is up; only cold searchers without room; the estimated cost at its
+    /// searcher; an old part of this mixer that waits at it; the limit on open calls to it.
     door_nobody_up,
     door_cold,
     door_cost,
@@ -63,7 +66,8 @@
     accepts_failed,
     dispatches,
     dispatches_further,
-    /// Of the further dispatches, those sent while an earlier one was open (hedges), and the others by the outcome of the one before.
+    /// Of the further dispatches, those sent while an earlier one was open (hedges), and the others by the
+    /// outcome of the one before.
     hedges,
     retries_after_none_sent,
     retries_after_error,
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Watches the searcher list and forwards what discovery sends. Each watch is one thread, which never depends on a single connection:
-//! while none can be trusted, it opens others beside it and uses the first that sends something.
+//! Watches the searcher list and forwards what discovery sends. Each watch is one thread, which never depends
+//! on a single connection: while none can be trusted, it opens others beside it and uses the first that sends
+//! something.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
@@ -19,20 +20,21 @@
 use crate::inputs::{Input, WatchNumber};
 use crate::messages::MessageSender;
 
-/// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no longer trusted, and
-/// others are opened beside it. What it misses counts as known 6 s after its last line, so a slow one of the others still has over
-/// 3 s to send it.
+/// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no
+/// longer trusted, and others are opened beside it. What it misses counts as known 6 s after its last line,
+/// so a slow one of the others still has over 3 s to send it.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A connection that stops in the middle of a line is no longer trusted after this time.
 const LINE_TIMEOUT: Duration = Duration::from_millis(100);
-/// A list that is not whole after this time is no longer waited for alone: one that arrives byte by byte would renew its time with
-/// each byte. What it holds back counts as known 6 s after discovery had it.
+/// A list that is not whole after this time is no longer waited for alone: one that arrives byte by byte
+/// would renew its time with each byte. What it holds back counts as known 6 s after discovery had it.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
-/// While no connection can be trusted, another is opened this often. Once discovery is back, its list then arrives well within the
-/// 250 ms of grace for a drain, whether it answers earlier requests or only new ones.
+/// While no connection can be trusted, another is opened this often. Once discovery is back, its list then
+/// arrives well within the 250 ms of grace for a drain, whether it answers earlier requests or only new ones.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
-/// Connections that have sent nothing yet. The oldest is kept for up to [`SILENCE_TIMEOUT`], in case discovery is slow to start, and
-/// the youngest is replaced by the next, in case discovery answers no request that was sent while it was down.
+/// Connections that have sent nothing yet. The oldest is kept for up to [`SILENCE_TIMEOUT`], in case
+/// discovery is slow to start, and the youngest is replaced by the next, in case discovery answers no request
+/// that was sent while it was down.
 const MAX_ATTEMPTS: usize = 2;
 /// How often a watch checks whether it is still needed.
 const STATUS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -41,8 +43,8 @@
 /// Longest line or list that is read. It holds thousands of searchers.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// The numbers of the watches that are needed: the newest, and the one whose lists are used. An older watch runs until a newer one
-/// has sent a list.
+/// The numbers of the watches that are needed: the newest, and the one whose lists are used. An older watch
+/// runs until a newer one has sent a list.
 #[derive(Default)]
 pub struct WatchStatus {
     pub newest: AtomicU64,
@@ -264,7 +266,8 @@
             }
             self.stream.set_nodelay(true)?;
             match watch.index {
-                // A held list is numbered by another discovery service: the whole list is requested, whatever its version.
+                // A held list is numbered by another discovery service: the whole list is requested, whatever
+                // its version.
                 None => self.request("/api/targets", watch.addr, Stage::ListHead)?,
                 Some(_) => self.request_watch(watch)?,
             }
@@ -399,8 +402,8 @@
         None
     }
 
-    /// Whether no further line can complete the text to a value. As lists are long, the text is parsed again only once its length
-    /// has doubled.
+    /// Whether no further line can complete the text to a value. As lists are long, the text is parsed again
+    /// only once its length has doubled.
     fn is_invalid(&mut self) -> bool {
         if self.bytes.len() < 2 * self.parsed_length {
             return false;
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -1,5 +1,6 @@
-//! This mixer's membership in a fleet. What the mixer knows by itself is shared with the other mixers, and what is accepted of theirs
-//! becomes events of the decision module. Off unless the operator's file enables it: then there is no thread and no listener.
+//! This mixer's membership in a fleet. What the mixer knows by itself is shared with the other mixers, and
+//! what is accepted of theirs becomes events of the decision module. Off unless the operator's file enables
+//! it: then there is no thread and no listener.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,7 +17,8 @@
 use crate::messages::MessageSender;
 use crate::reducer::{ListStatus, RecentUsage, Reducer};
 
-/// How often changes are looked for that the other mixers do not know yet. It is well under the time of a probe.
+/// How often changes are looked for that the other mixers do not know yet. It is well under the time of a
+/// probe.
 const SHARE_INTERVAL_MS: f64 = 50.0;
 /// A mark that persists is repeated this often, so that the others do not discard it as too old.
 const REPEAT_INTERVAL_MS: f64 = 700.0;
@@ -84,7 +86,13 @@
         };
         let mesh =
             Mesh::start(config, on_advice).with_context(|| format!("fleet listen {}", fleet.listen))?;
-        info!(target: "fleet", "{} of fleet {} listens for mixers at {}", fleet.own_name, fleet.name, mesh.local_addr());
+        info!(
+            target: "fleet",
+            "{} of fleet {} listens for mixers at {}",
+            fleet.own_name,
+            fleet.name,
+            mesh.local_addr()
+        );
         let active = ActiveMember {
             mesh,
             shared: BTreeMap::new(),
@@ -102,7 +110,8 @@
         self.active.as_ref().map(|member| member.mesh.handle())
     }
 
-    /// Warns if the fleet section of the operator's file has changed, as that takes effect only at the next start.
+    /// Warns if the fleet section of the operator's file has changed, as that takes effect only at the next
+    /// start.
     pub fn settings_reloaded(&self, settings: &Settings) {
         if settings.fleet != self.section {
             warn!(target: "fleet", "fleet has changed in the operator's file: it counts from the next start");
@@ -172,7 +181,8 @@
         }
     }
 
-    /// Adds reports on the searchers whose state is new or has to be repeated; what is shared of all searchers once they are sent.
+    /// Adds reports on the searchers whose state is new or has to be repeated; what is shared of all
+    /// searchers once they are sent.
     fn collect_searchers(
         &self,
         now: UnixMs,
--- a/crates/mixer/src/frame.rs
+++ b/crates/mixer/src/frame.rs
@@ -1,6 +1,7 @@
 //! Frames between mixers and searchers: a length, a letter for the kind, and the body.
 
-/// Longest frame that is accepted: a part's value and its line. A client's answer may hold 64 KiB, so a value may hold no more.
+/// Longest frame that is accepted: a part's value and its line. A client's answer may hold 64 KiB, so a value
+/// may hold no more.
 const MAX_FRAME_BYTES: usize = 68 * 1024;
 /// Longest line of an answer: an id, a status, a score and a load report.
 const MAX_LINE_BYTES: usize = 4 * 1024;
@@ -21,7 +22,8 @@
         id: String,
         verdict: Verdict,
         value: String,
-        /// The share of its cores that the searcher reports as busy, 1 for all; `None` if its report does not say.
+        /// The share of its cores that the searcher reports as busy, 1 for all; `None` if its report does not
+        /// say.
         busy: Option<f64>,
     },
     /// The answer to a probe; `None` if its status is unknown.
@@ -66,8 +68,8 @@
     Ok(Some((frame, 4 + length)))
 }
 
-/// Decodes a part's answer: a line of four words, and the value. The last word, the load report, may be anything, as a good answer
-/// may come with an unreadable report.
+/// Decodes a part's answer: a line of four words, and the value. The last word, the load report, may be
+/// anything, as a good answer may come with an unreadable report.
 fn decode_part(body: &[u8]) -> Result<Frame, String> {
     let line_length = body.iter().position(|b| *b == b'\n').ok_or("an answer without a line")?;
     let line = &body[..line_length];
--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -119,7 +119,8 @@
     }
 }
 
-/// Parses a request that arrives in pieces. It remembers its progress, so that a piece is not parsed again with each that follows.
+/// Parses a request that arrives in pieces. It remembers its progress, so that a piece is not parsed again
+/// with each that follows.
 #[derive(Default)]
 pub struct RequestParser {
     /// This many bytes have been looked at and do not form a whole request.
@@ -139,8 +140,8 @@
 }
 
 impl RequestParser {
-    /// Parses the first request of these bytes; `None` while it is incomplete. The next call must pass the same bytes and those
-    /// that have arrived since; after a whole request, the bytes behind it.
+    /// Parses the first request of these bytes; `None` while it is incomplete. The next call must pass the
+    /// same bytes and those that have arrived since; after a whole request, the bytes behind it.
     pub fn parse(&mut self, bytes: &[u8]) -> Option<Request> {
         // Heads and chunk sizes end with a line feed; a body with a stated length ends there.
         let no_new_line =
@@ -196,7 +197,8 @@
     }
 
     fn parse_whole(&mut self, bytes: &[u8]) -> Option<Request> {
-        // An error in the framing consumes all bytes and ends the connection, as the next request can't be found.
+        // An error in the framing consumes all bytes and ends the connection, as the next request can't be
+        // found.
         let framing_error = |status: u16, reason: String| {
             Some(Request { ask: Ask::Unusable(status, reason), close: true, used: bytes.len() })
         };
@@ -304,7 +306,8 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 /// Tolerance for the sum of the weights, however few parts there are.
 const WEIGHT_SUM_TOLERANCE: f64 = 1e-3;
-/// Weights are written with six digits: each may be off by half of the last digit, or by a whole one if it was truncated.
+/// Weights are written with six digits: each may be off by half of the last digit, or by a whole one if it
+/// was truncated.
 const WEIGHT_SUM_TOLERANCE_PER_PART: f64 = 1e-6;
 
 fn parse_scan(table_type: &str, headers: &[httparse::Header], body: &[u8]) -> Result<Ask, String> {
@@ -340,8 +343,9 @@
     }))
 }
 
-/// Scales the weights to a sum of one. Clients round them, and the error of the sum grows with the number of parts: without this,
-/// a query that needs all of its parts would never count as whole, even with all of them answered.
+/// Scales the weights to a sum of one. Clients round them, and the error of the sum grows with the number of
+/// parts: without this, a query that needs all of its parts would never count as whole, even with all of them
+/// answered.
 fn normalize_weights(parts: &mut [PartAsk]) -> Result<(), String> {
     let sum: f64 = parts.iter().map(|p| p.weight).sum();
     let tolerance = WEIGHT_SUM_TOLERANCE.max(WEIGHT_SUM_TOLERANCE_PER_PART * parts.len() as f64);
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -1,5 +1,5 @@
-//! The reducer's inputs and effects, and the phases between start and exit. Plain types without behaviour, below all modules that
-//! use them.
+//! The reducer's inputs and effects, and the phases between start and exit. Plain types without behaviour,
+//! below all modules that use them.
 
 use std::net::SocketAddrV4;
 
@@ -151,7 +151,8 @@
     /// No list of searchers is held yet.
     Starting,
     Ready,
-    /// The process was asked to end: new connections are served until `listen_until`, and every request taken is answered.
+    /// The process was asked to end: new connections are served until `listen_until`, and every request taken
+    /// is answered.
     Draining {
         listen_until: UnixMs,
         listening: bool,
--- a/crates/mixer/src/link.rs
+++ b/crates/mixer/src/link.rs
@@ -1,4 +1,5 @@
-//! A connection to a searcher as the service holds it. Frames are written as far as the searcher accepts them, and no write waits.
+//! A connection to a searcher as the service holds it. Frames are written as far as the searcher accepts
+//! them, and no write waits.
 
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
@@ -23,12 +24,14 @@
         Self { stream, is_blocked: AtomicBool::new(false) }
     }
 
-    /// Whether the service is to be told that the link is writable. The caller has to tell it, as this returns true once.
+    /// Whether the service is to be told that the link is writable. The caller has to tell it, as this
+    /// returns true once.
     pub fn take_blocked(&self) -> bool {
         self.is_blocked.swap(false, Ordering::SeqCst)
     }
 
-    /// Writes what the searcher accepts now; the number of bytes. If that is not all, the reading thread reports when there is room.
+    /// Writes what the searcher accepts now; the number of bytes. If that is not all, the reading thread
+    /// reports when there is room.
     fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         let mut written = 0;
         loop {
@@ -103,8 +106,8 @@
         !self.rest.is_empty()
     }
 
-    /// Writes a frame; no partly written one may be left. `budget` is what the partly written frames of all links may take. If it is
-    /// exhausted, the link ends.
+    /// Writes a frame; no partly written one may be left. `budget` is what the partly written frames of all
+    /// links may take. If it is exhausted, the link ends.
     pub fn write(&mut self, frame: Vec<u8>, budget: &MemoryBudget) -> WriteOutcome {
         match self.try_write(&frame) {
             Ok(count) if count == frame.len() => {
--- a/crates/mixer/src/listener.rs
+++ b/crates/mixer/src/listener.rs
@@ -9,8 +9,8 @@
 
 use crate::signals::is_stop;
 
-/// The previous process may hold the port for a while after the platform has started the next one. It is waited for well within the
-/// 30 s after which a mixer has to be ready.
+/// The previous process may hold the port for a while after the platform has started the next one. It is
+/// waited for well within the 30 s after which a mixer has to be ready.
 const PORT_TIMEOUT: Duration = Duration::from_secs(20);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/mixer/src/log.rs
+++ b/crates/mixer/src/log.rs
@@ -1,7 +1,8 @@
-//! Log output to standard error, written by one thread: code that logs neither waits for a reader nor fails with it.
+//! Log output to standard error, written by one thread: code that logs neither waits for a reader nor fails
+//! with it.
 //!
-//! Texts go through a bounded queue. While nobody reads them the queue fills, and further texts are dropped and counted. A write that
-//! fails (the reader is gone, the disk is full) loses that text alone.
+//! Texts go through a bounded queue. While nobody reads them the queue fills, and further texts are dropped
+//! and counted. A write that fails (the reader is gone, the disk is full) loses that text alone.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -50,8 +50,8 @@
     Service::open(startup, &read_settings()?, signals, reloaders)?.run()
 }
 
-/// Logs to standard error. `RUST_LOG` sets the level, or targets with their levels; with `RUST_LOG_FORM=json` each line is a JSON
-/// object.
+/// Logs to standard error. `RUST_LOG` sets the level, or targets with their levels; with `RUST_LOG_FORM=json`
+/// each line is a JSON object.
 fn start_log() {
     log::start();
     let targets = env_var("RUST_LOG").and_then(|targets| targets.parse::<Targets>().ok());
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -77,7 +77,8 @@
 
     pub fn send_client_connected(&self, conn: ConnectionId, handle: ClientHandle) {
         let at = self.clock.now();
-        let _ = self.sender.send(Message::ClientConnected { at, conn, handle }); // fails once the service has ended
+        // Fails once the service has ended.
+        let _ = self.sender.send(Message::ClientConnected { at, conn, handle });
     }
 }
 
--- a/crates/mixer/src/outbox.rs
+++ b/crates/mixer/src/outbox.rs
@@ -1,12 +1,13 @@
-//! Writes to searchers in one turn of the service: which links have something to write, and how long writing may go on before inputs
-//! are received again.
+//! Writes to searchers in one turn of the service: which links have something to write, and how long writing
+//! may go on before inputs are received again.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::clock::UnixMs;
 use crate::inputs::LinkId;
 
-/// Writing goes on for this long before inputs are received again, so that what is sent is decided on recent knowledge.
+/// Writing goes on for this long before inputs are received again, so that what is sent is decided on recent
+/// knowledge.
 const WRITE_SLICE_MS: f64 = 5.0;
 /// The write of a frame has to begin this soon after the frame was produced. After that it is produced again.
 const MAX_FRAME_AGE_MS: f64 = 5.0;
--- a/crates/mixer/src/pauses.rs
+++ b/crates/mixer/src/pauses.rs
@@ -1,11 +1,13 @@
-//! Detection of pauses of the whole process, and bounds on when input arrived that is read after one. A thread that looks at the
-//! clock regularly notices a pause by a check that comes far too late.
+//! Detection of pauses of the whole process, and bounds on when input arrived that is read after one. A
+//! thread that looks at the clock regularly notices a pause by a check that comes far too late.
 
-/// A check that is this late means that the process was paused. This is below the 100 ms for which attempts may still begin after
-/// their client has disconnected, and below the 150 ms by which the time that they state may exceed what it has left.
+/// A check that is this late means that the process was paused. This is below the 100 ms for which attempts
+/// may still begin after their client has disconnected, and below the 150 ms by which the time that they
+/// state may exceed what it has left.
 const PAUSE_MS: f64 = 80.0;
 
-/// After a check that is this late, it is unknown when the input found then arrived. Pauses too short to be reported add up.
+/// After a check that is this late, it is unknown when the input found then arrived. Pauses too short to be
+/// reported add up.
 const UNSURE_MS: f64 = 20.0;
 
 /// Detects pauses by the looks at the clock of one thread. Times are milliseconds of one clock.
@@ -24,7 +26,8 @@
         Self { last_check_at: now }
     }
 
-    /// Checks whether the process was paused since the last check, which this one was to follow after `wait_ms` at the latest.
+    /// Checks whether the process was paused since the last check, which this one was to follow after
+    /// `wait_ms` at the latest.
     pub fn check(&mut self, now: f64, wait_ms: f64) -> bool {
         self.record(now, wait_ms).late_ms > PAUSE_MS
     }
@@ -35,10 +38,11 @@
     }
 }
 
-/// Tracks since when the input may have been there that a polling thread finds in a turn. Times are milliseconds of one clock.
+/// Tracks since when the input may have been there that a polling thread finds in a turn. Times are
+/// milliseconds of one clock.
 ///
-/// Input that a poll finds arrived after the previous poll had returned. That was right before that turn's check, or, if the check
-/// was late, at any time since the check before it.
+/// Input that a poll finds arrived after the previous poll had returned. That was right before that turn's
+/// check, or, if the check was late, at any time since the check before it.
 pub struct ArrivalTracker {
     pauses: PauseDetector,
     since: f64,
@@ -51,8 +55,8 @@
         Self { pauses: PauseDetector::new(now), since: now, next_since: Some(now) }
     }
 
-    /// Begins the turn after a poll that has just returned and was to wait `wait_ms` at most; whether the process was paused.
-    /// `all_found`: the poll returned everything that was there.
+    /// Begins the turn after a poll that has just returned and was to wait `wait_ms` at most; whether the
+    /// process was paused. `all_found`: the poll returned everything that was there.
     pub fn record_poll(&mut self, now: f64, wait_ms: f64, all_found: bool) -> bool {
         let Check { previous_at, late_ms } = self.pauses.record(now, wait_ms);
         let unsure_since = (late_ms > UNSURE_MS).then_some(previous_at);
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -1,5 +1,6 @@
-//! All state of a mixer and every change to it: inputs in, effects out, no I/O. The reducer owns the scans, their attempts, the
-//! links to searchers and the decision module. It takes none of the decisions that are the module's.
+//! All state of a mixer and every change to it: inputs in, effects out, no I/O. The reducer owns the scans,
+//! their attempts, the links to searchers and the decision module. It takes none of the decisions that are
+//! the module's.
 //!
 //! All times are by the service's [clock](crate::clock).
 
@@ -31,13 +32,14 @@
 
 /// After a warning, further ones are logged at the debug level for this long.
 const WARNING_INTERVAL_MS: f64 = 1000.0;
-/// A new process waits this long for the watch's first list before it uses the list held before its start. A change that the agent
-/// knows counts as known to the mixer from its first moment, and an agent that is up answers at once.
+/// A new process waits this long for the watch's first list before it uses the list held before its start. A
+/// change that the agent knows counts as known to the mixer from its first moment, and an agent that is up
+/// answers at once.
 const CACHED_LIST_DELAY_MS: f64 = 1500.0;
 /// Connections of clients that may be accepted while others are being closed.
 const CLIENTS_IN_TRANSITION: usize = 8;
-/// File descriptors for everything but clients and searchers: twelve once started, three more for each of two watches while they
-/// connect again, and two for a watch that ends.
+/// File descriptors for everything but clients and searchers: twelve once started, three more for each of two
+/// watches while they connect again, and two for a watch that ends.
 const OTHER_DESCRIPTORS: usize = 20;
 
 /// The list in use.
@@ -189,7 +191,8 @@
         self.timers.first().map(|scheduled| scheduled.at())
     }
 
-    /// The number of client connections that may be open at a time: a few more than are kept, as idle ones are closed for others.
+    /// The number of client connections that may be open at a time: a few more than are kept, as idle ones
+    /// are closed for others.
     pub fn max_client_connections(&self) -> usize {
         self.max_clients + CLIENTS_IN_TRANSITION
     }
@@ -234,7 +237,8 @@
         ]
     }
 
-    /// Sets the list held before the start. It is applied once the watch has sent the changes since, or nothing for a while.
+    /// Sets the list held before the start. It is applied once the watch has sent the changes since, or
+    /// nothing for a while.
     pub fn set_cached_list(&mut self, now: UnixMs, list: List) {
         self.cached_list = Some(list);
         self.add_timer(now + CACHED_LIST_DELAY_MS, Timer::CachedList);
@@ -242,8 +246,9 @@
 
     /// Applies inputs, each with its time, and fires the timers that are due; the effects to carry out.
     ///
-    /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of clients and links are next:
-    /// nothing is sent for a client that has disconnected or on a link that has closed, even if that stands behind other inputs.
+    /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of
+    /// clients and links are next: nothing is sent for a client that has disconnected or on a link that has
+    /// closed, even if that stands behind other inputs.
     pub fn step(&mut self, now: UnixMs, inputs: Vec<(UnixMs, Input)>) -> Vec<Effect> {
         let rank = |(at, input): (UnixMs, Input)| RankedInput { rank: self.rank(&input), at, input };
         let mut ranked: Vec<RankedInput> = inputs.into_iter().map(rank).collect();
@@ -269,8 +274,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Abandons scans whose deadline has passed. The decision module ends its scans before that, which after a pause of the machine
-    /// is only now.
+    /// Abandons scans whose deadline has passed. The decision module ends its scans before that, which after
+    /// a pause of the machine is only now.
     fn abandon_overdue(&mut self, now: UnixMs, scans: Vec<u64>) {
         let still_open: Vec<u64> = scans.into_iter().filter(|scan| self.scans.contains_key(scan)).collect();
         for scan in still_open {
@@ -295,7 +300,8 @@
         }
     }
 
-    /// Logs a warning. Further ones within a while are logged at the debug level, so that no flood from outside floods the log.
+    /// Logs a warning. Further ones within a while are logged at the debug level, so that no flood from
+    /// outside floods the log.
     fn warn(&mut self, now: UnixMs, line: &str) {
         if now < self.warns_again_at {
             return debug!("{line}");
@@ -407,7 +413,8 @@
         }
     }
 
-    /// Tells the decision module what has happened and carries out its actions, until those cause no new events.
+    /// Tells the decision module what has happened and carries out its actions, until those cause no new
+    /// events.
     fn run_module(&mut self, now: UnixMs) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
@@ -424,7 +431,8 @@
         }
     }
 
-    /// Performs an action of the decision module. Dispatches are collected by searcher, as several may be sent in one call.
+    /// Performs an action of the decision module. Dispatches are collected by searcher, as several may be
+    /// sent in one call.
     fn perform(
         &mut self,
         now: UnixMs,
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: from the decision module's dispatch of a part to a searcher, to the one outcome of that dispatch.
+//! Attempts: from the decision module's dispatch of a part to a searcher, to the one outcome of that
+//! dispatch.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -11,13 +11,15 @@
 use crate::http::{self, Ask, PartAsk, ScanAsk};
 use crate::inputs::{ConnectionId, Effect, Phase};
 
-/// The protocol's time after which a client without an open request may be disconnected. A client that has begun a request must
-/// have sent all of it by then.
+/// The protocol's time after which a client without an open request may be disconnected. A client that has
+/// begun a request must have sent all of it by then.
 const IDLE_MS: f64 = 2000.0;
-/// Clients send a request as soon as they are connected: one that has sent none for this long will not, unless the machine paused.
+/// Clients send a request as soon as they are connected: one that has sent none for this long will not,
+/// unless the machine paused.
 const FIRST_REQUEST_MS: f64 = 100.0;
 const REQUEST_TIMEOUT: u16 = 408;
-/// Unusable requests in a row after which the connection ends. A client gets more than one answer that explains its mistake.
+/// Unusable requests in a row after which the connection ends. A client gets more than one answer that
+/// explains its mistake.
 const MAX_UNUSABLE_REQUESTS: u32 = 3;
 
 /// Why a request is rejected: the status of its answer and the reason.
@@ -69,12 +71,14 @@
         }
     }
 
-    /// Answers a client whose request is not complete in time. An idle client is closed once half of the places are taken.
+    /// Answers a client whose request is not complete in time. An idle client is closed once half of the
+    /// places are taken.
     pub(super) fn check_idle_client(&mut self, now: UnixMs, conn: ConnectionId) {
         let crowded = 2 * self.clients.len() > self.max_clients;
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.idle_timer_set = false;
-        // A client that had begun a request when its connection began to close still has its time to complete it.
+        // A client that had begun a request when its connection began to close still has its time to complete
+        // it.
         let is_closing = client.closing && client.state != ClientState::AwaitingRequest;
         if client.scan.is_some() || client.state == ClientState::Finished || is_closing {
             return;
@@ -102,8 +106,9 @@
         self.answer(now, conn, REQUEST_TIMEOUT, None, b"no whole request in time\n");
     }
 
-    /// Closes the least important client: one that has had its last answer, else one that has sent no request in time, else an idle
-    /// one, else one that has just connected. Among these, the one that has been in its state for longest.
+    /// Closes the least important client: one that has had its last answer, else one that has sent no request
+    /// in time, else an idle one, else one that has just connected. Among these, the one that has been in its
+    /// state for longest.
     pub(super) fn make_room(&mut self, now: UnixMs) {
         let candidates = self.clients.iter().filter(|(_, c)| c.scan.is_none() && !c.closing);
         let rank = |c: &Client| match c.state {
@@ -119,12 +124,14 @@
         }
     }
 
-    /// Whether a further client would get a place: one is free, or a client that waits for nothing can be closed.
+    /// Whether a further client would get a place: one is free, or a client that waits for nothing can be
+    /// closed.
     pub fn has_room_for_client(&self) -> bool {
         self.clients.len() < self.max_clients || self.clients.values().any(|c| c.scan.is_none() && !c.closing)
     }
 
-    /// Closes a client's connection if the rules allow it now. Requests that it has sent by then are still read and answered.
+    /// Closes a client's connection if the rules allow it now. Requests that it has sent by then are still
+    /// read and answered.
     pub(super) fn close_client(&mut self, now: UnixMs, conn: ConnectionId, reason: ClientCloseReason) {
         let draining = self.is_draining();
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -410,8 +417,8 @@
         }
     }
 
-    /// Closes the connection of a client that has had its last answer and its time to close. While draining, a client that still
-    /// sends may stay until it closes, or until the end.
+    /// Closes the connection of a client that has had its last answer and its time to close. While draining,
+    /// a client that still sends may stay until it closes, or until the end.
     pub(super) fn close_finished_client(&mut self, now: UnixMs, conn: ConnectionId) {
         self.close_client(now, conn, ClientCloseReason::LastAnswerGiven);
     }
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -1,5 +1,5 @@
-//! Draining: after the signal new connections are served for a while, every request that was taken is answered, and the process
-//! ends before the platform would kill it.
+//! Draining: after the signal new connections are served for a while, every request that was taken is
+//! answered, and the process ends before the platform would kill it.
 
 use pewterwharf::interface::Event;
 
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Takes the next steps of draining that are due. The process ends once no new connections can come and every request taken is
-    /// answered.
+    /// Takes the next steps of draining that are due. The process ends once no new connections can come and
+    /// every request taken is answered.
     pub(super) fn continue_drain(&mut self, now: UnixMs) {
         let Phase::Draining { listen_until, listening, until } = self.phase else { return };
         if now < listen_until {
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Closes the connections of clients that wait for nothing. Those that have just connected or are sending a request are closed
-    /// only with `include_awaiting`, at the end of listening: while clients may still connect, no new connection is closed without
-    /// an answer.
+    /// Closes the connections of clients that wait for nothing. Those that have just connected or are sending
+    /// a request are closed only with `include_awaiting`, at the end of listening: while clients may still
+    /// connect, no new connection is closed without an answer.
     fn close_idle_clients(&mut self, now: UnixMs, include_awaiting: bool) {
         let is_due = |client: &Client| include_awaiting || client.state == ClientState::Idle;
         let clients = self.clients.iter().filter(|(_, client)| is_due(client));
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -1,5 +1,6 @@
-//! Frames: what is written next on a link. A frame is produced right before its first byte is written and not earlier. Until then
-//! whatever is queued can be withdrawn, and the time left that a frame states is that at the write.
+//! Frames: what is written next on a link. A frame is produced right before its first byte is written and not
+//! earlier. Until then whatever is queued can be withdrawn, and the time left that a frame states is that at
+//! the write.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +14,8 @@
 use crate::frame::{self, CallPart};
 use crate::inputs::{ConnectionId, Effect, LinkId};
 
-/// The first delay after which a write on a blocked link is tried again. It doubles each time. The reading thread reports that a
-/// link is writable again, but not that a write failed for a moment.
+/// The first delay after which a write on a blocked link is tried again. It doubles each time. The reading
+/// thread reports that a link is writable again, but not that a write failed for a moment.
 const FIRST_WRITE_RETRY_MS: f64 = 10.0;
 
 /// A frame whose first byte is to be written now.
@@ -45,12 +46,12 @@
         }
     }
 
-    /// The next frame to write on a link, with only what may be sent now; `None` if nothing is queued. A closing link still sends
-    /// cancellations, and nothing else. `disconnected`: clients whose connections have ended, whether or not an input has reported
-    /// that.
+    /// The next frame to write on a link, with only what may be sent now; `None` if nothing is queued. A
+    /// closing link still sends cancellations, and nothing else. `disconnected`: clients whose connections
+    /// have ended, whether or not an input has reported that.
     ///
-    /// The first byte has to be written at once, as the frame states the time left at `now`, and only while none of its clients has
-    /// disconnected. Otherwise the frame has to be [returned](Self::return_frame).
+    /// The first byte has to be written at once, as the frame states the time left at `now`, and only while
+    /// none of its clients has disconnected. Otherwise the frame has to be [returned](Self::return_frame).
     pub fn next_frame(
         &mut self,
         now: UnixMs,
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Returns the frame that was handed out last for a link and of which no byte was written. It is queued again.
+    /// Returns the frame that was handed out last for a link and of which no byte was written. It is queued
+    /// again.
     pub fn return_frame(&mut self, link_id: LinkId) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(queued) = link.last_frame.take() else { return };
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -13,7 +13,8 @@
 use crate::frame;
 use crate::inputs::{Effect, LinkId};
 
-/// A link is closed here after this share of the time after which searchers close idle connections, so that no call meets a close.
+/// A link is closed here after this share of the time after which searchers close idle connections, so that
+/// no call meets a close.
 const IDLE_SHARE: f64 = 0.8;
 
 impl Reducer {
@@ -45,7 +46,8 @@
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(probe) = link.probes.iter_mut().find(|p| p.number == number && !p.reported) else { return };
         probe.reported = true;
-        // A connection that is not established in time is reported as failed, whichever of the two timeouts fires first.
+        // A connection that is not established in time is reported as failed, whichever of the two timeouts
+        // fires first.
         let outcome =
             if probe.frame.is_some() { DispatchOutcome::TimedOut } else { DispatchOutcome::ConnectFailed };
         let sent_at = probe.sent_at;
@@ -53,9 +55,9 @@
         self.check_silent(link_id, sent_at);
     }
 
-    /// Marks a link as silent if nothing has arrived since something was sent that timed out. It may have been cut off without a
-    /// close, and the system would keep it for as long as it retransmits. Other links are opened, and this one closes once nothing
-    /// is open on it.
+    /// Marks a link as silent if nothing has arrived since something was sent that timed out. It may have
+    /// been cut off without a close, and the system would keep it for as long as it retransmits. Other links
+    /// are opened, and this one closes once nothing is open on it.
     pub(super) fn check_silent(&mut self, link_id: LinkId, sent_at: UnixMs) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.silent |= link.state == LinkState::Up && link.last_received_at < sent_at;
@@ -78,7 +80,8 @@
         searcher.links.iter().copied().filter(|id| self.links.get(id).is_some_and(is_usable)).collect()
     }
 
-    /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is none.
+    /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is
+    /// none.
     pub(super) fn connect(&mut self, now: UnixMs, searcher: SocketAddrV4) -> Option<LinkId> {
         let addr = self.searchers.get(&searcher)?.addr;
         if self.links.len() >= self.max_links {
@@ -185,7 +188,8 @@
         Some(frame::encode_probe())
     }
 
-    /// Ends everything that is open on a closed link. An attempt may have run only if its frame was written completely.
+    /// Ends everything that is open on a closed link. An attempt may have run only if its frame was written
+    /// completely.
     pub(super) fn link_closed(&mut self, now: UnixMs, link_id: LinkId, frames_written: u64) {
         let failed = self.links.get(&link_id).is_some_and(|link| link.state == LinkState::Opening);
         self.counters.links_failed += u64::from(failed);
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -1,4 +1,5 @@
-//! The searcher list: which list is used and what it changes, and the configuration that names the place of discovery.
+//! The searcher list: which list is used and what it changes, and the configuration that names the place of
+//! discovery.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -20,8 +21,8 @@
     Newer,
     /// From the same discovery service, with a smaller version.
     Older,
-    /// The first from another discovery service. Its versions are numbered independently, and it may not know of all changes that
-    /// the previous one reported.
+    /// The first from another discovery service. Its versions are numbered independently, and it may not know
+    /// of all changes that the previous one reported.
     OtherService,
 }
 
@@ -32,8 +33,8 @@
 }
 
 impl Reducer {
-    /// Handles a list from a watch. It is ignored if a newer watch has sent one (which may number its versions differently), or if
-    /// its watch was replaced before it sent any.
+    /// Handles a list from a watch. It is ignored if a newer watch has sent one (which may number its
+    /// versions differently), or if its watch was replaced before it sent any.
     pub(super) fn receive_list(&mut self, now: UnixMs, watch: WatchNumber, list: List) {
         if watch != self.active_watch && watch != self.newest_watch {
             self.counters.lists_late += 1;
@@ -122,8 +123,8 @@
         }
     }
 
-    /// The departures, by name, that a list of this age may not know of. A drain that was reported is not undone by a list that was
-    /// made before it, or by another discovery service that has not learned of it.
+    /// The departures, by name, that a list of this age may not know of. A drain that was reported is not
+    /// undone by a list that was made before it, or by another discovery service that has not learned of it.
     fn departures_unknown_to(&self, age: ListAge) -> HashMap<String, Departure> {
         let is_unknown = |searcher: &&Searcher| match age {
             ListAge::Newer => false,
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first address under which it was
-    /// listed in the decision module.
+    /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first
+    /// address under which it was listed in the decision module.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
         let Entry { name, addr, zone, cell, since: started_at, life: status, .. } = entry;
         let key = match self.keys_by_name.get(&name) {
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -1,8 +1,10 @@
-//! The one place that decides whether something may be sent, repeated, closed, answered as the last answer, or ended *now*.
+//! The one place that decides whether something may be sent, repeated, closed, answered as the last answer,
+//! or ended *now*.
 //!
-//! All functions are pure functions of the reducer's state. The other modules of the reducer call them right before they act, carry
-//! out what is allowed, and count each refusal by its reason. What must never be requested at all is a [`Violation`]: it is counted
-//! and logged as an error in every build, and tests check that its counters stay at zero.
+//! All functions are pure functions of the reducer's state. The other modules of the reducer call them right
+//! before they act, carry out what is allowed, and count each refusal by its reason. What must never be
+//! requested at all is a [`Violation`]: it is counted and logged as an error in every build, and tests check
+//! that its counters stay at zero.
 
 use std::fmt;
 
@@ -16,10 +18,11 @@
 pub(super) const LISTEN_MS: f64 = 600.0;
 /// Time that a client has to close its connection after its last answer.
 pub(super) const LINGER_MS: f64 = 300.0;
-/// The platform ends a mixer at the earliest this long, or its longest query timeout if that is shorter, plus 0.7 s after it asked
-/// the mixer to end.
+/// The platform ends a mixer at the earliest this long, or its longest query timeout if that is shorter, plus
+/// 0.7 s after it asked the mixer to end.
 const MAX_DRAIN_QUERY_MS: f64 = 3000.0;
-/// All queries are answered this long before the latest end, as the process may have been paused when it was asked to end.
+/// All queries are answered this long before the latest end, as the process may have been paused when it was
+/// asked to end.
 const ANSWERED_BEFORE_END_MS: f64 = 150.0;
 /// The time that a searcher is given may exceed what its client has left by this much.
 const DEADLINE_SLACK_MS: f64 = 150.0;
@@ -64,7 +67,8 @@
 }
 
 impl SendRefusal {
-    /// Whether the decision module should not have requested the attempt, whatever happened while it waited for its link.
+    /// Whether the decision module should not have requested the attempt, whatever happened while it waited
+    /// for its link.
     pub(super) fn is_violation(self) -> bool {
         matches!(self, Self::MayHaveRun)
     }
@@ -160,8 +164,8 @@
     }
 }
 
-/// Requests that were buffered when their client's connection began to close are served for this long. That is enough for several
-/// slow ones, and a client that floods is not served for ever.
+/// Requests that were buffered when their client's connection began to close are served for this long. That
+/// is enough for several slow ones, and a client that floods is not served for ever.
 const SERVE_BUFFERED_MS: f64 = 1000.0;
 
 /// Until when the buffered requests of a client are served whose connection begins to close at `now`.
@@ -169,13 +173,15 @@
     now + SERVE_BUFFERED_MS
 }
 
-/// The same for all clients of a draining mixer: half of the time up to its end. The other half is for reading the answers.
+/// The same for all clients of a draining mixer: half of the time up to its end. The other half is for
+/// reading the answers.
 pub(super) fn drain_serves_buffered_until(listen_until: UnixMs, until: UnixMs) -> UnixMs {
     let began_at = listen_until - LISTEN_MS;
     began_at + (until - began_at) / 2.0
 }
 
-/// Buffered requests of a client that are refused after that time. More would keep a client that floods connected.
+/// Buffered requests of a client that are refused after that time. More would keep a client that floods
+/// connected.
 const MAX_BUFFERED_REFUSED: u32 = 16;
 
 /// Until when the buffered requests of a client are served, if the mixer drains or the connection is closing.
@@ -183,15 +189,17 @@
     drain_serves_until.into_iter().chain(client.serves_buffered_until).reduce(f64::min)
 }
 
-/// Whether an answer to a client ends its connection. While the mixer drains (`drain_serves_until` is given) or the connection is
-/// closing, requests that were read already are answered first: served for a while, then some of them refused.
+/// Whether an answer to a client ends its connection. While the mixer drains (`drain_serves_until` is given)
+/// or the connection is closing, requests that were read already are answered first: served for a while, then
+/// some of them refused.
 pub(super) fn is_last_answer(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     let Some(until) = serves_until(client, drain_serves_until) else { return client.close_after_answer };
     let is_flooding = now >= until && client.buffered_refused >= MAX_BUFFERED_REFUSED;
     client.close_after_answer || !client.has_buffered_data || is_flooding
 }
 
-/// Whether a query is refused because more requests are buffered behind it and the time to serve those is over.
+/// Whether a query is refused because more requests are buffered behind it and the time to serve those is
+/// over.
 pub(super) fn is_buffered_refused(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     client.has_buffered_data && serves_until(client, drain_serves_until).is_some_and(|until| now >= until)
 }
@@ -212,15 +220,18 @@
     }
 }
 
-/// When all queries of a draining mixer are answered that ends at `until` at the latest. The remaining time is for slow clients.
+/// When all queries of a draining mixer are answered that ends at `until` at the latest. The remaining time
+/// is for slow clients.
 pub(super) fn drain_answers_until(until: UnixMs) -> UnixMs {
     until - ANSWERED_BEFORE_END_MS
 }
 
-/// Until when a client delays the end of a draining mixer that no longer listens. `until`: when the platform ends the process.
+/// Until when a client delays the end of a draining mixer that no longer listens. `until`: when the platform
+/// ends the process.
 ///
-/// Every client without a last answer is being closed by then. The reading thread reports its end, unless a request has begun to
-/// arrive, which may not be known here yet. An answer that is not written yet, and a client that still sends, delay the end as well.
+/// Every client without a last answer is being closed by then. The reading thread reports its end, unless a
+/// request has begun to arrive, which may not be known here yet. An answer that is not written yet, and a
+/// client that still sends, delay the end as well.
 pub(super) fn client_delays_end_until(client: &Client, until: UnixMs) -> UnixMs {
     let is_finished = client.state == ClientState::Finished;
     if is_finished && !client.answer_delayed && !client.still_sends {
@@ -230,8 +241,8 @@
     }
 }
 
-/// When a query has to be answered: after the time that its client waits, at most the agreed query timeout, and before the end of a
-/// draining mixer.
+/// When a query has to be answered: after the time that its client waits, at most the agreed query timeout,
+/// and before the end of a draining mixer.
 pub(super) fn query_deadline(
     now: UnixMs,
     wait_ms: f64,
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -43,8 +43,8 @@
     pub(super) attempts: u8,
     /// Attempts that were sent and are not proved never to have run.
     pub(super) may_have_run: u8,
-    /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be repeated, minus
-    /// infinity for parts that must not be.
+    /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be
+    /// repeated, minus infinity for parts that must not be.
     pub(super) repeat_until: UnixMs,
     /// How its latest attempt ended.
     pub(super) last_outcome: Option<DispatchOutcome>,
@@ -80,7 +80,8 @@
     UnsentAttempts,
 }
 
-/// A timer and its time. The time is kept as the bits of a non-negative `f64`, which have the order of the numbers.
+/// A timer and its time. The time is kept as the bits of a non-negative `f64`, which have the order of the
+/// numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ScheduledTimer {
     at_bits: u64,
@@ -125,7 +126,8 @@
     pub(super) buffered_refused: u32,
     /// Its last answer is not written completely yet.
     pub(super) answer_delayed: bool,
-    /// It has sent more after its last answer. Closing while bytes are unread would reset the connection before it reads the answer.
+    /// It has sent more after its last answer. Closing while bytes are unread would reset the connection
+    /// before it reads the answer.
     pub(super) still_sends: bool,
     /// When it entered its state.
     pub(super) state_since: UnixMs,
@@ -260,7 +262,8 @@
     pub(super) frame: Option<u64>,
 }
 
-/// Names of ended attempts that a link remembers. They cover some seconds of a link in full use, and the whole life of others.
+/// Names of ended attempts that a link remembers. They cover some seconds of a link in full use, and the
+/// whole life of others.
 const MAX_FINISHED_NAMES: usize = 512;
 
 impl Link {
@@ -277,8 +280,8 @@
         self.state == LinkState::Up && self.open_calls.is_empty() && self.probes.is_empty()
     }
 
-    /// Records the end of an attempt. If it was sent, its answer may still arrive, or arrive again, and has to be distinguished
-    /// from a later attempt's answer and from one that was never requested.
+    /// Records the end of an attempt. If it was sent, its answer may still arrive, or arrive again, and has
+    /// to be distinguished from a later attempt's answer and from one that was never requested.
     pub(super) fn finish_attempt(&mut self, name: &Rc<str>, was_sent: bool) {
         let answered = self.expected.remove(name) == Some(ExpectedAnswer::Duplicate);
         if was_sent {
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -1,6 +1,6 @@
-//! Connections to searchers. One thread connects and reads them all: a thread for each connection made about a hundred threads in
-//! each of the hundreds of mixers of a large fleet. The service writes to searchers itself, and is told here when a blocked connection
-//! is writable again.
+//! Connections to searchers. One thread connects and reads them all: a thread for each connection made about
+//! a hundred threads in each of the hundreds of mixers of a large fleet. The service writes to searchers
+//! itself, and is told here when a blocked connection is writable again.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -79,7 +79,8 @@
     ) -> io::Result<(Self, LinkOpener)> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
-        // One command for each link, whose number is limited by the descriptors, so this channel needs no bound.
+        // One command for each link, whose number is limited by the descriptors, so this channel needs no
+        // bound.
         let (sender, received) = unbounded();
         let searchers = Self {
             poll,
@@ -180,13 +181,15 @@
     fn end(&mut self, link: LinkId, error: &io::Error) {
         if let Some(connection) = self.connections.remove(&link) {
             debug!("{}: {error}", connection.addr);
-            let _ = connection.shared.stream.shutdown(Shutdown::Both); // fails if it has ended, or never came up
+            // Fails if the connection has ended, or was never established.
+            let _ = connection.shared.stream.shutdown(Shutdown::Both);
             self.report_closed(link);
         }
     }
 
     fn report_closed(&self, link: LinkId) {
-        self.messages.send(Input::LinkClosed { link, frames_written: 0 }); // the service fills in the number of frames
+        // The service fills in the number of frames.
+        self.messages.send(Input::LinkClosed { link, frames_written: 0 });
     }
 }
 
@@ -248,7 +251,8 @@
                     frames.push(frame);
                 }
                 Ok(None) => break,
-                // The frames before it are reported with the error, so that nothing new is sent on the link in between.
+                // The frames before it are reported with the error, so that nothing new is sent on the link
+                // in between.
                 Err(reason) => {
                     messages.send(Input::Frames { link, frames, error: Some(reason.clone()) });
                     return Err(io::Error::other(reason));
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -1,4 +1,5 @@
-//! The service: opens what it needs, runs the reducer on the inputs of the other threads, and carries out its effects.
+//! The service: opens what it needs, runs the reducer on the inputs of the other threads, and carries out its
+//! effects.
 
 mod writes;
 
@@ -33,20 +34,21 @@
 use crate::searcher::{LinkOpener, Searchers};
 use crate::signals::{Reloaders, SignalThread};
 
-/// Messages that may wait to be received. A thread that sends more, faster than they are received, waits. The service's own thread,
-/// which receives them, sends none.
+/// Messages that may wait to be received. A thread that sends more, faster than they are received, waits. The
+/// service's own thread, which receives them, sends none.
 const MAX_WAITING_MESSAGES: usize = 128;
-/// The buffers of clients, the buffers of searchers, and the partly written frames may each take the configured memory divided by
-/// this.
+/// The buffers of clients, the buffers of searchers, and the partly written frames may each take the
+/// configured memory divided by this.
 const MEMORY_DIVISOR: usize = 8;
 /// Messages that are received in one turn at most, so that no burst delays what is due.
 const MAX_INPUTS_PER_TURN: usize = 256;
 
-/// After a pause of the process, inputs are received for this long before anything is sent by the current time, as the reading
-/// threads were paused too and still have to report what happened.
+/// After a pause of the process, inputs are received for this long before anything is sent by the current
+/// time, as the reading threads were paused too and still have to report what happened.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
-/// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, then `Ready`, `Draining`, `Closed`.
+/// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, then `Ready`, `Draining`,
+/// `Closed`.
 pub struct Service {
     clock: Clock,
     reducer: Reducer,
@@ -80,8 +82,9 @@
     log::print(&format!("{counters}log_texts_dropped {}\n{other_counters}", log::dropped()));
 }
 
-/// Sets the list held before the start, if there is one. Returns the version that the first watch begins with: zero without a held
-/// list, as the first list that a watch sends is a whole one. With a held list it is `None`, and the whole list is requested.
+/// Sets the list held before the start, if there is one. Returns the version that the first watch begins
+/// with: zero without a held list, as the first list that a watch sends is a whole one. With a held list it
+/// is `None`, and the whole list is requested.
 fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: UnixMs) -> Option<u64> {
     match discovery::parse_list(cached_list) {
         Ok(list) if list.entries.is_empty() => Some(list.index),
@@ -99,8 +102,8 @@
 }
 
 impl Service {
-    /// Opens sockets and starts threads. The signal handlers must be registered before, so that no signal kills the process
-    /// meanwhile.
+    /// Opens sockets and starts threads. The signal handlers must be registered before, so that no signal
+    /// kills the process meanwhile.
     ///
     /// # Errors
     /// If a socket or a thread can't be had, or the process is asked to end before it can listen.
@@ -121,7 +124,8 @@
         let mut reducer = Reducer::new(startup.config.clone(), startup.seed, startup.sockets);
         let index = restore_list(&mut reducer, &startup.cached_list, clock.now());
         reducer.set_discovery(startup.discovery);
-        // Before the signal thread starts, so that an error in its settings is reported at the start like any other.
+        // Before the signal thread starts, so that an error in its settings is reported at the start like any
+        // other.
         let announcer =
             Announcer::open(settings, reducer.type_names(), startup.seed, &messages, fleet.handle())?;
         let watch_status = Arc::new(WatchStatus::default());
@@ -238,7 +242,8 @@
         while let Ok(message) = self.inbox.recv_deadline(until) {
             self.receive(message, inputs);
         }
-        self.was_paused = false; // the clients' thread has reported the same pause, or one that is over as well
+        // The clients' thread has reported the same pause, or one that is over as well.
+        self.was_paused = false;
     }
 
     fn receive(&mut self, message: Message, inputs: &mut Vec<(UnixMs, Input)>) {
@@ -260,7 +265,8 @@
                 }
             }
             Message::StatusRequested(sender) => {
-                let _ = sender.send(self.reducer.module_status().to_string()); // fails if the console no longer waits
+                // Fails if the console no longer waits.
+                let _ = sender.send(self.reducer.module_status().to_string());
             }
             Message::SettingsReloaded(read) => {
                 let applied = read.and_then(|settings| {
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Writes the next frame of a link, or the rest of a partly written one; false if nothing more can be written on it for now.
+    /// Writes the next frame of a link, or the rest of a partly written one; false if nothing more can be
+    /// written on it for now.
     pub(super) fn write_next(&mut self, link_id: LinkId) -> bool {
         let Some(link) = self.links.get_mut(&link_id).filter(|link| !link.is_blocked()) else { return false };
         let outcome = if link.has_partial_frame() {
@@ -58,8 +59,8 @@
         outcome == WriteOutcome::Complete
     }
 
-    /// The next frame of a link. Its write has to begin at once: nothing may come between the last look at its clients and the
-    /// write, not even a look at the clock.
+    /// The next frame of a link. Its write has to begin at once: nothing may come between the last look at
+    /// its clients and the write, not even a look at the clock.
     fn next_frame(&mut self, link_id: LinkId) -> Next {
         let mut disconnected = Vec::new();
         loop {
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -13,8 +13,8 @@
 use crate::inputs::Input;
 use crate::messages::{Message, MessageSender};
 
-/// An unreadable configuration may still be being written: it is read again for this long, well within the 4 s after which a new one
-/// has to take effect.
+/// An unreadable configuration may still be being written: it is read again for this long, well within the 4
+/// s after which a new one has to take effect.
 const RELOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
