--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -5,7 +5,9 @@
 use pewterwharf_fleet::{Condition, Fleet};
 use pewterwharf_settings::sexpr::{self, Node, NodeKind, ParseError, unexpected_name};
 
-use crate::claim::{Claim, Deed, Final, Happening, Local, Pace, Reach, Watch, Whom};
+use crate::claim::{
+    AnswerKind, BehaviourClaim, Claim, Failure, FailureTarget, ObservedAction, Pace, Reachability, SliceClaim,
+};
 
 /// Most searchers that may be lost at once in a claim: beyond that no case is small.
 const MOST_LOST: u32 = 64;
@@ -14,38 +16,38 @@
 
 /// What a file says of the fleet it speaks of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct About {
+pub struct FleetSource {
     /// Paths as written, to be taken from the file's own folder.
-    pub terms: String,
-    pub list: String,
+    pub config_path: String,
+    pub list_path: String,
     /// Customers and the slices that their scans read.
-    pub slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
+    pub customer_slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
     pub pace: Option<Pace>,
 }
 
 /// A file of which the names are not yet looked up.
 #[derive(Clone, Debug)]
-pub struct Draft {
-    pub about: About,
+pub struct ParsedFile {
+    pub source: FleetSource,
     expects: Vec<(String, Node)>,
 }
 
 /// One expectation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expect {
+pub struct Expectation {
     pub name: String,
     /// Line of the file.
     pub line: usize,
     pub claim: Claim,
 }
 
-impl Draft {
+impl ParsedFile {
     /// Reads a file's text: one `(fleet ...)`, then any number of `(expect "name" CLAIM)`.
     ///
     /// # Errors
     /// The place that can't be read, and what was expected there.
-    pub fn read(text: &str) -> Result<Self, ParseError> {
-        let (mut about, mut expects) = (None, Vec::new());
+    pub fn parse(text: &str) -> Result<Self, ParseError> {
+        let (mut source, mut expects) = (None, Vec::new());
         let nodes = sexpr::parse(text)?;
         if nodes.len() > MOST {
             return Err(nodes[MOST].error(format!("over {MOST} forms")));
@@ -53,7 +55,7 @@
         for node in nodes {
             let (head, rest) = node.head_and_args("(fleet ...) or (expect \"name\" ...)")?;
             match (head, rest) {
-                ("fleet", rest) if about.is_none() => about = Some(read_about(&node, rest)?),
+                ("fleet", rest) if source.is_none() => source = Some(read_about(&node, rest)?),
                 ("fleet", _) => return Err(node.error("a second (fleet ...)")),
                 ("expect", [name, claim]) => {
                     let name = name.string("the name of an expectation")?.to_owned();
@@ -67,9 +69,9 @@
             }
         }
         let nowhere = sexpr::Position { line: 1, column: 1 };
-        let about = about
+        let source = source
             .ok_or(ParseError { position: nowhere, message: "expected a form (fleet ...)".to_owned() })?;
-        Ok(Self { about, expects })
+        Ok(Self { source, expects })
     }
 
     /// States the customers' slices in the fleet.
@@ -77,7 +79,7 @@
     /// # Errors
     /// The place of a customer or slice that the fleet does not have.
     pub fn own(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
-        for (customer, slices, at) in &self.about.slices {
+        for (customer, slices, at) in &self.source.customer_slices {
             let done = fleet.add_customer_slices(customer, slices.clone());
             done.map_err(|error| ParseError { position: *at, message: error.to_string() })?;
         }
@@ -88,18 +90,18 @@
     ///
     /// # Errors
     /// The place of a word that does not belong there, or of a name that the fleet does not have.
-    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expect>, ParseError> {
+    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expectation>, ParseError> {
         let reader = Reader { fleet };
         let read = |(name, node): &(String, Node)| {
             let claim = reader.claim(node, Within::default())?;
-            Ok(Expect { name: name.clone(), line: node.position.line, claim })
+            Ok(Expectation { name: name.clone(), line: node.position.line, claim })
         };
         self.expects.iter().map(read).collect()
     }
 }
 
-fn read_about(whole: &Node, rest: &[Node]) -> Result<About, ParseError> {
-    let (mut about, mut told) = (About::default(), Vec::new());
+fn read_about(whole: &Node, rest: &[Node]) -> Result<FleetSource, ParseError> {
+    let (mut source, mut told) = (FleetSource::default(), Vec::new());
     for node in rest {
         let (key, values) = node.head_and_args("a part of the fleet, as (terms \"mixer.json\")")?;
         if key != "slices" && told.contains(&key) {
@@ -107,24 +109,26 @@
         }
         told.push(key);
         match (key, values) {
-            ("terms", [path]) => about.terms = path.string("the path of a mixer's configuration")?.to_owned(),
-            ("list", [path]) => about.list = path.string("the path of a searcher list")?.to_owned(),
+            ("terms", [path]) => {
+                source.config_path = path.string("the path of a mixer's configuration")?.to_owned()
+            }
+            ("list", [path]) => source.list_path = path.string("the path of a searcher list")?.to_owned(),
             ("slices", [customer, from, to]) => {
                 let range = range(from, to)?;
                 let customer = customer.string("a customer's name")?.to_owned();
-                about.slices.push((customer, range, node.position));
+                source.customer_slices.push((customer, range, node.position));
             }
-            ("pace", [changes, every]) => about.pace = Some(pace(changes, every)?),
+            ("pace", [changes, every]) => source.pace = Some(pace(changes, every)?),
             ("terms" | "list" | "slices" | "pace", values) => {
                 return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
             }
             (other, _) => return Err(unexpected_name(node, other, &["terms", "list", "slices", "pace"])),
         }
     }
-    match (about.terms.is_empty(), about.list.is_empty()) {
+    match (source.config_path.is_empty(), source.list_path.is_empty()) {
         (true, _) => Err(whole.error("expected (terms \"PATH\") in (fleet ...)")),
         (_, true) => Err(whole.error("expected (list \"PATH\") in (fleet ...)")),
-        _ => Ok(about),
+        _ => Ok(source),
     }
 }
 
@@ -150,7 +154,7 @@
 /// What stands around a claim.
 #[derive(Clone, Copy, Default)]
 struct Within {
-    /// Under `some` or `not`, where a claim about behaviour can't be explored.
+    /// Under `some` or `not`, where a claim source behaviour can't be explored.
     turned: bool,
     younger: bool,
 }
@@ -192,10 +196,10 @@
             ("some", _) => Claim::Some(many(turned)?),
             ("not", [claim]) => Claim::Not(Box::new(self.claim(claim, turned)?)),
             ("for-all-slices", rest) => self.slices(node, rest)?,
-            ("after", [happenings @ .., claim]) if !happenings.is_empty() => {
+            ("after", [failures @ .., claim]) if !failures.is_empty() => {
                 let mut claim = self.claim(claim, within)?;
-                for happening in happenings.iter().rev() {
-                    claim = Claim::After(self.happening(happening)?, Box::new(claim));
+                for failure in failures.iter().rev() {
+                    claim = Claim::After(self.failure(failure)?, Box::new(claim));
                 }
                 claim
             }
@@ -219,7 +223,7 @@
                     [_, more, ..] => return Err(more.error("expected one claim")),
                 };
                 let claim = Box::new(self.claim(claim, Within { younger: true, ..within })?);
-                Claim::Younger { ms: age.duration_ms("the list's age")?, changes, claim }
+                Claim::WhileListYounger { ms: age.duration_ms("the list's age")?, changes, claim }
             }
             ("load-per-searcher-at-most", [times]) => {
                 Claim::LoadAtMost(times.positive_number("times the average load")?)
@@ -231,7 +235,7 @@
                 if within.turned {
                     return Err(node.error(format!("{head} can't stand under some or not")));
                 }
-                Claim::Behaves(self.watch(watch, head == "always")?)
+                Claim::Behaviour(self.watch(watch, head == "always")?)
             }
             (head, rest) if CLAIMS.contains(&head) => {
                 return Err(node.error(format!("{head} has {} parts, which do not fit it", rest.len())));
@@ -266,30 +270,30 @@
         match what.len() {
             0 => Err(node.error("expected (reachable ...) in (for-all-slices ...)")),
             1 => Ok(Claim::ForAllSlices { of, only, what: what.remove(0) }),
-            _ => Ok(Claim::ForAllSlices { of, only, what: Local::All(what) }),
+            _ => Ok(Claim::ForAllSlices { of, only, what: SliceClaim::All(what) }),
         }
     }
 
-    fn local(&self, node: &Node) -> Result<Local, ParseError> {
+    fn local(&self, node: &Node) -> Result<SliceClaim, ParseError> {
         const WORDS: [&str; 6] = ["reachable", "all", "some", "not", "of", "slices"];
         let (head, rest) = node.head_and_args("(reachable ...)")?;
-        let many = || -> Result<Vec<Local>, ParseError> {
+        let many = || -> Result<Vec<SliceClaim>, ParseError> {
             if rest.is_empty() {
                 return Err(node.error(format!("expected (reachable ...) in ({head})")));
             }
             rest.iter().map(|l| self.local(l)).collect()
         };
         Ok(match (head, rest) {
-            ("all", _) => Local::All(many()?),
-            ("some", _) => Local::Some(many()?),
-            ("not", [local]) => Local::Not(Box::new(self.local(local)?)),
-            ("reachable", rest) => Local::Reachable(self.reach(rest)?),
+            ("all", _) => SliceClaim::All(many()?),
+            ("some", _) => SliceClaim::Some(many()?),
+            ("not", [local]) => SliceClaim::Not(Box::new(self.local(local)?)),
+            ("reachable", rest) => SliceClaim::Reachable(self.reach(rest)?),
             (other, _) => return Err(unexpected_name(node, other, &WORDS)),
         })
     }
 
-    fn reach(&self, rest: &[Node]) -> Result<Reach, ParseError> {
-        let mut reach = Reach { searchers: 1, halls: 1, sets: 1, hall: None };
+    fn reach(&self, rest: &[Node]) -> Result<Reachability, ParseError> {
+        let mut reach = Reachability { searchers: 1, halls: 1, sets: 1, hall: None };
         for part in rest {
             let (head, values) = part.head_and_args("a measure, as (halls 2)")?;
             match (head, values) {
@@ -307,7 +311,7 @@
         Ok(reach)
     }
 
-    fn happening(&self, node: &Node) -> Result<Happening, ParseError> {
+    fn failure(&self, node: &Node) -> Result<Failure, ParseError> {
         const WORDS: [&str; 12] = [
             "lose-hall",
             "lose-set",
@@ -335,28 +339,29 @@
         };
         let any = matches!(&value.kind, NodeKind::Symbol(word) if word == "any");
         let whom = match whom {
-            "hall" if any => Whom::Hall(None),
-            "hall" => {
-                Whom::Hall(Some(named(value, self.fleet.hall(value.string("any, or a hall's name")?))?))
-            }
-            "set" if any => Whom::Set(None),
-            "set" => Whom::Set(Some(value.integer(
+            "hall" if any => FailureTarget::Hall(None),
+            "hall" => FailureTarget::Hall(Some(named(
+                value,
+                self.fleet.hall(value.string("any, or a hall's name")?),
+            )?)),
+            "set" if any => FailureTarget::Set(None),
+            "set" => FailureTarget::Set(Some(value.integer(
                 "any, or a set",
                 0,
                 self.fleet.sets().saturating_sub(1) as u32,
             )?)),
-            "searchers" => Whom::Searchers(value.integer("searchers", 1, MOST_LOST)?),
-            "searcher" if any => Whom::Searchers(1),
+            "searchers" => FailureTarget::Searchers(value.integer("searchers", 1, MOST_LOST)?),
+            "searcher" if any => FailureTarget::Searchers(1),
             "searcher" => {
                 let name = value.string("any, or a searcher's name")?;
-                Whom::Searcher(named(value, self.fleet.searcher(name))? as u32)
+                FailureTarget::Searcher(named(value, self.fleet.searcher(name))? as u32)
             }
             _ => return Err(unexpected_name(node, head, &WORDS)),
         };
-        Ok(Happening { what, whom })
+        Ok(Failure { what, whom })
     }
 
-    fn watch(&self, node: &Node, always: bool) -> Result<Watch, ParseError> {
+    fn watch(&self, node: &Node, always: bool) -> Result<BehaviourClaim, ParseError> {
         let (head, rest) = node.head_and_args("(sent ...) or (answered ...)")?;
         let (mut table_type, mut to, mut hall) = (None, Vec::new(), None);
         let (mut again, mut beside, mut kinds, mut whole) = (false, false, Vec::new(), None);
@@ -395,9 +400,9 @@
                 (("as", words), false) if !words.is_empty() => {
                     for word in words {
                         kinds.push(match word.symbol("completed, throttled or abandoned")? {
-                            "completed" => Final::Completed,
-                            "throttled" => Final::Throttled,
-                            "abandoned" => Final::Abandoned,
+                            "completed" => AnswerKind::Completed,
+                            "throttled" => AnswerKind::Throttled,
+                            "abandoned" => AnswerKind::Abandoned,
                             other => {
                                 return Err(unexpected_name(
                                     word,
@@ -418,8 +423,11 @@
                 }
             }
         }
-        let deed =
-            if sent { Deed::Sent { to, hall, again, beside } } else { Deed::Answered { kinds, whole } };
-        Ok(Watch { always, table_type, deed })
+        let action = if sent {
+            ObservedAction::Sent { to, hall, again, beside }
+        } else {
+            ObservedAction::Answered { kinds, whole }
+        };
+        Ok(BehaviourClaim { always, table_type, action })
     }
 }
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -8,18 +8,18 @@
 use pewterwharf_fleet::Fleet;
 use pewterwharf_settings::sexpr::ParseError;
 
-use crate::claim::{Claim, Deed, Happening, Pace, Watch, Whom};
-use crate::explore::arena::alike;
+use crate::claim::{BehaviourClaim, Claim, Failure, FailureTarget, ObservedAction, Pace};
+use crate::explore::scenario::alike;
 use crate::explore::search::tell;
-use crate::explore::world::Open;
-use crate::explore::{Allow, Arena, Bounds, Explored, Move, Rule, explore, shrink};
-use crate::judge::{Case, Judge, TooMany};
-use crate::read::{Draft, Expect};
-use crate::scene::{Befell, Group, Kinds};
+use crate::explore::simulation::SubjectFactory;
+use crate::explore::{Bounds, EventLimits, Exploration, Move, Rule, Scenario, explore, shrink};
+use crate::groups::{AppliedFailure, Group, Grouping};
+use crate::read::{Expectation, ParsedFile};
+use crate::structural::{Case, StructuralChecker, TooMany};
 
-/// How far a check goes, and on which seed.
+/// DispatchEnd far a check goes, and on which seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct CheckOptions {
     pub bounds: Bounds,
     /// Explorations that run side by side.
     pub threads: usize,
@@ -28,7 +28,7 @@
 
 /// What was looked at for a verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Effort {
+pub struct Coverage {
     /// Cases of failures.
     pub cases: u64,
     /// States of the decision module.
@@ -36,27 +36,27 @@
     /// All runs with so many departures were looked at; absent where the module was not asked, or fewer were.
     pub departures: Option<u32>,
     /// Explorations that this stands for.
-    pub runs: u32,
+    pub explorations: u32,
 }
 
 /// A case in which an expectation fails, for people and for replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct Counterexample {
     /// What had to happen first.
-    pub befell: Vec<String>,
+    pub failures: Vec<String>,
     pub slice: Option<u32>,
-    pub found: String,
+    pub observed: String,
     /// What the module was told and did, a line each.
     pub trace: Vec<String>,
-    /// The moves of the trace, to be run again, and the arena of the check that they belong to.
+    /// The moves of the trace, to be run again, and the index of the scenario in which they were found.
     pub moves: Vec<String>,
-    pub arena: Option<usize>,
+    pub scenario: Option<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Holds,
-    Fails(Box<Shown>),
+    Fails(Box<Counterexample>),
     /// There were more cases than are gone through.
     Undecided,
 }
@@ -72,8 +72,8 @@
     /// ages that were looked at.
     pub fails_at_ms: Option<f64>,
     /// The age of the list up to which it has to hold; absent where it does not say.
-    pub wanted_ms: Option<f64>,
-    pub effort: Effort,
+    pub required_ms: Option<f64>,
+    pub coverage: Coverage,
 }
 
 impl Verdict {
@@ -93,7 +93,7 @@
 ];
 
 /// In a check of the rules: changes told and untold, restarts, clients that leave.
-const RULES_MEET: Allow = Allow { told: 2, unseen: 1, restarts: 1, leaves: 1 };
+const RULES_MEET: EventLimits = EventLimits { told: 2, unseen: 1, restarts: 1, leaves: 1 };
 /// Ages of the list that are looked at for one expectation, at most.
 const MOST_AGES: usize = 64;
 /// Spans of the pace beyond the wanted age that are looked at, to say how far it holds.
@@ -103,18 +103,18 @@
 
 /// One exploration, and who waits for what it finds.
 struct Job {
-    arena: Arena,
-    watches: Vec<Watch>,
+    scenario: Scenario,
+    watches: Vec<BehaviourClaim>,
     /// Expectation and age of the list, of each watch.
     whose: Vec<(usize, usize)>,
-    befell: Vec<Befell>,
+    befell: Vec<AppliedFailure>,
 }
 
 /// A file's expectations and the fleet that they speak of.
 pub struct Suite {
     fleet: Fleet,
     pace: Pace,
-    expects: Vec<Expect>,
+    expects: Vec<Expectation>,
 }
 
 impl Suite {
@@ -122,10 +122,10 @@
     ///
     /// # Errors
     /// The place of what can't be read or does not exist.
-    pub fn new(draft: &Draft, mut fleet: Fleet) -> Result<Self, ParseError> {
-        draft.own(&mut fleet)?;
-        let expects = draft.settle(&fleet)?;
-        Ok(Self { fleet, pace: draft.about.pace.unwrap_or_default(), expects })
+    pub fn new(parsed: &ParsedFile, mut fleet: Fleet) -> Result<Self, ParseError> {
+        parsed.own(&mut fleet)?;
+        let expects = parsed.settle(&fleet)?;
+        Ok(Self { fleet, pace: parsed.source.pace.unwrap_or_default(), expects })
     }
 
     pub fn fleet(&self) -> &Fleet {
@@ -136,13 +136,18 @@
         self.pace
     }
 
-    pub fn expects(&self) -> &[Expect] {
+    pub fn expectations(&self) -> &[Expectation] {
         &self.expects
     }
 
     /// Checks all expectations, then the six rules, on the module that `open` starts. `done` hears of finished steps
     /// and their number.
-    pub fn check(&self, terms: Terms, open: &Open, done: &(dyn Fn(usize, usize) + Sync)) -> Vec<Verdict> {
+    pub fn check(
+        &self,
+        terms: CheckOptions,
+        open: &SubjectFactory,
+        done: &(dyn Fn(usize, usize) + Sync),
+    ) -> Vec<Verdict> {
         let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
         let jobs = self.jobs(terms, &mut verdicts);
         let steps = self.expects.len() + jobs.len();
@@ -152,8 +157,8 @@
         for (at, (job, found)) in jobs.iter().zip(&found).enumerate() {
             if job.watches.is_empty() {
                 for (rule, verdict) in RULES.iter().zip(&mut rules) {
-                    add(&mut verdict.effort, found);
-                    if let Some((moves, _)) = found.breaches.get(rule)
+                    add(&mut verdict.coverage, found);
+                    if let Some((moves, _)) = found.violations.get(rule)
                         && verdict.holds()
                     {
                         verdict.outcome =
@@ -163,14 +168,14 @@
                 continue;
             }
             for (expect, _) in &job.whose {
-                add(&mut verdicts[*expect].effort, found);
+                add(&mut verdicts[*expect].coverage, found);
             }
         }
         self.watched(&jobs, &found, terms, open, &mut verdicts);
         verdicts.extend(rules);
         // Where not even the usual runs were looked at to their end, nothing holds by that.
         for verdict in &mut verdicts {
-            if verdict.holds() && verdict.effort.runs > 0 && verdict.effort.departures.is_none() {
+            if verdict.holds() && verdict.coverage.explorations > 0 && verdict.coverage.departures.is_none() {
                 verdict.outcome = Outcome::Undecided;
             }
         }
@@ -184,27 +189,36 @@
     /// If the check of this file has no such arena, or a move can't be read.
     pub fn replay(
         &self,
-        arena: usize,
+        scenario: usize,
         moves: &[&str],
         seed: u64,
-        open: &Open,
+        open: &SubjectFactory,
     ) -> Result<(Vec<String>, bool), String> {
-        let terms = Terms { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
+        let terms =
+            CheckOptions { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
         let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
         let jobs = self.jobs(terms, &mut verdicts);
-        let job = jobs.get(arena).ok_or_else(|| format!("there is no arena {arena} of {}", jobs.len()))?;
+        let job =
+            jobs.get(scenario).ok_or_else(|| format!("there is no arena {scenario} of {}", jobs.len()))?;
         let moves = moves.iter().map(|m| m.parse()).collect::<Result<Vec<Move>, String>>()?;
-        let lines = tell(&job.arena, &job.watches, open, &moves);
+        let lines = tell(&job.scenario, &job.watches, open, &moves);
         let broken = lines.iter().any(|line| line.contains("!!  "));
         Ok((lines, broken))
     }
 
     /// The youngest list, and then the simplest case, in which a watch saw what it must not.
-    fn watched(&self, jobs: &[Job], found: &[Explored], terms: Terms, open: &Open, verdicts: &mut [Verdict]) {
+    fn watched(
+        &self,
+        jobs: &[Job],
+        found: &[Exploration],
+        terms: CheckOptions,
+        open: &SubjectFactory,
+        verdicts: &mut [Verdict],
+    ) {
         let mut worst: BTreeMap<usize, (usize, usize, usize)> = BTreeMap::new();
         for (at, (job, found)) in jobs.iter().zip(found).enumerate() {
             for (nth, (expect, age)) in job.whose.iter().enumerate() {
-                if let Some((moves, _)) = found.breaches.get(&Rule::Watched(nth)) {
+                if let Some((moves, _)) = found.violations.get(&Rule::BehaviourClaim(nth)) {
                     let this = (*age, moves.len(), at);
                     let least = worst.entry(*expect).or_insert(this);
                     *least = this.min(*least);
@@ -214,35 +228,43 @@
         for (expect, (age, _, at)) in worst {
             let verdict = &mut verdicts[expect];
             let ages = self.ages(&self.expects[expect].claim);
-            let at_ms = ages.get(age).copied().filter(|_| verdict.wanted_ms.is_some());
+            let at_ms = ages.get(age).copied().filter(|_| verdict.required_ms.is_some());
             // What follows from who holds what has gone before, and may have failed on a younger list.
             if !verdict.holds() && verdict.fails_at_ms.unwrap_or(0.0) <= at_ms.unwrap_or(0.0) {
                 continue;
             }
             let job = &jobs[at];
             let Some(nth) = job.whose.iter().position(|w| *w == (expect, age)) else { continue };
-            let rule = Rule::Watched(nth);
-            if let Some((moves, _)) = found[at].breaches.get(&rule) {
+            let rule = Rule::BehaviourClaim(nth);
+            if let Some((moves, _)) = found[at].violations.get(&rule) {
                 verdict.fails_at_ms = at_ms;
-                if verdict.wanted_ms.is_none_or(|wanted| at_ms.is_some_and(|at| at < wanted)) {
+                if verdict.required_ms.is_none_or(|wanted| at_ms.is_some_and(|at| at < wanted)) {
                     verdict.outcome = Outcome::Fails(Box::new(self.shown(at, job, terms, open, moves, rule)));
                 }
             }
         }
     }
 
-    fn shown(&self, at: usize, job: &Job, terms: Terms, open: &Open, moves: &[Move], rule: Rule) -> Shown {
-        let arena = Arena { seed: terms.seed, ..job.arena.clone() };
-        let moves = shrink(&arena, &job.watches, open, moves, rule);
-        let trace = tell(&arena, &job.watches, open, &moves);
+    fn shown(
+        &self,
+        at: usize,
+        job: &Job,
+        terms: CheckOptions,
+        open: &SubjectFactory,
+        moves: &[Move],
+        rule: Rule,
+    ) -> Counterexample {
+        let scenario = Scenario { seed: terms.seed, ..job.scenario.clone() };
+        let moves = shrink(&scenario, &job.watches, open, moves, rule);
+        let trace = tell(&scenario, &job.watches, open, &moves);
         let broken = trace.iter().find_map(|l| l.split_once("!!  ")).map(|l| l.1.to_owned());
-        Shown {
-            befell: job.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
+        Counterexample {
+            failures: job.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
             slice: None,
-            found: broken.unwrap_or_default(),
+            observed: broken.unwrap_or_default(),
             trace,
             moves: moves.iter().map(ToString::to_string).collect(),
-            arena: Some(at),
+            scenario: Some(at),
         }
     }
 
@@ -263,12 +285,12 @@
         ages.into_iter().map(|ms| ms as f64 / 1024.0).collect()
     }
 
-    fn structural(&self, expect: &Expect) -> Verdict {
+    fn structural(&self, expect: &Expectation) -> Verdict {
         let mut verdict = verdict(expect.name.clone(), Some(expect.line));
-        verdict.wanted_ms = expect.claim.younger().map(|y| y.0);
+        verdict.required_ms = expect.claim.younger().map(|y| y.0);
         let mut changes = None;
         for ms in self.ages(&expect.claim) {
-            let mut judge = Judge::new(&self.fleet, self.pace, ms);
+            let mut judge = StructuralChecker::new(&self.fleet, self.pace, ms);
             // Where nothing more can be untold the verdict is that of the age before.
             let unsure =
                 self.fleet.searchers().iter().filter(|s| s.age_ms + ms >= self.pace.every_ms).count();
@@ -276,8 +298,8 @@
                 continue;
             }
             let failed = judge.fails(&expect.claim);
-            verdict.effort.cases += judge.cases();
-            let in_time = verdict.wanted_ms.is_none_or(|wanted| ms < wanted);
+            verdict.coverage.cases += judge.cases();
+            let in_time = verdict.required_ms.is_none_or(|wanted| ms < wanted);
             match failed {
                 Ok(None) => {}
                 Err(TooMany) if in_time => {
@@ -286,7 +308,7 @@
                 }
                 Err(TooMany) => return verdict,
                 Ok(Some(case)) => {
-                    verdict.fails_at_ms = verdict.wanted_ms.map(|_| ms);
+                    verdict.fails_at_ms = verdict.required_ms.map(|_| ms);
                     if in_time {
                         verdict.outcome = Outcome::Fails(Box::new(self.case(&case)));
                     }
@@ -297,17 +319,17 @@
         verdict
     }
 
-    fn case(&self, case: &Case) -> Shown {
-        Shown {
-            befell: case.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
+    fn case(&self, case: &Case) -> Counterexample {
+        Counterexample {
+            failures: case.failures.iter().map(|b| b.tell(&self.fleet)).collect(),
             slice: case.slice,
-            found: case.found.clone(),
-            ..Shown::default()
+            observed: case.observed.clone(),
+            ..Counterexample::default()
         }
     }
 
     /// All explorations that the expectations need, those alike joined; then those of the six rules.
-    fn jobs(&self, terms: Terms, verdicts: &mut [Verdict]) -> Vec<Job> {
+    fn jobs(&self, terms: CheckOptions, verdicts: &mut [Verdict]) -> Vec<Job> {
         let mut jobs: Vec<Job> = Vec::new();
         let mut known: BTreeMap<String, usize> = BTreeMap::new();
         for (at, expect) in self.expects.iter().enumerate() {
@@ -317,17 +339,18 @@
             let mut last = None;
             for (age, ms) in self.ages(&expect.claim).into_iter().enumerate() {
                 // Beyond the wanted age the module is not asked: it costs seconds, and says little more.
-                if verdicts[at].wanted_ms.is_some_and(|wanted| ms >= wanted) && age > 0 {
+                if verdicts[at].required_ms.is_some_and(|wanted| ms >= wanted) && age > 0 {
                     break;
                 }
-                let kinds = Kinds::of(&self.fleet, ms, self.pace.every_ms);
-                let changes = Judge::new(&self.fleet, self.pace, ms).changes();
-                let unsure = kinds.scene.iter().filter(|g| g.unsure).count();
+                let grouping = Grouping::of(&self.fleet, ms, self.pace.every_ms);
+                let changes = StructuralChecker::new(&self.fleet, self.pace, ms).changes();
+                let unsure = grouping.listed.iter().filter(|g| g.unsure).count();
                 if last.replace((changes, unsure)) == Some((changes, unsure)) {
                     continue;
                 }
                 let mut asked = Vec::new();
-                let fits = self.ask(&kinds, &expect.claim, &kinds.scene, &[], &[], changes, &mut asked);
+                let fits =
+                    self.ask(&grouping, &expect.claim, &grouping.listed, &[], &[], changes, &mut asked);
                 if !fits {
                     verdicts[at].outcome = Outcome::Undecided;
                 }
@@ -337,13 +360,15 @@
                         None => 0..self.fleet.config().table_types.len(),
                     };
                     for table_type in types {
-                        let named = matches!(watch.deed, Deed::Sent { hall: Some(_), .. });
-                        let (fleet, order) = (&self.fleet, &kinds.order);
-                        for arena in Arena::of(fleet, &scene, order, table_type, allow, named, terms.seed) {
-                            let key = key(&arena, named);
+                        let named = matches!(watch.action, ObservedAction::Sent { hall: Some(_), .. });
+                        let (fleet, order) = (&self.fleet, &grouping.order);
+                        for scenario in
+                            Scenario::of(fleet, &scene, order, table_type, allow, named, terms.seed)
+                        {
+                            let key = key(&scenario, named);
                             let job = *known.entry(key).or_insert_with(|| {
                                 let (watches, whose) = (Vec::new(), Vec::new());
-                                jobs.push(Job { arena, watches, whose, befell: befell.clone() });
+                                jobs.push(Job { scenario, watches, whose, befell: befell.clone() });
                                 jobs.len() - 1
                             });
                             if !jobs[job].whose.contains(&(at, age)) {
@@ -355,11 +380,11 @@
                 }
             }
         }
-        let kinds = Kinds::of(&self.fleet, 0.0, 0.0);
+        let grouping = Grouping::of(&self.fleet, 0.0, 0.0);
         for table_type in 0..self.fleet.config().table_types.len() {
-            let (fleet, scene, order) = (&self.fleet, &kinds.scene, &kinds.order);
-            for arena in Arena::of(fleet, scene, order, table_type, RULES_MEET, false, terms.seed) {
-                jobs.push(Job { arena, watches: Vec::new(), whose: Vec::new(), befell: Vec::new() });
+            let (fleet, scene, order) = (&self.fleet, &grouping.listed, &grouping.order);
+            for scenario in Scenario::of(fleet, scene, order, table_type, RULES_MEET, false, terms.seed) {
+                jobs.push(Job { scenario, watches: Vec::new(), whose: Vec::new(), befell: Vec::new() });
             }
         }
         jobs
@@ -370,39 +395,44 @@
     #[allow(clippy::type_complexity)]
     fn ask(
         &self,
-        kinds: &Kinds,
+        grouping: &Grouping,
         claim: &Claim,
         scene: &[Group],
-        befell: &[Befell],
-        pending: &[Happening],
+        befell: &[AppliedFailure],
+        pending: &[Failure],
         changes: u32,
-        asked: &mut Vec<(Watch, Vec<Group>, Vec<Befell>, Allow)>,
+        asked: &mut Vec<(BehaviourClaim, Vec<Group>, Vec<AppliedFailure>, EventLimits)>,
     ) -> bool {
         match claim {
             Claim::All(claims) => {
-                claims.iter().all(|c| self.ask(kinds, c, scene, befell, pending, changes, asked))
+                claims.iter().all(|c| self.ask(grouping, c, scene, befell, pending, changes, asked))
             }
-            Claim::After(happening, claim) => {
-                let pending: Vec<Happening> = pending.iter().cloned().chain([happening.clone()]).collect();
-                self.ask(kinds, claim, scene, befell, &pending, changes, asked)
+            Claim::After(failure, claim) => {
+                let pending: Vec<Failure> = pending.iter().cloned().chain([failure.clone()]).collect();
+                self.ask(grouping, claim, scene, befell, &pending, changes, asked)
             }
-            Claim::Younger { changes: most, claim, .. } => {
+            Claim::WhileListYounger { changes: most, claim, .. } => {
                 let unseen = most.unwrap_or(u32::MAX).min(changes);
-                let unseen =
-                    Happening { what: pewterwharf_fleet::Condition::Gone, whom: Whom::Unsure(unseen) };
-                let pending: Vec<Happening> = pending.iter().cloned().chain([unseen]).collect();
-                self.ask(kinds, claim, scene, befell, &pending, changes, asked)
+                let unseen = Failure {
+                    what: pewterwharf_fleet::Condition::Gone,
+                    whom: FailureTarget::MaybeStale(unseen),
+                };
+                let pending: Vec<Failure> = pending.iter().cloned().chain([unseen]).collect();
+                self.ask(grouping, claim, scene, befell, &pending, changes, asked)
             }
-            Claim::Behaves(watch) => {
+            Claim::Behaviour(watch) => {
                 let (unseen, befalls): (Vec<_>, Vec<_>) =
-                    pending.iter().cloned().partition(|h| matches!(h.whom, Whom::Unsure(_)));
-                let unseen = unseen.iter().map(|h| if let Whom::Unsure(n) = h.whom { n } else { 0 }).sum();
-                let allow = Allow { told: 2, unseen, restarts: 1, leaves: 1 };
+                    pending.iter().cloned().partition(|h| matches!(h.whom, FailureTarget::MaybeStale(_)));
+                let unseen = unseen
+                    .iter()
+                    .map(|h| if let FailureTarget::MaybeStale(n) = h.whom { n } else { 0 })
+                    .sum();
+                let allow = EventLimits { told: 2, unseen, restarts: 1, leaves: 1 };
                 let mut scenes = vec![(scene.to_vec(), befell.to_vec())];
-                for happening in &befalls {
+                for failure in &befalls {
                     let mut next = Vec::new();
                     for (scene, befell) in &scenes {
-                        let _ = kinds.cases(scene, happening, &mut |after, one| {
+                        let _ = grouping.cases(scene, failure, &mut |after, one| {
                             next.push((after, befell.iter().cloned().chain(one).collect()));
                             if next.len() > MOST_SCENES {
                                 ControlFlow::Break(())
@@ -428,35 +458,40 @@
 }
 
 fn verdict(name: String, line: Option<usize>) -> Verdict {
-    let (outcome, effort) = (Outcome::Holds, Effort::default());
-    Verdict { name, line, outcome, fails_at_ms: None, wanted_ms: None, effort }
+    let (outcome, coverage) = (Outcome::Holds, Coverage::default());
+    Verdict { name, line, outcome, fails_at_ms: None, required_ms: None, coverage }
 }
 
-fn add(effort: &mut Effort, found: &Explored) {
-    effort.states += found.reached;
-    effort.departures = match effort.runs {
+fn add(coverage: &mut Coverage, found: &Exploration) {
+    coverage.states += found.reached;
+    coverage.departures = match coverage.explorations {
         0 => found.departures,
-        _ => effort.departures.zip(found.departures).map(|(one, other)| one.min(other)),
+        _ => coverage.departures.zip(found.departures).map(|(one, other)| one.min(other)),
     };
-    effort.runs += 1;
+    coverage.explorations += 1;
 }
 
 /// Arenas that the module can't tell apart have the same key.
-fn key(arena: &Arena, halls_count: bool) -> String {
-    let places = alike(&arena.places, arena.terms.placement.zone, halls_count);
-    let types: Vec<_> = arena.plans.iter().map(|p| (p.table_type, p.parts.len())).collect();
-    format!("{places:?} {types:?} {:?} {halls_count}", arena.allow)
+fn key(scenario: &Scenario, halls_count: bool) -> String {
+    let places = alike(&scenario.searchers, scenario.config.placement.zone, halls_count);
+    let types: Vec<_> = scenario.templates.iter().map(|p| (p.table_type, p.parts.len())).collect();
+    format!("{places:?} {types:?} {:?} {halls_count}", scenario.limits)
 }
 
 /// Runs the explorations side by side; what each finds depends on it alone.
-fn run(jobs: &[Job], terms: Terms, open: &Open, done: &(dyn Fn(usize) + Sync)) -> Vec<Explored> {
+fn run(
+    jobs: &[Job],
+    terms: CheckOptions,
+    open: &SubjectFactory,
+    done: &(dyn Fn(usize) + Sync),
+) -> Vec<Exploration> {
     let (next, finished) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let found: Vec<Mutex<Option<Explored>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
+    let found: Vec<Mutex<Option<Exploration>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
     let work = || {
         loop {
             let at = next.fetch_add(1, Ordering::Relaxed);
             let Some(job) = jobs.get(at) else { return };
-            let one = explore(&job.arena, &job.watches, open, terms.bounds);
+            let one = explore(&job.scenario, &job.watches, open, terms.bounds);
             *found[at].lock().unwrap_or_else(PoisonError::into_inner) = Some(one);
             done(finished.fetch_add(1, Ordering::Relaxed) + 1);
         }
@@ -467,7 +502,7 @@
         }
         work();
     });
-    let empty = || Explored { breaches: BTreeMap::new(), reached: 0, merged: 0, departures: None };
+    let empty = || Exploration { violations: BTreeMap::new(), reached: 0, merged: 0, departures: None };
     found
         .into_iter()
         .map(|f| f.into_inner().unwrap_or_else(PoisonError::into_inner).unwrap_or_else(empty))
