--- a/src/logic.rs
+++ b/src/logic.rs
@@ -50,10 +50,10 @@
     /// a list that comes seconds late.
     const RESUBSCRIBE_MS: f64 = 1000.0;
     /// Failures in a row up to which the wait doubles.
-    const MAX_DOUBLED_FAILURES: u32 = 8;
+    const MAX_BACKOFF_FAILURES: u32 = 8;
     /// Subscriptions that are tried, at least, in the time after which the deployment counts changes of the
     /// list as missed.
-    const MIN_SUBSCRIPTIONS: f64 = 4.0;
+    const MIN_SUBSCRIPTIONS_PER_PERIOD: f64 = 4.0;
 
     /// Creates the decision module of one mixer. The seed determines its random choices.
     pub fn new(
@@ -88,26 +88,26 @@
             decay_ms,
         };
         let must_subscribe = permissions.resubscribe_within_ms.is_some();
-        let stated_mixers = f64::from(placement.mixers.max(1));
-        let retry_budget = BudgetWindow::new(limits.retry_budget.unwrap_or(BudgetWindow::OWN_BUDGET));
-        let hedge_budget = BudgetWindow::new(BudgetWindow::OWN_BUDGET);
-        let lottery_offset = Rand64::new(u128::from(!seed)).rand_float();
+        let stated_mixer_count = f64::from(placement.mixers.max(1));
+        let retry_budget = BudgetWindow::new(limits.retry_budget.unwrap_or(BudgetWindow::DEFAULT_BUDGET));
+        let hedge_budget = BudgetWindow::new(BudgetWindow::DEFAULT_BUDGET);
+        let sampling_offset = Rand64::new(u128::from(!seed)).rand_float();
         let scheduler = Scheduler::new(
             table_types,
             layout,
             limits,
             permissions,
-            stated_mixers,
+            stated_mixer_count,
             Rc::new(baseline),
             CustomerTraffic::new(customers),
             retry_budget,
             hedge_budget,
-            lottery_offset,
+            sampling_offset,
         );
         Self {
             random: Rand64::new(u128::from(seed)),
             zone: placement.zone,
-            stated_mixers,
+            stated_mixer_count,
             directory: SearcherDirectory::default(),
             subscribe_at: if must_subscribe { 0.0 } else { f64::INFINITY },
             failed_subscriptions: 0,
@@ -132,7 +132,7 @@
             Event::PeerReport { searcher, report } => self.handle_peer_report(searcher, report),
             // Never fewer than stated: a mixer that is not seen may be cut off and send all the same.
             Event::MixerCount { mixers } => {
-                self.scheduler.mixers = self.stated_mixers.max(f64::from(mixers));
+                self.scheduler.mixer_count = self.stated_mixer_count.max(f64::from(mixers));
             }
             Event::IdleConnectionsLost => {
                 self.scheduler.connection_losses.distrusted_until =
@@ -145,9 +145,9 @@
     /// Schedules the next subscription after one that failed, with jitter and exponential backoff: all mixers
     /// may have been rejected at once, and spread out they are accepted as soon as there is room for some.
     fn schedule_subscription(&mut self) {
-        self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_DOUBLED_FAILURES);
+        self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_BACKOFF_FAILURES);
         let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
-        let longest_wait_ms = within_ms / Self::MIN_SUBSCRIPTIONS;
+        let longest_wait_ms = within_ms / Self::MIN_SUBSCRIPTIONS_PER_PERIOD;
         let backoff = f64::from(1 << (self.failed_subscriptions - 1));
         let wait_ms = (Self::RESUBSCRIBE_MS * backoff).min(longest_wait_ms);
         self.subscribe_at = self.turn.now + wait_ms * (0.5 + self.random.rand_float());
@@ -175,10 +175,10 @@
         }
         self.remove_gone_searchers();
         let is_ready = |searcher: &&SearcherState| searcher.status == SearcherStatus::Ready;
-        self.scheduler.ready_searchers = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
+        self.scheduler.ready_searcher_count = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
         if is_first {
             // Until there is traffic, it is taken for the work of one core at each searcher.
-            self.scheduler.sent_work_rate = self.scheduler.ready_searchers / self.scheduler.mixers;
+            self.scheduler.sent_work_rate = self.scheduler.ready_searcher_count / self.scheduler.mixer_count;
         }
     }
 
@@ -200,9 +200,9 @@
     fn update_searcher(&mut self, searcher: SearcherIndex, entry: ListedSearcher) {
         let ListedSearcher { cell, started_at, status, .. } = entry;
         let state = &mut self.scheduler.searchers[searcher];
-        if state.listed_start != started_at && status == SearcherStatus::Ready {
-            state.listed_start = started_at;
-            state.found_start = started_at;
+        if state.listed_start_at != started_at && status == SearcherStatus::Ready {
+            state.listed_start_at = started_at;
+            state.found_start_at = started_at;
             state.concurrency_limit = f64::INFINITY;
             state.start_known_at = self.turn.now;
             state.leaving = false;
@@ -240,7 +240,7 @@
                 self.turn.send(Address::monitor(searcher), Message::MarkedByPeers { several: true });
             }
             PeerReport::Leaving { leaving } => state.leaving = leaving,
-            PeerReport::Restarted { started_at } => state.reported_start = started_at.min(self.turn.now),
+            PeerReport::Restarted { started_at } => state.reported_start_at = started_at.min(self.turn.now),
         }
     }
 
@@ -291,7 +291,7 @@
                 self.record_ended(dispatch, ratio, outcome, turn);
             }
             Message::ProbeEnded { outcome, took_ms } => self.record_probe(outcome, took_ms, turn),
-            Message::MarkedByPeers { several } => self.check_peers_mark(several, may_probe, turn),
+            Message::MarkedByPeers { several } => self.handle_peer_mark(several, may_probe, turn),
             Message::BaselineChanged(baseline) => self.baseline = baseline,
             Message::Tick => self.tick(is_ready, may_probe, turn),
             _ => {}
@@ -404,7 +404,7 @@
     /// The mark of another mixer is a reason to probe. Where several agree, or probes are not allowed, the
     /// searcher also gets one part at a time until one comes back in time. False reports cost a sound
     /// searcher that much traffic.
-    fn check_peers_mark(&mut self, several: bool, may_probe: bool, turn: &mut Turn) {
+    fn handle_peer_mark(&mut self, several: bool, may_probe: bool, turn: &mut Turn) {
         if self.health.marked {
             return;
         }
@@ -603,13 +603,13 @@
 impl BudgetWindow {
     /// The module's own budget: a tenth of the parts and a few more. More than that was measured to feed
     /// overload.
-    const OWN_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
+    const DEFAULT_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
     /// Busy share of the searchers' cores at which nothing fits into the budget; up to half of it, all of the
     /// budget is available. The rest of the cores is left for swings of the load.
     const FULL_BUSY_SHARE: f64 = 0.8;
     /// Dispatches count for longer and accepted parts for shorter than the window, by this much: the safe
     /// side at its edges.
-    const MARGIN_MS: f64 = 1.0;
+    const WINDOW_MARGIN_MS: f64 = 1.0;
 
     /// Whether one more extra dispatch is within the budget. The budget shrinks with the cores that searchers
     /// report as free, as under load each extra dispatch delays other parts. Guards against retries and
@@ -619,8 +619,8 @@
         let available =
             busy_share.map_or(1.0, |busy| (2.0 - 2.0 * busy / Self::FULL_BUSY_SHARE).clamp(0.0, 1.0));
         let window_start = now - self.budget.window_ms;
-        drop_front_while(&mut self.spent_at, |at| *at < window_start - Self::MARGIN_MS);
-        drop_front_while(&mut self.accepted_at, |at| *at < window_start + Self::MARGIN_MS);
+        drop_front_while(&mut self.spent_at, |at| *at < window_start - Self::WINDOW_MARGIN_MS);
+        drop_front_while(&mut self.accepted_at, |at| *at < window_start + Self::WINDOW_MARGIN_MS);
         let budget = self.budget.free + self.budget.share * self.accepted_at.len() as f64;
         self.spent_at.len() as f64 + 1.0 <= available * budget
     }
@@ -655,7 +655,7 @@
     /// cause.
     const MAX_IDLE_LOSS_RATE: f64 = 0.25;
     /// The loss rate on idle connections must also exceed the rate on fresh ones by this factor.
-    const IDLE_TO_FRESH: f64 = 2.0;
+    const MIN_IDLE_TO_FRESH_LOSSES: f64 = 2.0;
     /// Time for which idle connections are closed then: new connections say nothing about idle ones.
     const DISTRUST_MS: f64 = 10_000.0;
 
@@ -665,7 +665,8 @@
         let Some(was_idle) = on_idle_connection else { return };
         let rate = if was_idle { &mut self.idle_rate } else { &mut self.fresh_rate };
         *rate += BaselineTracker::LAST_TEN_WEIGHT * (f64::from(u8::from(lost)) - *rate);
-        if self.idle_rate > Self::MAX_IDLE_LOSS_RATE && self.idle_rate > Self::IDLE_TO_FRESH * self.fresh_rate
+        if self.idle_rate > Self::MAX_IDLE_LOSS_RATE
+            && self.idle_rate > Self::MIN_IDLE_TO_FRESH_LOSSES * self.fresh_rate
         {
             self.idle_rate = 0.0;
             self.distrusted_until = now + Self::DISTRUST_MS;
@@ -712,7 +713,7 @@
             Message::HealthChanged { searcher, health } => self.update_health(searcher, health),
             Message::BaselineChanged(baseline) => self.baseline = baseline,
             Message::SearcherRecovered { searcher } => {
-                self.searchers[searcher].found_start = turn.now;
+                self.searchers[searcher].found_start_at = turn.now;
                 self.searchers[searcher].start_known_at = turn.now;
             }
             Message::Host(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry }) => {
@@ -771,7 +772,7 @@
             first_step_whole: true,
             in_second_step: false,
             connections_lost: 0,
-            lottery_number: (self.lottery_offset + self.last_scan as f64 * Self::GOLDEN_RATIO).fract(),
+            sampling_number: (self.sampling_offset + self.last_scan as f64 * Self::GOLDEN_RATIO).fract(),
             parts_per_searcher: 1.0,
         };
         self.last_scan += 1;
@@ -789,7 +790,7 @@
         let Some((index, scan)) = newest else { return };
         self.locations.insert(part.id, Location::Part { scan: *index, part: scan.parts.len() });
         self.changed_scans.insert(*index);
-        self.demand[scan.table_type] +=
+        self.demanded_work_rates[scan.table_type] +=
             scan.required_weight * self.baseline.work_ms[scan.table_type] / Self::TRAFFIC_MS;
         scan.parts.push(part);
     }
@@ -807,7 +808,7 @@
     fn decay_traffic(&mut self) {
         self.changed_scans.append(&mut self.waiting_scans);
         self.sent_work_rate *= 1.0 - Mixer::TICK_MS / Self::TRAFFIC_MS;
-        for demand in &mut self.demand {
+        for demand in &mut self.demanded_work_rates {
             *demand *= 1.0 - Mixer::TICK_MS / Self::TRAFFIC_MS;
         }
     }
@@ -989,7 +990,7 @@
     /// Connections lost at a scan's parts, with no part answered, that end it. Guards against scans that
     /// crash the searchers they reach: for a while, its customer's scans send one part first. Costs customers
     /// the same while many searchers crash for another reason.
-    const DEADLY_CONNECTION_LOSSES: u32 = 2;
+    const MAX_CONNECTION_LOSSES: u32 = 2;
 
     /// Sends what the scan lacks, and ends it as soon as it is whole or cannot become whole.
     fn advance(&mut self, index: ScanIndex, turn: &mut Turn) {
@@ -1000,7 +1001,7 @@
         }
         let has_answers =
             scan.in_second_step || scan.parts.iter().any(|part| part.state == PartState::Answered);
-        if !has_answers && scan.connections_lost >= Self::DEADLY_CONNECTION_LOSSES {
+        if !has_answers && scan.connections_lost >= Self::MAX_CONNECTION_LOSSES {
             self.customers.set_cautious(scan.customer, now + CustomerTraffic::CAUTION_MS);
             return self.end(index, turn);
         }
@@ -1013,7 +1014,7 @@
             return self.end(index, turn);
         }
         self.dispatch_lacking_parts(index, one_part_first, turn);
-        self.end_if_hopeless(index, turn);
+        self.end_if_unanswerable(index, turn);
     }
 
     /// Dispatches the best candidates until the scan lacks nothing.
@@ -1045,7 +1046,7 @@
     }
 
     /// Ends a scan that cannot become whole any more, or lets it wait for capacity.
-    fn end_if_hopeless(&mut self, index: ScanIndex, turn: &mut Turn) {
+    fn end_if_unanswerable(&mut self, index: ScanIndex, turn: &mut Turn) {
         let now = turn.now;
         let Some(scan) = self.scans.get(&index) else { return };
         if scan.expected_weight() + Self::WEIGHT_TOLERANCE >= scan.required_weight {
@@ -1221,7 +1222,7 @@
 impl Scheduler {
     /// What comes by chance stays below the capacity by this many standard deviations: thousands of windows
     /// in a row.
-    const DEVIATIONS: f64 = 4.0;
+    const COLD_LOAD_DEVIATIONS: f64 = 4.0;
     /// Traffic may exceed the known traffic by this factor: bursts, and clients that retry.
     const TRAFFIC_SURGE: f64 = 1.15;
     /// Traffic with hedges over traffic without: each part in flight may be hedged once.
@@ -1235,7 +1236,7 @@
     /// All mixers together may send a cold searcher a multiple of what warm searchers carry, reduced to its
     /// age, if it warms up as slowly as it may; see [`Self::cold_capacity_ms`]. Each mixer has an equal share
     /// of that in a window, and each table type its share of the mixer's, by benefit times demand. Where that
-    /// is less than a part, [`Self::wins_lottery`] admits some scans. An earlier process of this mixer may
+    /// is less than a part, [`Self::is_sampled`] admits some scans. An earlier process of this mixer may
     /// have sent its share already, so that a new process waits for one window. Costs scans when most
     /// searchers are cold.
     fn has_cold_capacity(
@@ -1251,12 +1252,12 @@
         }
         let window_ms = self.limits.overload_window_ms;
         let capacity_ms = self.cold_capacity_ms(searcher, now);
-        let own_share_ms = self.capacity_share(scan.table_type) * capacity_ms / self.mixers;
+        let own_share_ms = self.capacity_share(scan.table_type) * capacity_ms / self.mixer_count;
         let scan_work_ms = scan.parts_per_searcher * work_ms;
         let allowed_ms = if work_ms <= own_share_ms {
             let is_first_window = now < self.first_list_at + window_ms;
             if is_first_window { 0.0 } else { own_share_ms }
-        } else if self.wins_lottery(scan, is_hedge, work_ms, capacity_ms) {
+        } else if self.is_sampled(scan, is_hedge, work_ms, capacity_ms) {
             scan_work_ms + work_ms
         } else {
             0.0
@@ -1271,7 +1272,7 @@
     /// sent as much, over the busy share that searchers report; it is one core at least.
     fn cold_capacity_ms(&self, searcher: &SearcherState, now: f64) -> f64 {
         let limits = &self.limits;
-        let age_ms = now - searcher.latest_start();
+        let age_ms = now - searcher.latest_start_at();
         let speed = limits.cold_capacity_share
             + (1.0 - limits.cold_capacity_share) * (age_ms / limits.warm_up_ms).max(0.0);
         let busy_share = self.busy_share.map_or(1.0, |busy| busy.clamp(Self::MIN_BUSY_SHARE, 1.0));
@@ -1280,12 +1281,14 @@
     }
 
     fn mixers_per_searcher(&self) -> f64 {
-        self.mixers / self.ready_searchers.max(1.0)
+        self.mixer_count / self.ready_searcher_count.max(1.0)
     }
 
     /// Share of a mixer's capacity at cold searchers that a table type gets: by benefit times demand.
     fn capacity_share(&self, table_type: TypeIndex) -> f64 {
-        let worth = |table_type: TypeIndex| self.table_types[table_type].benefit * self.demand[table_type];
+        let worth = |table_type: TypeIndex| {
+            self.table_types[table_type].benefit * self.demanded_work_rates[table_type]
+        };
         let total: f64 = (0..self.table_types.len()).map(worth).sum();
         worth(table_type) / total.max(f64::MIN_POSITIVE)
     }
@@ -1298,19 +1301,19 @@
     /// capacity here includes what the platform adds for chance to N parts: twice the root of N, and two
     /// parts. A hedge has no lottery number, as no scan asked for it: it wins where a hedge of each part
     /// would fit, else hedges of parts that are late everywhere would fill a window.
-    fn wins_lottery(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
+    fn is_sampled(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
         let scan_work_ms = scan.parts_per_searcher * work_ms;
         let least_work_ms = self.baseline.work_ms.iter().copied().fold(f64::INFINITY, f64::min);
         let highest_ms = capacity_ms + 2.0 * (capacity_ms * least_work_ms).sqrt() + 2.0 * least_work_ms;
         // Solves mean + chance * sqrt(mean) = highest for the mean work in a window.
-        let chance = Self::DEVIATIONS * scan_work_ms.sqrt();
+        let chance = Self::COLD_LOAD_DEVIATIONS * scan_work_ms.sqrt();
         let mean_ms = ((chance * chance + 4.0 * highest_ms).sqrt() - chance).powi(2) / 4.0;
-        let demand = self.demand.iter().sum::<f64>().max(self.sent_work_rate);
+        let demand = self.demanded_work_rates.iter().sum::<f64>().max(self.sent_work_rate);
         let demand_ms =
             Self::TRAFFIC_SURGE * demand * self.mixers_per_searcher() * self.limits.overload_window_ms;
         // A mixer sends a searcher the work of one scan and one part at most.
-        let expected_ms = demand_ms.min(self.mixers * (scan_work_ms + work_ms));
-        let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.lottery_number };
+        let expected_ms = demand_ms.min(self.mixer_count * (scan_work_ms + work_ms));
+        let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.sampling_number };
         admitted_share * expected_ms < mean_ms
     }
 }
@@ -1402,7 +1405,7 @@
         let state = &mut self.searchers[searcher];
         state.last_sent_at = now;
         self.sent_work_rate += work_ms / Self::TRAFFIC_MS;
-        if state.latest_start() > 0.0 {
+        if state.latest_start_at() > 0.0 {
             let warm_up_ms = self.limits.warm_up_ms;
             drop_front_while(&mut state.recent_work, |sent| sent.at < now - warm_up_ms);
             state.recent_work.push_back(SentWork { at: now, work_ms, table_type });
@@ -1450,7 +1453,7 @@
     fn searcher_rejection(&self, scan: &Scan, searcher: SearcherIndex, now: f64) -> Option<RejectionReason> {
         let state = &self.searchers[searcher];
         let retry_interval_ms =
-            SearcherMonitor::SLICE_MS * self.mixers / f64::from(SearcherMonitor::MIN_SLICE_PARTS);
+            SearcherMonitor::SLICE_MS * self.mixer_count / f64::from(SearcherMonitor::MIN_SLICE_PARTS);
         if now - state.last_sent_at >= retry_interval_ms {
             return None;
         }
--- a/src/report.rs
+++ b/src/report.rs
@@ -121,7 +121,7 @@
         let ready = || self.searchers.iter().filter(|searcher| searcher.status == SearcherStatus::Ready);
         let count = |condition: fn(&&SearcherState) -> bool| ready().filter(condition).count();
         let is_warming_up = |searcher: &&SearcherState| {
-            searcher.found_start > 0.0 && now - searcher.found_start < self.limits.warm_up_ms
+            searcher.found_start_at > 0.0 && now - searcher.found_start_at < self.limits.warm_up_ms
         };
         let unused_ms = ready().filter(|searcher| searcher.last_sent_at > 0.0).map(|s| now - s.last_sent_at);
         MixerStatus {
@@ -145,13 +145,13 @@
     }
 
     fn observed(&self, searcher: &SearcherState, now: f64) -> ObservedSearcher {
-        let SearcherState { address, status, listed_start, health, .. } = searcher;
+        let SearcherState { address, status, listed_start_at, health, .. } = searcher;
         let is_overdue = !health.marked && health.oldest_ratio > self.baseline.mark_ratio;
         ObservedSearcher {
             searcher: *address,
             status: *status,
-            started_at: *listed_start,
-            cold: *listed_start > 0.0 && now - listed_start < self.limits.warm_up_ms,
+            started_at: *listed_start_at,
+            cold: *listed_start_at > 0.0 && now - listed_start_at < self.limits.warm_up_ms,
             marked: health.marked,
             overdue: if is_overdue { health.oldest_ratio } else { 0.0 },
             evidence: health.mark_evidence,
--- a/src/state.rs
+++ b/src/state.rs
@@ -510,7 +510,7 @@
     pub layout: Layout,
     pub limits: SafetyLimits,
     pub permissions: Permissions,
-    pub mixers: f64,
+    pub mixer_count: f64,
     pub baseline: Rc<Baseline>,
     pub searchers: Vec<SearcherState>,
     pub shard_map: ShardMap,
@@ -523,15 +523,15 @@
     /// Average busy share of the searchers' cores, by the reports in the newest answers; none until one came.
     pub busy_share: Option<f64>,
     /// Work in a millisecond that scans of each table type ask for.
-    pub demand: Vec<f64>,
+    pub demanded_work_rates: Vec<f64>,
     /// When the first list came.
     pub first_list_at: f64,
     /// The scans' lottery numbers start from this one.
-    pub lottery_offset: f64,
+    pub sampling_offset: f64,
     /// Work in a millisecond that this mixer sends.
     pub sent_work_rate: f64,
     /// Count of the searchers that are ready.
-    pub ready_searchers: f64,
+    pub ready_searcher_count: f64,
     pub last_scan: ScanIndex,
     pub scans: BTreeMap<ScanIndex, Scan>,
     pub in_flight: BTreeMap<DispatchId, InFlightDispatch>,
@@ -569,22 +569,22 @@
         layout: Layout,
         limits: SafetyLimits,
         permissions: Permissions,
-        mixers: f64,
+        mixer_count: f64,
         baseline: Rc<Baseline>,
         customers: CustomerTraffic,
         retry_budget: BudgetWindow,
         hedge_budget: BudgetWindow,
-        lottery_offset: f64,
+        sampling_offset: f64,
     ) -> Self {
         Self {
             shard_map: ShardMap::new(layout.cells, layout.cells_per_shard),
-            demand: vec![0.0; table_types.len()],
+            demanded_work_rates: vec![0.0; table_types.len()],
             rejections: vec![[0; REJECTION_REASONS]; table_types.len()],
             table_types,
             layout,
             limits,
             permissions,
-            mixers,
+            mixer_count,
             baseline,
             customers,
             retry_budget,
@@ -593,9 +593,9 @@
             connection_losses: ConnectionLosses::default(),
             busy_share: None,
             first_list_at: f64::INFINITY,
-            lottery_offset,
+            sampling_offset,
             sent_work_rate: 0.0,
-            ready_searchers: 0.0,
+            ready_searcher_count: 0.0,
             last_scan: 0,
             scans: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -629,7 +629,7 @@
 
     /// Whether a searcher may still be warming up.
     pub fn is_cold(&self, searcher: &SearcherState, now: f64) -> bool {
-        let started_at = searcher.latest_start();
+        let started_at = searcher.latest_start_at();
         started_at > 0.0 && now - started_at < self.limits.warm_up_ms
     }
 
@@ -665,11 +665,11 @@
     pub cell: u32,
     pub zone: Zone,
     /// When its process started, as the list says.
-    pub listed_start: f64,
+    pub listed_start_at: f64,
     /// The same, or when this mixer found that it had been restarted.
-    pub found_start: f64,
+    pub found_start_at: f64,
     /// The same, as other mixers report it; zero where none does.
-    pub reported_start: f64,
+    pub reported_start_at: f64,
     pub status: SearcherStatus,
     /// Other mixers report that it drains or goes.
     pub leaving: bool,
@@ -707,9 +707,9 @@
             address,
             cell,
             zone: usize::from(zone),
-            listed_start: started_at,
-            found_start: started_at,
-            reported_start: 0.0,
+            listed_start_at: started_at,
+            found_start_at: started_at,
+            reported_start_at: 0.0,
             status,
             leaving: false,
             health: SearcherHealth::NEW,
@@ -731,8 +731,8 @@
     }
 
     /// The latest start that is known, from any source.
-    pub fn latest_start(&self) -> f64 {
-        self.found_start.max(self.reported_start)
+    pub fn latest_start_at(&self) -> f64 {
+        self.found_start_at.max(self.reported_start_at)
     }
 
     /// Listed as ready, not reported as leaving, and not both marked and disconnected.
@@ -833,7 +833,7 @@
     /// Parts in flight that lost their connection.
     pub connections_lost: u32,
     /// From 0 to 1: with a low number it is admitted where cold searchers have capacity for few scans.
-    pub lottery_number: f64,
+    pub sampling_number: f64,
     /// Parts that come to one searcher if all searchers that hold its shards get as many.
     pub parts_per_searcher: f64,
 }
@@ -930,7 +930,7 @@
     pub(crate) random: Rand64,
     pub(crate) zone: u16,
     /// The count of mixers that the settings state.
-    pub(crate) stated_mixers: f64,
+    pub(crate) stated_mixer_count: f64,
     pub(crate) directory: SearcherDirectory,
     /// When to subscribe to the list again, and how many subscriptions in a row have failed.
     pub(crate) subscribe_at: f64,
