--- a/src/logic.rs
+++ b/src/logic.rs
@@ -11,6 +11,10 @@
 //! again once a part comes back in time. It is *cold* until it has warmed up after its start. A part in
 //! flight is *overtaken* when a part that was sent later has come back. *Up* is a searcher that may get
 //! parts.
+//!
+//! Units: `now` and names that end in `_at` or `_until` are points of the host's clock in milliseconds; names
+//! that end in `_ms` are durations, or work in milliseconds of one core. The averages (`toward`) are
+//! exponentially weighted moving averages (EWMA).
 
 use std::cmp::Ordering::Equal;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,17 +46,17 @@
 }
 
 impl Mixer {
-    /// Period of the tick: short against the shortest times that matter here, which are tens of milliseconds.
+    /// Period of the tick. It is short because the shortest times that matter here are tens of milliseconds.
     const TICK_MS: f64 = 20.0;
-    /// Share of its target time that is taken for a table type's baseline latency until parts have come back.
+    /// Until parts of a table type have come back, its baseline latency is this share of its target time.
     const INITIAL_LATENCY_SHARE: f64 = 0.25;
-    /// First wait before a failed subscription is tried again; it doubles with each failure. Often enough for
-    /// a list that comes seconds late.
+    /// Wait before a failed subscription is retried for the first time; it doubles with each failure. It is
+    /// short enough for a list that becomes available some seconds late.
     const RESUBSCRIBE_MS: f64 = 1000.0;
-    /// Failures in a row up to which the wait doubles.
+    /// The wait stops doubling after this many failures in a row.
     const MAX_BACKOFF_FAILURES: u32 = 8;
-    /// Subscriptions that are tried, at least, in the time after which the deployment counts changes of the
-    /// list as missed.
+    /// A failed subscription is retried at least about this many times within
+    /// [`Permissions::resubscribe_within_ms`], after which the deployment counts changes of the list as missed.
     const MIN_SUBSCRIPTIONS_PER_PERIOD: f64 = 4.0;
 
     /// Creates the decision module of one mixer. The seed determines its random choices.
@@ -130,7 +134,7 @@
                 }
             }
             Event::PeerReport { searcher, report } => self.handle_peer_report(searcher, report),
-            // Never fewer than stated: a mixer that is not seen may be cut off and send all the same.
+            // The count is never lower than stated: a mixer that the others do not see may still send parts.
             Event::MixerCount { mixers } => {
                 self.scheduler.mixer_count = self.stated_mixer_count.max(f64::from(mixers));
             }
@@ -142,8 +146,9 @@
         }
     }
 
-    /// Schedules the next subscription after one that failed, with jitter and exponential backoff: all mixers
-    /// may have been rejected at once, and spread out they are accepted as soon as there is room for some.
+    /// Schedules the next subscription after a failed one, with exponential backoff and jitter. Discovery may
+    /// have rejected all mixers at once; the jitter spreads their retries, so that each is accepted as soon as
+    /// there is room for it.
     fn schedule_subscription(&mut self) {
         self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_BACKOFF_FAILURES);
         let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
@@ -163,11 +168,12 @@
                 searcher.status = SearcherStatus::Gone;
             }
         }
-        let is_known = |listed: &ListedSearcher| {
-            listed.status != SearcherStatus::Gone || self.directory.find(listed.searcher).is_some()
+        // A searcher that is gone and was never known needs no state.
+        let needs_update = |entry: &ListedSearcher| {
+            entry.status != SearcherStatus::Gone || self.directory.find(entry.searcher).is_some()
         };
-        let listed: Vec<ListedSearcher> = listed.into_iter().filter(is_known).collect();
-        for entry in listed {
+        let entries: Vec<ListedSearcher> = listed.into_iter().filter(needs_update).collect();
+        for entry in entries {
             match self.directory.find(entry.searcher) {
                 Some(searcher) => self.update_searcher(searcher, entry),
                 None => self.add_searcher(entry),
@@ -177,7 +183,7 @@
         let is_ready = |searcher: &&SearcherState| searcher.status == SearcherStatus::Ready;
         self.scheduler.ready_searcher_count = self.scheduler.searchers.iter().filter(is_ready).count() as f64;
         if is_first {
-            // Until there is traffic, it is taken for the work of one core at each searcher.
+            // Until there is traffic, all mixers together are assumed to keep one core of each searcher busy.
             self.scheduler.sent_work_rate = self.scheduler.ready_searcher_count / self.scheduler.mixer_count;
         }
     }
@@ -186,8 +192,8 @@
         let ListedSearcher { searcher: address, cell, zone, started_at, status } = entry;
         let searcher = self.directory.add(address);
         let monitor = SearcherMonitor::new(searcher, address, zone, self.scheduler.baseline.clone());
-        // Between equal searchers the own zone is preferred, and then a random order of each mixer's own: all
-        // mixers must not prefer the same searchers.
+        // Of searchers with equal cost, those in the mixer's own zone come first, then a random order decides.
+        // Each mixer has its own random order, so that the mixers do not all prefer the same searchers.
         let tie_breaker = f64::from(u8::from(zone != self.zone)) + self.random.rand_float();
         let now = self.turn.now;
         let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker, now);
@@ -196,7 +202,8 @@
         self.scheduler.shard_map.add(cell, searcher);
     }
 
-    /// Updates a searcher that is known by its address; a new start voids its history.
+    /// Updates a searcher that is known by its address. A changed start time means that another process runs
+    /// there, so that the history of the old one is forgotten.
     fn update_searcher(&mut self, searcher: SearcherIndex, entry: ListedSearcher) {
         let ListedSearcher { cell, started_at, status, .. } = entry;
         let state = &mut self.scheduler.searchers[searcher];
@@ -214,7 +221,8 @@
         self.scheduler.shard_map.add(cell, searcher);
     }
 
-    /// Frees the indices of searchers that are gone, as each release brings new ones.
+    /// Frees the indices of searchers that are gone. Without this the tables would grow with each release of
+    /// the searchers, which brings new addresses.
     fn remove_gone_searchers(&mut self) {
         let is_unused = |searcher: SearcherIndex| {
             let state = &self.scheduler.searchers[searcher];
@@ -226,9 +234,10 @@
         }
     }
 
-    /// Reports of other mixers make this one probe a searcher, send it less or send it nothing. They never
-    /// make it send what it would not send without them: a report that is wrong or old can cost service, but
-    /// breaks no rule. Reports count only for searchers on the own list.
+    /// Handles what another mixer reports of a searcher. A report can only make this mixer probe a searcher,
+    /// send it less or send it nothing; it never makes it send more. A wrong or old report can therefore
+    /// reduce service, but cannot break a rule. Reports of searchers that this mixer's list does not name are
+    /// ignored.
     fn handle_peer_report(&mut self, searcher: SocketAddrV4, report: PeerReport) {
         let Some(searcher) = self.directory.find(searcher) else { return };
         let state = &mut self.scheduler.searchers[searcher];
@@ -259,20 +268,22 @@
 }
 
 impl SearcherMonitor {
-    /// Length of a time slice: the design's half second. The paper asks for the smallest that holds enough
-    /// parts.
+    /// Length of a time slice: half a second, as in the design. The ShortTail paper asks for the shortest
+    /// slice that holds enough parts.
     const SLICE_MS: f64 = 500.0;
-    /// Parts that a slice waits for: the fewest whose average one straggler under a latency ratio of 7 cannot
-    /// lift over the threshold.
+    /// A slice stays open until it has this many parts, and is judged only then. With fewer, a single part with a latency ratio
+    /// under 7 could raise the slice's average over the threshold.
     const MIN_SLICE_PARTS: u32 = 3;
-    /// Weight of the newest part in the smoothed latency: about the last five parts count.
+    /// Weight of a new part in the smoothed latency of a searcher, which covers about the last five parts.
     const LATENCY_WEIGHT: f64 = 0.2;
-    /// Time constant by which an unconfirmed latency decays to the average: some slices.
+    /// Time constant by which a searcher's latency decays to its zone's average while no part confirms it:
+    /// some slices.
     const LATENCY_DECAY_MS: f64 = 5000.0;
-    /// The same where probes are not allowed: parts alone renew the latency then, some seconds apart, and so
-    /// it lasts as long as most faults do.
+    /// The same where probes are not allowed. Only parts renew the latency then, some seconds apart, so that
+    /// it is kept for as long as most faults last.
     const UNPROBED_LATENCY_DECAY_MS: f64 = 15_000.0;
-    /// Interval between probes of a marked searcher: a slice. Longer intervals after relapses gained nothing.
+    /// Interval between probes of a marked searcher: one slice. It stays the same when a readmitted searcher
+    /// is marked again, as a longer interval has no benefit.
     const PROBE_INTERVAL_MS: f64 = 500.0;
 
     pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn, is_ready: bool, may_probe: bool) {
@@ -299,14 +310,15 @@
         if self.health.marked {
             self.slices.clear();
         }
-        // Work is proportional to what happens: only marked searchers and those with an open slice get ticks.
+        // Only the monitors of marked searchers and of those with an open slice get ticks, so that idle
+        // searchers cost no work.
         let needs_ticks = self.health.marked || !self.slices.is_empty();
         turn.subscribe_to_ticks(Address::monitor(self.searcher), needs_ticks);
         let message = Message::HealthChanged { searcher: self.searcher, health: self.health };
         turn.send(Address::SCHEDULER, message);
     }
 
-    /// Forgets the history of the process that was replaced.
+    /// Forgets the history of the searcher's previous process.
     fn reset(&mut self) {
         self.health = SearcherHealth::NEW;
         self.refused_connection = false;
@@ -325,7 +337,7 @@
         }
     }
 
-    /// Adds the latency of one part to the smoothed latency.
+    /// Adds the latency of one part to the searcher's smoothed latency.
     fn smooth_latency(
         &mut self,
         ratio: f64,
@@ -336,24 +348,24 @@
     ) {
         let now = turn.now;
         let decayed = Self::decayed_latency(&self.health, &self.baseline, self.zone, now);
-        // One silent part proves no more than a latency beyond the threshold. Counted with its full time, one
-        // lost answer would outweigh some twenty good ones and raise the average that the next part is
-        // compared with.
+        // A part without an answer only proves that its latency is over the threshold, so that its ratio is
+        // limited. With its full time, one lost answer would outweigh some twenty good answers, and would raise
+        // the average that the next parts are compared with.
         let is_silent = matches!(outcome, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
         let counted_ratio =
             if is_silent { ratio.min(self.baseline.mark_ratio + decayed.ratio) } else { ratio };
         let counted =
             RelativeLatency { ratio: counted_ratio, excess_ms: (counted_ratio - 1.0) * baseline_ms };
         turn.send(Address::BASELINE_TRACKER, Message::ZoneSample { zone: self.zone, latency: counted });
-        // A latency that was confirmed long ago says little, so that the newest part weighs more.
+        // Without probes, the new part weighs more the longer ago the old latency was confirmed.
         let age_weight = 1.0 - ((self.health.latency_at - now) / self.baseline.decay_ms).exp();
         let weight = if may_probe { Self::LATENCY_WEIGHT } else { Self::LATENCY_WEIGHT.max(age_weight) };
         self.health.latency = decayed.toward(counted, weight);
         self.health.latency_at = now;
     }
 
-    /// Marks the searcher at once when a connection was refused or lost, and probes it at once: a dead
-    /// searcher is detected without waiting for a slice to fill.
+    /// Marks the searcher as soon as a connection is refused or lost, and probes it at the next tick. A dead
+    /// searcher is so detected without waiting for a slice to fill.
     fn check_connection(&mut self, ratio: f64, outcome: DispatchOutcome, may_probe: bool, turn: &mut Turn) {
         self.health.disconnected = matches!(outcome, DispatchOutcome::ConnectFailed | DispatchOutcome::Reset);
         self.refused_connection |= outcome == DispatchOutcome::ConnectFailed;
@@ -371,7 +383,8 @@
         let Some(slice) = self.slices.iter_mut().find(holds_part) else { return };
         slice.in_flight.retain(|part| part.dispatch != dispatch);
         slice.ratio_sum += ratio;
-        // A failure is not slowness: it must not raise the median that all searchers are compared with.
+        // A failed part says nothing about speed. A slice with one is not reported to the baseline tracker, as
+        // it would raise the median that all searchers are compared with.
         slice.without_failure &= !matches!(
             outcome,
             DispatchOutcome::Error | DispatchOutcome::ConnectFailed | DispatchOutcome::Reset
@@ -384,7 +397,8 @@
         self.health.on_trial &= !is_good && !self.health.marked;
     }
 
-    /// Judges by a probe: readmits a marked searcher, marks one that other mixers have marked.
+    /// Handles the end of a probe: a good result readmits a marked searcher, a bad one marks a searcher that
+    /// was probed because other mixers have marked it.
     fn record_probe(&mut self, outcome: DispatchOutcome, took_ms: f64, turn: &mut Turn) {
         if !self.health.marked && !self.peer_probe_pending {
             return;
@@ -401,9 +415,9 @@
         }
     }
 
-    /// The mark of another mixer is a reason to probe. Where several agree, or probes are not allowed, the
-    /// searcher also gets one part at a time until one comes back in time. False reports cost a sound
-    /// searcher that much traffic.
+    /// Handles a mark that other mixers have set: it makes this mixer probe the searcher. If several mixers
+    /// agree, or probes are not allowed, the searcher is also put on trial: it gets one part at a time until
+    /// one comes back in time. False reports can therefore take traffic from a sound searcher for that long.
     fn handle_peer_mark(&mut self, several: bool, may_probe: bool, turn: &mut Turn) {
         if self.health.marked {
             return;
@@ -423,27 +437,29 @@
             self.probe_at = turn.now + Self::PROBE_INTERVAL_MS;
             turn.actions.push(Action::Probe { searcher: self.address });
         } else if is_due {
-            // Without probes only a part can tell whether it is sound, and only the list whether it was
-            // restarted.
+            // Without probes, only a part can show that the searcher is sound, and only the list can show
+            // that its process was restarted.
             self.refused_connection = false;
             self.readmit(turn);
         }
     }
 
-    /// Readmits the searcher on trial: it gets one part at a time until one comes back in time. Guards
-    /// against searchers that answer probes and nothing else; costs a sound searcher a few parts.
+    /// Readmits the searcher on trial: it gets one part at a time until one comes back in time. A searcher
+    /// that answers probes but no parts then receives few parts, and a sound searcher loses only a few.
     fn readmit(&mut self, turn: &mut Turn) {
         self.health = SearcherHealth { on_trial: true, ..SearcherHealth::NEW };
         turn.actions.push(Action::Log { line: format!("{} readmitted on trial", self.address) });
-        // No process was there and now one is: it is cold, even if the list does not say so yet.
+        // The searcher refused connections and answers now, so that a new process runs there. It is cold even
+        // if the list does not show its start yet.
         if std::mem::take(&mut self.refused_connection) {
             turn.send(Address::SCHEDULER, Message::SearcherRecovered { searcher: self.searcher });
         }
     }
 
-    /// The smoothed latency, decayed towards its zone's average since it was last confirmed. Guards against
-    /// sending to a zone that is dead or slow to reach, in which each searcher is seldom used and its own
-    /// latency says little; costs the zone's good searchers traffic until a part confirms them.
+    /// The smoothed latency, decayed towards its zone's average since a part last confirmed it. In a zone
+    /// that is dead or slow to reach, each searcher is seldom used and its own latency is out of date; the
+    /// zone's average keeps parts away from all of them. Good searchers of such a zone get less traffic until
+    /// a part confirms them.
     fn decayed_latency(
         health: &SearcherHealth,
         baseline: &Baseline,
@@ -459,7 +475,8 @@
     fn update_ages(&mut self, now: f64) {
         let mut oldest_excess_ms = 0.0;
         let mut oldest_ratio = 0.0;
-        // The parts of one call leave at the same time, so that distinct times count calls.
+        // The parts of one call are sent at the same time, so that the number of distinct times is the number
+        // of calls.
         let mut overtaken_calls = BTreeSet::new();
         for part in self.slices.iter().flat_map(|slice| &slice.in_flight) {
             if self.baseline.is_overtaken(part.table_type, part.sent_at, self.newest_success_sent_at) {
@@ -476,9 +493,10 @@
         self.health.overtaken_calls = overtaken_calls.len() as u32;
     }
 
-    /// Judges a slice when it is over and its parts have ended, or as soon as the ages of its parts in flight
-    /// raise its average over the threshold: a searcher that hangs would otherwise be marked only after the
-    /// last timeout. Costs a searcher whose few parts are all heavy its traffic until the next probe.
+    /// Judges each slice once it is over and all its parts have ended, and earlier if the ages of its parts
+    /// in flight raise its average over the threshold: a searcher that hangs would otherwise be marked only
+    /// after the last timeout. A sound searcher whose few parts are all heavy may be marked too, and then gets
+    /// no traffic until the next probe.
     fn judge_slices(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let mark_ratio = self.baseline.mark_ratio;
@@ -511,8 +529,8 @@
 }
 
 impl Slice {
-    /// Mean latency ratio of its parts. A part in flight counts with its age; an overtaken one, whose answer
-    /// is probably lost, with the threshold at most.
+    /// Mean latency ratio of its parts. A part in flight counts with its age. The answer of an overtaken part
+    /// is probably lost, so that its ratio counts as the threshold at most.
     fn mean_ratio(&self, baseline: &Baseline, newest_success_sent_at: f64, now: f64) -> f64 {
         let age_ratios = self.in_flight.iter().map(|part| {
             let is_overtaken = baseline.is_overtaken(part.table_type, part.sent_at, newest_success_sent_at);
@@ -525,22 +543,24 @@
 }
 
 impl BaselineTracker {
-    /// A searcher is marked when the average of its slice exceeds the median by this factor: the paper's
-    /// "about three".
+    /// A searcher is marked when the mean latency ratio of its slice exceeds the median of all searchers by
+    /// this factor. The ShortTail paper says "about three".
     const MARK_MULTIPLE: f64 = 3.0;
-    /// Weight of the newest part in a table type's baseline latency: a few hundred parts, or some seconds,
-    /// count.
+    /// Least weight of a new part in a table type's baseline latency, which so covers a few hundred parts, or
+    /// some seconds.
     const LATENCY_WEIGHT: f64 = 0.01;
-    /// Samples from which on a latency is clipped at `MARK_MULTIPLE` times the baseline.
+    /// After this many samples, a latency is clipped at `MARK_MULTIPLE` times the baseline.
     const UNCLIPPED_SAMPLES: f64 = 10.0;
-    /// Smallest and first relative step of the work estimate: it converges within tens of parts, and a jam
-    /// moves it only over hundreds of parts.
+    /// Smallest relative step of the work estimate. It is so small that congestion moves the estimate only
+    /// over hundreds of parts.
     const MIN_WORK_STEP: f64 = 0.002;
+    /// First relative step of the work estimate. It is so large that the estimate converges within tens of
+    /// parts.
     const FIRST_WORK_STEP: f64 = 0.05;
-    /// The work estimate falls by so many steps and rises by one, and so settles at the fastest quarter of
-    /// the parts.
+    /// A part that is faster than the work estimate lowers it by this many steps, a slower one raises it by
+    /// one step. The estimate so settles where a quarter of the parts are faster.
     const WORK_STEPS_DOWN: f64 = 3.0;
-    /// Weight of the newest part where about the last ten parts are to count.
+    /// Weight of a new sample in the averages that cover about the last ten samples.
     const LAST_TEN_WEIGHT: f64 = 0.1;
 
     pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn) {
@@ -574,7 +594,8 @@
             if latency_ms > estimate.work_ms { 1.0 + step } else { 1.0 - Self::WORK_STEPS_DOWN * step };
     }
 
-    /// Compares searchers with the median: where all are slow, the median moves and none is marked.
+    /// Updates the median that searchers are compared with. If all searchers are slow, the median rises and
+    /// none is marked.
     fn record_slice(&mut self, searcher: SearcherIndex, mean_ratio: f64) {
         self.slice_means.insert(searcher, mean_ratio);
         let means = self.slice_means.values().copied();
@@ -591,7 +612,7 @@
         let baseline = Rc::new(Baseline {
             latency_ms: self.types.iter().map(|estimate| estimate.latency_ms.max(1.0)).collect(),
             work_ms: self.types.iter().map(|estimate| estimate.work_ms).collect(),
-            // A median under one comes from baselines that are not learned yet.
+            // A median under one means that the baseline latencies are not learned yet.
             mark_ratio: Self::MARK_MULTIPLE * self.median_slice_mean.max(1.0),
             zones: self.zones.clone(),
             decay_ms: self.decay_ms,
@@ -601,66 +622,72 @@
 }
 
 impl BudgetWindow {
-    /// The module's own budget: a tenth of the parts and a few more. More than that was measured to feed
-    /// overload.
+    /// Budget of hedges, and of retries where the deployment states none: a tenth of the accepted scans and
+    /// parts, and a few more. A larger budget would add to an overload.
     const DEFAULT_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
-    /// Busy share of the searchers' cores at which nothing fits into the budget; up to half of it, all of the
-    /// budget is available. The rest of the cores is left for swings of the load.
+    /// Busy share of the searchers' cores from which on none of the budget is available. All of it is
+    /// available up to half this share, and in between it falls linearly. The cores above this share are left
+    /// for fluctuations of the load.
     const FULL_BUSY_SHARE: f64 = 0.8;
-    /// Dispatches count for longer and accepted parts for shorter than the window, by this much: the safe
-    /// side at its edges.
+    /// The window is longer by this much for extra dispatches, and shorter by this much for accepted scans
+    /// and parts. The budget is so kept even if the deployment sees an event at the edge of a window a little
+    /// earlier or later.
     const WINDOW_MARGIN_MS: f64 = 1.0;
 
-    /// Whether one more extra dispatch is within the budget. The budget shrinks with the cores that searchers
-    /// report as free, as under load each extra dispatch delays other parts. Guards against retries and
-    /// hedges that keep a jam going; costs scans with lost answers their retries while all searchers are
-    /// busy.
+    /// Whether one more extra dispatch is within the budget. The busier the searchers report to be, the less
+    /// of the budget is available, as each extra dispatch then delays other parts: retries and hedges must
+    /// not prolong an overload. While all searchers are busy, scans with lost answers therefore get no
+    /// retries.
     fn allows_one_more(&mut self, now: f64, busy_share: Option<f64>) -> bool {
-        let available =
+        let available_share =
             busy_share.map_or(1.0, |busy| (2.0 - 2.0 * busy / Self::FULL_BUSY_SHARE).clamp(0.0, 1.0));
-        let window_start = now - self.budget.window_ms;
-        drop_front_while(&mut self.spent_at, |at| *at < window_start - Self::WINDOW_MARGIN_MS);
-        drop_front_while(&mut self.accepted_at, |at| *at < window_start + Self::WINDOW_MARGIN_MS);
+        let window_start_at = now - self.budget.window_ms;
+        drop_front_while(&mut self.spent_at, |at| *at < window_start_at - Self::WINDOW_MARGIN_MS);
+        drop_front_while(&mut self.accepted_at, |at| *at < window_start_at + Self::WINDOW_MARGIN_MS);
         let budget = self.budget.free + self.budget.share * self.accepted_at.len() as f64;
-        self.spent_at.len() as f64 + 1.0 <= available * budget
+        self.spent_at.len() as f64 + 1.0 <= available_share * budget
     }
 }
 
 impl CustomerTraffic {
     /// Share of a searcher's concurrency limit that a customer over its quota may use.
     const OVER_QUOTA_LIMIT_SHARE: f64 = 0.8;
-    /// Span in which the customers' traffic is compared: some tens of scans.
+    /// Time span in which the customers' traffic is compared. It holds some tens of scans.
     const SPAN_MS: f64 = 5000.0;
-    /// Time for which a customer's scans are sent with caution after a deadly one: some retries of its
-    /// clients.
+    /// Time for which a customer's scans send one part first, after a scan of it ended for lost connections.
+    /// It covers some retries of the customer's clients.
     const CAUTION_MS: f64 = 10_000.0;
     /// A customer is over its quota when its share of the scans exceeds its share of the quotas by this
     /// factor.
     const QUOTA_TOLERANCE: f64 = 1.1;
 
-    /// Whether a customer is over its quota, whose traffic is rejected first: compares its share of the
-    /// recent scans with its share of all quotas.
+    /// Whether a customer's share of the recent scans is higher than its share of all quotas. Admission
+    /// control rejects the scans of such customers first.
     fn is_over_quota(&self, customer: usize) -> bool {
         let Some(terms) = self.customers.get(customer) else { return false };
         let Some(count) = self.counts.get(customer) else { return false };
-        let quotas: f64 = self.customers.iter().map(|c| c.scans_per_s).sum();
-        *count as f64 * quotas > terms.scans_per_s * self.recent.len() as f64 * Self::QUOTA_TOLERANCE
+        let total_scans_per_s: f64 = self.customers.iter().map(|customer| customer.scans_per_s).sum();
+        *count as f64 * total_scans_per_s
+            > terms.scans_per_s * self.recent.len() as f64 * Self::QUOTA_TOLERANCE
     }
 }
 
 impl ConnectionLosses {
-    /// A connection that was idle for this long may have been dropped unnoticed: a few latencies.
+    /// A connection that was idle for this long, which is a few latencies, may have been dropped without
+    /// notice to either end.
     const IDLE_MS: f64 = 500.0;
-    /// Loss rate on idle connections from which on they are closed before use: above what failing searchers
-    /// cause.
+    /// Above this loss rate on idle connections, they are closed before use. It is higher than the rate that
+    /// failing searchers cause.
     const MAX_IDLE_LOSS_RATE: f64 = 0.25;
     /// The loss rate on idle connections must also exceed the rate on fresh ones by this factor.
     const MIN_IDLE_TO_FRESH_LOSSES: f64 = 2.0;
-    /// Time for which idle connections are closed then: new connections say nothing about idle ones.
+    /// Time for which idle connections are closed before use. It must end by itself: the new connections that
+    /// are used instead do not show whether idle ones work again.
     const DISTRUST_MS: f64 = 10_000.0;
 
-    /// Counts the outcome of a part for its connection. Guards against connections that are dropped while
-    /// they are idle though the searcher is sound: such losses occur on idle connections only.
+    /// Counts whether a part was lost, separately for fresh and for idle connections. A network device may
+    /// drop connections while they are idle though the searchers are sound; such losses occur on idle
+    /// connections only.
     fn record(&mut self, on_idle_connection: Option<bool>, lost: bool, now: f64) {
         let Some(was_idle) = on_idle_connection else { return };
         let rate = if was_idle { &mut self.idle_rate } else { &mut self.fresh_rate };
@@ -680,7 +707,7 @@
     tier: u8,
     /// The cost, rounded on a logarithmic scale: replicas whose costs differ by little count as equal.
     cost_level: f64,
-    /// No call leaves for it in this turn that can carry the part.
+    /// The part needs a new call: no call that leaves for the searcher in this turn has room for it.
     needs_call: bool,
     tie_breaker: f64,
     searcher: SearcherIndex,
@@ -695,17 +722,19 @@
 
 /// Messages.
 impl Scheduler {
-    /// Sums of weights may fall short of what is required by this much: weights are rounded.
+    /// A sum of weights that is lower than the required weight by this much still counts as enough, because
+    /// weights are rounded.
     const WEIGHT_TOLERANCE: f64 = 1e-5;
-    /// Share of the target time that a client's retry is taken to have left: the middle of none and all.
+    /// Share of the target time that a client's retry is assumed to have left. How much it has is not known,
+    /// so that the middle between none and all is used.
     const RETRY_TARGET_SHARE: f64 = 0.5;
-    /// The golden ratio: the fractions of its multiples are spread evenly, however many there are. Scans get
-    /// their lottery numbers so.
+    /// Step between the sampling numbers of consecutive scans, modulo 1. With the golden ratio as step, the
+    /// numbers are spread evenly over 0 to 1, however many scans there are.
     const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-    /// Final answers are sent this long before the time is up: a tick and some slack.
+    /// Final answers are sent this long before the target time and the deadline: a tick and some reserve.
     const ANSWER_LEAD_MS: f64 = 30.0;
-    /// Time constant of the rates of own traffic: a mixer of hundreds sees a scan of many parts each few
-    /// seconds at most.
+    /// Time constant of the average rates of this mixer's traffic. It is long, because one mixer of hundreds
+    /// may see a scan of many parts only every few seconds.
     const TRAFFIC_MS: f64 = 30_000.0;
 
     pub(crate) fn receive(&mut self, message: Message, turn: &mut Turn) {
@@ -738,7 +767,8 @@
         }
     }
 
-    /// Takes over a searcher's health; once it is marked, its parts in flight may be hedged.
+    /// Stores the health that a monitor reports. When it newly marks its searcher, the parts in flight there
+    /// may be hedged.
     fn update_health(&mut self, searcher: SearcherIndex, health: SearcherHealth) {
         let newly_marked = health.marked && !self.searchers[searcher].health.marked;
         self.searchers[searcher].health = health;
@@ -795,7 +825,8 @@
         scan.parts.push(part);
     }
 
-    /// Averages the searchers' reports of busy cores. A report may be untrue: it counts as all cores at most.
+    /// Averages the busy shares that searchers report. A report may be wrong, so that negative values are
+    /// ignored and values over 1 count as 1.
     fn record_busy_share(&mut self, reported: Option<f64>) {
         let Some(reported) = reported.filter(|busy| *busy >= 0.0) else { return };
         let reported = reported.min(1.0);
@@ -805,6 +836,7 @@
         self.busy_share = Some(average);
     }
 
+    /// Decays the average traffic rates by one tick, and makes the waiting scans try again.
     fn decay_traffic(&mut self) {
         self.changed_scans.append(&mut self.waiting_scans);
         self.sent_work_rate *= 1.0 - Mixer::TICK_MS / Self::TRAFFIC_MS;
@@ -828,8 +860,8 @@
         self.open_calls.clear();
     }
 
-    /// Hedges a part that is late while its searcher is not marked, within a budget: under overload all parts
-    /// are late.
+    /// Allows a hedge for a part that is late while its searcher is not marked. The hedge budget limits this,
+    /// because under overload all parts are late.
     fn handle_late_dispatch(&mut self, id: DispatchId, now: f64) {
         let Some(dispatch) = self.in_flight.get_mut(&id) else { return };
         self.connection_losses.record(dispatch.on_idle_connection.take(), true, now);
@@ -839,14 +871,16 @@
         }
     }
 
-    /// Ends a scan at its target time if what it has is worth no less than a late whole answer.
+    /// Ends a scan at its target time if the partial answer that it has is worth as much as a whole answer
+    /// after the target time.
     fn handle_target_time(&mut self, index: ScanIndex, turn: &mut Turn) {
         let Some(scan) = self.scans.get(&index) else { return };
         let terms = &self.table_types[scan.table_type];
         let answered = scan.answered_weight();
         let is_enough = answered + Self::WEIGHT_TOLERANCE >= scan.minimum_weight;
-        let partial = if is_enough { answered } else { 0.0 };
-        if terms.late_benefit_share <= partial / scan.required_weight * terms.partial_benefit_share {
+        let usable_weight = if is_enough { answered } else { 0.0 };
+        let partial_benefit = usable_weight / scan.required_weight * terms.partial_benefit_share;
+        if terms.late_benefit_share <= partial_benefit {
             self.end(index, turn);
         }
     }
@@ -863,12 +897,13 @@
     retry: bool,
 }
 
-/// Dispatches that end.
+/// Ends of dispatches.
 impl Scheduler {
-    /// Share of the time between a part's work and its target time within which it raises the concurrency
-    /// limit: a scan waits for the slowest of several parts.
+    /// A part raises the concurrency limit if its latency, beyond its work, is within this share of the time
+    /// between its work and its target time. The share is well under 1, because a scan waits for the slowest
+    /// of its parts.
     const IN_TIME_SHARE: f64 = 0.5;
-    /// Factor by which the concurrency limit is cut.
+    /// The concurrency limit is multiplied by this when it is cut.
     const LIMIT_CUT: f64 = 0.8;
 
     fn end_dispatch(&mut self, id: DispatchId, outcome: DispatchOutcome, took_ms: f64, turn: &mut Turn) {
@@ -893,7 +928,8 @@
         if outcome == DispatchOutcome::Ok {
             self.record_success(&dispatch, latency_ms, turn);
         }
-        // A single silent part does not tell a lost answer from a jam: the parts after it do.
+        // If the only call in flight got no answer, the answer may be lost or the searcher may be congested.
+        // The parts that follow will show which it is, so that this one does not change the limit.
         let is_single = is_silent && self.searchers[dispatch.searcher].active_calls() == 0;
         if !(is_lost || is_single) {
             self.adapt_concurrency_limit(&dispatch, latency_ms, turn.now);
@@ -909,9 +945,8 @@
         self.end_part_dispatch(id, outcome, turn);
     }
 
-    /// The latency that a dispatch counts with. A failure must never look fast: it counts with the whole time
-    /// that the dispatch was allowed. A cancelled dispatch counts with its age, and with the baseline at
-    /// least.
+    /// The latency with which an ended dispatch counts. A failure must never look fast, so that it counts
+    /// with the whole timeout. A cancelled dispatch counts with its age, and with the baseline at least.
     fn counted_latency_ms(
         &self,
         dispatch: &InFlightDispatch,
@@ -922,7 +957,8 @@
         let baseline_ms = self.baseline.latency_ms[dispatch.table_type];
         match outcome {
             DispatchOutcome::Ok => took_ms,
-            // The searcher loses answers, which does not make it slow: this cost the wait until a hedge.
+            // The answer is lost, but the searcher is not slow. The loss costs the wait until a hedge, so that
+            // it counts with at most the latency for which a searcher is marked.
             _ if is_lost => took_ms.clamp(baseline_ms, self.baseline.mark_ratio * baseline_ms),
             DispatchOutcome::Cancelled | DispatchOutcome::Moot => took_ms.max(baseline_ms),
             _ => took_ms.max(dispatch.timeout_ms),
@@ -937,9 +973,10 @@
         turn.send(Address::BASELINE_TRACKER, message);
     }
 
-    /// Adapts the limit on own calls in flight at a searcher: it grows by one in a latency of parts in time,
-    /// and is cut by a factor, at most once in a latency, when a part took too long. Guards against hot spots
-    /// and jams of any cause.
+    /// Adapts the limit on this mixer's calls in flight at a searcher (additive increase, multiplicative
+    /// decrease). While parts are in time, the limit grows by about one call in one latency. When a part took
+    /// too long, the limit is cut by a factor, at most once in one latency. This limits hot spots and
+    /// congestion of any cause.
     fn adapt_concurrency_limit(&mut self, dispatch: &InFlightDispatch, latency_ms: f64, now: f64) {
         let searcher = &mut self.searchers[dispatch.searcher];
         let work_ms = self.baseline.work_ms[dispatch.table_type];
@@ -966,7 +1003,7 @@
         }
         if outcome == DispatchOutcome::Ok {
             part.state = PartState::Answered;
-            part.hedge_due = false; // else it would be sent again
+            part.hedge_due = false; // a hedge that is still due would send the part again
             turn.cancel(part.dispatches_in_flight(), self.permissions.cancel);
         } else if part.dispatches_in_flight().is_empty() {
             part.state = PartState::Failed;
@@ -987,12 +1024,12 @@
 
 /// Progress of scans.
 impl Scheduler {
-    /// Connections lost at a scan's parts, with no part answered, that end it. Guards against scans that
-    /// crash the searchers they reach: for a while, its customer's scans send one part first. Costs customers
-    /// the same while many searchers crash for another reason.
+    /// A scan without any answered part ends when this many of its parts have lost their connection: it may
+    /// crash the searchers that it reaches. For a while, its customer's scans then send one part first. The
+    /// same happens to sound scans while many searchers crash for another reason.
     const MAX_CONNECTION_LOSSES: u32 = 2;
 
-    /// Sends what the scan lacks, and ends it as soon as it is whole or cannot become whole.
+    /// Dispatches the parts that a scan lacks, and ends it as soon as it is whole or cannot become whole.
     fn advance(&mut self, index: ScanIndex, turn: &mut Turn) {
         let now = turn.now;
         let Some(scan) = self.scans.get(&index).filter(|scan| !scan.parts.is_empty()) else { return };
@@ -1033,8 +1070,8 @@
             if one_part_first && waits_for_part {
                 break;
             }
-            // A dispatch makes no other candidate better, so that only the first one has to be computed
-            // again.
+            // A dispatch can make other candidates worse but never better. It is therefore enough to compute
+            // the best candidate again before it is used.
             let current = self.candidate(scan, best.part, within_budget, now);
             if current.as_ref() == Some(&best) {
                 lacking_weight -= scan.parts[best.part].weight;
@@ -1045,7 +1082,9 @@
         }
     }
 
-    /// Ends a scan that cannot become whole any more, or lets it wait for capacity.
+    /// Checks a scan whose answered and in-flight parts do not make a whole answer. It ends the scan if the
+    /// parts that can still be answered do not suffice either; else the scan waits, and tries again at the
+    /// next tick. A scan that can still get its minimum weight does not end while parts are in flight.
     fn end_if_unanswerable(&mut self, index: ScanIndex, turn: &mut Turn) {
         let now = turn.now;
         let Some(scan) = self.scans.get(&index) else { return };
@@ -1059,13 +1098,14 @@
             PartState::Answered | PartState::InFlight => true,
             PartState::Unsent | PartState::Failed => self.may_repeat(scan, part, now) && has_searcher(part),
         };
-        let possible_weight = scan.weight_of(can_be_answered) + Self::WEIGHT_TOLERANCE;
+        let attainable_weight = scan.weight_of(can_be_answered) + Self::WEIGHT_TOLERANCE;
         let has_in_flight = scan.parts.iter().any(|part| part.state == PartState::InFlight);
-        // Past its target time, a scan that waits for budget or capacity alone would only keep its client
-        // from retrying.
-        let waits_in_vain = now >= scan.target_at && !has_in_flight;
-        let can_be_partial = possible_weight >= scan.minimum_weight && has_in_flight;
-        if waits_in_vain || possible_weight < scan.required_weight && !can_be_partial {
+        // After its target time and without parts in flight, a scan only waits for budget or capacity. Its
+        // client does better to retry.
+        let is_late_and_idle = now >= scan.target_at && !has_in_flight;
+        let cannot_be_whole = attainable_weight < scan.required_weight;
+        let can_be_partial = attainable_weight >= scan.minimum_weight && has_in_flight;
+        if is_late_and_idle || cannot_be_whole && !can_be_partial {
             self.end(index, turn);
         }
     }
@@ -1094,7 +1134,7 @@
         let Some(scan) = self.scans.get(&index) else { return };
         let id = scan.id;
         let answered = scan.answered_weight() + Self::WEIGHT_TOLERANCE;
-        // A first answer at the last moment would open a second step that nothing could end in time.
+        // An answer to the first step at the deadline would open a second step that has no time left.
         let opens_step_too_late = !scan.in_second_step
             && self.table_types[scan.table_type].has_second_step
             && turn.now >= scan.deadline_at;
@@ -1116,11 +1156,12 @@
 
 /// Choice of replicas.
 impl Scheduler {
-    /// Costs within this factor count as equal: a latency smoothed over five parts is no more exact.
+    /// Costs that differ by less than about this factor count as equal, because a latency smoothed over five
+    /// parts is not more exact.
     const EQUAL_COST_FACTOR: f64 = 1.5;
 
-    /// The next dispatch of a part, if one may be made: to unmarked searchers first, then first dispatches
-    /// before retries and hedges, then cheap before expensive ones.
+    /// The next dispatch of a part, if one may be made. Candidates without known trouble come first, then
+    /// first dispatches before retries and hedges, then those of low cost.
     fn candidate(&self, scan: &Scan, part_index: usize, within_budget: bool, now: f64) -> Option<Candidate> {
         let part = &scan.parts[part_index];
         let is_first = part.state == PartState::Unsent;
@@ -1128,9 +1169,10 @@
             return None;
         }
         let Replica { tier, cost, searcher } = self.best_replica(scan, part, now)?;
-        // A searcher that has just rejected the part unseen would reject it again: it has no room yet.
-        let full_there = PartDispatch { searcher, outcome: Some(DispatchOutcome::Full) };
-        let must_wait = part.dispatches.contains(&full_there)
+        // A searcher that has just rejected the part as full would reject it again. The part waits for as long
+        // as the searcher needs to finish one part.
+        let rejected_as_full = PartDispatch { searcher, outcome: Some(DispatchOutcome::Full) };
+        let must_wait = part.dispatches.contains(&rejected_as_full)
             && now < part.ended_at + self.baseline.work_ms[scan.table_type];
         let is_hedge = part.state == PartState::InFlight;
         let cost_bits = (cost / part.weight.max(Self::WEIGHT_TOLERANCE)).to_bits();
@@ -1146,8 +1188,8 @@
         is_wanted && self.may_repeat(scan, part, now) && (within_budget || is_free)
     }
 
-    /// Whether one more run of a part does no harm. After its window, a keyed part that may have run would
-    /// take effect again, whoever repeats it.
+    /// Whether executing a part once more does no harm. A keyed part that may have run would take effect
+    /// again after its window, also if the client repeats it.
     fn is_repeatable(&self, scan: &Scan, part: &Part, now: f64) -> bool {
         match self.table_types[scan.table_type].idempotency {
             Idempotency::Replayable => true,
@@ -1168,9 +1210,10 @@
         self.baseline.work_ms[table_type] + call_work_ms
     }
 
-    /// The replica rule: lowest smoothed latency times one plus own calls in flight. Between equals, a
-    /// searcher that gets a call in this turn anyway, then the own zone, then by lot. Marked searchers come
-    /// last: if all are marked, the least bad one serves.
+    /// Chooses the replica with the lowest cost, which is its smoothed latency times one plus this mixer's
+    /// calls in flight there. Of replicas with equal cost, one that gets a call in this turn anyway is
+    /// preferred, then one in the mixer's own zone, then a random one. Marked searchers and others with known
+    /// trouble come last, but are used if there are no better ones.
     fn best_replica(&self, scan: &Scan, part: &Part, now: f64) -> Option<Replica> {
         let holders = self.shard_map.holders(part.shard);
         let replicas = holders.filter_map(|searcher| self.rank_replica(scan, part, searcher, now));
@@ -1199,8 +1242,8 @@
         let was_tried = part.dispatches.iter().any(|dispatch| dispatch.searcher == searcher);
         let is_late = health.oldest_ratio > self.baseline.mark_ratio;
         let is_avoided = health.marked || health.on_trial && other_calls > 0 || was_tried || is_late;
-        // Cold searchers rank in the middle of their equals, by the order of cells: so neighbouring shards
-        // find most capacity.
+        // Of replicas with equal cost, cold searchers rank in the middle and in the order of their cells.
+        // Neighbouring shards, which share searchers, so find the most capacity.
         let tie_breaker = if self.is_cold(state, now) {
             state.tie_breaker.floor() + 0.5 + self.shard_map.distance(part.shard, state.cell)
         } else {
@@ -1220,25 +1263,28 @@
 
 /// Warm-up capacity of cold searchers.
 impl Scheduler {
-    /// What comes by chance stays below the capacity by this many standard deviations: thousands of windows
-    /// in a row.
+    /// The expected work at a cold searcher in a window is lower than its capacity by this many standard
+    /// deviations. The random work then stays within the capacity for thousands of windows in a row.
     const COLD_LOAD_DEVIATIONS: f64 = 4.0;
-    /// Traffic may exceed the known traffic by this factor: bursts, and clients that retry.
+    /// The traffic may exceed its known average by this factor, through bursts and clients that retry.
     const TRAFFIC_SURGE: f64 = 1.15;
-    /// Traffic with hedges over traffic without: each part in flight may be hedged once.
+    /// Traffic with hedges, divided by traffic without: each part may be hedged once.
     const HEDGED_TRAFFIC: f64 = 2.0;
-    /// Below this busy share, the traffic of warm searchers says little about what they could carry: the
-    /// capacity that is derived from it is doubled at most.
+    /// Busy shares under this count as this. The traffic of almost idle searchers says little about how much
+    /// they could carry, so that the capacity that is derived from it is twice the traffic at most.
     const MIN_BUSY_SHARE: f64 = 0.5;
 
-    /// Whether a searcher that may be cold has capacity for one more part. A warm searcher always has.
+    /// Whether a searcher has capacity for one more part of a scan. A warm searcher always has.
+    ///
+    /// A cold searcher fails if all mixers together send it more than [`Self::cold_capacity_ms`] in a window.
+    /// The mixers do not coordinate what they send, so that each may use an equal share of the capacity. It
+    /// divides its share among the table types, see [`Self::capacity_share`]. In the first window after its
+    /// first list it uses none of it, as an earlier process of the same mixer may just have used it.
+    ///
+    /// If the share of a table type is smaller than one part, no mixer could ever send one. Then
+    /// [`Self::is_sampled`] selects scans, and a selected scan may send its parts.
     ///
-    /// All mixers together may send a cold searcher a multiple of what warm searchers carry, reduced to its
-    /// age, if it warms up as slowly as it may; see [`Self::cold_capacity_ms`]. Each mixer has an equal share
-    /// of that in a window, and each table type its share of the mixer's, by benefit times demand. Where that
-    /// is less than a part, [`Self::is_sampled`] admits some scans. An earlier process of this mixer may
-    /// have sent its share already, so that a new process waits for one window. Costs scans when most
-    /// searchers are cold.
+    /// While most searchers are cold, these rules make admission control reject scans.
     fn has_cold_capacity(
         &self,
         searcher: &SearcherState,
@@ -1267,24 +1313,32 @@
         sent_ms + work_ms <= allowed_ms
     }
 
-    /// Work that all mixers together may send a cold searcher in a window: the stated multiple of what warm
-    /// searchers carry, reduced to its age. What they carry is estimated from own traffic, as if all mixers
-    /// sent as much, over the busy share that searchers report; it is one core at least.
+    /// Work that all mixers together may send a cold searcher in a window: the product of its present speed,
+    /// the rate of work that a warm searcher can carry, the length of the window, and the multiple of all
+    /// this at which a cold searcher fails.
+    ///
+    /// The speed is that of the slowest warm-up that the deployment allows: it grows linearly with the time
+    /// since the searcher's latest start. The rate of a warm searcher is estimated from this mixer's traffic,
+    /// as if all mixers sent as much, divided by the busy share that searchers report. It is at least one
+    /// core.
     fn cold_capacity_ms(&self, searcher: &SearcherState, now: f64) -> f64 {
         let limits = &self.limits;
         let age_ms = now - searcher.latest_start_at();
-        let speed = limits.cold_capacity_share
-            + (1.0 - limits.cold_capacity_share) * (age_ms / limits.warm_up_ms).max(0.0);
+        let warmed_up_share = (age_ms / limits.warm_up_ms).max(0.0);
+        let speed = limits.cold_capacity_share + (1.0 - limits.cold_capacity_share) * warmed_up_share;
         let busy_share = self.busy_share.map_or(1.0, |busy| busy.clamp(Self::MIN_BUSY_SHARE, 1.0));
-        let warm_rate = (self.sent_work_rate * self.mixers_per_searcher() / busy_share).max(1.0);
-        limits.overload_multiple * speed * warm_rate * limits.overload_window_ms
+        let received_work_rate = self.sent_work_rate * self.mixers_per_searcher();
+        let warm_work_rate = (received_work_rate / busy_share).max(1.0);
+        limits.overload_multiple * speed * warm_work_rate * limits.overload_window_ms
     }
 
+    /// Converts a rate of one mixer to the rate of all mixers at one searcher.
     fn mixers_per_searcher(&self) -> f64 {
         self.mixer_count / self.ready_searcher_count.max(1.0)
     }
 
-    /// Share of a mixer's capacity at cold searchers that a table type gets: by benefit times demand.
+    /// Share of this mixer's capacity at cold searchers that a table type gets. It is proportional to the
+    /// type's benefit times its demand.
     fn capacity_share(&self, table_type: TypeIndex) -> f64 {
         let worth = |table_type: TypeIndex| {
             self.table_types[table_type].benefit * self.demanded_work_rates[table_type]
@@ -1293,35 +1347,45 @@
         worth(table_type) / total.max(f64::MIN_POSITIVE)
     }
 
-    /// Whether a scan may send parts to a cold searcher though this mixer's share of its capacity is less
-    /// than a part.
+    /// Whether a scan is one of those that may send parts to cold searchers although this mixer's share of
+    /// their capacity is smaller than one part.
+    ///
+    /// Several mixers share the capacity of a cold searcher without communicating. Each therefore admits only
+    /// a fraction of its scans: those whose sampling number is below the fraction. How much work the mixers
+    /// admit together in a window is random. The fraction is chosen so that the mean of this work lies
+    /// [`Self::COLD_LOAD_DEVIATIONS`] standard deviations below the limit.
     ///
-    /// A scan wins by its lottery number, as often as leaves what comes by chance below the capacity. The
-    /// number is one for all parts, so that a scan of many parts finds capacity everywhere or nowhere. The
-    /// capacity here includes what the platform adds for chance to N parts: twice the root of N, and two
-    /// parts. A hedge has no lottery number, as no scan asked for it: it wins where a hedge of each part
-    /// would fit, else hedges of parts that are late everywhere would fill a window.
+    /// The limit is the capacity and what the platform adds to it for random fluctuation: to N parts, twice
+    /// the square root of N, and two parts. All parts of a scan have the same sampling number, so that a scan
+    /// of many parts finds capacity for all of them or for none.
+    ///
+    /// A hedge is not sampled, as it is not a scan of its own. It is admitted only if the limit leaves room for a hedge of every part. Otherwise the hedges could fill a
+    /// window when parts are late at many searchers at once.
     fn is_sampled(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
         let scan_work_ms = scan.parts_per_searcher * work_ms;
         let least_work_ms = self.baseline.work_ms.iter().copied().fold(f64::INFINITY, f64::min);
-        let highest_ms = capacity_ms + 2.0 * (capacity_ms * least_work_ms).sqrt() + 2.0 * least_work_ms;
-        // Solves mean + chance * sqrt(mean) = highest for the mean work in a window.
-        let chance = Self::COLD_LOAD_DEVIATIONS * scan_work_ms.sqrt();
-        let mean_ms = ((chance * chance + 4.0 * highest_ms).sqrt() - chance).powi(2) / 4.0;
-        let demand = self.demanded_work_rates.iter().sum::<f64>().max(self.sent_work_rate);
-        let demand_ms =
-            Self::TRAFFIC_SURGE * demand * self.mixers_per_searcher() * self.limits.overload_window_ms;
-        // A mixer sends a searcher the work of one scan and one part at most.
+        let limit_ms = capacity_ms + 2.0 * (capacity_ms * least_work_ms).sqrt() + 2.0 * least_work_ms;
+        // The work of randomly admitted scans has the standard deviation sqrt(mean * scan_work). The highest
+        // mean that is allowed solves mean + margin_factor * sqrt(mean) = limit.
+        let margin_factor = Self::COLD_LOAD_DEVIATIONS * scan_work_ms.sqrt();
+        let doubled_mean_root = (margin_factor * margin_factor + 4.0 * limit_ms).sqrt() - margin_factor;
+        let max_mean_ms = doubled_mean_root.powi(2) / 4.0;
+        let demanded_work_rate = self.demanded_work_rates.iter().sum::<f64>().max(self.sent_work_rate);
+        let demand_ms = Self::TRAFFIC_SURGE
+            * demanded_work_rate
+            * self.mixers_per_searcher()
+            * self.limits.overload_window_ms;
+        // In a window, each mixer sends a searcher at most the work of one scan and one more part.
         let expected_ms = demand_ms.min(self.mixer_count * (scan_work_ms + work_ms));
         let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.sampling_number };
-        admitted_share * expected_ms < mean_ms
+        admitted_share * expected_ms < max_mean_ms
     }
 }
 
 /// Dispatching.
 impl Scheduler {
-    /// A dispatch is late after this share of the time that its scan has left until its target time, or
-    /// earlier: as soon as its age would mark a searcher.
+    /// A dispatch is late after this share of the time that its scan has left until its target time, and
+    /// earlier if its age reaches the latency for which a searcher is marked.
     const LATE_TARGET_SHARE: f64 = 0.5;
 
     fn dispatch(&mut self, index: ScanIndex, part_index: usize, searcher: SearcherIndex, turn: &mut Turn) {
@@ -1347,11 +1411,12 @@
         turn.send(Address::monitor(searcher), message);
     }
 
-    /// Time after which the host gives up a dispatch: as long as its answer is worth anything.
+    /// Timeout of a dispatch: it lasts as long as the answer is still of use to the scan.
     fn timeout_ms(&self, scan: &Scan, now: f64) -> f64 {
         let is_late_useful = self.table_types[scan.table_type].late_benefit_share > 0.0;
-        let end = if is_late_useful { scan.deadline_at } else { scan.deadline_at.min(scan.target_at) };
-        (end - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0
+        let useful_until =
+            if is_late_useful { scan.deadline_at } else { scan.deadline_at.min(scan.target_at) };
+        (useful_until - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0
     }
 
     /// Time after which a dispatch is late, and may be hedged.
@@ -1361,8 +1426,9 @@
         mark_ms.min(left_ms).max(Self::ANSWER_LEAD_MS)
     }
 
-    /// Adds a dispatch to a part's history, and to the retry budget if the part was sent before. The module's
-    /// own budget limits work that is done twice: what never ran costs nothing.
+    /// Adds a dispatch to a part's history, and counts it against the retry budget if the part was sent
+    /// before. Where the deployment states no budget, the default one limits work that is done twice: a part
+    /// that never ran is retried without being counted.
     fn add_part_dispatch(
         &mut self,
         index: ScanIndex,
@@ -1382,8 +1448,9 @@
         Some(id)
     }
 
-    /// Opens a call to a searcher unless one leaves in this turn that can carry one more part. Returns
-    /// whether the connection had long been idle, or none if it is closed for that and a new one is used.
+    /// Opens a call to a searcher unless a call with room for one more part leaves in this turn anyway.
+    /// Returns whether the connection had long been idle, or none if idle connections are closed and a new
+    /// one is used.
     fn open_call_if_needed(&mut self, searcher: SearcherIndex, turn: &mut Turn) -> Option<bool> {
         let now = turn.now;
         let is_idle = now - self.searchers[searcher].last_success_at > ConnectionLosses::IDLE_MS;
@@ -1400,7 +1467,8 @@
         (!is_distrusted).then_some(is_idle)
     }
 
-    /// Counts sent work in own traffic and, where a start is known, for the searcher's capacity.
+    /// Counts sent work in this mixer's traffic and, if a start of the searcher is known, against its
+    /// warm-up capacity.
     fn record_sent_work(&mut self, searcher: SearcherIndex, table_type: TypeIndex, work_ms: f64, now: f64) {
         let state = &mut self.searchers[searcher];
         state.last_sent_at = now;
@@ -1415,11 +1483,12 @@
 
 /// Admission control.
 impl Scheduler {
-    /// Share of the time between a part's work and its target time that it may wait at its searcher.
+    /// Of the time that a part has left beyond its own work until its target time, it may spend this share
+    /// waiting at its searcher.
     const MAX_WAIT_SHARE: f64 = 0.6;
 
-    /// Rejects a new scan that cannot be answered in time: too few of its parts have a replica that can take
-    /// one more. Costs such scans while the cause lasts.
+    /// Returns why a new scan must be rejected, or none if it is admitted. It is rejected if too few of its
+    /// parts have a replica that can answer one more part in time.
     fn admission_control(&mut self, index: ScanIndex, now: f64) -> Option<RejectionReason> {
         self.set_parts_per_searcher(index);
         let scan = self.scans.get(&index)?;
@@ -1446,10 +1515,13 @@
         }
     }
 
-    /// Why a searcher cannot answer one more part of a scan in time: its concurrency limit is reached, a part
-    /// in flight there is too old or, without any call in flight, its smoothed latency is too high. A
-    /// searcher that was sent nothing for a while is tried in any case, as rejections would keep its latency
-    /// from being renewed: by all mixers together a few times in a slice.
+    /// Why a searcher cannot answer one more part of a scan in time, or none if it can. With calls in flight,
+    /// the reason is a part in flight that is too old, or the concurrency limit; without, it is a smoothed
+    /// latency that is too high.
+    ///
+    /// A searcher that this mixer sent nothing for a while gets the part in any case: if all parts were
+    /// rejected, its latency would never be renewed. The time is chosen so that all mixers together do this a
+    /// few times in a slice.
     fn searcher_rejection(&self, scan: &Scan, searcher: SearcherIndex, now: f64) -> Option<RejectionReason> {
         let state = &self.searchers[searcher];
         let retry_interval_ms =
