--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -10,7 +10,7 @@
 use crate::buffer::{Buffer, MemoryBudget};
 use crate::client_handle::SharedConnection;
 use crate::clock::UnixMs;
-use crate::http::{Ask, Request, RequestParser};
+use crate::http::{Request, RequestKind, RequestParser};
 use crate::inputs::{ConnectionId, Input};
 use crate::messages::MessageSender;
 
@@ -24,7 +24,7 @@
 
 /// A request that has been read whole and is not reported yet.
 pub(super) struct PendingRequest {
-    ask: Ask,
+    kind: RequestKind,
     /// The connection ends with its answer.
     close: bool,
     /// It arrived no earlier than this.
@@ -195,9 +195,9 @@
                     if is_waiting {
                         return true;
                     }
-                    let ask = Ask::Unusable(503, "no room for so long a request".to_owned());
+                    let kind = RequestKind::Unusable(503, "no room for so long a request".to_owned());
                     self.discard_limit = Some(MAX_DISCARDED_BYTES);
-                    self.pending = Some(PendingRequest { ask, close: true, since });
+                    self.pending = Some(PendingRequest { kind, close: true, since });
                 }
                 _ => return false,
             }
@@ -274,27 +274,27 @@
         if self.is_finished() {
             return self.begin_discarding(usize::MAX); // that answer was the last
         }
-        let Some(Request { ask, close, used }) = self.parser.parse(self.buffer.bytes()) else { return };
+        let Some(Request { kind, close, used }) = self.parser.parse(self.buffer.bytes()) else { return };
         self.buffer.consume(used);
         let since = self.arrival_times.consume(used).unwrap_or(f64::NEG_INFINITY);
         self.start_reported = false;
         if close {
             self.begin_discarding(MAX_DISCARDED_BYTES);
         }
-        self.pending = Some(PendingRequest { ask, close, since });
+        self.pending = Some(PendingRequest { kind, close, since });
     }
 
     /// Reports the pending request, with the time that its client still waits; false if there is none.
     fn report_request(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
-        let Some(PendingRequest { mut ask, close, since }) = self.pending.take() else { return false };
-        if let Ask::Scan(scan) = &mut ask {
+        let Some(PendingRequest { mut kind, close, since }) = self.pending.take() else { return false };
+        if let RequestKind::Scan(scan) = &mut kind {
             scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
         }
         self.shared.awaits_answer.store(true, Ordering::SeqCst);
         self.buffered_data_reported = false;
         // Before the request, as that may be answered at once.
         self.report_buffered_data(conn, messages);
-        messages.send(Input::Request { conn, ask, close });
+        messages.send(Input::Request { conn, kind, close });
         true
     }
 
--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -10,7 +10,7 @@
 
 /// A scan as its client requests it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ScanAsk {
+pub struct ScanRequest {
     pub id: String,
     pub table_type: String,
     pub customer: Option<String>,
@@ -18,12 +18,12 @@
     pub wait_ms: f64,
     pub retry: bool,
     pub text: String,
-    pub parts: Vec<PartAsk>,
+    pub parts: Vec<PartRequest>,
 }
 
 /// One part of a requested scan.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PartAsk {
+pub struct PartRequest {
     pub shard: u32,
     pub weight: f64,
     pub work_ms: Option<f64>,
@@ -31,8 +31,8 @@
 
 /// What a client requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
-    Scan(ScanAsk),
+pub enum RequestKind {
+    Scan(ScanRequest),
     Ready,
     Healthy,
     Counters,
@@ -43,7 +43,7 @@
 /// A request that has been read whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// The connection ends with the answer to this request.
     pub close: bool,
     /// Number of bytes of the request.
@@ -200,7 +200,7 @@
         // An error in the framing consumes all bytes and ends the connection, as the next request can't be
         // found.
         let framing_error = |status: u16, reason: String| {
-            Some(Request { ask: Ask::Unusable(status, reason), close: true, used: bytes.len() })
+            Some(Request { kind: RequestKind::Unusable(status, reason), close: true, used: bytes.len() })
         };
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
@@ -232,7 +232,7 @@
         let close = closes_connection(&head);
         let method = head.method.unwrap_or_default();
         let path = head.path.unwrap_or_default().split('?').next().unwrap_or_default();
-        Some(Request { ask: parse_ask(method, path, headers, &body), close, used })
+        Some(Request { kind: parse_kind(method, path, headers, &body), close, used })
     }
 }
 
@@ -245,17 +245,17 @@
     has_option("close") || head.version == Some(0) && !has_option("keep-alive")
 }
 
-fn parse_ask(method: &str, path: &str, headers: &[httparse::Header], body: &[u8]) -> Ask {
+fn parse_kind(method: &str, path: &str, headers: &[httparse::Header], body: &[u8]) -> RequestKind {
     match (method, path) {
-        ("GET", "/-/ready") => Ask::Ready,
-        ("GET", "/-/healthy") => Ask::Healthy,
-        ("GET", "/-/counters") => Ask::Counters,
-        (_, path) if path.starts_with("/-/") => Ask::Unusable(404, format!("no page {path}")),
+        ("GET", "/-/ready") => RequestKind::Ready,
+        ("GET", "/-/healthy") => RequestKind::Healthy,
+        ("GET", "/-/counters") => RequestKind::Counters,
+        (_, path) if path.starts_with("/-/") => RequestKind::Unusable(404, format!("no page {path}")),
         ("POST", path) => {
             let table_type = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-            parse_scan(table_type, headers, body).unwrap_or_else(|reason| Ask::Unusable(400, reason))
+            parse_scan(table_type, headers, body).unwrap_or_else(|reason| RequestKind::Unusable(400, reason))
         }
-        (method, _) => Ask::Unusable(405, format!("{method} is not for scans")),
+        (method, _) => RequestKind::Unusable(405, format!("{method} is not for scans")),
     }
 }
 
@@ -310,7 +310,7 @@
 /// was truncated.
 const WEIGHT_SUM_TOLERANCE_PER_PART: f64 = 1e-6;
 
-fn parse_scan(table_type: &str, headers: &[httparse::Header], body: &[u8]) -> Result<Ask, String> {
+fn parse_scan(table_type: &str, headers: &[httparse::Header], body: &[u8]) -> Result<RequestKind, String> {
     let id = required_header(headers, "Req-Id")?;
     if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(format!("Req-Id {id:?} can't be used"));
@@ -332,7 +332,7 @@
         return Err("a part twice".to_owned());
     }
     normalize_weights(&mut parts)?;
-    Ok(Ask::Scan(ScanAsk {
+    Ok(RequestKind::Scan(ScanRequest {
         id: id.to_owned(),
         table_type: table_type.to_owned(),
         customer: single_header(headers, "Req-Owner")?.map(str::to_owned),
@@ -346,7 +346,7 @@
 /// Scales the weights to a sum of one. Clients round them, and the error of the sum grows with the number of
 /// parts: without this, a query that needs all of its parts would never count as whole, even with all of them
 /// answered.
-fn normalize_weights(parts: &mut [PartAsk]) -> Result<(), String> {
+fn normalize_weights(parts: &mut [PartRequest]) -> Result<(), String> {
     let sum: f64 = parts.iter().map(|p| p.weight).sum();
     let tolerance = WEIGHT_SUM_TOLERANCE.max(WEIGHT_SUM_TOLERANCE_PER_PART * parts.len() as f64);
     if (sum - 1.0).abs() > tolerance {
@@ -358,14 +358,14 @@
     Ok(())
 }
 
-fn parse_part(part: &Value) -> Result<PartAsk, String> {
+fn parse_part(part: &Value) -> Result<PartRequest, String> {
     let shard = part["id"].as_u64().and_then(|id| u32::try_from(id).ok());
     let weight = part["w"].as_f64().filter(|w| (0.0..=1.0).contains(w));
     let hint_us = &part["hint"];
     match (shard, weight) {
         _ if !hint_us.is_null() && !hint_us.is_number() => Err(format!("a part's hint is {hint_us}")),
         (Some(shard), Some(weight)) => {
-            Ok(PartAsk { shard, weight, work_ms: hint_us.as_f64().map(|us| us / 1000.0) })
+            Ok(PartRequest { shard, weight, work_ms: hint_us.as_f64().map(|us| us / 1000.0) })
         }
         (None, _) => Err(format!("a part's id is {}", part["id"])),
         (_, None) => Err(format!("a part's weight is {}", part["w"])),
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::UnixMs;
 use crate::frame::Frame;
-use crate::http::Ask;
+use crate::http::RequestKind;
 
 /// Identifies a client's connection. Ids are assigned in the order in which connections are accepted.
 pub type ConnectionId = u64;
@@ -27,7 +27,7 @@
     /// A client's request has been read whole. With `close`, the connection ends with its answer.
     Request {
         conn: ConnectionId,
-        ask: Ask,
+        kind: RequestKind,
         close: bool,
     },
     /// More bytes are buffered behind the request that is open, or behind the one that is reported next.
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -358,7 +358,7 @@
     fn apply(&mut self, now: UnixMs, input: Input) {
         match input {
             Input::ClientConnected { conn } => self.client_connected(now, conn),
-            Input::Request { conn, ask, close } => self.receive_request(now, conn, ask, close),
+            Input::Request { conn, kind, close } => self.receive_request(now, conn, kind, close),
             Input::RequestStarted { conn } => self.request_started(now, conn),
             Input::MoreDataBuffered { conn } => self.more_data_buffered(conn),
             Input::ClientDisconnected { conn } => self.client_disconnected(now, conn),
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -8,7 +8,7 @@
 use super::state::{Client, ClientState, Part, PartId, Scan, ScanId, Timer};
 use crate::clock::UnixMs;
 use crate::counters::TableTypeCounters;
-use crate::http::{self, Ask, PartAsk, ScanAsk};
+use crate::http::{self, PartRequest, RequestKind, ScanRequest};
 use crate::inputs::{ConnectionId, Effect, Phase};
 
 /// The protocol's time after which a client without an open request may be disconnected. A client that has
@@ -168,30 +168,40 @@
         }
     }
 
-    pub(super) fn receive_request(&mut self, now: UnixMs, conn: ConnectionId, ask: Ask, close: bool) {
+    pub(super) fn receive_request(
+        &mut self,
+        now: UnixMs,
+        conn: ConnectionId,
+        kind: RequestKind,
+        close: bool,
+    ) {
         let is_open = |c: &&mut Client| c.state != ClientState::Finished && c.scan.is_none();
         let Some(client) = self.clients.get_mut(&conn).filter(is_open) else { return };
         client.close_after_answer |= close;
         client.awaits_answer = true;
         client.unusable_requests += 1; // reset if the request turns out to be usable
-        match ask {
-            Ask::Scan(scan) => match self.check_scan(&scan) {
+        match kind {
+            RequestKind::Scan(scan) => match self.check_scan(&scan) {
                 Ok(ids) => self.receive_scan(now, conn, scan, &ids),
                 Err(rejection) => self.reject_request(now, conn, &rejection),
             },
-            Ask::Unusable(status, reason) => self.reject_request(now, conn, &Rejection { status, reason }),
+            RequestKind::Unusable(status, reason) => {
+                self.reject_request(now, conn, &Rejection { status, reason })
+            }
             page => self.answer_page(now, conn, &page),
         }
     }
 
-    fn answer_page(&mut self, now: UnixMs, conn: ConnectionId, page: &Ask) {
+    fn answer_page(&mut self, now: UnixMs, conn: ConnectionId, page: &RequestKind) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.unusable_requests = 0;
         }
         match page {
-            Ask::Ready if matches!(self.phase, Phase::Ready) => self.answer(now, conn, 200, None, b"ready\n"),
-            Ask::Ready => self.answer(now, conn, 503, None, b"not ready\n"),
-            Ask::Counters => {
+            RequestKind::Ready if matches!(self.phase, Phase::Ready) => {
+                self.answer(now, conn, 200, None, b"ready\n")
+            }
+            RequestKind::Ready => self.answer(now, conn, 503, None, b"not ready\n"),
+            RequestKind::Counters => {
                 let text = self.counters().to_string();
                 self.answer(now, conn, 200, None, text.as_bytes());
             }
@@ -200,7 +210,7 @@
     }
 
     /// Checks the names, shards and id that a scan gives.
-    fn check_scan(&self, scan: &ScanAsk) -> Result<ScanIds, Rejection> {
+    fn check_scan(&self, scan: &ScanRequest) -> Result<ScanIds, Rejection> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let table_type = index_of(&self.config.table_type_names, &scan.table_type).ok_or_else(|| {
             Rejection { status: 404, reason: format!("no table type {:?}", scan.table_type) }
@@ -232,7 +242,7 @@
     }
 
     /// Takes a scan, or answers it at once if it can't be taken now.
-    fn receive_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanAsk, ids: &ScanIds) {
+    fn receive_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         self.counters.scans_taken += 1;
         self.counters.by_type[ids.table_type].taken += 1;
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -256,7 +266,7 @@
         self.start_scan(now, conn, scan, ids);
     }
 
-    fn start_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanAsk, ids: &ScanIds) {
+    fn start_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
@@ -307,7 +317,7 @@
         scan_id: ScanId,
         scan_number: u32,
         request_id: &str,
-        part: &PartAsk,
+        part: &PartRequest,
         repeat_until: UnixMs,
     ) -> PartId {
         let id = self.next_id();
--- a/crates/mixer/tests/codecs.rs
+++ b/crates/mixer/tests/codecs.rs
@@ -40,7 +40,7 @@
 fn requests_in_pieces() {
     let plain = check_prefixes(with_content_length(BODY).as_bytes(), http::parse_request);
     let chunked = check_prefixes(with_chunks(BODY).as_bytes(), http::parse_request);
-    assert_eq!(plain.as_ref().map(|request| &request.ask), chunked.as_ref().map(|request| &request.ask));
+    assert_eq!(plain.as_ref().map(|request| &request.kind), chunked.as_ref().map(|request| &request.kind));
     let ready = check_prefixes(b"GET /-/ready?x HTTP/1.1\r\nConnection: Close\r\n\r\n", http::parse_request);
     assert_snapshot!(format!("{plain:#?}\n{ready:?}"));
 }
@@ -49,7 +49,7 @@
 fn unusable_requests() {
     let parse = |text: String| match http::parse_request(text.as_bytes()) {
         Some(request) => {
-            format!("{:?} close={} rest={}", request.ask, request.close, text.len() - request.used)
+            format!("{:?} close={} rest={}", request.kind, request.close, text.len() - request.used)
         }
         None => "not whole".to_owned(),
     };
@@ -241,8 +241,8 @@
         (1..=message.len()).find_map(|end| parser.parse(&message[..end]).map(|request| (end, request)));
     assert_eq!(parsed.as_ref().map(|(end, _)| *end), Some(message.len()));
     assert_eq!(
-        parsed.map(|(_, request)| request.ask),
-        http::parse_request(with_content_length(BODY).as_bytes()).map(|request| request.ask)
+        parsed.map(|(_, request)| request.kind),
+        http::parse_request(with_content_length(BODY).as_bytes()).map(|request| request.kind)
     );
     assert!(started_at.elapsed().as_secs() < 5, "it took {:?}", started_at.elapsed());
 }
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -7,7 +7,7 @@
 use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
-use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
+use pewterwharf_mixer::http::{PartRequest, RequestKind, ScanRequest};
 use pewterwharf_mixer::inputs::{Effect, Input, Phase};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::MixerConfig;
@@ -477,18 +477,18 @@
         self.requests.insert(id.clone(), OpenRequest { table_type, parts, deadline_ms, is_over: false });
         self.open_requests.insert(conn, id.clone());
         let weight = 1.0 / f64::from(parts);
-        let ask = ScanAsk {
+        let scan = ScanRequest {
             id,
             table_type: format!("kind-{table_type}"),
             customer: Some("a".to_owned()),
             wait_ms,
             retry: draw_chance(&mut self.random, 0.2),
             text: "find".to_owned(),
-            parts: (0..parts).map(|shard| PartAsk { shard, weight, work_ms: None }).collect(),
+            parts: (0..parts).map(|shard| PartRequest { shard, weight, work_ms: None }).collect(),
         };
         self.step(vec![
             Input::ClientConnected { conn },
-            Input::Request { conn, ask: Ask::Scan(ask), close: false },
+            Input::Request { conn, kind: RequestKind::Scan(scan), close: false },
         ]);
     }
 
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -7,7 +7,7 @@
 use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
-use pewterwharf_mixer::http::{Ask, ScanAsk, parse_request};
+use pewterwharf_mixer::http::{RequestKind, ScanRequest, parse_request};
 use pewterwharf_mixer::inputs::{Effect, Input};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::MixerConfig;
@@ -69,7 +69,7 @@
 }
 
 /// Parses a request as a client writes it.
-fn parse_scan(table_type: &str, weights: &[f64]) -> ScanAsk {
+fn parse_scan(table_type: &str, weights: &[f64]) -> ScanRequest {
     let mut parts = String::new();
     for (shard, weight) in weights.iter().enumerate() {
         let comma = if shard == 0 { "" } else { "," };
@@ -80,8 +80,8 @@
         "POST /{table_type} HTTP/1.1\r\nReq-Id: q1\r\nReq-Deadline-Ms: 2000\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    match parse_request(bytes.as_bytes()).expect("a complete request").ask {
-        Ask::Scan(ask) => ask,
+    match parse_request(bytes.as_bytes()).expect("a complete request").kind {
+        RequestKind::Scan(scan) => scan,
         other => panic!("{} parts: {other:?}", weights.len()),
     }
 }
@@ -97,8 +97,8 @@
 /// Plays a query whose parts are all answered, except for this many of the last ones.
 fn play_query(table_type: &str, weights: &[f64], unanswered: usize) -> QueryResult {
     let mut mixer = start_mixer();
-    let ask = Ask::Scan(parse_scan(table_type, weights));
-    let effects = mixer.step(START_MS, vec![(START_MS, Input::Request { conn: CLIENT, ask, close: false })]);
+    let kind = RequestKind::Scan(parse_scan(table_type, weights));
+    let effects = mixer.step(START_MS, vec![(START_MS, Input::Request { conn: CLIENT, kind, close: false })]);
     let opened_link = effects.iter().find_map(|effect| match effect {
         Effect::Connect { link, .. } => Some(*link),
         _ => None,
@@ -194,7 +194,7 @@
         let body = json!({"expr": "find", "parts": body}).to_string();
         let head = "POST /all HTTP/1.1\r\nReq-Id: q1\r\nReq-Deadline-Ms: 2000\r\nContent-Length:";
         let bytes = format!("{head} {}\r\n\r\n{body}", body.len());
-        let parsed = parse_request(bytes.as_bytes()).expect("a complete request").ask;
-        assert!(matches!(parsed, Ask::Unusable(400, _)), "{parts} parts: {parsed:?}");
+        let parsed = parse_request(bytes.as_bytes()).expect("a complete request").kind;
+        assert!(matches!(parsed, RequestKind::Unusable(400, _)), "{parts} parts: {parsed:?}");
     }
 }
