--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -6,7 +6,7 @@
 use pewterwharf::interface::SearcherStatus;
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
-use pewterwharf_mixer::http::{Ask, PartAsk, ScanAsk};
+use pewterwharf_mixer::http::{PartRequest, RequestKind, ScanRequest};
 use pewterwharf_mixer::inputs::{Effect, Input, Phase};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::{ConfigChange, MixerConfig};
@@ -45,15 +45,15 @@
 }
 
 /// A request for one part.
-fn one_part_request() -> ScanAsk {
-    ScanAsk {
+fn one_part_request() -> ScanRequest {
+    ScanRequest {
         id: "q1".to_owned(),
         table_type: "all".to_owned(),
         customer: Some("acme".to_owned()),
         wait_ms: 2000.0,
         retry: false,
         text: "find".to_owned(),
-        parts: vec![PartAsk { shard: 0, weight: 1.0, work_ms: None }],
+        parts: vec![PartRequest { shard: 0, weight: 1.0, work_ms: None }],
     }
 }
 
@@ -130,10 +130,10 @@
     /// A client sends a request for the first shards.
     fn send_request(&mut self, conn: u64, table_type: &str, id: &str, parts: u32) {
         let weight = 1.0 / f64::from(parts);
-        let parts = (0..parts).map(|shard| PartAsk { shard, weight, work_ms: None }).collect();
-        let ask =
-            ScanAsk { id: id.to_owned(), table_type: table_type.to_owned(), parts, ..one_part_request() };
-        self.input(Input::Request { conn, ask: Ask::Scan(ask), close: false });
+        let parts = (0..parts).map(|shard| PartRequest { shard, weight, work_ms: None }).collect();
+        let scan =
+            ScanRequest { id: id.to_owned(), table_type: table_type.to_owned(), parts, ..one_part_request() };
+        self.input(Input::Request { conn, kind: RequestKind::Scan(scan), close: false });
     }
 
     /// The link that was opened last.
@@ -409,7 +409,11 @@
     let mut harness = Harness::new(1);
     harness.send_request(1, "none", "q1", 1);
     harness.send_request(1, "all", "q2", 9);
-    harness.input(Input::Request { conn: 1, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
+    harness.input(Input::Request {
+        conn: 1,
+        kind: RequestKind::Unusable(400, "no parts".to_owned()),
+        close: true,
+    });
     harness.input(Input::ClientConnected { conn: 2 });
     harness.send_request(2, "all", "q3", 8);
     harness.input(Input::ClientConnected { conn: 3 });
@@ -455,8 +459,8 @@
         (harness.now_ms, Input::ClientDisconnected { conn: 1 }),
     ]);
     harness.input(Input::ClientConnected { conn: 2 });
-    let ask = Ask::Scan(ScanAsk { id: "q2".to_owned(), ..one_part_request() });
-    let request = Input::Request { conn: 2, ask, close: false };
+    let kind = RequestKind::Scan(ScanRequest { id: "q2".to_owned(), ..one_part_request() });
+    let request = Input::Request { conn: 2, kind, close: false };
     harness.step(vec![
         (harness.now_ms, request),
         (harness.now_ms, Input::LinkClosed { link: 3, frames_written: 0 }),
@@ -471,7 +475,7 @@
         if is_draining {
             harness.input(Input::Stop);
         }
-        harness.input(Input::Request { conn: 1, ask: Ask::Counters, close: true });
+        harness.input(Input::Request { conn: 1, kind: RequestKind::Counters, close: true });
         harness.input(Input::DataAfterLastAnswer { conn: 1 });
         harness.advance(300.0);
         assert_eq!(harness.trace.contains("client 1: hang up"), !is_draining);
@@ -495,7 +499,7 @@
 fn unwritten_answer_delays_exit() {
     for is_written in [true, false] {
         let mut harness = Harness::new(1);
-        harness.input(Input::Request { conn: 1, ask: Ask::Counters, close: false });
+        harness.input(Input::Request { conn: 1, kind: RequestKind::Counters, close: false });
         harness.input(Input::AnswerDelayed { conn: 1 });
         harness.input(Input::Stop);
         harness.advance(600.0);
@@ -638,9 +642,9 @@
 #[test]
 fn readiness() {
     let mut harness = Harness::new(0);
-    harness.input(Input::Request { conn: 1, ask: Ask::Ready, close: false });
+    harness.input(Input::Request { conn: 1, kind: RequestKind::Ready, close: false });
     harness.update_list(false, vec![entry(1, SearcherStatus::Ready, 0.0)]);
-    harness.input(Input::Request { conn: 1, ask: Ask::Ready, close: false });
+    harness.input(Input::Request { conn: 1, kind: RequestKind::Ready, close: false });
     assert_snapshot!(harness.trace_and_counters());
 }
 
@@ -696,7 +700,11 @@
     harness.input(Input::ClientConnected { conn: 3 }); // sends nothing
     harness.advance(100.0);
     harness.input(Input::ClientConnected { conn: 4 });
-    harness.input(Input::Request { conn: 4, ask: Ask::Unusable(400, "no parts".to_owned()), close: true });
+    harness.input(Input::Request {
+        conn: 4,
+        kind: RequestKind::Unusable(400, "no parts".to_owned()),
+        close: true,
+    });
     for conn in 5..=8 {
         harness.input(Input::ClientConnected { conn });
         harness.send_request(conn, "all", &format!("q{conn}"), 1);
@@ -729,9 +737,9 @@
         Frame::Part { id: "q1.0".to_owned(), verdict: Verdict::Ok, value: "a".to_owned(), busy: None };
     let error = Some("a frame of 2021161080 bytes".to_owned());
     // A request in the same step must not be sent on the link that is being closed.
-    let ask = ScanAsk { id: "q2".to_owned(), ..one_part_request() };
+    let scan = ScanRequest { id: "q2".to_owned(), ..one_part_request() };
     harness.step(vec![
-        (harness.now_ms, Input::Request { conn: 2, ask: Ask::Scan(ask), close: false }),
+        (harness.now_ms, Input::Request { conn: 2, kind: RequestKind::Scan(scan), close: false }),
         (harness.now_ms, Input::Frames { link: 3, frames: vec![answer], error }),
     ]);
     assert_snapshot!(harness.trace_and_counters());
