--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -170,14 +170,14 @@
                 LISTENER => self.accept(),
                 COMMANDS => has_commands = true,
                 Token(token) => {
-                    let conn = token as ConnectionId;
+                    let connection_id = token as ConnectionId;
                     if event.is_writable() {
-                        self.flush(conn);
+                        self.flush(connection_id);
                     }
                     if event.is_read_closed() || event.is_error() {
-                        self.peer_ended(conn);
+                        self.peer_ended(connection_id);
                     }
-                    self.read(conn);
+                    self.read(connection_id);
                 }
             }
         }
@@ -187,8 +187,8 @@
     fn end_stuck(&mut self) {
         let is_stuck = |c: &Connection| !c.unsent.is_empty() && c.write_progress_at.elapsed() > STUCK_TIMEOUT;
         let stuck = self.connections.iter().filter(|(_, connection)| is_stuck(connection));
-        for conn in stuck.map(|(conn, _)| *conn).collect::<Vec<_>>() {
-            self.end(conn);
+        for connection_id in stuck.map(|(connection_id, _)| *connection_id).collect::<Vec<_>>() {
+            self.end(connection_id);
         }
     }
 
@@ -236,11 +236,11 @@
             debug!("a client's answers may wait for its acknowledgements: {error}");
         }
         self.last_id += 1;
-        let conn = self.last_id;
-        let registered = self.poll.registry().register(&mut stream, Token(conn as usize), INTEREST);
+        let connection_id = self.last_id;
+        let registered = self.poll.registry().register(&mut stream, Token(connection_id as usize), INTEREST);
         if let Err(error) = &registered {
-            debug!("client {conn} can't be polled yet: {error}");
-            self.not_polled.push(conn);
+            debug!("client {connection_id} can't be polled yet: {error}");
+            self.not_polled.push(connection_id);
         }
         let shared = Arc::new(SharedConnection {
             stream,
@@ -249,64 +249,64 @@
             finished: AtomicBool::new(false),
         });
         let handle = ClientHandle {
-            conn,
+            connection_id,
             shared: shared.clone(),
             commands: self.commands.clone(),
             written_by_reader: false,
             finished: false,
         };
         let connection = Connection::new(shared, &self.budget, since, registered.is_ok());
-        self.connections.insert(conn, connection);
+        self.connections.insert(connection_id, connection);
         // The service has to know the connection before any other input names it.
-        self.messages.send_client_connected(conn, handle);
-        self.read(conn);
+        self.messages.send_client_connected(connection_id, handle);
+        self.read(connection_id);
     }
 
     /// Tries again to register the connections that are not polled, and reads and writes them meanwhile.
     fn read_not_polled(&mut self) {
-        for conn in std::mem::take(&mut self.not_polled) {
-            let Some(connection) = self.connections.get_mut(&conn) else { continue };
+        for connection_id in std::mem::take(&mut self.not_polled) {
+            let Some(connection) = self.connections.get_mut(&connection_id) else { continue };
             let descriptor = connection.shared.stream.as_raw_fd();
-            let token = Token(conn as usize);
+            let token = Token(connection_id as usize);
             match self.poll.registry().register(&mut SourceFd(&descriptor), token, INTEREST) {
                 Ok(()) => connection.is_polled = true,
-                Err(_) => self.not_polled.push(conn),
+                Err(_) => self.not_polled.push(connection_id),
             }
-            self.flush(conn);
-            self.read(conn);
+            self.flush(connection_id);
+            self.read(connection_id);
         }
     }
 
     fn run_commands(&mut self) {
         while let Ok(command) = self.received.try_recv() {
             match command {
-                Command::Write { conn, bytes, last } => {
-                    if let Some(connection) = self.connections.get_mut(&conn) {
+                Command::Write { connection_id, bytes, last } => {
+                    if let Some(connection) = self.connections.get_mut(&connection_id) {
                         connection.write_progress_at = Instant::now();
                         connection.unsent.extend_from_slice(&bytes);
                         connection.unsent_is_last |= last;
                     }
-                    self.flush(conn);
+                    self.flush(connection_id);
                 }
-                Command::Resume(conn) => self.read(conn),
-                Command::Release(conn) => {
-                    let Some(connection) = self.connections.get_mut(&conn) else { continue };
+                Command::Resume(connection_id) => self.read(connection_id),
+                Command::Release(connection_id) => {
+                    let Some(connection) = self.connections.get_mut(&connection_id) else { continue };
                     connection.released = true;
                     if connection.unsent.is_empty() {
-                        self.end(conn);
+                        self.end(connection_id);
                     }
                 }
-                Command::Close(conn) => {
-                    if let Some(connection) = self.connections.get_mut(&conn) {
+                Command::Close(connection_id) => {
+                    if let Some(connection) = self.connections.get_mut(&connection_id) {
                         connection.closing = true;
                     }
-                    self.read(conn);
+                    self.read(connection_id);
                 }
-                Command::CloseFinished(conn) => {
-                    if let Some(connection) = self.connections.get_mut(&conn) {
+                Command::CloseFinished(connection_id) => {
+                    if let Some(connection) = self.connections.get_mut(&connection_id) {
                         connection.closing_finished = true;
                     }
-                    self.read(conn);
+                    self.read(connection_id);
                 }
                 Command::StopListening => {
                     self.stopping = true;
@@ -319,53 +319,58 @@
     /// Goes on with all answers that wait to be written, as no event follows a write that failed for a
     /// moment.
     fn flush_all(&mut self) {
-        let waiting = self.connections.iter().filter(|(_, c)| !c.unsent.is_empty()).map(|(conn, _)| *conn);
-        for conn in waiting.collect::<Vec<_>>() {
-            self.flush(conn);
+        let waiting = self
+            .connections
+            .iter()
+            .filter(|(_, c)| !c.unsent.is_empty())
+            .map(|(connection_id, _)| *connection_id);
+        for connection_id in waiting.collect::<Vec<_>>() {
+            self.flush(connection_id);
         }
     }
 
-    fn flush(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&conn).filter(|c| !c.unsent.is_empty()) else {
+    fn flush(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&connection_id).filter(|c| !c.unsent.is_empty())
+        else {
             return;
         };
         match write_some(&connection.shared.stream, &connection.unsent) {
             Ok(0) => return,
             Ok(written) => drop(connection.unsent.drain(..written)),
-            Err(_) => return self.end(conn),
+            Err(_) => return self.end(connection_id),
         }
         connection.write_progress_at = Instant::now();
         if connection.unsent.is_empty() {
             connection.unsent = Vec::new();
             connection.shared.answer_written(connection.unsent_is_last);
-            self.messages.send(Input::AnswerWritten { conn });
+            self.messages.send(Input::AnswerWritten { connection_id });
             match connection.released {
-                true => self.end(conn),
-                false => self.read(conn),
+                true => self.end(connection_id),
+                false => self.read(connection_id),
             }
         }
     }
 
-    fn peer_ended(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(&conn) {
+    fn peer_ended(&mut self, connection_id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.peer_ended = true;
         }
     }
 
-    fn read(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
-        let is_open = connection.read(conn, self.arrivals.earliest_arrival(), &self.messages);
+    fn read(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        let is_open = connection.read(connection_id, self.arrivals.earliest_arrival(), &self.messages);
         if !is_open || connection.is_done_closing() {
-            self.end(conn);
+            self.end(connection_id);
         } else if std::mem::take(&mut connection.may_have_more) {
-            self.commands.resume(conn);
+            self.commands.resume(connection_id);
         }
     }
 
     /// Ends a connection, which makes room for another.
-    fn end(&mut self, conn: ConnectionId) {
-        if self.connections.remove(&conn).is_some() {
-            self.messages.send(Input::ClientDisconnected { conn });
+    fn end(&mut self, connection_id: ConnectionId) {
+        if self.connections.remove(&connection_id).is_some() {
+            self.messages.send(Input::ClientDisconnected { connection_id });
             self.has_new_room = true;
         }
     }
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -140,7 +140,12 @@
     /// accepted, or for its turn.
     ///
     /// `since`: whatever the poll has found in this turn arrived no earlier.
-    pub(super) fn read(&mut self, conn: ConnectionId, since: UnixMs, messages: &MessageSender) -> bool {
+    pub(super) fn read(
+        &mut self,
+        connection_id: ConnectionId,
+        since: UnixMs,
+        messages: &MessageSender,
+    ) -> bool {
         let just_accepted = std::mem::take(&mut self.just_accepted);
         self.unread_since.get_or_insert(since);
         if self.peer_ended {
@@ -157,7 +162,7 @@
                 self.begin_discarding(usize::MAX);
             }
             if self.discard_limit.is_some() {
-                return self.discard(conn, messages);
+                return self.discard(connection_id, messages);
             }
             if self.pending.is_none() {
                 self.parse_next();
@@ -171,25 +176,25 @@
                     self.may_have_more = true;
                     return true;
                 }
-                if !self.report_request(conn, messages) {
+                if !self.report_request(connection_id, messages) {
                     return true;
                 }
                 continue; // the service has to know that more is buffered
             }
             match self.fill(since) {
-                Ok(1..) => self.report_buffered_data(conn, messages),
+                Ok(1..) => self.report_buffered_data(connection_id, messages),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if self.report_request(conn, messages) {
+                    if self.report_request(connection_id, messages) {
                         continue;
                     }
                     if !is_waiting && self.has_buffered_request() && !self.start_reported {
                         self.start_reported = true;
-                        messages.send(Input::RequestStarted { conn });
+                        messages.send(Input::RequestStarted { connection_id });
                     }
                     return true;
                 }
                 Err(error) if error.kind() == ErrorKind::OutOfMemory => {
-                    if self.report_request(conn, messages) {
+                    if self.report_request(connection_id, messages) {
                         continue;
                     }
                     if is_waiting {
@@ -229,18 +234,18 @@
 
     /// Reads and discards one turn's share of what has arrived after the last request; false at the
     /// connection's end.
-    fn discard(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
+    fn discard(&mut self, connection_id: ConnectionId, messages: &MessageSender) -> bool {
         let mut discarded = 0;
         while discarded < MAX_DISCARDED_BYTES_PER_TURN {
             let mut bytes = [0; 4096];
             match (&self.shared.stream).read(&mut bytes) {
                 Ok(count) if count > 0 && self.discard_limit.is_some_and(|limit| count < limit) => {
                     self.discard_limit = self.discard_limit.map(|limit| limit - count);
-                    self.report_late_data(conn, messages);
+                    self.report_late_data(connection_id, messages);
                     discarded += count;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if !self.report_request(conn, messages) {
+                    if !self.report_request(connection_id, messages) {
                         return true;
                     }
                 }
@@ -253,10 +258,10 @@
     }
 
     /// Reports once that more arrived after the last answer.
-    fn report_late_data(&mut self, conn: ConnectionId, messages: &MessageSender) {
+    fn report_late_data(&mut self, connection_id: ConnectionId, messages: &MessageSender) {
         if !self.late_data_reported && self.is_finished() {
             self.late_data_reported = true;
-            messages.send(Input::DataAfterLastAnswer { conn });
+            messages.send(Input::DataAfterLastAnswer { connection_id });
         }
     }
 
@@ -285,7 +290,7 @@
     }
 
     /// Reports the pending request, with the time that its client still waits; false if there is none.
-    fn report_request(&mut self, conn: ConnectionId, messages: &MessageSender) -> bool {
+    fn report_request(&mut self, connection_id: ConnectionId, messages: &MessageSender) -> bool {
         let Some(PendingRequest { mut kind, close, since }) = self.pending.take() else { return false };
         if let RequestKind::Scan(scan) = &mut kind {
             scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
@@ -293,20 +298,20 @@
         self.shared.awaits_answer.store(true, Ordering::SeqCst);
         self.buffered_data_reported = false;
         // Before the request, as that may be answered at once.
-        self.report_buffered_data(conn, messages);
-        messages.send(Input::Request { conn, kind, close });
+        self.report_buffered_data(connection_id, messages);
+        messages.send(Input::Request { connection_id, kind, close });
         true
     }
 
     /// Reports once that more was read behind the open request, whose answer then must not end the
     /// connection.
-    fn report_buffered_data(&mut self, conn: ConnectionId, messages: &MessageSender) {
+    fn report_buffered_data(&mut self, connection_id: ConnectionId, messages: &MessageSender) {
         let is_open = self.pending.is_none() && self.awaits_answer();
         let is_new =
             self.discard_limit.is_none() && self.has_buffered_request() && !self.buffered_data_reported;
         if is_open && is_new {
             self.buffered_data_reported = true;
-            messages.send(Input::MoreDataBuffered { conn });
+            messages.send(Input::MoreDataBuffered { connection_id });
         }
     }
 }
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -55,7 +55,7 @@
 pub(crate) enum Command {
     /// Writes the rest of an answer.
     Write {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         bytes: Vec<u8>,
         /// The connection ends with the answer.
         last: bool,
@@ -85,8 +85,8 @@
     }
 
     /// Has a connection read again in another turn.
-    pub(crate) fn resume(&self, conn: ConnectionId) {
-        self.send(Command::Resume(conn));
+    pub(crate) fn resume(&self, connection_id: ConnectionId) {
+        self.send(Command::Resume(connection_id));
     }
 
     pub fn stop_listening(&self) {
@@ -96,7 +96,7 @@
 
 /// A client's connection as the service holds it. Dropping it releases the connection.
 pub struct ClientHandle {
-    pub(crate) conn: ConnectionId,
+    pub(crate) connection_id: ConnectionId,
     pub(crate) shared: Arc<SharedConnection>,
     pub(crate) commands: CommandSender,
     /// An answer could not be written at once: from then on the reading thread writes.
@@ -120,7 +120,7 @@
                 Ok(written) if written == bytes.len() => {
                     self.shared.answer_written(last);
                     if self.shared.reader_waits.swap(false, Ordering::SeqCst) {
-                        self.commands.send(Command::Resume(self.conn));
+                        self.commands.send(Command::Resume(self.connection_id));
                     }
                     return true;
                 }
@@ -132,7 +132,7 @@
             }
             self.written_by_reader = true;
         }
-        self.commands.send(Command::Write { conn: self.conn, bytes, last });
+        self.commands.send(Command::Write { connection_id: self.connection_id, bytes, last });
         false
     }
 
@@ -140,14 +140,14 @@
     /// before. The reading side is not shut down, as that would look the same as the client's disconnect.
     pub fn close(&self) {
         self.commands.send(match self.finished {
-            true => Command::CloseFinished(self.conn),
-            false => Command::Close(self.conn),
+            true => Command::CloseFinished(self.connection_id),
+            false => Command::Close(self.connection_id),
         });
     }
 }
 
 impl Drop for ClientHandle {
     fn drop(&mut self) {
-        self.commands.send(Command::Release(self.conn));
+        self.commands.send(Command::Release(self.connection_id));
     }
 }
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -22,36 +22,36 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     ClientConnected {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// A client's request has been read whole. With `close`, the connection ends with its answer.
     Request {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         kind: RequestKind,
         close: bool,
     },
     /// More bytes are buffered behind the request that is open, or behind the one that is reported next.
     MoreDataBuffered {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// The first bytes of a request have arrived, but not all of it.
     RequestStarted {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     ClientDisconnected {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// An answer could not be written at once.
     AnswerDelayed {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// The delayed answer has been written completely.
     AnswerWritten {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// The client still sends after its last answer.
     DataAfterLastAnswer {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// All connections that waited to be accepted are accepted, and no more will be.
     ListenerClosed,
@@ -106,17 +106,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Answer {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         bytes: Vec<u8>,
         last: bool,
     },
     /// Closes a client's connection once everything that it has sent so far is read and answered.
     CloseClient {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     /// Releases a connection once all its answers are written.
     ReleaseClient {
-        conn: ConnectionId,
+        connection_id: ConnectionId,
     },
     Connect {
         link: LinkId,
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -20,7 +20,7 @@
 pub(crate) enum Message {
     ClientConnected {
         at: UnixMs,
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         handle: ClientHandle,
     },
     LinkUp {
@@ -75,10 +75,10 @@
         let _ = self.sender.send(Message::RoutesWithdrawn); // fails once the service has ended
     }
 
-    pub fn send_client_connected(&self, conn: ConnectionId, handle: ClientHandle) {
+    pub fn send_client_connected(&self, connection_id: ConnectionId, handle: ClientHandle) {
         let at = self.clock.now();
         // Fails once the service has ended.
-        let _ = self.sender.send(Message::ClientConnected { at, conn, handle });
+        let _ = self.sender.send(Message::ClientConnected { at, connection_id, handle });
     }
 }
 
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -295,7 +295,7 @@
             // Frames that arrived on a link before its end keep their place before it.
             Input::Frames { .. } | Input::LinkClosed { .. } => 1,
             // A client that connected in this step has to be known before its end.
-            Input::ClientDisconnected { conn } if self.clients.contains_key(conn) => 1,
+            Input::ClientDisconnected { connection_id } if self.clients.contains_key(connection_id) => 1,
             _ => 2,
         }
     }
@@ -339,10 +339,17 @@
 
     /// Reports the clients that still await an answer when the process ends.
     fn report_unanswered(&mut self) {
-        let unanswered: Vec<u64> =
-            self.clients.iter().filter(|(_, client)| client.awaits_answer).map(|(conn, _)| *conn).collect();
-        for conn in unanswered {
-            self.report_violation(Violation::Unanswered, &format!("client {conn} as the process ends"));
+        let unanswered: Vec<u64> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.awaits_answer)
+            .map(|(connection_id, _)| *connection_id)
+            .collect();
+        for connection_id in unanswered {
+            self.report_violation(
+                Violation::Unanswered,
+                &format!("client {connection_id} as the process ends"),
+            );
         }
     }
 
@@ -357,14 +364,16 @@
 
     fn apply(&mut self, now: UnixMs, input: Input) {
         match input {
-            Input::ClientConnected { conn } => self.client_connected(now, conn),
-            Input::Request { conn, kind, close } => self.receive_request(now, conn, kind, close),
-            Input::RequestStarted { conn } => self.request_started(now, conn),
-            Input::MoreDataBuffered { conn } => self.more_data_buffered(conn),
-            Input::ClientDisconnected { conn } => self.client_disconnected(now, conn),
-            Input::AnswerDelayed { conn } => self.answer_delayed(conn),
-            Input::AnswerWritten { conn } => self.answer_written(now, conn),
-            Input::DataAfterLastAnswer { conn } => self.data_after_last_answer(conn),
+            Input::ClientConnected { connection_id } => self.client_connected(now, connection_id),
+            Input::Request { connection_id, kind, close } => {
+                self.receive_request(now, connection_id, kind, close)
+            }
+            Input::RequestStarted { connection_id } => self.request_started(now, connection_id),
+            Input::MoreDataBuffered { connection_id } => self.more_data_buffered(connection_id),
+            Input::ClientDisconnected { connection_id } => self.client_disconnected(now, connection_id),
+            Input::AnswerDelayed { connection_id } => self.answer_delayed(connection_id),
+            Input::AnswerWritten { connection_id } => self.answer_written(now, connection_id),
+            Input::DataAfterLastAnswer { connection_id } => self.data_after_last_answer(connection_id),
             Input::ListenerClosed => self.listener_closed = true,
             Input::AcceptFailed { out_of_descriptors } => {
                 self.counters.accepts_failed += 1;
@@ -405,8 +414,8 @@
             Timer::LinkIdle(link) => self.close_if_idle(now, link),
             Timer::LinkStuck(link) => self.close_if_stuck(now, link),
             Timer::LinkWriteRetry(link) => self.retry_blocked(link),
-            Timer::ClientLinger(conn) => self.close_finished_client(now, conn),
-            Timer::ClientIdle(conn) => self.check_idle_client(now, conn),
+            Timer::ClientLinger(connection_id) => self.close_finished_client(now, connection_id),
+            Timer::ClientIdle(connection_id) => self.check_idle_client(now, connection_id),
             Timer::CachedList => self.use_cached_list(now),
             // Handled by every step.
             Timer::ScanDeadline(_) | Timer::DrainStep | Timer::UnsentAttempts => {}
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -35,47 +35,47 @@
 }
 
 impl Reducer {
-    pub(super) fn client_connected(&mut self, now: UnixMs, conn: ConnectionId) {
+    pub(super) fn client_connected(&mut self, now: UnixMs, connection_id: ConnectionId) {
         self.counters.clients_accepted += 1;
-        self.clients.insert(conn, Client::new(now));
-        self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
+        self.clients.insert(connection_id, Client::new(now));
+        self.add_timer(now + IDLE_MS, Timer::ClientIdle(connection_id));
         // Clients that are being closed are not counted, as their places will be free.
         if self.clients.values().filter(|c| !c.closing).count() > self.max_clients {
             self.make_room(now);
         }
         // It waited to be accepted when listening ended: it is served if it has sent a request by now.
         if matches!(self.phase, Phase::Draining { listening: false, .. }) {
-            self.close_client(now, conn, ClientCloseReason::Draining);
+            self.close_client(now, connection_id, ClientCloseReason::Draining);
         }
     }
 
-    pub(super) fn request_started(&mut self, now: UnixMs, conn: ConnectionId) {
+    pub(super) fn request_started(&mut self, now: UnixMs, connection_id: ConnectionId) {
         let is_open = |c: &&mut Client| c.scan.is_none() && c.state != ClientState::Finished;
-        if let Some(client) = self.clients.get_mut(&conn).filter(is_open) {
+        if let Some(client) = self.clients.get_mut(&connection_id).filter(is_open) {
             client.state = ClientState::AwaitingRequest;
             client.state_since = now;
-            self.start_idle_timer(now, conn);
+            self.start_idle_timer(now, connection_id);
         }
     }
 
-    pub(super) fn more_data_buffered(&mut self, conn: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&conn) {
+    pub(super) fn more_data_buffered(&mut self, connection_id: ConnectionId) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.has_buffered_data = true;
         }
     }
 
-    fn start_idle_timer(&mut self, now: UnixMs, conn: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&conn).filter(|c| !c.idle_timer_set) {
+    fn start_idle_timer(&mut self, now: UnixMs, connection_id: ConnectionId) {
+        if let Some(client) = self.clients.get_mut(&connection_id).filter(|c| !c.idle_timer_set) {
             client.idle_timer_set = true;
-            self.add_timer(now + IDLE_MS, Timer::ClientIdle(conn));
+            self.add_timer(now + IDLE_MS, Timer::ClientIdle(connection_id));
         }
     }
 
     /// Answers a client whose request is not complete in time. An idle client is closed once half of the
     /// places are taken.
-    pub(super) fn check_idle_client(&mut self, now: UnixMs, conn: ConnectionId) {
+    pub(super) fn check_idle_client(&mut self, now: UnixMs, connection_id: ConnectionId) {
         let crowded = 2 * self.clients.len() > self.max_clients;
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(&connection_id) else { return };
         client.idle_timer_set = false;
         // A client that had begun a request when its connection began to close still has its time to complete
         // it.
@@ -86,24 +86,24 @@
         let idle_at = client.state_since + IDLE_MS;
         if now < idle_at {
             client.idle_timer_set = true;
-            return self.add_timer(idle_at, Timer::ClientIdle(conn));
+            return self.add_timer(idle_at, Timer::ClientIdle(connection_id));
         }
         match client.state {
-            ClientState::AwaitingRequest => self.answer_incomplete_request(now, conn),
+            ClientState::AwaitingRequest => self.answer_incomplete_request(now, connection_id),
             ClientState::Idle if crowded => {
                 self.counters.clients_dropped_for_room += 1;
-                self.close_client(now, conn, ClientCloseReason::Crowded);
+                self.close_client(now, connection_id, ClientCloseReason::Crowded);
             }
-            _ => self.start_idle_timer(now, conn),
+            _ => self.start_idle_timer(now, connection_id),
         }
     }
 
     /// Answers a client whose request is not complete in time.
-    pub(super) fn answer_incomplete_request(&mut self, now: UnixMs, conn: ConnectionId) {
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+    pub(super) fn answer_incomplete_request(&mut self, now: UnixMs, connection_id: ConnectionId) {
+        let Some(client) = self.clients.get_mut(&connection_id) else { return };
         client.close_after_answer = true;
         self.counters.clients_slow += 1;
-        self.answer(now, conn, REQUEST_TIMEOUT, None, b"no whole request in time\n");
+        self.answer(now, connection_id, REQUEST_TIMEOUT, None, b"no whole request in time\n");
     }
 
     /// Closes the least important client: one that has had its last answer, else one that has sent no request
@@ -118,9 +118,9 @@
             ClientState::AwaitingRequest => 3,
         };
         let first = candidates.min_by_key(|(_, c)| (rank(c), c.state_since.max(0.0).to_bits()));
-        if let Some(conn) = first.map(|(conn, _)| *conn) {
+        if let Some(connection_id) = first.map(|(connection_id, _)| *connection_id) {
             self.counters.clients_dropped_for_room += 1;
-            self.close_client(now, conn, ClientCloseReason::Room);
+            self.close_client(now, connection_id, ClientCloseReason::Room);
         }
     }
 
@@ -132,15 +132,20 @@
 
     /// Closes a client's connection if the rules allow it now. Requests that it has sent by then are still
     /// read and answered.
-    pub(super) fn close_client(&mut self, now: UnixMs, conn: ConnectionId, reason: ClientCloseReason) {
+    pub(super) fn close_client(
+        &mut self,
+        now: UnixMs,
+        connection_id: ConnectionId,
+        reason: ClientCloseReason,
+    ) {
         let draining = self.is_draining();
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(&connection_id) else { return };
         if !rules::may_close_client(client, reason, draining, now) {
             return;
         }
         client.closing = true;
         client.serves_buffered_until.get_or_insert(rules::serves_buffered_until(now));
-        debug!("client {conn} is closed: {reason}");
+        debug!("client {connection_id} is closed: {reason}");
         let count = match reason {
             ClientCloseReason::Room => &mut self.counters.clients_closed_for_room,
             ClientCloseReason::Crowded => &mut self.counters.clients_closed_crowded,
@@ -148,20 +153,23 @@
             ClientCloseReason::LastAnswerGiven => &mut self.counters.clients_closed_after_last_answer,
         };
         *count += 1;
-        self.effects.push(Effect::CloseClient { conn });
+        self.effects.push(Effect::CloseClient { connection_id });
     }
 
-    pub(super) fn client_disconnected(&mut self, now: UnixMs, conn: ConnectionId) {
-        let Some(client) = self.clients.get(&conn) else { return };
+    pub(super) fn client_disconnected(&mut self, now: UnixMs, connection_id: ConnectionId) {
+        let Some(client) = self.clients.get(&connection_id) else { return };
         let scan = client.scan;
-        self.clients.remove(&conn);
-        self.effects.push(Effect::ReleaseClient { conn });
+        self.clients.remove(&connection_id);
+        self.effects.push(Effect::ReleaseClient { connection_id });
         if let Some(scan) = scan {
             self.counters.scans_gone += 1;
             self.count_for_type(scan, |counts| &mut counts.gone);
             if let Some(query) = self.scans.get(&scan) {
                 let after_ms = now - query.received_at;
-                debug!("query {}: client {conn} disconnected after {after_ms:.1} ms", query.request_id);
+                debug!(
+                    "query {}: client {connection_id} disconnected after {after_ms:.1} ms",
+                    query.request_id
+                );
             }
             self.remove_scan(scan);
             self.events.push(Event::ClientGone { scan });
@@ -171,41 +179,41 @@
     pub(super) fn receive_request(
         &mut self,
         now: UnixMs,
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         kind: RequestKind,
         close: bool,
     ) {
         let is_open = |c: &&mut Client| c.state != ClientState::Finished && c.scan.is_none();
-        let Some(client) = self.clients.get_mut(&conn).filter(is_open) else { return };
+        let Some(client) = self.clients.get_mut(&connection_id).filter(is_open) else { return };
         client.close_after_answer |= close;
         client.awaits_answer = true;
         client.unusable_requests += 1; // reset if the request turns out to be usable
         match kind {
             RequestKind::Scan(scan) => match self.check_scan(&scan) {
-                Ok(ids) => self.receive_scan(now, conn, scan, &ids),
-                Err(rejection) => self.reject_request(now, conn, &rejection),
+                Ok(ids) => self.receive_scan(now, connection_id, scan, &ids),
+                Err(rejection) => self.reject_request(now, connection_id, &rejection),
             },
             RequestKind::Unusable(status, reason) => {
-                self.reject_request(now, conn, &Rejection { status, reason })
+                self.reject_request(now, connection_id, &Rejection { status, reason })
             }
-            page => self.answer_page(now, conn, &page),
+            page => self.answer_page(now, connection_id, &page),
         }
     }
 
-    fn answer_page(&mut self, now: UnixMs, conn: ConnectionId, page: &RequestKind) {
-        if let Some(client) = self.clients.get_mut(&conn) {
+    fn answer_page(&mut self, now: UnixMs, connection_id: ConnectionId, page: &RequestKind) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.unusable_requests = 0;
         }
         match page {
             RequestKind::Ready if matches!(self.phase, Phase::Ready) => {
-                self.answer(now, conn, 200, None, b"ready\n")
+                self.answer(now, connection_id, 200, None, b"ready\n")
             }
-            RequestKind::Ready => self.answer(now, conn, 503, None, b"not ready\n"),
+            RequestKind::Ready => self.answer(now, connection_id, 503, None, b"not ready\n"),
             RequestKind::Counters => {
                 let text = self.counters().to_string();
-                self.answer(now, conn, 200, None, text.as_bytes());
+                self.answer(now, connection_id, 200, None, text.as_bytes());
             }
-            _ => self.answer(now, conn, 200, None, b"healthy\n"),
+            _ => self.answer(now, connection_id, 200, None, b"healthy\n"),
         }
     }
 
@@ -231,42 +239,48 @@
         Ok(ScanIds { table_type, customer })
     }
 
-    fn reject_request(&mut self, now: UnixMs, conn: ConnectionId, rejection: &Rejection) {
+    fn reject_request(&mut self, now: UnixMs, connection_id: ConnectionId, rejection: &Rejection) {
         let Rejection { status, reason } = rejection;
         self.counters.requests_unusable += 1;
         debug!("a request was answered {status}: {reason}");
-        if let Some(client) = self.clients.get_mut(&conn) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.close_after_answer |= client.unusable_requests >= MAX_UNUSABLE_REQUESTS;
         }
-        self.answer(now, conn, *status, None, format!("{reason}\n").as_bytes());
+        self.answer(now, connection_id, *status, None, format!("{reason}\n").as_bytes());
     }
 
     /// Takes a scan, or answers it at once if it can't be taken now.
-    fn receive_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
+    fn receive_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         self.counters.scans_taken += 1;
         self.counters.by_type[ids.table_type].taken += 1;
-        if let Some(client) = self.clients.get_mut(&conn) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.unusable_requests = 0;
         }
         let open = self.scans.len() + self.parts.len();
         let drain_serves_until = self.drain_serves_until(now);
         let is_refused = |client: &Client| rules::is_buffered_refused(client, drain_serves_until, now);
-        if self.clients.get(&conn).is_some_and(is_refused) {
+        if self.clients.get(&connection_id).is_some_and(is_refused) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"closing\n");
+            return self.answer(
+                now,
+                connection_id,
+                503,
+                self.config.permissions.retry_after_ms,
+                b"closing\n",
+            );
         }
         if !rules::may_take_query(open, scan.parts.len(), self.config.max_open) {
             self.counters.scans_throttled += 1;
             self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, conn, 503, self.config.permissions.retry_after_ms, b"full\n");
+            return self.answer(now, connection_id, 503, self.config.permissions.retry_after_ms, b"full\n");
         }
-        self.start_scan(now, conn, scan, ids);
+        self.start_scan(now, connection_id, scan, ids);
     }
 
-    fn start_scan(&mut self, now: UnixMs, conn: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
+    fn start_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
         self.scan_number = self.scan_number.wrapping_add(1);
@@ -288,7 +302,7 @@
             parts.push(self.start_part(id, number, &scan.id, part, repeat_until));
         }
         debug!(
-            "query {} of client {conn}: class {}, {} parts, {:.0} ms",
+            "query {} of client {connection_id}: class {}, {} parts, {:.0} ms",
             scan.id,
             scan.table_type,
             parts.len(),
@@ -296,7 +310,7 @@
         );
         self.open_request_ids.insert(scan.id.clone());
         let query = Scan {
-            conn,
+            connection_id,
             request_id: scan.id,
             text: scan.text,
             table_type,
@@ -306,7 +320,7 @@
         };
         self.scans.insert(id, query);
         self.add_timer(deadline_at, Timer::ScanDeadline(id));
-        if let Some(client) = self.clients.get_mut(&conn) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.scan = Some(id);
         }
     }
@@ -346,15 +360,15 @@
         body: &[u8],
     ) {
         let Some(query) = self.scans.get(&scan) else { return };
-        let conn = query.conn;
+        let connection_id = query.connection_id;
         let reason = String::from_utf8_lossy(if status == 200 { b"served" } else { body.trim_ascii_end() });
         let took_ms = now - query.received_at;
         debug!(
-            "query {} of client {conn} is answered {status} after {took_ms:.1} ms: {reason}",
+            "query {} of client {connection_id} is answered {status} after {took_ms:.1} ms: {reason}",
             query.request_id
         );
         self.remove_scan(scan);
-        self.answer(now, conn, status, retry_after_ms, body);
+        self.answer(now, connection_id, status, retry_after_ms, body);
     }
 
     /// Adds one to a count of the scan's table type.
@@ -377,13 +391,13 @@
     fn answer(
         &mut self,
         now: UnixMs,
-        conn: ConnectionId,
+        connection_id: ConnectionId,
         status: u16,
         retry_after_ms: Option<f64>,
         body: &[u8],
     ) {
         let drain_serves_until = self.drain_serves_until(now);
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(&connection_id) else { return };
         let was_awaited = std::mem::take(&mut client.awaits_answer);
         let last = rules::is_last_answer(client, drain_serves_until, now);
         client.buffered_refused += u32::from(rules::is_buffered_refused(client, drain_serves_until, now));
@@ -392,44 +406,44 @@
         client.state_since = now;
         client.state = ClientState::Idle;
         let bytes = http::encode_answer(status, retry_after_ms, body, last);
-        self.effects.push(Effect::Answer { conn, bytes, last });
+        self.effects.push(Effect::Answer { connection_id, bytes, last });
         if last {
             client.state = ClientState::Finished;
-            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(conn));
+            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(connection_id));
         } else {
-            self.start_idle_timer(now, conn);
+            self.start_idle_timer(now, connection_id);
         }
         // An incomplete request is answered although it awaits no answer yet.
         if !was_awaited && status != REQUEST_TIMEOUT {
-            self.report_violation(Violation::Answer, &format!("client {conn}, status {status}"));
+            self.report_violation(Violation::Answer, &format!("client {connection_id}, status {status}"));
         }
     }
 
     /// An answer is still being written: its client's time to close begins once that is done.
-    pub(super) fn answer_delayed(&mut self, conn: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&conn) {
+    pub(super) fn answer_delayed(&mut self, connection_id: ConnectionId) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.answer_delayed = true;
         }
     }
 
-    pub(super) fn answer_written(&mut self, now: UnixMs, conn: ConnectionId) {
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+    pub(super) fn answer_written(&mut self, now: UnixMs, connection_id: ConnectionId) {
+        let Some(client) = self.clients.get_mut(&connection_id) else { return };
         client.answer_delayed = false;
         client.state_since = now;
         if client.state == ClientState::Finished {
-            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(conn));
+            self.add_timer(now + rules::LINGER_MS, Timer::ClientLinger(connection_id));
         }
     }
 
-    pub(super) fn data_after_last_answer(&mut self, conn: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&conn) {
+    pub(super) fn data_after_last_answer(&mut self, connection_id: ConnectionId) {
+        if let Some(client) = self.clients.get_mut(&connection_id) {
             client.still_sends = true;
         }
     }
 
     /// Closes the connection of a client that has had its last answer and its time to close. While draining,
     /// a client that still sends may stay until it closes, or until the end.
-    pub(super) fn close_finished_client(&mut self, now: UnixMs, conn: ConnectionId) {
-        self.close_client(now, conn, ClientCloseReason::LastAnswerGiven);
+    pub(super) fn close_finished_client(&mut self, now: UnixMs, connection_id: ConnectionId) {
+        self.close_client(now, connection_id, ClientCloseReason::LastAnswerGiven);
     }
 }
--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -119,9 +119,9 @@
         let is_incomplete =
             |client: &Client| client.state == ClientState::AwaitingRequest && client.scan.is_none();
         let clients = self.clients.iter().filter(|(_, client)| is_incomplete(client));
-        let conns: Vec<ConnectionId> = clients.map(|(conn, _)| *conn).collect();
-        for conn in conns {
-            self.answer_incomplete_request(now, conn);
+        let connection_ids: Vec<ConnectionId> = clients.map(|(connection_id, _)| *connection_id).collect();
+        for connection_id in connection_ids {
+            self.answer_incomplete_request(now, connection_id);
         }
     }
 
@@ -131,9 +131,9 @@
     fn close_idle_clients(&mut self, now: UnixMs, include_awaiting: bool) {
         let is_due = |client: &Client| include_awaiting || client.state == ClientState::Idle;
         let clients = self.clients.iter().filter(|(_, client)| is_due(client));
-        let conns: Vec<ConnectionId> = clients.map(|(conn, _)| *conn).collect();
-        for conn in conns {
-            self.close_client(now, conn, ClientCloseReason::Draining);
+        let connection_ids: Vec<ConnectionId> = clients.map(|(connection_id, _)| *connection_id).collect();
+        for connection_id in connection_ids {
+            self.close_client(now, connection_id, ClientCloseReason::Draining);
         }
     }
 }
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -195,7 +195,7 @@
         if call_parts.is_empty() {
             return None;
         }
-        let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.part)?.scan)?.conn);
+        let client = |id: &AttemptId| Some(self.scans.get(&self.parts.get(&id.part)?.scan)?.connection_id);
         let clients: BTreeSet<ConnectionId> = attempt_ids.iter().filter_map(client).collect();
         Some(OutgoingFrame { bytes: frame::encode_call(&call_parts), clients: clients.into_iter().collect() })
     }
@@ -220,7 +220,7 @@
             link,
         };
         rules::may_send(&request, now)?;
-        if disconnected.contains(&query.conn) { Err(SendRefusal::ClientLeft) } else { Ok(()) }
+        if disconnected.contains(&query.connection_id) { Err(SendRefusal::ClientLeft) } else { Ok(()) }
     }
 
     /// Records that an attempt is sent with the next frame of a link.
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -23,7 +23,7 @@
 }
 
 pub(super) struct Scan {
-    pub(super) conn: ConnectionId,
+    pub(super) connection_id: ConnectionId,
     /// The id that its client gave.
     pub(super) request_id: String,
     pub(super) text: String,
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -248,9 +248,9 @@
 
     fn receive(&mut self, message: Message, inputs: &mut Vec<(UnixMs, Input)>) {
         match message {
-            Message::ClientConnected { at, conn, handle } => {
-                self.clients.insert(conn, handle);
-                inputs.push((at, Input::ClientConnected { conn }));
+            Message::ClientConnected { at, connection_id, handle } => {
+                self.clients.insert(connection_id, handle);
+                inputs.push((at, Input::ClientConnected { connection_id }));
             }
             Message::LinkUp { at, link, shared } => {
                 if let Some(held) = self.links.get_mut(&link) {
@@ -304,19 +304,19 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { conn, bytes, last } => {
-                if let Some(client) = self.clients.get_mut(&conn)
+            Effect::Answer { connection_id, bytes, last } => {
+                if let Some(client) = self.clients.get_mut(&connection_id)
                     && !client.answer(bytes, last)
                 {
-                    self.own_inputs.push((self.clock.now(), Input::AnswerDelayed { conn }));
+                    self.own_inputs.push((self.clock.now(), Input::AnswerDelayed { connection_id }));
                 }
             }
-            Effect::CloseClient { conn } => {
-                if let Some(client) = self.clients.get(&conn) {
+            Effect::CloseClient { connection_id } => {
+                if let Some(client) = self.clients.get(&connection_id) {
                     client.close();
                 }
             }
-            Effect::ReleaseClient { conn } => drop(self.clients.remove(&conn)),
+            Effect::ReleaseClient { connection_id } => drop(self.clients.remove(&connection_id)),
             Effect::Connect { link, addr } => {
                 if self.link_opener.open(link, addr) {
                     self.links.insert(link, Link::default());
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -73,7 +73,9 @@
                 return Next::Stale;
             }
             let clients = &self.clients;
-            let has_left = |conn: &ConnectionId| clients.get(conn).is_none_or(ClientHandle::has_disconnected);
+            let has_left = |connection_id: &ConnectionId| {
+                clients.get(connection_id).is_none_or(ClientHandle::has_disconnected)
+            };
             let newly_disconnected: Vec<ConnectionId> =
                 frame.clients.iter().copied().filter(has_left).collect();
             if newly_disconnected.is_empty() {
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -69,7 +69,7 @@
             Self { reducer: Reducer::new(config, 7, sockets), now_ms: START_MS, trace: String::new() };
         harness
             .update_list(true, (1..=searchers).map(|nth| entry(nth, SearcherStatus::Ready, 0.0)).collect());
-        harness.input(Input::ClientConnected { conn: 1 });
+        harness.input(Input::ClientConnected { connection_id: 1 });
         harness
     }
 
@@ -90,12 +90,16 @@
         for effect in self.reducer.step(self.now_ms, inputs) {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace("\r\n", " ").replace('\n', " ");
             let line = match effect {
-                Effect::Answer { conn, bytes, last } => {
+                Effect::Answer { connection_id, bytes, last } => {
                     let bytes = text(&bytes).replace("HTTP/1.1 ", "").replace("Content-", "");
-                    format!("client {conn}: {}{}", bytes.trim_end(), if last { " (last)" } else { "" })
+                    format!(
+                        "client {connection_id}: {}{}",
+                        bytes.trim_end(),
+                        if last { " (last)" } else { "" }
+                    )
                 }
-                Effect::CloseClient { conn } => format!("client {conn}: hang up"),
-                Effect::ReleaseClient { conn } => format!("client {conn}: let go"),
+                Effect::CloseClient { connection_id } => format!("client {connection_id}: hang up"),
+                Effect::ReleaseClient { connection_id } => format!("client {connection_id}: let go"),
                 Effect::Connect { link, addr } => format!("link {link}: connect to {addr}"),
                 Effect::Send { link } => match self.reducer.next_frame(self.now_ms, link, &[]) {
                     Some(frame) => format!("link {link}: {}", text(&frame.bytes[4..])),
@@ -128,12 +132,12 @@
     }
 
     /// A client sends a request for the first shards.
-    fn send_request(&mut self, conn: u64, table_type: &str, id: &str, parts: u32) {
+    fn send_request(&mut self, connection_id: u64, table_type: &str, id: &str, parts: u32) {
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| PartRequest { shard, weight, work_ms: None }).collect();
         let scan =
             ScanRequest { id: id.to_owned(), table_type: table_type.to_owned(), parts, ..one_part_request() };
-        self.input(Input::Request { conn, kind: RequestKind::Scan(scan), close: false });
+        self.input(Input::Request { connection_id, kind: RequestKind::Scan(scan), close: false });
     }
 
     /// The link that was opened last.
@@ -169,7 +173,7 @@
     assert_eq!(counters_of("all").taken, 1);
     assert!(counters.by_type.iter().filter(|counts| counts.name != "all").all(|counts| counts.taken == 0));
     assert!(counters.to_string().contains("scans_taken{table_type=\"all\"} 1"), "{counters}");
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     let counters = harness.reducer.counters();
     let all = counters.by_type.iter().find(|counts| counts.name == "all").expect("a configured table type");
     assert_eq!((all.taken, all.gone), (1, 1));
@@ -195,7 +199,7 @@
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 3);
     harness.input(Input::LinkUp { link: 5 });
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_answer(5, "q1.0", Verdict::Ok, "a");
     harness.send_request(2, "all", "q2", 1);
     assert_snapshot!(harness.trace_and_counters());
@@ -215,7 +219,7 @@
 fn duplicate_request_id() {
     // An answer is assigned to its part by name only: two clients with the same request id must not get each other's answers.
     let mut harness = Harness::new(1);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
     harness.send_request(2, "all", "q1", 1);
@@ -291,7 +295,7 @@
     // A new process waits for a window, until calls that an earlier process may have sent have ended.
     harness.advance(1500.0);
     harness.update_list(true, vec![entry(1, SearcherStatus::Ready, START_MS + 1400.0)]);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "all", "q1", 3);
     harness.send_request(2, "all", "q2", 3);
     assert_snapshot!(harness.trace_and_counters());
@@ -329,7 +333,7 @@
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 2);
     harness.input(Input::LinkUp { link: 4 });
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     assert_snapshot!(harness.trace_and_counters());
 }
 
@@ -410,15 +414,15 @@
     harness.send_request(1, "none", "q1", 1);
     harness.send_request(1, "all", "q2", 9);
     harness.input(Input::Request {
-        conn: 1,
+        connection_id: 1,
         kind: RequestKind::Unusable(400, "no parts".to_owned()),
         close: true,
     });
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(2, "all", "q3", 8);
-    harness.input(Input::ClientConnected { conn: 3 });
+    harness.input(Input::ClientConnected { connection_id: 3 });
     harness.send_request(3, "all", "q4", 8);
-    harness.input(Input::ClientConnected { conn: 4 });
+    harness.input(Input::ClientConnected { connection_id: 4 });
     harness.send_request(4, "all", "q5", 8);
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -427,12 +431,12 @@
 fn idle_clients_make_room() {
     let mut harness = Harness::with_settings(&settings(), 1, 32);
     harness.advance(1.0);
-    harness.input(Input::ClientConnected { conn: 2 });
-    harness.input(Input::ClientConnected { conn: 3 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
+    harness.input(Input::ClientConnected { connection_id: 3 });
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
     harness.send_answer(3, "q1.0", Verdict::Ok, "a");
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     assert_snapshot!(harness.trace_and_counters());
 }
 
@@ -440,11 +444,11 @@
 fn closing_client_leaves() {
     let mut harness = Harness::with_settings(&settings(), 1, 32);
     harness.advance(1.0);
-    harness.input(Input::ClientConnected { conn: 2 });
-    harness.input(Input::ClientConnected { conn: 3 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
+    harness.input(Input::ClientConnected { connection_id: 3 });
     // The request crossed the close of the connection. The client leaves while the link is being established.
     harness.send_request(1, "all", "q1", 1);
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     harness.input(Input::LinkUp { link: 3 });
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -456,11 +460,11 @@
     // The link is established and the client leaves in the same step. Then the link ends: no new call may be sent on it.
     harness.step(vec![
         (harness.now_ms, Input::LinkUp { link: 3 }),
-        (harness.now_ms, Input::ClientDisconnected { conn: 1 }),
+        (harness.now_ms, Input::ClientDisconnected { connection_id: 1 }),
     ]);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     let kind = RequestKind::Scan(ScanRequest { id: "q2".to_owned(), ..one_part_request() });
-    let request = Input::Request { conn: 2, kind, close: false };
+    let request = Input::Request { connection_id: 2, kind, close: false };
     harness.step(vec![
         (harness.now_ms, request),
         (harness.now_ms, Input::LinkClosed { link: 3, frames_written: 0 }),
@@ -475,8 +479,8 @@
         if is_draining {
             harness.input(Input::Stop);
         }
-        harness.input(Input::Request { conn: 1, kind: RequestKind::Counters, close: true });
-        harness.input(Input::DataAfterLastAnswer { conn: 1 });
+        harness.input(Input::Request { connection_id: 1, kind: RequestKind::Counters, close: true });
+        harness.input(Input::DataAfterLastAnswer { connection_id: 1 });
         harness.advance(300.0);
         assert_eq!(harness.trace.contains("client 1: hang up"), !is_draining);
         if !is_draining {
@@ -487,7 +491,7 @@
         harness.advance(1900.0);
         assert!(matches!(harness.reducer.phase(), Phase::Draining { .. }));
         if client_closes {
-            harness.input(Input::ClientDisconnected { conn: 1 });
+            harness.input(Input::ClientDisconnected { connection_id: 1 });
         } else {
             harness.advance(100.0);
         }
@@ -499,15 +503,15 @@
 fn unwritten_answer_delays_exit() {
     for is_written in [true, false] {
         let mut harness = Harness::new(1);
-        harness.input(Input::Request { conn: 1, kind: RequestKind::Counters, close: false });
-        harness.input(Input::AnswerDelayed { conn: 1 });
+        harness.input(Input::Request { connection_id: 1, kind: RequestKind::Counters, close: false });
+        harness.input(Input::AnswerDelayed { connection_id: 1 });
         harness.input(Input::Stop);
         harness.advance(600.0);
         harness.input(Input::ListenerClosed);
         harness.advance(1900.0);
         assert!(matches!(harness.reducer.phase(), Phase::Draining { .. }));
         if is_written {
-            harness.input(Input::AnswerWritten { conn: 1 });
+            harness.input(Input::AnswerWritten { connection_id: 1 });
             harness.advance(300.0);
             assert_eq!(harness.reducer.phase(), Phase::Closed);
         } else {
@@ -522,19 +526,19 @@
 #[test]
 fn drain_answers_all_requests() {
     let mut harness = Harness::new(1);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
     harness.input(Input::Stop);
-    harness.input(Input::ClientDisconnected { conn: 2 });
-    harness.input(Input::ClientConnected { conn: 3 });
+    harness.input(Input::ClientDisconnected { connection_id: 2 });
+    harness.input(Input::ClientConnected { connection_id: 3 });
     harness.send_request(3, "all", "q2", 1);
     harness.send_answer(3, "q2.0", Verdict::Ok, "b");
-    harness.input(Input::ClientDisconnected { conn: 3 });
+    harness.input(Input::ClientDisconnected { connection_id: 3 });
     harness.advance(700.0);
     assert!(matches!(harness.reducer.phase(), Phase::Draining { .. }));
     harness.send_answer(3, "q1.0", Verdict::Ok, "a");
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     // A client that is still in the accept queue may have sent a request.
     assert!(matches!(harness.reducer.phase(), Phase::Draining { .. }));
     harness.input(Input::ListenerClosed);
@@ -569,7 +573,7 @@
     assert_eq!(harness.reducer.phase(), Phase::Starting);
     harness.advance(1.0);
     assert_eq!(harness.reducer.phase(), Phase::Ready);
-    harness.input(Input::ClientConnected { conn: 1 });
+    harness.input(Input::ClientConnected { connection_id: 1 });
     harness.send_request(1, "all", "q1", 1);
     // The chosen searcher is no longer on the list: the call that still waits for a connection goes to its replica.
     harness.update_list(true, vec![entry(1, SearcherStatus::Ready, 0.0)]);
@@ -586,7 +590,7 @@
     harness
         .reducer
         .set_cached_list(START_MS, List { index: 1, whole: true, entries: known, bad: Vec::new() });
-    harness.input(Input::ClientConnected { conn: 1 });
+    harness.input(Input::ClientConnected { connection_id: 1 });
     harness.send_request(1, "all", "q1", 1);
     // Changes relative to the cached list: both are applied together, before anything is sent.
     harness.update_list(false, vec![entry(1, SearcherStatus::Draining, 0.0)]);
@@ -620,7 +624,7 @@
         false,
         vec![entry(1, SearcherStatus::Ready, START_MS + 1400.0), entry(3, SearcherStatus::Draining, 0.0)],
     ));
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(2, "all", "q2", 1);
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -642,9 +646,9 @@
 #[test]
 fn readiness() {
     let mut harness = Harness::new(0);
-    harness.input(Input::Request { conn: 1, kind: RequestKind::Ready, close: false });
+    harness.input(Input::Request { connection_id: 1, kind: RequestKind::Ready, close: false });
     harness.update_list(false, vec![entry(1, SearcherStatus::Ready, 0.0)]);
-    harness.input(Input::Request { conn: 1, kind: RequestKind::Ready, close: false });
+    harness.input(Input::Request { connection_id: 1, kind: RequestKind::Ready, close: false });
     assert_snapshot!(harness.trace_and_counters());
 }
 
@@ -664,7 +668,7 @@
     harness.update_list_from(0, true, vec![entry(2, SearcherStatus::Ready, 0.0)]);
     harness.update_list_from(2, true, vec![entry(3, SearcherStatus::Ready, 0.0)]);
     harness.update_list_from(0, true, vec![entry(4, SearcherStatus::Ready, 0.0)]); // late
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(2, "all", "q2", 1);
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -675,14 +679,14 @@
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
     harness.send_answer(3, "q1.0", Verdict::Ok, "a");
-    harness.input(Input::ClientConnected { conn: 2 }); // sends nothing
+    harness.input(Input::ClientConnected { connection_id: 2 }); // sends nothing
     harness.advance(100.0);
-    harness.input(Input::RequestStarted { conn: 1 }); // a partial request
+    harness.input(Input::RequestStarted { connection_id: 1 }); // a partial request
     harness.advance(2000.0);
-    for conn in 3..=6 {
-        harness.input(Input::ClientConnected { conn });
-        harness.send_request(conn, "all", &format!("q{conn}"), 1);
-        harness.send_answer(3, &format!("q{conn}.0"), Verdict::Ok, "b");
+    for connection_id in 3..=6 {
+        harness.input(Input::ClientConnected { connection_id });
+        harness.send_request(connection_id, "all", &format!("q{connection_id}"), 1);
+        harness.send_answer(3, &format!("q{connection_id}.0"), Verdict::Ok, "b");
     }
     harness.advance(2000.0);
     assert_snapshot!(harness.trace_and_counters());
@@ -695,19 +699,19 @@
     harness.input(Input::LinkUp { link: 3 });
     harness.send_answer(3, "q1.0", Verdict::Ok, "a"); // idle for longest
     harness.advance(1.0);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(2, "all", "q2", 1); // waits for its answer
-    harness.input(Input::ClientConnected { conn: 3 }); // sends nothing
+    harness.input(Input::ClientConnected { connection_id: 3 }); // sends nothing
     harness.advance(100.0);
-    harness.input(Input::ClientConnected { conn: 4 });
+    harness.input(Input::ClientConnected { connection_id: 4 });
     harness.input(Input::Request {
-        conn: 4,
+        connection_id: 4,
         kind: RequestKind::Unusable(400, "no parts".to_owned()),
         close: true,
     });
-    for conn in 5..=8 {
-        harness.input(Input::ClientConnected { conn });
-        harness.send_request(conn, "all", &format!("q{conn}"), 1);
+    for connection_id in 5..=8 {
+        harness.input(Input::ClientConnected { connection_id });
+        harness.send_request(connection_id, "all", &format!("q{connection_id}"), 1);
     }
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -730,7 +734,7 @@
 #[test]
 fn garbage_after_answer() {
     let mut harness = Harness::new(2);
-    harness.input(Input::ClientConnected { conn: 2 });
+    harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "once", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
     let answer =
@@ -739,7 +743,7 @@
     // A request in the same step must not be sent on the link that is being closed.
     let scan = ScanRequest { id: "q2".to_owned(), ..one_part_request() };
     harness.step(vec![
-        (harness.now_ms, Input::Request { conn: 2, kind: RequestKind::Scan(scan), close: false }),
+        (harness.now_ms, Input::Request { connection_id: 2, kind: RequestKind::Scan(scan), close: false }),
         (harness.now_ms, Input::Frames { link: 3, frames: vec![answer], error }),
     ]);
     assert_snapshot!(harness.trace_and_counters());
@@ -759,15 +763,15 @@
             false,
             vec![numbered_entry(number), Entry { life: SearcherStatus::Gone, ..numbered_entry(number - 1) }],
         );
-        let conn = u64::from(number) + 1;
-        harness.input(Input::ClientConnected { conn });
-        harness.send_request(conn, "all", &format!("q{number}"), 1);
+        let connection_id = u64::from(number) + 1;
+        harness.input(Input::ClientConnected { connection_id });
+        harness.send_request(connection_id, "all", &format!("q{number}"), 1);
         let link = harness.last_link();
         harness.input(Input::LinkUp { link });
         if number % 3 > 0 {
             harness.send_answer(link, &format!("q{number}.0"), Verdict::Ok, "a");
         }
-        harness.input(Input::ClientDisconnected { conn });
+        harness.input(Input::ClientDisconnected { connection_id });
         harness.advance(10.0);
         if number % 2 == 0 {
             harness.input(Input::LinkClosed { link: link - 1, frames_written: 1 });
@@ -809,7 +813,7 @@
     let link = harness.last_link();
     harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkUp { link })]);
     assert_eq!(next_frames(&mut harness, link, &[1]), Vec::<String>::new());
-    harness.input(Input::ClientDisconnected { conn: 1 });
+    harness.input(Input::ClientDisconnected { connection_id: 1 });
     assert_snapshot!(harness.trace_and_counters());
 }
 
@@ -825,7 +829,7 @@
         harness.input(Input::LinkBlocked { link, made_progress: false });
         harness.now_ms += 200.0;
         if client_leaves {
-            harness.input(Input::ClientDisconnected { conn: 1 });
+            harness.input(Input::ClientDisconnected { connection_id: 1 });
         }
         harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkWritable { link })]);
         let timeout_ms = |frame: &str| frame.split("d=").nth(1)?.split(' ').next()?.parse::<u64>().ok();
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -179,8 +179,8 @@
     fn step(&mut self, inputs: Vec<Input>) {
         for input in &inputs {
             match input {
-                Input::ClientDisconnected { conn } => {
-                    let id = self.open_requests.remove(conn);
+                Input::ClientDisconnected { connection_id } => {
+                    let id = self.open_requests.remove(connection_id);
                     if let Some(request) = id.and_then(|id| self.requests.get_mut(&id)) {
                         request.is_over = true;
                     }
@@ -227,7 +227,7 @@
                 self.schedule(self.now_ms, Input::LinkClosed { link, frames_written });
             }
             Effect::Send { link } => self.write_pending(link),
-            Effect::Answer { conn, bytes, .. } => self.check_answer(conn, &bytes),
+            Effect::Answer { connection_id, bytes, .. } => self.check_answer(connection_id, &bytes),
             _ => {}
         }
     }
@@ -334,8 +334,8 @@
     }
 
     /// Checks an answer to a client.
-    fn check_answer(&mut self, conn: u64, bytes: &[u8]) {
-        let Some(id) = self.open_requests.remove(&conn) else { return };
+    fn check_answer(&mut self, connection_id: u64, bytes: &[u8]) {
+        let Some(id) = self.open_requests.remove(&connection_id) else { return };
         let request = self.requests.get_mut(&id).expect("a request of this client");
         assert!(!request.is_over, "{id} is answered twice");
         request.is_over = true;
@@ -423,7 +423,7 @@
         };
         let list = simulation.list(true);
         simulation.step(vec![list]);
-        let mut conn = 0;
+        let mut connection_id = 0;
         for _ in 0..EVENTS {
             simulation.now_ms += draw_between(&mut simulation.random, 0.0, 60.0);
             simulation.process_due_events();
@@ -431,8 +431,8 @@
                 0 => simulation.change_list(),
                 1 | 2 if !simulation.open_requests.is_empty() => simulation.disconnect_client(),
                 _ => {
-                    conn += 1;
-                    simulation.send_request(conn);
+                    connection_id += 1;
+                    simulation.send_request(connection_id);
                 }
             }
         }
@@ -461,21 +461,21 @@
 
     /// Disconnects a random client that waits for an answer.
     fn disconnect_client(&mut self) {
-        let conns: BTreeSet<u64> = self.open_requests.keys().copied().collect();
-        let conns: Vec<u64> = conns.into_iter().collect();
-        let conn = *draw_one(&mut self.random, &conns);
-        self.step(vec![Input::ClientDisconnected { conn }]);
+        let connection_ids: BTreeSet<u64> = self.open_requests.keys().copied().collect();
+        let connection_ids: Vec<u64> = connection_ids.into_iter().collect();
+        let connection_id = *draw_one(&mut self.random, &connection_ids);
+        self.step(vec![Input::ClientDisconnected { connection_id }]);
     }
 
     /// Connects a client, which sends a random request.
-    fn send_request(&mut self, conn: u64) {
+    fn send_request(&mut self, connection_id: u64) {
         let table_type = self.random.rand_range(0..self.config.table_types.len() as u64) as usize;
         let parts = self.random.rand_range(1..u64::from(SHARDS) + 1) as u32;
         let wait_ms = draw_between(&mut self.random, 20.0, 4000.0).floor();
-        let id = format!("q{conn}");
+        let id = format!("q{connection_id}");
         let deadline_ms = self.now_ms + wait_ms.min(self.config.table_types[table_type].query_timeout_ms);
         self.requests.insert(id.clone(), OpenRequest { table_type, parts, deadline_ms, is_over: false });
-        self.open_requests.insert(conn, id.clone());
+        self.open_requests.insert(connection_id, id.clone());
         let weight = 1.0 / f64::from(parts);
         let scan = ScanRequest {
             id,
@@ -487,8 +487,8 @@
             parts: (0..parts).map(|shard| PartRequest { shard, weight, work_ms: None }).collect(),
         };
         self.step(vec![
-            Input::ClientConnected { conn },
-            Input::Request { conn, kind: RequestKind::Scan(scan), close: false },
+            Input::ClientConnected { connection_id },
+            Input::Request { connection_id, kind: RequestKind::Scan(scan), close: false },
         ]);
     }
 
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -52,7 +52,7 @@
         age_ms: 0.0,
     };
     let list = List { index: 1, whole: true, entries: vec![searcher], bad: Vec::new() };
-    let inputs = vec![Input::List { watch: 0, list }, Input::ClientConnected { conn: CLIENT }];
+    let inputs = vec![Input::List { watch: 0, list }, Input::ClientConnected { connection_id: CLIENT }];
     mixer.step(START_MS, inputs.into_iter().map(|input| (START_MS, input)).collect());
     mixer
 }
@@ -98,7 +98,8 @@
 fn play_query(table_type: &str, weights: &[f64], unanswered: usize) -> QueryResult {
     let mut mixer = start_mixer();
     let kind = RequestKind::Scan(parse_scan(table_type, weights));
-    let effects = mixer.step(START_MS, vec![(START_MS, Input::Request { conn: CLIENT, kind, close: false })]);
+    let effects =
+        mixer.step(START_MS, vec![(START_MS, Input::Request { connection_id: CLIENT, kind, close: false })]);
     let opened_link = effects.iter().find_map(|effect| match effect {
         Effect::Connect { link, .. } => Some(*link),
         _ => None,
