--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -63,7 +63,7 @@
 pub struct Watch {
     pub number: WatchNumber,
     /// The address of discovery.
-    pub addr: SocketAddrV4,
+    pub address: SocketAddrV4,
     /// The version of the list that is held, if it is one of this discovery service.
     pub index: Option<u64>,
 }
@@ -79,11 +79,11 @@
             }
             std::thread::sleep(STATUS_CHECK_INTERVAL);
         };
-        let Self { number, addr, index } = self;
+        let Self { number, address, index } = self;
         let mut watch = RunningWatch {
             poll,
             number,
-            addr,
+            address,
             index,
             budget: MemoryBudget::new(2 * MAX_LIST_BYTES),
             connections: BTreeMap::new(),
@@ -101,7 +101,7 @@
 struct RunningWatch<'a> {
     poll: Poll,
     number: WatchNumber,
-    addr: SocketAddrV4,
+    address: SocketAddrV4,
     index: Option<u64>,
     budget: MemoryBudget,
     /// The oldest first: at most one that has sent a list, and attempts at a better one.
@@ -152,15 +152,15 @@
             self.connections.remove(youngest);
         }
         self.last_id += 1;
-        debug!("requests the changes after {:?} from discovery at {}", self.index, self.addr);
+        debug!("requests the changes after {:?} from discovery at {}", self.index, self.address);
         match self.connect(now) {
             Ok(connection) => drop(self.connections.insert(self.last_id, connection)),
-            Err(error) => debug!("discovery at {}: {error}", self.addr),
+            Err(error) => debug!("discovery at {}: {error}", self.address),
         }
     }
 
     fn connect(&self, now: Instant) -> Result<Connection> {
-        let mut stream = TcpStream::connect(SocketAddr::V4(self.addr))?;
+        let mut stream = TcpStream::connect(SocketAddr::V4(self.address))?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(self.last_id), interest)?;
         Ok(Connection {
@@ -188,7 +188,7 @@
         match outcome {
             Ok(()) => drop(self.connections.insert(id, connection)),
             Err(error) => {
-                debug!("discovery at {}: {error:#}, version {index_before:?} before", self.addr);
+                debug!("discovery at {}: {error:#}, version {index_before:?} before", self.address);
                 ensure!(self.messages.send(Input::WatchLost), "the service has ended");
             }
         }
@@ -241,8 +241,8 @@
         (self.has_list && until > now).then_some(until)
     }
 
-    fn request(&mut self, path: &str, addr: SocketAddrV4, next: Stage) -> Result<()> {
-        let request = format!("GET {path} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
+    fn request(&mut self, path: &str, address: SocketAddrV4, next: Stage) -> Result<()> {
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         (&self.stream).write_all(request.as_bytes())?;
         self.stage = next;
         Ok(())
@@ -250,7 +250,7 @@
 
     fn request_watch(&mut self, watch: &RunningWatch) -> Result<()> {
         let after = watch.index.unwrap_or(0);
-        self.request(&format!("/api/targets?watch=1&after={after}"), watch.addr, Stage::WatchHead)
+        self.request(&format!("/api/targets?watch=1&after={after}"), watch.address, Stage::WatchHead)
     }
 
     /// Handles an event. The error is the reason why the connection ends.
@@ -268,7 +268,7 @@
             match watch.index {
                 // A held list is numbered by another discovery service: the whole list is requested, whatever
                 // its version.
-                None => self.request("/api/targets", watch.addr, Stage::ListHead)?,
+                None => self.request("/api/targets", watch.address, Stage::ListHead)?,
                 Some(_) => self.request_watch(watch)?,
             }
         }
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -120,7 +120,7 @@
     },
     Connect {
         link: LinkId,
-        addr: SocketAddrV4,
+        address: SocketAddrV4,
     },
     /// Something waits to be written on a link; see [`crate::reducer::Reducer::next_frame`].
     Send {
@@ -136,7 +136,7 @@
     StopListening,
     StartWatch {
         number: WatchNumber,
-        addr: SocketAddrV4,
+        address: SocketAddrV4,
     },
     /// From now on this watch's lists are used.
     WatchActivated {
--- a/crates/mixer/src/listener.rs
+++ b/crates/mixer/src/listener.rs
@@ -18,21 +18,21 @@
 ///
 /// # Errors
 /// If the port can't be had, or the process is asked to end before.
-pub fn listen(addr: SocketAddr, signals: &mut Signals) -> Result<(TcpListener, Vec<i32>)> {
+pub fn listen(address: SocketAddr, signals: &mut Signals) -> Result<(TcpListener, Vec<i32>)> {
     let since = Instant::now();
     let mut missed_signals = Vec::new();
     loop {
-        match TcpListener::bind(addr) {
+        match TcpListener::bind(address) {
             Err(error) if error.kind() == ErrorKind::AddrInUse && since.elapsed() < PORT_TIMEOUT => {
                 missed_signals.extend(signals.pending());
                 ensure!(
                     !missed_signals.iter().any(|signal| is_stop(*signal)),
-                    "asked to end while listen={addr} was held by another"
+                    "asked to end while listen={address} was held by another"
                 );
                 std::thread::sleep(RETRY_INTERVAL);
             }
             bound => {
-                let listener = bound.with_context(|| format!("listen={addr}"))?;
+                let listener = bound.with_context(|| format!("listen={address}"))?;
                 return Ok((listener, missed_signals));
             }
         }
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -218,8 +218,8 @@
     }
 
     /// Sets the address of the first watch, which has the number 0.
-    pub fn set_discovery(&mut self, addr: SocketAddrV4) {
-        self.discovery = Some(addr);
+    pub fn set_discovery(&mut self, address: SocketAddrV4) {
+        self.discovery = Some(address);
     }
 
     /// The sizes of all collections, for tests that nothing grows over time.
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -131,7 +131,7 @@
             self.counters.links_blocked += 1;
             debug!(
                 "link {link_id} to {}: blocked, {} calls and probes are queued",
-                link.addr,
+                link.address,
                 link.queue.len()
             );
             self.add_timer(now + self.config.connect_timeout_ms, Timer::LinkStuck(link_id));
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -22,7 +22,7 @@
     pub(super) fn reject_frame(&mut self, now: UnixMs, link_id: LinkId, reason: &str) {
         self.counters.frames_bad += 1;
         if let Some(link) = self.links.get(&link_id) {
-            let line = format!("a link to {} is closed after {reason}", link.addr);
+            let line = format!("a link to {} is closed after {reason}", link.address);
             self.warn(now, &line);
         }
         self.close_link(link_id, LinkCloseReason::Unusable);
@@ -75,15 +75,16 @@
     /// The links to a searcher on which new calls and probes may be sent.
     pub(super) fn usable_links(&self, searcher: SocketAddrV4) -> Vec<LinkId> {
         let Some(searcher) = self.searchers.get(&searcher) else { return Vec::new() };
-        let is_usable =
-            |link: &Link| link.state != LinkState::Closing && !link.silent && link.addr == searcher.addr;
+        let is_usable = |link: &Link| {
+            link.state != LinkState::Closing && !link.silent && link.address == searcher.address
+        };
         searcher.links.iter().copied().filter(|id| self.links.get(id).is_some_and(is_usable)).collect()
     }
 
     /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is
     /// none.
     pub(super) fn connect(&mut self, now: UnixMs, searcher: SocketAddrV4) -> Option<LinkId> {
-        let addr = self.searchers.get(&searcher)?.addr;
+        let address = self.searchers.get(&searcher)?.address;
         if self.links.len() >= self.max_links {
             let idle = self.links.iter().find(|(_, link)| link.is_idle()).map(|(id, _)| *id);
             self.close_link(idle?, LinkCloseReason::Room);
@@ -91,7 +92,7 @@
         let link_id = self.next_id();
         let link = Link {
             searcher,
-            addr,
+            address,
             state: LinkState::Opening,
             queue: VecDeque::new(),
             cancels: VecDeque::new(),
@@ -111,8 +112,8 @@
         self.links.insert(link_id, link);
         let links = &mut self.searchers.get_mut(&searcher)?.links;
         links.push(link_id);
-        debug!("link {link_id} to {addr}: opened, one of {}", links.len());
-        self.effects.push(Effect::Connect { link: link_id, addr });
+        debug!("link {link_id} to {address}: opened, one of {}", links.len());
+        self.effects.push(Effect::Connect { link: link_id, address });
         Some(link_id)
     }
 
@@ -140,7 +141,7 @@
             return;
         }
         link.idle_since = now;
-        if self.searchers.get(&link.searcher).is_none_or(|searcher| searcher.addr != link.addr) {
+        if self.searchers.get(&link.searcher).is_none_or(|searcher| searcher.address != link.address) {
             self.close_link(link_id, LinkCloseReason::Moved);
         } else if !link.idle_timer_set {
             link.idle_timer_set = true;
@@ -164,7 +165,7 @@
         let may_close = |link: &&mut Link| rules::may_close_link(link, reason);
         let Some(link) = self.links.get_mut(&link_id).filter(may_close) else { return };
         link.state = LinkState::Closing;
-        debug!("link {link_id} to {}: closed, {reason}", link.addr);
+        debug!("link {link_id} to {}: closed, {reason}", link.address);
         let count = match reason {
             LinkCloseReason::Silent => &mut self.counters.links_closed_silent,
             LinkCloseReason::Doubted => &mut self.counters.links_closed_doubted,
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -83,7 +83,7 @@
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
             self.newest_watch += 1;
-            self.effects.push(Effect::StartWatch { number: self.newest_watch, addr: change.discovery });
+            self.effects.push(Effect::StartWatch { number: self.newest_watch, address: change.discovery });
         }
     }
 
@@ -151,11 +151,11 @@
     /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first
     /// address under which it was listed in the decision module.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
-        let Entry { name, addr, zone, cell, since: started_at, life: status, .. } = entry;
+        let Entry { name, addr: address, zone, cell, since: started_at, life: status, .. } = entry;
         let key = match self.keys_by_name.get(&name) {
             Some(key) => *key,
             None if status == SearcherStatus::Gone => return None,
-            None => self.add_searcher(Searcher { name, addr, status, started_at, links: Vec::new() }),
+            None => self.add_searcher(Searcher { name, address, status, started_at, links: Vec::new() }),
         };
         let zone =
             self.config.zones.iter().position(|z| *z == zone).unwrap_or(self.config.zones.len()) as u16;
@@ -166,9 +166,9 @@
         if was_ready {
             searcher.log_if_left();
         }
-        if searcher.addr != addr && status != SearcherStatus::Gone {
-            info!("{} has moved from {} to {addr}", searcher.name, searcher.addr);
-            searcher.addr = addr;
+        if searcher.address != address && status != SearcherStatus::Gone {
+            info!("{} has moved from {} to {address}", searcher.name, searcher.address);
+            searcher.address = address;
             // Links to the former address get nothing new, and close once nothing is open on them.
             for link in searcher.links.clone() {
                 self.close_link(link, LinkCloseReason::Moved);
@@ -179,7 +179,7 @@
 
     /// Adds a searcher under the first free address from its own on, by which the decision module knows it.
     fn add_searcher(&mut self, searcher: Searcher) -> SocketAddrV4 {
-        let mut key = searcher.addr;
+        let mut key = searcher.address;
         while self.searchers.contains_key(&key) {
             key.set_port(key.port().wrapping_add(1));
         }
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -112,7 +112,7 @@
     }
     let is_ready = |searcher: &&Searcher| searcher.status == SearcherStatus::Ready;
     let searcher = request.searcher.filter(is_ready).ok_or(SendRefusal::SearcherNotReady)?;
-    if searcher.addr != request.link.addr {
+    if searcher.address != request.link.address {
         return Err(SendRefusal::SearcherMoved);
     }
     Ok(())
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -158,7 +158,7 @@
 
 pub(super) struct Searcher {
     pub(super) name: String,
-    pub(super) addr: SocketAddrV4,
+    pub(super) address: SocketAddrV4,
     pub(super) status: SearcherStatus,
     /// When its process started, according to the list.
     pub(super) started_at: UnixMs,
@@ -188,7 +188,7 @@
     /// The address by which the decision module knows its searcher.
     pub(super) searcher: SocketAddrV4,
     /// The address that it is connected to: the searcher may have moved since.
-    pub(super) addr: SocketAddrV4,
+    pub(super) address: SocketAddrV4,
     pub(super) state: LinkState,
     /// Calls and probes that wait to be written.
     pub(super) queue: VecDeque<QueuedFrame>,
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -28,7 +28,7 @@
 /// A command to open a link.
 struct OpenLink {
     link: LinkId,
-    addr: SocketAddrV4,
+    address: SocketAddrV4,
 }
 
 /// Has the thread that connects and reads open links.
@@ -39,8 +39,8 @@
 
 impl LinkOpener {
     /// Opens a link, whose end is reported once. False if the thread has ended and will not report it.
-    pub fn open(&self, link: LinkId, addr: SocketAddrV4) -> bool {
-        let was_sent = self.sender.send(OpenLink { link, addr }).is_ok();
+    pub fn open(&self, link: LinkId, address: SocketAddrV4) -> bool {
+        let was_sent = self.sender.send(OpenLink { link, address }).is_ok();
         let _ = self.waker.wake();
         was_sent
     }
@@ -48,7 +48,7 @@
 
 /// A link, as the thread holds it.
 struct Connection {
-    addr: SocketAddrV4,
+    address: SocketAddrV4,
     shared: Arc<SharedLink>,
     up: bool,
     buffer: Buffer,
@@ -158,29 +158,29 @@
     }
 
     fn run_commands(&mut self) {
-        while let Ok(OpenLink { link, addr }) = self.received.try_recv() {
-            match self.connect(link, addr) {
+        while let Ok(OpenLink { link, address }) = self.received.try_recv() {
+            match self.connect(link, address) {
                 Ok(connection) => drop(self.connections.insert(link, connection)),
                 Err(error) => {
-                    debug!("{addr}: {error}");
+                    debug!("{address}: {error}");
                     self.report_closed(link);
                 }
             }
         }
     }
 
-    fn connect(&self, link: LinkId, addr: SocketAddrV4) -> io::Result<Connection> {
-        let mut stream = TcpStream::connect(SocketAddr::V4(addr))?;
+    fn connect(&self, link: LinkId, address: SocketAddrV4) -> io::Result<Connection> {
+        let mut stream = TcpStream::connect(SocketAddr::V4(address))?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(link as usize), interest)?;
         let deadline = Some(Instant::now() + self.connect_timeout);
         let buffer = Buffer::new(&self.budget);
-        Ok(Connection { addr, shared: Arc::new(SharedLink::new(stream)), up: false, buffer, deadline })
+        Ok(Connection { address, shared: Arc::new(SharedLink::new(stream)), up: false, buffer, deadline })
     }
 
     fn end(&mut self, link: LinkId, error: &io::Error) {
         if let Some(connection) = self.connections.remove(&link) {
-            debug!("{}: {error}", connection.addr);
+            debug!("{}: {error}", connection.address);
             // Fails if the connection has ended, or was never established.
             let _ = connection.shared.stream.shutdown(Shutdown::Both);
             self.report_closed(link);
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -129,7 +129,7 @@
         let announcer =
             Announcer::open(settings, reducer.type_names(), startup.seed, &messages, fleet.handle())?;
         let watch_status = Arc::new(WatchStatus::default());
-        let first_watch = Watch { number: 0, addr: startup.discovery, index };
+        let first_watch = Watch { number: 0, address: startup.discovery, index };
         let watch_messages = messages.clone();
         let status = watch_status.clone();
         spawn("discovery", STACK_BYTES, move || first_watch.run(&status, &watch_messages))?;
@@ -317,8 +317,8 @@
                 }
             }
             Effect::ReleaseClient { connection_id } => drop(self.clients.remove(&connection_id)),
-            Effect::Connect { link, addr } => {
-                if self.link_opener.open(link, addr) {
+            Effect::Connect { link, address } => {
+                if self.link_opener.open(link, address) {
                     self.links.insert(link, Link::default());
                 } else {
                     self.own_inputs.push((self.clock.now(), Input::LinkClosed { link, frames_written: 0 }));
@@ -338,7 +338,7 @@
                 }
             }
             Effect::StopListening => self.client_commands.stop_listening(),
-            Effect::StartWatch { number, addr } => self.start_watch(number, addr),
+            Effect::StartWatch { number, address } => self.start_watch(number, address),
             Effect::WatchActivated { watch } => self.watch_status.active.store(watch, Ordering::Release),
             Effect::PrintCounters(text) => {
                 print_counters(&text, &(self.announcer.counters() + &self.fleet.counters()));
@@ -346,9 +346,9 @@
         }
     }
 
-    fn start_watch(&self, number: WatchNumber, addr: SocketAddrV4) {
+    fn start_watch(&self, number: WatchNumber, address: SocketAddrV4) {
         self.watch_status.newest.store(number, Ordering::Release);
-        let watch = Watch { number, addr, index: None };
+        let watch = Watch { number, address, index: None };
         let messages = self.messages.clone();
         let status = self.watch_status.clone();
         if let Err(error) = spawn("discovery", STACK_BYTES, move || watch.run(&status, &messages)) {
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -100,7 +100,7 @@
                 }
                 Effect::CloseClient { connection_id } => format!("client {connection_id}: hang up"),
                 Effect::ReleaseClient { connection_id } => format!("client {connection_id}: let go"),
-                Effect::Connect { link, addr } => format!("link {link}: connect to {addr}"),
+                Effect::Connect { link, address } => format!("link {link}: connect to {address}"),
                 Effect::Send { link } => match self.reducer.next_frame(self.now_ms, link, &[]) {
                     Some(frame) => format!("link {link}: {}", text(&frame.bytes[4..])),
                     None => continue,
@@ -108,7 +108,7 @@
                 Effect::RetryWrite { link } => format!("link {link}: try again"),
                 Effect::CloseLink { link } => format!("link {link}: close"),
                 Effect::StopListening => "stop listening".to_owned(),
-                Effect::StartWatch { number, addr } => format!("watch {number} at {addr}"),
+                Effect::StartWatch { number, address } => format!("watch {number} at {address}"),
                 Effect::WatchActivated { watch } => format!("watch {watch} is gone by"),
                 Effect::PrintCounters(text) => text,
             };
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -211,8 +211,8 @@
 
     fn apply(&mut self, effect: Effect) {
         match effect {
-            Effect::Connect { link, addr } => {
-                self.links.insert(link, Link { searcher: addr.ip().octets()[3], frames: Vec::new() });
+            Effect::Connect { link, address } => {
+                self.links.insert(link, Link { searcher: address.ip().octets()[3], frames: Vec::new() });
                 let delay_ms = draw_between(&mut self.random, 0.0, 400.0);
                 let succeeds = draw_chance(&mut self.random, 0.85);
                 let input = if succeeds {
