--- a/crates/expect/benches/verdicts.rs
+++ b/crates/expect/benches/verdicts.rs
@@ -1,5 +1,5 @@
-//! Structural verdicts at large size, against the plain evaluator. `cargo bench -p pewterwharf-expect`; the figures
-//! stand in `docs/expectations.md`.
+//! Structural checks of large fleets, and a comparison with the brute-force evaluator. Run with
+//! `cargo bench -p pewterwharf-expect`; the results are in `docs/expectations.md`.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use pewterwharf_terms::list::{self, List};
 use serde_json::json;
 
-/// Four searchers a set, three halls, as many customers as mixers.
+/// A fleet with four searchers per set, three halls, and as many customers as mixers.
 fn fleet(searchers: u32, slices: u32) -> Fleet {
     let customers: Vec<_> =
         (0..59).map(|n| json!({"name": format!("c{n}"), "quota_per_s": 1.0 + f64::from(n % 7)})).collect();
@@ -46,7 +46,7 @@
     fleet
 }
 
-/// The forms that operators ask; every one at every size.
+/// Typical claims of operators.
 const FORMS: [(&str, &str); 6] = [
     ("holders", "(for-all-slices (reachable (searchers 3) (halls 2)))"),
     ("a hall", "(after (lose-hall any) (for-all-slices (reachable (searchers 2))))"),
@@ -56,7 +56,7 @@
     ("load, two searchers", "(after (lose-searchers 2) (load-per-searcher-at-most 9))"),
 ];
 
-/// Two hundred expectations: the forms over and over, each of another customer where it speaks of slices.
+/// 200 expectations of these forms. Those about slices each name one of the customers.
 fn suite(fleet: Fleet) -> Suite {
     let mut text = "(fleet (terms \"-\") (list \"-\"))".to_owned();
     for n in 0..200 {
@@ -67,14 +67,15 @@
     Suite::new(&ParsedFile::parse(&text).expect("it reads"), fleet).expect("names are there")
 }
 
-fn all(suite: &Suite) -> u64 {
-    let judge = |claim: &Claim| {
-        let mut judge = StructuralChecker::new(suite.fleet(), Pace::default(), 0.0);
-        let failed = judge.fails(claim).expect("few enough cases");
+/// Checks all expectations. Returns the number of cases.
+fn check_all(suite: &Suite) -> u64 {
+    let check = |claim: &Claim| {
+        let mut checker = StructuralChecker::new(suite.fleet(), Pace::default(), 0.0);
+        let failed = checker.find_failure(claim).expect("few enough cases");
         assert!(failed.is_none(), "{failed:?}");
-        judge.cases()
+        checker.checked_cases()
     };
-    suite.expectations().iter().map(|e| judge(&e.claim)).sum()
+    suite.expectations().iter().map(|e| check(&e.claim)).sum()
 }
 
 fn peak_mb() -> f64 {
@@ -92,24 +93,24 @@
     for (searchers, slices) in [(188, 300), (1000, 1600), (10_000, 16_000)] {
         let suite = suite(fleet(searchers, slices));
         criterion.bench_with_input(BenchmarkId::new("200 expectations", searchers), &suite, |b, suite| {
-            b.iter(|| all(black_box(suite)));
+            b.iter(|| check_all(black_box(suite)));
         });
-        println!("{searchers} searchers: {} cases, peak memory {:.0} MB", all(&suite), peak_mb());
+        println!("{searchers} searchers: {} cases, peak memory {:.0} MB", check_all(&suite), peak_mb());
     }
-    // The plain evaluator takes seconds a claim: one run of each form, on the smallest fleet alone.
+    // The brute-force evaluator takes seconds per claim, so each form is run once, on the smallest fleet.
     let suite = suite(fleet(188, 300));
-    for (expect, (name, _)) in suite.expectations().iter().zip(FORMS) {
-        let begun = Instant::now();
-        let plain = brute_force::holds(suite.fleet(), &expect.claim, Pace::default(), 0.0);
-        let plain_ms = begun.elapsed().as_secs_f64() * 1e3;
-        let begun = Instant::now();
-        let judged =
-            StructuralChecker::new(suite.fleet(), Pace::default(), 0.0).fails(&expect.claim) == Ok(None);
-        let judged_ms = begun.elapsed().as_secs_f64() * 1e3;
-        assert_eq!(plain, judged);
+    for (expectation, (name, _)) in suite.expectations().iter().zip(FORMS) {
+        let started = Instant::now();
+        let brute_force = brute_force::holds(suite.fleet(), &expectation.claim, Pace::default(), 0.0);
+        let brute_force_ms = started.elapsed().as_secs_f64() * 1e3;
+        let started = Instant::now();
+        let mut checker = StructuralChecker::new(suite.fleet(), Pace::default(), 0.0);
+        let structural = checker.find_failure(&expectation.claim) == Ok(None);
+        let structural_ms = started.elapsed().as_secs_f64() * 1e3;
+        assert_eq!(brute_force, structural);
         println!(
-            "{name}: plain {plain_ms:.1} ms, judged {judged_ms:.3} ms, {:.0} times",
-            plain_ms / judged_ms
+            "{name}: brute force {brute_force_ms:.1} ms, structural {structural_ms:.3} ms, {:.0} times",
+            brute_force_ms / structural_ms
         );
     }
 }
--- a/crates/expect/src/brute_force.rs
+++ b/crates/expect/src/brute_force.rs
@@ -1,162 +1,186 @@
-//! The plain evaluator: every case of every failure, every slice, every searcher, with nothing clever. It is what
-//! the structural verdicts are compared with in tests, and measured against.
+//! Brute-force evaluator: it goes through every case of every failure, every slice and every searcher. Tests compare
+//! the structural checker with it, and the benchmark measures both.
 
 use pewterwharf_fleet::{Condition, Conditions, Fleet};
 
 use crate::claim::{Claim, Failure, FailureTarget, Pace, SliceClaim};
-use crate::structural::{able, average};
+use crate::structural::{ROUNDING_TOLERANCE, average_load, capacity};
 
-/// Whether a claim holds when the list is `list_ms` old; claims about behaviour count as holding.
-pub fn holds(fleet: &Fleet, claim: &Claim, pace: Pace, list_ms: f64) -> bool {
-    let oldest = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
-    let plain =
-        Plain { fleet, weights: fleet.weights(), pace, list_ms, changes: pace.within(list_ms + oldest) };
-    plain.holds(claim, &mut Conditions::listed(fleet))
+/// Whether a claim holds for a list of age `list_age_ms`; claims about behaviour count as holding.
+pub fn holds(fleet: &Fleet, claim: &Claim, pace: Pace, list_age_ms: f64) -> bool {
+    let oldest_ms = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
+    let evaluator = BruteForce {
+        fleet,
+        weights: fleet.weights(),
+        pace,
+        list_age_ms,
+        max_unlisted_changes: pace.max_unlisted_changes(list_age_ms + oldest_ms),
+    };
+    evaluator.holds(claim, &mut Conditions::listed(fleet))
 }
 
-struct Plain<'a> {
+struct BruteForce<'a> {
     fleet: &'a Fleet,
+    /// Weight of each slice.
     weights: Vec<f64>,
     pace: Pace,
-    list_ms: f64,
-    changes: u32,
+    list_age_ms: f64,
+    max_unlisted_changes: u32,
 }
 
-impl Plain<'_> {
-    fn holds(&self, claim: &Claim, standing: &mut Conditions) -> bool {
+impl BruteForce<'_> {
+    fn holds(&self, claim: &Claim, conditions: &mut Conditions) -> bool {
         match claim {
-            Claim::All(claims) => claims.iter().all(|c| self.holds(c, standing)),
-            Claim::Some(claims) => claims.iter().any(|c| self.holds(c, standing)),
-            Claim::Not(claim) => !self.holds(claim, standing),
-            Claim::ForAllSlices { of, only, what } => (0..self.fleet.slices())
-                .filter(|s| {
-                    of.is_none_or(|c| self.fleet.customer_reads(c, *s))
-                        && only.as_ref().is_none_or(|r| r.contains(s))
+            Claim::All(claims) => claims.iter().all(|c| self.holds(c, conditions)),
+            Claim::Some(claims) => claims.iter().any(|c| self.holds(c, conditions)),
+            Claim::Not(claim) => !self.holds(claim, conditions),
+            Claim::ForAllSlices { customer, range, claim } => (0..self.fleet.slices())
+                .filter(|slice| {
+                    customer.is_none_or(|c| self.fleet.customer_reads(c, *slice))
+                        && range.as_ref().is_none_or(|r| r.contains(slice))
                 })
-                .all(|slice| self.local(what, slice, standing)),
-            Claim::After(failure, claim) => self.cases(failure, claim, standing),
-            Claim::WhileListYounger { changes, claim, .. } => {
-                let most = changes.unwrap_or(u32::MAX).min(self.changes);
-                let unsure: Vec<u32> = (0..self.fleet.searchers().len() as u32)
-                    .filter(|s| {
-                        self.fleet.searchers()[*s as usize].age_ms + self.list_ms >= self.pace.every_ms
+                .all(|slice| self.slice_claim_holds(claim, slice, conditions)),
+            Claim::After(failure, claim) => self.holds_in_all_cases(failure, claim, conditions),
+            Claim::WhileListYounger { max_changes, claim, .. } => {
+                let max = max_changes.unwrap_or(u32::MAX).min(self.max_unlisted_changes);
+                let maybe_stale: Vec<u32> = (0..self.fleet.searchers().len() as u32)
+                    .filter(|searcher| {
+                        let searcher = &self.fleet.searchers()[*searcher as usize];
+                        searcher.age_ms + self.list_age_ms >= self.pace.every_ms
                     })
                     .collect();
-                self.mixtures(&unsure, most, claim, standing)
+                self.holds_in_all_mixtures(&maybe_stale, max, claim, conditions)
             }
-            Claim::LoadAtMost(most) => self.load(*most, standing),
-            Claim::SlicesAtMost(most) => (0..self.fleet.searchers().len() as u32).all(|searcher| {
-                (0..self.fleet.slices()).filter(|s| self.fleet.holders(*s).any(|h| h == searcher)).count()
-                    <= *most as usize
+            Claim::LoadAtMost(max_multiple) => self.load_holds(*max_multiple, conditions),
+            Claim::SlicesAtMost(max) => (0..self.fleet.searchers().len() as u32).all(|searcher| {
+                let holds_slice = |slice: &u32| self.fleet.holders(*slice).any(|h| h == searcher);
+                (0..self.fleet.slices()).filter(holds_slice).count() <= *max as usize
             }),
             Claim::Behaviour(_) => true,
         }
     }
 
-    fn cases(&self, failure: &Failure, claim: &Claim, standing: &mut Conditions) -> bool {
+    fn holds_in_all_cases(&self, failure: &Failure, claim: &Claim, conditions: &mut Conditions) -> bool {
         let all = || 0..self.fleet.searchers().len() as u32;
-        let of = |hit: &dyn Fn(usize) -> bool| all().filter(|s| hit(*s as usize)).collect::<Vec<u32>>();
+        let select =
+            |is_hit: &dyn Fn(usize) -> bool| all().filter(|s| is_hit(*s as usize)).collect::<Vec<u32>>();
         let searchers = self.fleet.searchers();
-        let whole: Vec<Vec<u32>> = match &failure.whom {
-            FailureTarget::Hall(Some(hall)) => vec![of(&|s| searchers[s].hall == *hall)],
+        let cases: Vec<Vec<u32>> = match &failure.target {
+            FailureTarget::Hall(Some(hall)) => vec![select(&|s| searchers[s].hall == *hall)],
             FailureTarget::Hall(None) => {
-                let halls = (0..self.fleet.halls().len()).map(|h| of(&|s| searchers[s].hall == h));
-                halls.collect()
+                let halls = 0..self.fleet.halls().len();
+                halls.map(|hall| select(&|s| searchers[s].hall == hall)).collect()
             }
-            FailureTarget::Set(Some(set)) => vec![of(&|s| searchers[s].set == *set)],
+            FailureTarget::Set(Some(set)) => vec![select(&|s| searchers[s].set == *set)],
             FailureTarget::Set(None) => {
-                (0..self.fleet.sets() as u32).map(|set| of(&|s| searchers[s].set == set)).collect()
+                let sets = 0..self.fleet.sets() as u32;
+                sets.map(|set| select(&|s| searchers[s].set == set)).collect()
             }
             FailureTarget::Searcher(searcher) => vec![vec![*searcher]],
-            FailureTarget::Searchers(most) | FailureTarget::MaybeStale(most) => {
-                let able: Vec<u32> =
-                    all().filter(|s| standing.get(*s).worst(failure.what) != standing.get(*s)).collect();
-                return self.subsets(&able, *most, failure.what, claim, standing);
+            FailureTarget::Searchers(max) | FailureTarget::MaybeStale(max) => {
+                let worsens = |s: &u32| conditions.get(*s).worst(failure.condition) != conditions.get(*s);
+                let candidates: Vec<u32> = all().filter(worsens).collect();
+                return self.holds_in_all_subsets(&candidates, *max, failure.condition, claim, conditions);
             }
         };
-        whole.iter().all(|hit| self.under(hit, failure.what, claim, standing))
-            && (!whole.is_empty() || self.holds(claim, standing))
+        cases.iter().all(|failed| self.holds_after(failed, failure.condition, claim, conditions))
+            && (!cases.is_empty() || self.holds(claim, conditions))
     }
 
-    fn under(&self, hit: &[u32], what: Condition, claim: &Claim, standing: &mut Conditions) -> bool {
-        let before: Vec<Condition> = hit.iter().map(|s| standing.worsen(*s, what)).collect();
-        let holds = self.holds(claim, standing);
-        hit.iter().zip(before).for_each(|(s, before)| standing.restore(*s, before));
+    fn holds_after(
+        &self,
+        failed: &[u32],
+        condition: Condition,
+        claim: &Claim,
+        conditions: &mut Conditions,
+    ) -> bool {
+        let before: Vec<Condition> = failed.iter().map(|s| conditions.worsen(*s, condition)).collect();
+        let holds = self.holds(claim, conditions);
+        failed.iter().zip(before).for_each(|(s, before)| conditions.restore(*s, before));
         holds
     }
 
-    fn subsets(
+    /// Whether the claim holds after the failure of any subset of at most `max` candidates.
+    fn holds_in_all_subsets(
         &self,
-        of: &[u32],
-        most: u32,
-        what: Condition,
+        candidates: &[u32],
+        max: u32,
+        condition: Condition,
         claim: &Claim,
-        standing: &mut Conditions,
+        conditions: &mut Conditions,
     ) -> bool {
-        if !self.holds(claim, standing) {
+        if !self.holds(claim, conditions) {
             return false;
         }
-        most == 0
-            || (0..of.len()).all(|i| {
-                let before = standing.worsen(of[i], what);
-                let holds = self.subsets(&of[i + 1..], most - 1, what, claim, standing);
-                standing.restore(of[i], before);
+        max == 0
+            || (0..candidates.len()).all(|i| {
+                let before = conditions.worsen(candidates[i], condition);
+                let holds =
+                    self.holds_in_all_subsets(&candidates[i + 1..], max - 1, condition, claim, conditions);
+                conditions.restore(candidates[i], before);
                 holds
             })
     }
 
-    /// Any so many, each gone, draining, or back and cold.
-    fn mixtures(&self, of: &[u32], most: u32, claim: &Claim, standing: &mut Conditions) -> bool {
-        if !self.holds(claim, standing) {
+    /// Whether the claim holds after any subset of at most `max` candidates changes, each to gone, draining or cold.
+    fn holds_in_all_mixtures(
+        &self,
+        candidates: &[u32],
+        max: u32,
+        claim: &Claim,
+        conditions: &mut Conditions,
+    ) -> bool {
+        if !self.holds(claim, conditions) {
             return false;
         }
-        most == 0
-            || (0..of.len()).all(|i| {
-                [Condition::Gone, Condition::Draining, Condition::Cold].into_iter().all(|what| {
-                    let before = standing.worsen(of[i], what);
-                    let holds = self.mixtures(&of[i + 1..], most - 1, claim, standing);
-                    standing.restore(of[i], before);
+        max == 0
+            || (0..candidates.len()).all(|i| {
+                [Condition::Gone, Condition::Draining, Condition::Cold].into_iter().all(|condition| {
+                    let before = conditions.worsen(candidates[i], condition);
+                    let holds = self.holds_in_all_mixtures(&candidates[i + 1..], max - 1, claim, conditions);
+                    conditions.restore(candidates[i], before);
                     holds
                 })
             })
     }
 
-    fn local(&self, local: &SliceClaim, slice: u32, standing: &Conditions) -> bool {
-        match local {
-            SliceClaim::All(locals) => locals.iter().all(|l| self.local(l, slice, standing)),
-            SliceClaim::Some(locals) => locals.iter().any(|l| self.local(l, slice, standing)),
-            SliceClaim::Not(local) => !self.local(local, slice, standing),
-            SliceClaim::Reachable(reach) => {
-                let held = self.fleet.placement().sets_of_slice(slice);
-                let there: Vec<_> = (0u32..)
+    fn slice_claim_holds(&self, claim: &SliceClaim, slice: u32, conditions: &Conditions) -> bool {
+        match claim {
+            SliceClaim::All(claims) => claims.iter().all(|c| self.slice_claim_holds(c, slice, conditions)),
+            SliceClaim::Some(claims) => claims.iter().any(|c| self.slice_claim_holds(c, slice, conditions)),
+            SliceClaim::Not(claim) => !self.slice_claim_holds(claim, slice, conditions),
+            SliceClaim::Reachable(minimum) => {
+                let sets = self.fleet.placement().sets_of_slice(slice);
+                let reachable: Vec<_> = (0u32..)
                     .zip(self.fleet.searchers())
-                    .filter(|(at, s)| held.contains(&s.set) && standing.get(*at).accepts_work())
-                    .filter(|(_, s)| reach.hall.is_none_or(|h| h == s.hall))
+                    .filter(|(index, s)| sets.contains(&s.set) && conditions.get(*index).accepts_work())
+                    .filter(|(_, s)| minimum.hall.is_none_or(|h| h == s.hall))
                     .collect();
-                let distinct = |mut of: Vec<usize>| {
-                    of.sort_unstable();
-                    of.dedup();
-                    of.len() as u32
+                let count_distinct = |mut values: Vec<usize>| {
+                    values.sort_unstable();
+                    values.dedup();
+                    values.len() as u32
                 };
-                there.len() as u32 >= reach.searchers
-                    && distinct(there.iter().map(|(_, s)| s.hall).collect()) >= reach.halls
-                    && distinct(there.iter().map(|(_, s)| s.set as usize).collect()) >= reach.sets
+                reachable.len() as u32 >= minimum.searchers
+                    && count_distinct(reachable.iter().map(|(_, s)| s.hall).collect()) >= minimum.halls
+                    && count_distinct(reachable.iter().map(|(_, s)| s.set as usize).collect()) >= minimum.sets
             }
         }
     }
 
-    fn load(&self, most: f64, standing: &Conditions) -> bool {
-        let (searchers, cold) =
-            (self.fleet.searchers(), self.fleet.config().safety_limits.cold_capacity_share);
+    fn load_holds(&self, max_multiple: f64, conditions: &Conditions) -> bool {
+        let searchers = self.fleet.searchers();
+        let cold_capacity_share = self.fleet.config().safety_limits.cold_capacity_share;
         let mut loads = vec![0.0; searchers.len()];
         for slice in 0..self.fleet.slices() {
             let holders: Vec<u32> = self.fleet.holders(slice).collect();
-            let sum: f64 = holders.iter().map(|h| able(standing.get(*h), cold)).sum();
-            for holder in holders.iter().filter(|h| standing.get(**h).accepts_work()) {
-                loads[*holder as usize] += self.weights[slice as usize] / sum;
+            let total_capacity: f64 =
+                holders.iter().map(|h| capacity(conditions.get(*h), cold_capacity_share)).sum();
+            for holder in holders.iter().filter(|h| conditions.get(**h).accepts_work()) {
+                loads[*holder as usize] += self.weights[slice as usize] / total_capacity;
             }
         }
-        let average = average(self.fleet, &self.weights);
-        loads.iter().all(|load| load / average <= most * (1.0 + 1e-9))
+        let average = average_load(self.fleet, &self.weights);
+        loads.iter().all(|load| load / average <= max_multiple * (1.0 + ROUNDING_TOLERANCE))
     }
 }
--- a/crates/expect/src/claim.rs
+++ b/crates/expect/src/claim.rs
@@ -1,4 +1,4 @@
-//! What can be expected of a fleet: the language as it stands after reading, names already turned into indices.
+//! Syntax tree of the expectation language, with names resolved to indices of the fleet.
 
 use std::ops::RangeInclusive;
 
@@ -10,25 +10,25 @@
     All(Vec<Claim>),
     Some(Vec<Claim>),
     Not(Box<Claim>),
-    /// Holds for every slice, or for every one of a customer or a range.
+    /// Holds for every slice, or for every slice of a customer or a range.
     ForAllSlices {
-        of: Option<usize>,
-        only: Option<RangeInclusive<u32>>,
-        what: SliceClaim,
+        customer: Option<usize>,
+        range: Option<RangeInclusive<u32>>,
+        claim: SliceClaim,
     },
     /// Holds in every case of the failure.
     After(Failure, Box<Claim>),
-    /// Holds for as long as the list is younger, with at most so many changes that it does not tell.
+    /// Holds while the searcher list is younger than `max_age_ms`, with at most `max_changes` unlisted changes.
     WhileListYounger {
-        ms: f64,
-        changes: Option<u32>,
+        max_age_ms: f64,
+        max_changes: Option<u32>,
         claim: Box<Claim>,
     },
-    /// No searcher bears more than so many times the average of the fleet as listed, for what it can do.
+    /// No searcher has more than this multiple of the average load of the fleet as listed, relative to its capacity.
     LoadAtMost(f64),
-    /// No searcher holds more slices than that.
+    /// No searcher holds more slices than this.
     SlicesAtMost(u32),
-    /// Of what the decision module does.
+    /// A claim about the actions of the decision module.
     Behaviour(BehaviourClaim),
 }
 
@@ -41,55 +41,59 @@
     Reachable(Reachability),
 }
 
-/// Searchers that hold the slice and take parts: how many there are, in how many halls and sets; at least one.
+/// Minimum numbers of searchers that hold the slice and accept parts, and of their halls and sets; each at least one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reachability {
     pub searchers: u32,
     pub halls: u32,
     pub sets: u32,
-    /// Only those of one hall count.
+    /// Counts only the searchers of this hall.
     pub hall: Option<usize>,
 }
 
-/// What may befall a fleet: every case of it counts.
+/// A failure of part of the fleet. A claim after a failure must hold in every case of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failure {
-    pub what: Condition,
-    pub whom: FailureTarget,
+    /// Condition of the affected searchers afterwards.
+    pub condition: Condition,
+    pub target: FailureTarget,
 }
 
+/// The searchers that a [`Failure`] affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailureTarget {
-    /// Of a hall, or of any one hall.
+    /// All of this hall, or of any one hall.
     Hall(Option<usize>),
-    /// Of a set, or of any one set.
+    /// All of this set, or of any one set.
     Set(Option<u32>),
-    /// Any so many searchers, or fewer.
+    /// Any searchers, up to this number.
     Searchers(u32),
-    /// This one.
+    /// This searcher.
     Searcher(u32),
-    /// Any so many, or fewer, of whom the list's word is old enough to be wrong.
+    /// Any searchers whose listed status may be outdated, up to this number.
     MaybeStale(u32),
 }
 
-/// What the decision module is seen to do.
+/// A claim about all actions of one kind of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BehaviourClaim {
-    /// `always`: every action of that kind is as described; `never`: none is.
+    /// `true` (`always`): every action of this kind matches; `false` (`never`): none does.
     pub always: bool,
     pub table_type: Option<usize>,
     pub action: ObservedAction,
 }
 
+/// An observable action of the decision module, with the conditions that it is matched against.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObservedAction {
-    /// A dispatch, to a searcher in one of these conditions (any, if none is named), in a hall, not a part's first,
-    /// while another of that part is out.
-    Sent { to: Vec<Condition>, hall: Option<usize>, again: bool, beside: bool },
-    /// A final answer of one of these kinds (any, if none is named).
-    Answered { kinds: Vec<AnswerKind>, whole: Option<bool> },
+    /// A dispatch to a searcher in one of these conditions (any condition if empty) and in this hall. `repeated`: not
+    /// the first dispatch of its part. `concurrent`: while another dispatch of the part is in flight.
+    Dispatch { conditions: Vec<Condition>, hall: Option<usize>, repeated: bool, concurrent: bool },
+    /// A final answer of one of these kinds (any kind if empty).
+    Answer { kinds: Vec<AnswerKind>, whole: Option<bool> },
 }
 
+/// Kind of the final answer to a scan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     Completed,
@@ -97,7 +101,7 @@
     Abandoned,
 }
 
-/// DispatchEnd fast a list grows old: in `every_ms` at most so many searchers change without its telling.
+/// How fast a searcher list gets outdated: at most `changes` searchers change unlisted in `every_ms`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     pub changes: u32,
@@ -105,38 +109,38 @@
 }
 
 impl Default for Pace {
-    /// One change in two seconds: said of releases in the docs, for want of the operators' own figure.
+    /// One change in two seconds: the rate that the documentation gives for releases, as operators state none.
     fn default() -> Self {
         Self { changes: 1, every_ms: 2000.0 }
     }
 }
 
 impl Pace {
-    /// Changes that a list of that age may not tell.
-    pub fn within(&self, ms: f64) -> u32 {
-        let spans = (ms / self.every_ms).floor().min(f64::from(u32::MAX / 2));
-        (spans as u32).saturating_mul(self.changes)
+    /// Maximum number of changes that a list of this age may lack.
+    pub fn max_unlisted_changes(&self, list_age_ms: f64) -> u32 {
+        let periods = (list_age_ms / self.every_ms).floor().min(f64::from(u32::MAX / 2));
+        (periods as u32).saturating_mul(self.changes)
     }
 }
 
 impl Claim {
-    /// The longest that the list may be old for this claim, with the bound on changes; none, if it is not said.
-    pub fn younger(&self) -> Option<(f64, Option<u32>)> {
+    /// Maximum age of the list for this claim, in milliseconds, if it states one.
+    pub fn max_list_age_ms(&self) -> Option<f64> {
         match self {
-            Self::WhileListYounger { ms, changes, .. } => Some((*ms, *changes)),
-            Self::After(_, claim) | Self::Not(claim) => claim.younger(),
-            Self::All(claims) | Self::Some(claims) => claims.iter().find_map(Self::younger),
+            Self::WhileListYounger { max_age_ms, .. } => Some(*max_age_ms),
+            Self::After(_, claim) | Self::Not(claim) => claim.max_list_age_ms(),
+            Self::All(claims) | Self::Some(claims) => claims.iter().find_map(Self::max_list_age_ms),
             _ => None,
         }
     }
 
-    /// Whether all of it follows from who holds what, and the module need not be asked.
-    pub fn structural(&self) -> bool {
+    /// Whether the claim follows from the placement alone, without running the decision module.
+    pub fn is_structural(&self) -> bool {
         match self {
             Self::Behaviour(_) => false,
-            Self::All(claims) | Self::Some(claims) => claims.iter().all(Self::structural),
+            Self::All(claims) | Self::Some(claims) => claims.iter().all(Self::is_structural),
             Self::Not(claim) | Self::After(_, claim) | Self::WhileListYounger { claim, .. } => {
-                claim.structural()
+                claim.is_structural()
             }
             _ => true,
         }
--- a/crates/expect/src/explore/mod.rs
+++ b/crates/expect/src/explore/mod.rs
@@ -1,12 +1,13 @@
 //! Bounded exploration of the decision module itself.
 //!
-//! What is asked of behaviour (`never`, `always`, and the six rules) is not derived from a description of the module:
-//! the module that decides in service is run, on a small part of the fleet, through the orders in which scans,
-//! endings, lost connections, time-outs, list changes told and untold, cold returns, restarts and waits may come.
-//! A state is reached by running the module anew from the beginning ([`simulation`]), as it can't be copied; states that
-//! print the same are one ([`search`]). [`scenario`] picks the part of the fleet.
+//! Claims about behaviour (`never`, `always`, and the six rules) are not checked on a model of the module: the module
+//! that runs in production is executed on a small part of the fleet, through the orders in which scans, ends of
+//! dispatches, lost connections, timeouts, listed and unlisted changes, cold returns, restarts and waits may occur. The
+//! module can't be copied, so a state is reached by running it again from the beginning ([`simulation`]). States with
+//! the same debug output are treated as one ([`search`]). [`scenario`] selects the part of the fleet.
 //!
-//! What is found is a trace that replays. What is not found was not there within the bound, which the verdict tells.
+//! A violation comes with a trace that can be replayed. Without one the claim holds within the bounds, which the
+//! verdict states.
 
 pub mod moves;
 pub mod scenario;
--- a/crates/expect/src/explore/moves.rs
+++ b/crates/expect/src/explore/moves.rs
@@ -1,4 +1,4 @@
-//! What may happen next, in a form that is printed, kept and read again.
+//! Moves of a simulation, with the text form in which counterexamples are stored and replayed.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,34 +6,41 @@
 use pewterwharf::interface::DispatchOutcome;
 use pewterwharf_fleet::Condition;
 
-/// One thing that happens to a mixer. Scans, parts and searchers are numbered as in the arena.
+/// A dispatch of a simulation: indices of its scan and part, and its number within the part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct DispatchId {
+    pub scan: usize,
+    pub part: usize,
+    pub dispatch: u8,
+}
+
+/// One event that a mixer is exposed to. Scans and searchers are indices into the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Move {
     /// A scan arrives with all its parts.
-    Scan(usize),
-    /// A dispatch ends: scan, part, dispatch.
-    Ends(usize, usize, u8, DispatchEnd),
-    /// A dispatch is taken and will not be answered: scan, part, dispatch.
-    Hangs(usize, usize, u8),
-    /// The connection to a searcher is lost, with all that is out on it.
-    Lost(usize),
-    /// A searcher changes, and the list tells so at once.
-    Told(usize, Condition),
-    /// A searcher changes and the list does not tell yet.
-    Unseen(usize, Condition),
-    /// The list tells what it had not.
-    Tell(usize),
-    /// A probe comes back good, or fails.
-    Pong(usize, bool),
+    ScanArrives(usize),
+    DispatchEnds(DispatchId, DispatchEnd),
+    /// A dispatch is accepted, and will not be answered.
+    DispatchHangs(DispatchId),
+    /// The connection to a searcher is lost, with all dispatches in flight on it.
+    ConnectionLost(usize),
+    /// A searcher changes, and the list reports it at once.
+    ListedChange(usize, Condition),
+    /// A searcher changes, and the list does not report it yet.
+    UnlistedChange(usize, Condition),
+    /// The list reports a change that it lacked.
+    ListUpdate(usize),
+    /// A probe succeeds (`true`) or fails.
+    ProbeEnds(usize, bool),
     /// A client leaves before its answer.
-    Leaves(usize),
-    /// Time passes, up to the next thing that the mixer does by itself.
+    ClientLeaves(usize),
+    /// Time passes until the next action of the mixer.
     Wait,
-    /// The mixer is killed and starts again with the list that it held.
+    /// The mixer is killed, and starts again with its cached list.
     Restart,
 }
 
-/// DispatchEnd a single dispatch ends.
+/// How a single dispatch ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DispatchEnd {
     Ok,
@@ -43,7 +50,7 @@
 }
 
 impl DispatchEnd {
-    pub fn ending(self) -> DispatchOutcome {
+    pub fn outcome(self) -> DispatchOutcome {
         match self {
             Self::Ok => DispatchOutcome::Ok,
             Self::Error => DispatchOutcome::Error,
@@ -66,28 +73,36 @@
     (Condition::Gone, "gone"),
 ];
 
-fn word<T: PartialEq + Copy>(table: &[(T, &'static str)], of: T) -> &'static str {
-    table.iter().find(|(value, _)| *value == of).map_or("?", |(_, word)| word)
+fn text_of<T: PartialEq + Copy>(table: &[(T, &'static str)], value: T) -> &'static str {
+    table.iter().find(|(other, _)| *other == value).map_or("?", |(_, text)| text)
+}
+
+fn value_of<T: Copy>(table: &[(T, &str)], text: &str) -> Option<T> {
+    table.iter().find(|(_, other)| *other == text).map(|(value, _)| *value)
 }
 
-fn value<T: Copy>(table: &[(T, &str)], word: &str) -> Option<T> {
-    table.iter().find(|(_, other)| *other == word).map(|(value, _)| *value)
+impl fmt::Display for DispatchId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} {} {}", self.scan, self.part, self.dispatch)
+    }
 }
 
 impl fmt::Display for Move {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Scan(scan) => write!(f, "scan {scan}"),
-            Self::Ends(scan, part, dispatch, how) => {
-                write!(f, "ends {scan} {part} {dispatch} {}", word(&DISPATCH_ENDS, *how))
+            Self::ScanArrives(scan) => write!(f, "scan {scan}"),
+            Self::DispatchEnds(id, end) => write!(f, "ends {id} {}", text_of(&DISPATCH_ENDS, *end)),
+            Self::DispatchHangs(id) => write!(f, "hangs {id}"),
+            Self::ConnectionLost(searcher) => write!(f, "lost {searcher}"),
+            Self::ListedChange(searcher, to) => write!(f, "told {searcher} {}", text_of(&CONDITIONS, *to)),
+            Self::UnlistedChange(searcher, to) => {
+                write!(f, "unseen {searcher} {}", text_of(&CONDITIONS, *to))
+            }
+            Self::ListUpdate(searcher) => write!(f, "tell {searcher}"),
+            Self::ProbeEnds(searcher, succeeded) => {
+                write!(f, "pong {searcher} {}", if *succeeded { "good" } else { "bad" })
             }
-            Self::Hangs(scan, part, dispatch) => write!(f, "hangs {scan} {part} {dispatch}"),
-            Self::Lost(place) => write!(f, "lost {place}"),
-            Self::Told(place, to) => write!(f, "told {place} {}", word(&CONDITIONS, *to)),
-            Self::Unseen(place, to) => write!(f, "unseen {place} {}", word(&CONDITIONS, *to)),
-            Self::Tell(place) => write!(f, "tell {place}"),
-            Self::Pong(place, good) => write!(f, "pong {place} {}", if *good { "good" } else { "bad" }),
-            Self::Leaves(scan) => write!(f, "leaves {scan}"),
+            Self::ClientLeaves(scan) => write!(f, "leaves {scan}"),
             Self::Wait => write!(f, "wait"),
             Self::Restart => write!(f, "restart"),
         }
@@ -99,34 +114,34 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let bad = || format!("no move is written \"{text}\"");
-        let number = |i: usize| words.get(i).and_then(|w| w.parse::<usize>().ok()).ok_or_else(bad);
-        let condition = |i: usize| words.get(i).and_then(|w| value(&CONDITIONS, w)).ok_or_else(bad);
-        let (read, used) = match words.first() {
-            Some(&"scan") => (Self::Scan(number(1)?), 2),
+        let invalid = || format!("no move is written \"{text}\"");
+        let number = |i: usize| words.get(i).and_then(|w| w.parse::<usize>().ok()).ok_or_else(invalid);
+        let condition = |i: usize| words.get(i).and_then(|w| value_of(&CONDITIONS, w)).ok_or_else(invalid);
+        let dispatch_id = || -> Result<DispatchId, String> {
+            let dispatch = u8::try_from(number(3)?).map_err(|_| invalid())?;
+            Ok(DispatchId { scan: number(1)?, part: number(2)?, dispatch })
+        };
+        let (parsed, word_count) = match words.first() {
+            Some(&"scan") => (Self::ScanArrives(number(1)?), 2),
             Some(&"ends") => {
-                let how = words.get(4).and_then(|w| value(&DISPATCH_ENDS, w)).ok_or_else(bad)?;
-                let dispatch = u8::try_from(number(3)?).map_err(|_| bad())?;
-                (Self::Ends(number(1)?, number(2)?, dispatch, how), 5)
-            }
-            Some(&"hangs") => {
-                let dispatch = u8::try_from(number(3)?).map_err(|_| bad())?;
-                (Self::Hangs(number(1)?, number(2)?, dispatch), 4)
+                let end = words.get(4).and_then(|w| value_of(&DISPATCH_ENDS, w)).ok_or_else(invalid)?;
+                (Self::DispatchEnds(dispatch_id()?, end), 5)
             }
-            Some(&"lost") => (Self::Lost(number(1)?), 2),
-            Some(&"told") => (Self::Told(number(1)?, condition(2)?), 3),
-            Some(&"unseen") => (Self::Unseen(number(1)?, condition(2)?), 3),
-            Some(&"tell") => (Self::Tell(number(1)?), 2),
+            Some(&"hangs") => (Self::DispatchHangs(dispatch_id()?), 4),
+            Some(&"lost") => (Self::ConnectionLost(number(1)?), 2),
+            Some(&"told") => (Self::ListedChange(number(1)?, condition(2)?), 3),
+            Some(&"unseen") => (Self::UnlistedChange(number(1)?, condition(2)?), 3),
+            Some(&"tell") => (Self::ListUpdate(number(1)?), 2),
             Some(&"pong") => match words.get(2) {
-                Some(&"good") => (Self::Pong(number(1)?, true), 3),
-                Some(&"bad") => (Self::Pong(number(1)?, false), 3),
-                _ => return Err(bad()),
+                Some(&"good") => (Self::ProbeEnds(number(1)?, true), 3),
+                Some(&"bad") => (Self::ProbeEnds(number(1)?, false), 3),
+                _ => return Err(invalid()),
             },
-            Some(&"leaves") => (Self::Leaves(number(1)?), 2),
+            Some(&"leaves") => (Self::ClientLeaves(number(1)?), 2),
             Some(&"wait") => (Self::Wait, 1),
             Some(&"restart") => (Self::Restart, 1),
-            _ => return Err(bad()),
+            _ => return Err(invalid()),
         };
-        if words.len() == used { Ok(read) } else { Err(bad()) }
+        if words.len() == word_count { Ok(parsed) } else { Err(invalid()) }
     }
 }
--- a/crates/expect/src/explore/scenario.rs
+++ b/crates/expect/src/explore/scenario.rs
@@ -1,7 +1,7 @@
 //! The part of a fleet on which the module is explored.
 //!
-//! A scan meets the holders of its slices and nobody else, so an arena holds these alone, under the real terms and
-//! layout. Of holders that are alike, only so many are kept as a replacement and its own replacement need.
+//! A scan only involves the holders of its slices, so a scenario contains these alone, with the configuration and layout
+//! of the whole fleet. Of interchangeable holders it keeps as many as a replacement and the next replacement need.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,41 +11,47 @@
 
 use crate::groups::Group;
 
-/// A searcher of the arena.
+/// A searcher of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScenarioSearcher {
     pub name: String,
-    /// Its number in the fleet.
-    pub searcher: u32,
+    /// Index in the fleet.
+    pub fleet_index: u32,
     pub addr: SocketAddrV4,
     pub cell: u32,
     pub hall: usize,
-    /// As it is listed at the start; cold is listed as up since the start.
+    /// Condition at the start. A cold searcher is listed as up since the start.
     pub condition: Condition,
-    /// The list's word of it may be wrong at the start.
-    pub unsure: bool,
+    /// The listed status may be outdated at the start.
+    pub maybe_stale: bool,
 }
 
 /// A scan that may arrive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScanTemplate {
     pub table_type: usize,
-    /// Slice and weight of each part.
-    pub parts: Vec<(u32, f64)>,
+    pub parts: Vec<PartTemplate>,
 }
 
-/// DispatchEnd often some things may happen in one run.
+/// A part of a scan that may arrive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PartTemplate {
+    pub slice: u32,
+    pub weight: f64,
+}
+
+/// How often some events may occur in one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventLimits {
-    /// Changes of searchers that the list tells at once.
-    pub told: u32,
-    /// Changes that it tells later or never, of searchers whose word is unsure.
-    pub unseen: u32,
+    /// Changes of searchers that the list reports at once.
+    pub listed_changes: u32,
+    /// Changes that the list reports later or never; only of searchers whose listed status may be outdated.
+    pub unlisted_changes: u32,
     pub restarts: u32,
-    pub leaves: u32,
+    pub client_departures: u32,
 }
 
-/// The small fleet, the scans, and what may happen.
+/// The searchers, the scans, and the limits of an exploration.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub config: MixerConfig,
@@ -55,116 +61,149 @@
     pub seed: u64,
 }
 
-/// Holders that are kept of one slice: one to fail, one to stand in, one more to tell a choice from a need.
-const HOLDERS: usize = 3;
-/// Parts of the first scan: enough for one that is in while another is not.
-const PARTS: usize = 2;
-/// Shapes of slices that are explored for each table type: the scarcest first. `halls_count` where a hall is asked for by name.
-const SHAPES: usize = 2;
+/// Maximum number of holders of a slice: one that fails, one that replaces it, and one more, so that the module chooses.
+const MAX_HOLDERS: usize = 3;
+/// Maximum number of parts of the first scan: with two, one may be answered while the other is not.
+const MAX_PARTS: usize = 2;
+/// Maximum number of different holder sets explored for each table type, those with the fewest holders first.
+const MAX_SCENARIOS: usize = 2;
+
+/// The groups of a fleet after some failures, and the order of searchers that they index.
+#[derive(Clone, Copy)]
+pub struct GroupsAndOrder<'a> {
+    pub groups: &'a [Group],
+    pub order: &'a [u32],
+}
 
 impl Scenario {
-    /// The arenas of a table type: for the slices with the fewest holders that take parts, and for others that differ
-    /// from them. `scene` is the fleet after what has befallen it, `order` its searchers.
-    pub fn of(
+    /// Scenarios for a table type: for the slices with the fewest holders that accept parts, and for others whose
+    /// holders differ from these. `halls_matter`: a claim names a hall.
+    pub fn for_table_type(
         fleet: &Fleet,
-        scene: &[Group],
-        order: &[u32],
+        grouped: GroupsAndOrder<'_>,
         table_type: usize,
-        allow: EventLimits,
-        halls_count: bool,
+        limits: EventLimits,
+        halls_matter: bool,
         seed: u64,
     ) -> Vec<Self> {
-        let holding = fleet.placement();
-        let shape = |class: usize| {
-            let mut places = Vec::new();
-            hold(fleet, scene, order, holding.sets_of_class(class), &mut places);
-            alike(&places, fleet.config().placement.zone, halls_count)
+        let placement = fleet.placement();
+        let holder_signature = |class: usize| {
+            let mut holders = Vec::new();
+            add_holders(fleet, grouped, placement.sets_of_class(class), &mut holders);
+            signature(&holders, fleet.config().placement.zone, halls_matter)
         };
-        let takes = |class: usize| {
-            let held = holding.sets_of_class(class);
-            scene
+        let available_holders = |class: usize| {
+            let sets = placement.sets_of_class(class);
+            grouped
+                .groups
                 .iter()
-                .filter(|g| held.contains(&g.set) && g.condition.accepts_work())
+                .filter(|g| sets.contains(&g.set) && g.condition.accepts_work())
                 .map(|g| g.count)
                 .sum::<u32>()
         };
-        let mut classes: Vec<usize> = (0..holding.classes()).collect();
-        classes.sort_by_key(|c| (takes(*c), *c));
+        let mut classes: Vec<usize> = (0..placement.classes()).collect();
+        classes.sort_by_key(|class| (available_holders(*class), *class));
         let mut seen = BTreeSet::new();
-        let firsts: Vec<usize> =
-            classes.iter().copied().filter(|c| seen.insert(shape(*c))).take(SHAPES).collect();
-        firsts
+        let first_classes: Vec<usize> = classes
+            .iter()
+            .copied()
+            .filter(|class| seen.insert(holder_signature(*class)))
+            .take(MAX_SCENARIOS)
+            .collect();
+        first_classes
             .into_iter()
             .map(|first| {
-                // The second part lies elsewhere, where there is such a place.
-                let apart = |c: &&usize| {
-                    !holding.sets_of_class(**c).iter().any(|s| holding.sets_of_class(first).contains(s))
+                // The second part is held by other sets, if possible.
+                let is_disjoint = |class: &&usize| {
+                    let sets = placement.sets_of_class(**class);
+                    !sets.iter().any(|s| placement.sets_of_class(first).contains(s))
                 };
-                let second = classes.iter().find(apart).copied();
-                let mut places: Vec<ScenarioSearcher> = Vec::new();
+                let second = classes.iter().find(is_disjoint).copied();
+                let mut searchers: Vec<ScenarioSearcher> = Vec::new();
                 for class in [Some(first), second].into_iter().flatten() {
-                    hold(fleet, scene, order, holding.sets_of_class(class), &mut places);
+                    add_holders(fleet, grouped, placement.sets_of_class(class), &mut searchers);
                 }
-                let spread = match second {
+                let slices = match second {
                     Some(second) => {
-                        vec![holding.slices_of_class(first)[0], holding.slices_of_class(second)[0]]
+                        vec![placement.slices_of_class(first)[0], placement.slices_of_class(second)[0]]
                     }
-                    None => holding.slices_of_class(first).iter().take(PARTS).copied().collect(),
+                    None => placement.slices_of_class(first).iter().take(MAX_PARTS).copied().collect(),
                 };
-                let weight = 1.0 / spread.len().max(1) as f64;
+                let weight = 1.0 / slices.len().max(1) as f64;
+                let part = |weight: f64| move |slice: &u32| PartTemplate { slice: *slice, weight };
                 let templates = vec![
-                    ScanTemplate { table_type, parts: spread.iter().map(|s| (*s, weight)).collect() },
-                    ScanTemplate { table_type, parts: spread.iter().take(1).map(|s| (*s, 1.0)).collect() },
+                    ScanTemplate { table_type, parts: slices.iter().map(part(weight)).collect() },
+                    ScanTemplate { table_type, parts: slices.iter().take(1).map(part(1.0)).collect() },
                 ];
-                Self { config: fleet.config().clone(), searchers: places, templates, limits: allow, seed }
+                Self { config: fleet.config().clone(), searchers, templates, limits, seed }
             })
             .collect()
     }
 }
 
-/// What the module can tell of places: sets and halls by their order of appearance, but for the mixer's own hall; the
-/// halls themselves where somebody asks for one by name.
-pub(crate) fn alike(
-    places: &[ScenarioSearcher],
-    own: u16,
-    halls_count: bool,
-) -> Vec<(usize, usize, Condition, bool)> {
-    let (mut cells, mut halls) = (Vec::new(), vec![usize::from(own)]);
-    let nth = |seen: &mut Vec<usize>, of: usize| {
-        seen.iter().position(|s| *s == of).unwrap_or_else(|| {
-            seen.push(of);
+/// What the module can distinguish of a searcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SearcherSignature {
+    cell: usize,
+    hall: usize,
+    condition: Condition,
+    maybe_stale: bool,
+}
+
+/// What the module can distinguish of a scenario's searchers: cells and halls by order of appearance, except for the
+/// mixer's own hall. Where a claim names a hall (`halls_matter`), the halls themselves.
+pub(crate) fn signature(
+    searchers: &[ScenarioSearcher],
+    own_hall: u16,
+    halls_matter: bool,
+) -> Vec<SearcherSignature> {
+    let mut cells = Vec::new();
+    let mut halls = vec![usize::from(own_hall)];
+    let nth = |seen: &mut Vec<usize>, value: usize| {
+        seen.iter().position(|s| *s == value).unwrap_or_else(|| {
+            seen.push(value);
             seen.len() - 1
         })
     };
-    let place = |p: &ScenarioSearcher| {
-        let hall = if halls_count { p.hall } else { nth(&mut halls, p.hall) };
-        (nth(&mut cells, p.cell as usize), hall, p.condition, p.unsure)
+    let of_searcher = |searcher: &ScenarioSearcher| {
+        let hall = if halls_matter { searcher.hall } else { nth(&mut halls, searcher.hall) };
+        SearcherSignature {
+            cell: nth(&mut cells, searcher.cell as usize),
+            hall,
+            condition: searcher.condition,
+            maybe_stale: searcher.maybe_stale,
+        }
     };
-    places.iter().map(place).collect()
+    searchers.iter().map(of_searcher).collect()
 }
 
-/// Adds the holders of a class: of every condition and hall one, then more up to [`HOLDERS`].
-fn hold(fleet: &Fleet, scene: &[Group], order: &[u32], sets: &[u32], places: &mut Vec<ScenarioSearcher>) {
-    let mut groups: Vec<&Group> = scene.iter().filter(|g| sets.contains(&g.set)).collect();
+/// Adds the holders of a class: one of each condition and hall, then more up to [`MAX_HOLDERS`].
+fn add_holders(
+    fleet: &Fleet,
+    grouped: GroupsAndOrder<'_>,
+    sets: &[u32],
+    searchers: &mut Vec<ScenarioSearcher>,
+) {
+    let mut groups: Vec<&Group> = grouped.groups.iter().filter(|g| sets.contains(&g.set)).collect();
     groups.sort_by_key(|g| (g.condition, g.hall));
-    let mut kept = 0;
-    for nth in 0..HOLDERS as u32 {
+    let mut available = 0;
+    for nth in 0..MAX_HOLDERS as u32 {
         for group in groups.iter().filter(|g| nth < g.count) {
-            // Every condition is told once, whatever the number; it is there to be wrongly sent to.
-            if kept >= HOLDERS && (nth > 0 || group.condition.accepts_work()) {
+            // One unavailable searcher of each condition is always kept, as a possible wrong target.
+            if available >= MAX_HOLDERS && (nth > 0 || group.condition.accepts_work()) {
                 continue;
             }
-            kept += usize::from(group.condition.accepts_work());
-            let searcher = order[(group.from + nth) as usize];
-            let port = u16::try_from(places.len() + 1).unwrap_or(u16::MAX);
-            places.push(ScenarioSearcher {
-                name: fleet.searchers()[searcher as usize].name.clone(),
-                searcher,
+            available += usize::from(group.condition.accepts_work());
+            let fleet_index = grouped.order[(group.first + nth) as usize];
+            let port = u16::try_from(searchers.len() + 1).unwrap_or(u16::MAX);
+            searchers.push(ScenarioSearcher {
+                name: fleet.searchers()[fleet_index as usize].name.clone(),
+                fleet_index,
                 addr: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
-                cell: fleet.searchers()[searcher as usize].set,
+                cell: fleet.searchers()[fleet_index as usize].set,
                 hall: group.hall as usize,
                 condition: group.condition,
-                unsure: group.unsure,
+                maybe_stale: group.maybe_stale,
             });
         }
     }
--- a/crates/expect/src/explore/search.rs
+++ b/crates/expect/src/explore/search.rs
@@ -1,10 +1,10 @@
-//! All runs in which up to so many things go wrong.
+//! All runs with a bounded number of departures from the expected course.
 //!
-//! Every order of every event is out of reach after four or five of them (measured, see `docs/expectations.md`), and
-//! most such orders are no day that anybody has seen. So a run follows what usually happens, and *departs* from it a
-//! bounded number of times, anywhere: a part fails, hangs, a connection is lost, a searcher changes, a client leaves,
-//! the mixer restarts, a second scan comes between. Runs with fewer departures go before runs with more, so the first
-//! one found to break something is one of the simplest.
+//! All orders of all events can't be enumerated beyond four or five events (see `docs/expectations.md`), and most of
+//! them do not occur in practice. So a run follows the expected course, and *departs* from it a bounded number of times,
+//! at any point: a part fails or hangs, a connection is lost, a searcher changes, a client leaves, the mixer restarts, a
+//! second scan arrives in between. Runs with fewer departures come before runs with more, so the first violation found is
+//! one of the simplest.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -13,135 +13,141 @@
 use super::simulation::{Rule, Simulation, SubjectFactory, Violation};
 use crate::claim::BehaviourClaim;
 
-/// DispatchEnd far an exploration goes.
+/// Bounds of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Departures from what usually happens.
+    /// Departures from the expected course in one run.
     pub departures: u32,
-    /// States that are looked at.
+    /// States visited.
     pub states: u32,
-    /// States that print the same are one.
+    /// Treats states with the same debug output as one.
     pub merge: bool,
 }
 
-/// Moves of one run, at most; a run of two scans takes about ten.
-const LONGEST: usize = 40;
+/// Maximum number of moves of one run; a run of two scans takes about ten.
+const MAX_MOVES: usize = 40;
 
-/// What was found.
+/// A rule violation, with the moves that lead to it.
 #[derive(Clone, Debug, PartialEq)]
+pub struct FoundViolation {
+    pub moves: Vec<Move>,
+    pub violation: Violation,
+}
+
+/// Result of an exploration.
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct Exploration {
-    /// Of each rule that was broken, the moves to it with the fewest departures, and how.
-    pub violations: BTreeMap<Rule, (Vec<Move>, Violation)>,
-    /// States that were reached, and those of them that had been seen before.
-    pub reached: u64,
+    /// For each violated rule, the violation with the fewest departures.
+    pub violations: BTreeMap<Rule, FoundViolation>,
+    /// States visited, and those among them that had been seen before.
+    pub visited: u64,
     pub merged: u64,
-    /// All runs with so many departures were looked at; absent if not even those with none.
+    /// All runs with up to this number of departures were explored; `None` if not even those without any.
     pub departures: Option<u32>,
 }
 
-/// Looks at the runs of an arena up to the bounds. A state in which something is broken is not followed further. The
-/// result depends on the arguments alone.
+impl Exploration {
+    /// Records the violations of a run, unless their rules have one already.
+    fn record(&mut self, moves: &[Move], violations: &[Violation]) {
+        for violation in violations {
+            self.violations
+                .entry(violation.rule)
+                .or_insert_with(|| FoundViolation { moves: moves.to_vec(), violation: violation.clone() });
+        }
+    }
+}
+
+/// Explores the runs of a scenario within the bounds. A run ends at its first violation. The result depends on the
+/// arguments alone.
 pub fn explore(
     scenario: &Scenario,
-    watches: &[BehaviourClaim],
+    claims: &[BehaviourClaim],
     open: &SubjectFactory,
     bounds: Bounds,
 ) -> Exploration {
-    let mut found = Exploration { violations: BTreeMap::new(), reached: 0, merged: 0, departures: None };
+    let mut found = Exploration::default();
     let mut seen = HashSet::new();
-    // Paths to states that were not yet followed; the last move of each is still to be played.
-    let mut layer: Vec<Vec<Move>> = vec![Vec::new()];
+    // Prefixes of the runs with the current number of departures; each ends with the last departure.
+    let mut prefixes: Vec<Vec<Move>> = vec![Vec::new()];
     for departures in 0..=bounds.departures {
-        let mut next = Vec::new();
-        for mut path in layer {
-            // One run: from a departure on, along what usually happens.
-            let mut simulation = Simulation::new(scenario, watches, open, false);
-            path.iter().for_each(|m| simulation.play(*m));
-            // A state costs more to print than to reach, so runs are compared where they depart, and not at each
-            // step after.
-            let mut departs = bounds.merge;
+        let mut next_prefixes = Vec::new();
+        for mut moves in prefixes {
+            let mut simulation = Simulation::new(scenario, claims, open, false);
+            moves.iter().for_each(|m| simulation.apply(*m));
+            // Hashing a state costs more than reaching it, so runs are compared only where they depart.
+            let mut compare = bounds.merge;
             loop {
-                if found.reached >= u64::from(bounds.states) {
+                if found.visited >= u64::from(bounds.states) {
                     return found;
                 }
-                found.reached += 1;
-                if std::mem::take(&mut departs) && !seen.insert(simulation.digest()) {
+                found.visited += 1;
+                if std::mem::take(&mut compare) && !seen.insert(simulation.state_hash()) {
                     found.merged += 1;
                     break;
                 }
-                for violation in simulation.violations() {
-                    found
-                        .violations
-                        .entry(violation.rule)
-                        .or_insert_with(|| (path.clone(), violation.clone()));
-                }
+                found.record(&moves, simulation.violations());
                 if !simulation.violations().is_empty() {
                     break;
                 }
-                let usual = simulation.usual().filter(|_| path.len() < LONGEST);
-                if departures < bounds.departures && path.len() < LONGEST {
-                    for one in simulation.moves().into_iter().filter(|one| Some(*one) != usual) {
-                        next.push(path.iter().copied().chain([one]).collect());
+                let expected = simulation.expected_move().filter(|_| moves.len() < MAX_MOVES);
+                if departures < bounds.departures && moves.len() < MAX_MOVES {
+                    for departure in simulation.moves().into_iter().filter(|m| Some(*m) != expected) {
+                        next_prefixes.push(moves.iter().copied().chain([departure]).collect());
                     }
                 }
-                let Some(usual) = usual else {
-                    simulation.close();
-                    for violation in simulation.violations() {
-                        found
-                            .violations
-                            .entry(violation.rule)
-                            .or_insert_with(|| (path.clone(), violation.clone()));
-                    }
+                let Some(expected) = expected else {
+                    simulation.finish();
+                    found.record(&moves, simulation.violations());
                     break;
                 };
-                simulation.play(usual);
-                path.push(usual);
+                simulation.apply(expected);
+                moves.push(expected);
             }
         }
         found.departures = Some(departures);
-        layer = next;
+        prefixes = next_prefixes;
     }
     found
 }
 
-/// Leaves out whatever the breach does not need. The moves that remain break the same rule when run again.
+/// Removes the moves that the violation of `rule` does not need. The moves that remain violate it when replayed.
 pub fn shrink(
     scenario: &Scenario,
-    watches: &[BehaviourClaim],
+    claims: &[BehaviourClaim],
     open: &SubjectFactory,
     moves: &[Move],
     rule: Rule,
 ) -> Vec<Move> {
-    let breaks = |moves: &[Move]| {
-        let mut simulation = Simulation::new(scenario, watches, open, false);
+    let violates = |moves: &[Move]| {
+        let mut simulation = Simulation::new(scenario, claims, open, false);
         simulation.run(moves);
-        simulation.close();
-        simulation.violations().iter().any(|b| b.rule == rule)
+        simulation.finish();
+        simulation.violations().iter().any(|v| v.rule == rule)
     };
     let mut moves = moves.to_vec();
-    let mut at = 0;
-    while at < moves.len() {
+    let mut index = 0;
+    while index < moves.len() {
         let mut fewer = moves.clone();
-        fewer.remove(at);
-        if breaks(&fewer) {
+        fewer.remove(index);
+        if violates(&fewer) {
             moves = fewer;
-            at = 0;
+            index = 0;
         } else {
-            at += 1;
+            index += 1;
         }
     }
     moves
 }
 
-/// The trace of a run for people, ending with what was broken.
-pub fn tell(
+/// The trace of a run, which ends with the violations.
+pub fn trace(
     scenario: &Scenario,
-    watches: &[BehaviourClaim],
+    claims: &[BehaviourClaim],
     open: &SubjectFactory,
     moves: &[Move],
 ) -> Vec<String> {
-    let mut simulation = Simulation::new(scenario, watches, open, true);
+    let mut simulation = Simulation::new(scenario, claims, open, true);
     simulation.run(moves);
-    simulation.close();
-    simulation.told()
+    simulation.finish();
+    simulation.into_trace()
 }
--- a/crates/expect/src/explore/simulation.rs
+++ b/crates/expect/src/explore/simulation.rs
@@ -1,7 +1,7 @@
-//! One run of the module through given moves, and the rules it is held to.
+//! One run of the decision module through given moves, and the rules that it is checked against.
 //!
-//! The simulation keeps what is true (who runs, who is told to), carries out what the module decides, and judges every
-//! action as it comes. Its judgement is its own: it never asks the module whether something was allowed.
+//! The simulation keeps the actual state of the searchers and what the list reports, carries out the module's actions,
+//! and checks each of them. The checks are independent: they never ask the module whether an action was allowed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Write};
@@ -12,34 +12,35 @@
 };
 use pewterwharf_fleet::Condition;
 
-use super::moves::{DispatchEnd, Move};
-use super::scenario::Scenario;
+use super::EventLimits;
+use super::moves::{DispatchEnd, DispatchId, Move};
+use super::scenario::{PartTemplate, Scenario, ScenarioSearcher};
 use crate::claim::{AnswerKind, BehaviourClaim, ObservedAction};
 
-/// What is explored: it decides, and prints all that its further decisions depend on.
+/// The module under test. Its debug output shows all state that its further decisions depend on.
 pub trait Subject: DecisionModule + fmt::Debug {}
 
 impl<T: DecisionModule + fmt::Debug> Subject for T {}
 
-/// Opens a subject on a seed.
+/// Creates a subject from a seed.
 pub type SubjectFactory<'a> = dyn Fn(u64) -> Box<dyn Subject> + Sync + 'a;
 
-/// What was broken.
+/// What an action may violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// 1: every scan gets exactly one final answer, in time, and nothing is sent after it.
     NoScanLost,
     /// 2: no effect happens twice.
     NoEffectTwice,
-    /// 3: nothing new to who drains or is gone, once told.
+    /// 3: no new part is sent to a searcher that is listed as draining or gone.
     DrainsKept,
-    /// 4: a cold searcher gets its part of the allowance.
+    /// 4: a cold searcher gets no more than its share of work.
     ColdSpared,
-    /// 5: no answer from less than the least share, none called whole that is not.
+    /// 5: no answer from less than the minimum weight, and none called whole that is not.
     AnswersHonest,
-    /// 6: further dispatches stay within the stated budget.
+    /// 6: further dispatches stay within the configured retry budget.
     BudgetKept,
-    /// A watch of the operators', by its place in the list.
+    /// A behaviour claim of the expectation file, by its index.
     BehaviourClaim(usize),
 }
 
@@ -57,779 +58,888 @@
     }
 }
 
-/// A rule that was broken, and by what.
+/// A violated rule, and the action that violated it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub rule: Rule,
-    pub what: String,
+    pub description: String,
 }
 
-/// When a run begins, in milliseconds since 1970; any time long after zero will do, as zero means long ago.
-const BEGIN: f64 = 1.0e9;
-/// A wait ends after this share of the scan's query timeout, if nothing happens before.
-const WAIT: f64 = 0.25;
-/// Turns that the end of a run may take until all scans are answered.
-const CLOSING: usize = 2000;
-/// A part's own work, as a share of the target time: what the module may learn, well under its first guess.
-const WORK: f64 = 0.1;
+/// Marks the lines of a trace that report a violation.
+pub const VIOLATION_MARK: &str = "!!  ";
+
+/// Start of a run, in milliseconds since 1970. Any time long after 0 will do, as 0 means long ago.
+const START_MS: f64 = 1.0e9;
+/// A wait ends after this share of the shortest query timeout, if nothing happens before.
+const MAX_WAIT_SHARE: f64 = 0.25;
+/// Maximum number of waits at the end of a run until all scans are answered.
+const MAX_FINAL_WAITS: usize = 2000;
+/// Work of a part, as a share of the target time. It is well below the module's initial estimate, as the module may have
+/// learned that parts are small.
+const WORK_SHARE: f64 = 0.1;
+/// Rounding error that is tolerated in a sum of part weights.
+const WEIGHT_TOLERANCE: f64 = 1e-4;
+/// Distance of the ids of consecutive scans; the ids of a scan's parts lie in between.
+const IDS_PER_SCAN: u64 = 100;
 
 #[derive(Clone, Debug)]
-struct Flight {
-    place: usize,
+struct InFlightDispatch {
+    searcher: usize,
     sent_at: f64,
-    until: f64,
-    /// The searcher's process at the time.
-    epoch: u32,
-    /// Nothing will come back.
+    times_out_at: f64,
+    /// Process of the searcher at that time.
+    process: u32,
+    /// No answer will come.
     hangs: bool,
 }
 
-/// A dispatch: when it went out, and how it ended.
-type Sent = (f64, Option<DispatchOutcome>);
+/// A dispatch of a part, and its outcome once it has ended.
+#[derive(Clone, Debug)]
+struct SentDispatch {
+    sent_at: f64,
+    outcome: Option<DispatchOutcome>,
+}
+
+impl SentDispatch {
+    fn may_have_run(&self) -> bool {
+        self.outcome.is_none_or(|outcome| !outcome.never_ran())
+    }
+}
 
 #[derive(Clone, Debug)]
-struct Part {
-    sent: Vec<Sent>,
+struct PartState {
+    dispatches: Vec<SentDispatch>,
 }
 
 #[derive(Clone, Debug)]
-struct Scan {
-    plan: usize,
-    taken_at: f64,
-    gone_at: f64,
-    parts: Vec<Part>,
+struct ScanState {
+    template: usize,
+    arrived_at: f64,
+    deadline_at: f64,
+    parts: Vec<PartState>,
     done: bool,
 }
 
 #[derive(Clone, Debug)]
-struct State {
-    truth: Condition,
-    told: SearcherStatus,
-    /// Start of its process, as it is and as the list has it.
-    since: f64,
-    listed_since: f64,
-    epoch: u32,
-    /// Something true was not told.
-    behind: bool,
-    /// Work sent to it while it was cold, by this run of the mixer.
-    cold_work: VecDeque<(f64, f64)>,
+struct ColdWork {
+    at: f64,
+    work_ms: f64,
 }
 
-type Leg = (usize, usize, u8);
+#[derive(Clone, Debug)]
+struct SearcherState {
+    actual: Condition,
+    listed_status: SearcherStatus,
+    /// Start of its process, actual and as listed.
+    started_at: f64,
+    listed_started_at: f64,
+    /// Counts the changes of the searcher: dispatches to an earlier process get no regular answer.
+    process: u32,
+    /// The list lacks a change.
+    list_outdated: bool,
+    /// Work sent to it while it was cold, by this process of the mixer.
+    cold_work: VecDeque<ColdWork>,
+}
 
 /// A run.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    watches: &'a [BehaviourClaim],
+    claims: &'a [BehaviourClaim],
     open: &'a SubjectFactory<'a>,
     subject: Box<dyn Subject>,
     now: f64,
-    wake: f64,
-    places: Vec<State>,
-    scans: Vec<Option<Scan>>,
-    flights: BTreeMap<Leg, Flight>,
+    wake_at: f64,
+    searchers: Vec<SearcherState>,
+    /// By index of the template; `None` before the scan arrives.
+    scans: Vec<Option<ScanState>>,
+    in_flight: BTreeMap<DispatchId, InFlightDispatch>,
+    /// Searchers with a probe in flight.
     probes: Vec<usize>,
-    waiting: Vec<Event>,
-    left: super::EventLimits,
-    starts: u64,
-    taken: VecDeque<f64>,
-    extras: VecDeque<f64>,
+    /// Events for the next call of the module.
+    pending_events: Vec<Event>,
+    remaining: EventLimits,
+    restarts: u64,
+    /// Times of the scans and parts that arrived, and of the further dispatches, within the retry budget's window.
+    arrivals: VecDeque<f64>,
+    further_dispatches: VecDeque<f64>,
     violations: Vec<Violation>,
-    /// What happened, a line each; none is written where nobody reads.
-    lines: Option<Vec<String>>,
+    /// Lines of the trace, if it is recorded.
+    trace: Option<Vec<String>>,
 }
 
-fn id(scan: usize) -> u64 {
-    (scan as u64 + 1) * 100
+fn scan_id(scan: usize) -> u64 {
+    (scan as u64 + 1) * IDS_PER_SCAN
 }
 
-fn leg_of(part: u64, dispatch: u8) -> Leg {
-    ((part / 100 - 1) as usize, (part % 100 - 1) as usize, dispatch)
+fn scan_index(id: u64) -> usize {
+    (id / IDS_PER_SCAN - 1) as usize
+}
+
+fn part_id(scan: usize, part: usize) -> u64 {
+    scan_id(scan) + 1 + part as u64
+}
+
+fn dispatch_id(part_id: u64, dispatch: u8) -> DispatchId {
+    DispatchId { scan: scan_index(part_id), part: (part_id % IDS_PER_SCAN - 1) as usize, dispatch }
 }
 
 impl<'a> Simulation<'a> {
-    /// A mixer that has just been told the list.
+    /// Starts a mixer and gives it the list.
     pub fn new(
         scenario: &'a Scenario,
-        watches: &'a [BehaviourClaim],
+        claims: &'a [BehaviourClaim],
         open: &'a SubjectFactory<'a>,
-        tell: bool,
+        record_trace: bool,
     ) -> Self {
-        let state = |place: &super::scenario::ScenarioSearcher| {
-            let since = if place.condition == Condition::Cold { BEGIN } else { 0.0 };
-            let told = life(place.condition);
-            State {
-                truth: place.condition,
-                told,
-                since,
-                listed_since: since,
-                epoch: 0,
-                behind: false,
+        let initial_state = |searcher: &ScenarioSearcher| {
+            let started_at = if searcher.condition == Condition::Cold { START_MS } else { 0.0 };
+            SearcherState {
+                actual: searcher.condition,
+                listed_status: status_of(searcher.condition),
+                started_at,
+                listed_started_at: started_at,
+                process: 0,
+                list_outdated: false,
                 cold_work: VecDeque::new(),
             }
         };
         let mut simulation = Self {
             subject: open(scenario.seed),
-            places: scenario.searchers.iter().map(state).collect(),
+            searchers: scenario.searchers.iter().map(initial_state).collect(),
             scans: vec![None; scenario.templates.len()],
-            left: scenario.limits,
+            remaining: scenario.limits,
             scenario,
-            watches,
+            claims,
             open,
-            now: BEGIN,
-            wake: BEGIN,
-            flights: BTreeMap::new(),
+            now: START_MS,
+            wake_at: START_MS,
+            in_flight: BTreeMap::new(),
             probes: Vec::new(),
-            waiting: Vec::new(),
-            starts: 0,
-            taken: VecDeque::new(),
-            extras: VecDeque::new(),
+            pending_events: Vec::new(),
+            restarts: 0,
+            arrivals: VecDeque::new(),
+            further_dispatches: VecDeque::new(),
             violations: Vec::new(),
-            lines: tell.then(Vec::new),
+            trace: record_trace.then(Vec::new),
         };
-        simulation.list(ListKind::Full);
+        simulation.send_list(ListKind::Full);
         simulation
     }
 
-    /// Runs the moves; those that can't happen where they stand are passed over.
+    /// Applies the moves; those that are not possible at their point are skipped.
     pub fn run(&mut self, moves: &[Move]) {
-        for one in moves {
-            if self.moves().contains(one) {
-                self.play(*one);
+        for next in moves {
+            if self.moves().contains(next) {
+                self.apply(*next);
             }
         }
     }
 
-    /// What was broken so far.
+    /// Violations so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// What happened, where it was written.
-    pub fn told(self) -> Vec<String> {
-        self.lines.unwrap_or_default()
+    /// The trace, if it was recorded.
+    pub fn into_trace(self) -> Vec<String> {
+        self.trace.unwrap_or_default()
     }
 
-    /// What may happen now, in a fixed order.
+    /// The moves that are possible now, in a fixed order.
     pub fn moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         if let Some(next) = self.scans.iter().position(Option::is_none) {
-            moves.push(Move::Scan(next));
-        }
-        for (leg, flight) in self.flights.iter().filter(|(_, f)| !f.hangs) {
-            moves.extend(self.endings(flight).iter().map(|how| Move::Ends(leg.0, leg.1, leg.2, *how)));
-        }
-        // Nobody sees that a part hangs before it should have come back: any earlier is the same run.
-        moves.extend(self.awaited().into_iter().map(|(leg, _)| Move::Hangs(leg.0, leg.1, leg.2)));
-        for place in 0..self.places.len() {
-            let state = &self.places[place];
-            if self
-                .flights
-                .values()
-                .any(|f| f.place == place && (f.epoch != state.epoch || state.truth.accepts_work()))
-            {
-                moves.push(Move::Lost(place));
-            }
-            let next = match state.truth {
-                Condition::Up | Condition::Cold => {
-                    &[Condition::Draining, Condition::Gone, Condition::Cold][..]
-                }
-                Condition::Draining => &[Condition::Gone],
-                Condition::Gone => &[Condition::Cold],
-            };
-            for to in next {
-                if self.left.told > 0 && !state.behind {
-                    moves.push(Move::Told(place, *to));
-                }
-                if self.left.unseen > 0 && self.scenario.searchers[place].unsure {
-                    moves.push(Move::Unseen(place, *to));
-                }
-            }
-            if state.behind {
-                moves.push(Move::Tell(place));
-            }
+            moves.push(Move::ScanArrives(next));
         }
-        for place in &self.probes {
-            let up = self.places[*place].truth != Condition::Gone;
-            moves.extend(up.then_some(Move::Pong(*place, true)));
-            moves.push(Move::Pong(*place, false));
+        for (id, dispatch) in self.in_flight.iter().filter(|(_, d)| !d.hangs) {
+            moves.extend(self.possible_ends(dispatch).iter().map(|end| Move::DispatchEnds(*id, *end)));
         }
-        if self.left.leaves > 0 {
-            let open = |s: &Option<Scan>| s.as_ref().is_some_and(|s| !s.done);
-            moves.extend((0..self.scans.len()).filter(|s| open(&self.scans[*s])).map(Move::Leaves));
+        // A hanging dispatch shows only once its answer is due, so an earlier hang would give the same run.
+        moves.extend(self.next_answered().into_iter().map(|(id, _)| Move::DispatchHangs(*id)));
+        for searcher in 0..self.searchers.len() {
+            self.add_searcher_moves(searcher, &mut moves);
         }
-        if self.scans.iter().flatten().any(|s| !s.done) || !self.probes.is_empty() {
+        for searcher in &self.probes {
+            let reachable = self.searchers[*searcher].actual != Condition::Gone;
+            moves.extend(reachable.then_some(Move::ProbeEnds(*searcher, true)));
+            moves.push(Move::ProbeEnds(*searcher, false));
+        }
+        if self.remaining.client_departures > 0 {
+            let is_open = |scan: &Option<ScanState>| scan.as_ref().is_some_and(|s| !s.done);
+            moves.extend((0..self.scans.len()).filter(|s| is_open(&self.scans[*s])).map(Move::ClientLeaves));
+        }
+        if self.has_open_scans() || !self.probes.is_empty() {
             moves.push(Move::Wait);
         }
-        if self.left.restarts > 0 {
+        if self.remaining.restarts > 0 {
             moves.push(Move::Restart);
         }
         moves.dedup();
         moves
     }
 
-    /// DispatchEnd a dispatch may end, the usual way first.
-    fn endings(&self, flight: &Flight) -> &'static [DispatchEnd] {
-        let state = &self.places[flight.place];
-        match (flight.epoch == state.epoch, state.truth) {
+    fn add_searcher_moves(&self, searcher: usize, moves: &mut Vec<Move>) {
+        let state = &self.searchers[searcher];
+        if self
+            .in_flight
+            .values()
+            .any(|d| d.searcher == searcher && (d.process != state.process || state.actual.accepts_work()))
+        {
+            moves.push(Move::ConnectionLost(searcher));
+        }
+        let next_conditions = match state.actual {
+            Condition::Up | Condition::Cold => &[Condition::Draining, Condition::Gone, Condition::Cold][..],
+            Condition::Draining => &[Condition::Gone],
+            Condition::Gone => &[Condition::Cold],
+        };
+        for condition in next_conditions {
+            if self.remaining.listed_changes > 0 && !state.list_outdated {
+                moves.push(Move::ListedChange(searcher, *condition));
+            }
+            if self.remaining.unlisted_changes > 0 && self.scenario.searchers[searcher].maybe_stale {
+                moves.push(Move::UnlistedChange(searcher, *condition));
+            }
+        }
+        if state.list_outdated {
+            moves.push(Move::ListUpdate(searcher));
+        }
+    }
+
+    fn has_open_scans(&self) -> bool {
+        self.scans.iter().flatten().any(|scan| !scan.done)
+    }
+
+    /// How a dispatch may end, the expected end first.
+    fn possible_ends(&self, dispatch: &InFlightDispatch) -> &'static [DispatchEnd] {
+        let state = &self.searchers[dispatch.searcher];
+        match (dispatch.process == state.process, state.actual) {
             (true, Condition::Up | Condition::Cold) => {
                 &[DispatchEnd::Ok, DispatchEnd::Error, DispatchEnd::Full]
             }
             (true, Condition::Draining) => &[DispatchEnd::Full],
             (true, Condition::Gone) => &[DispatchEnd::Refused],
-            // Sent before it changed: who drains completes what it holds, another process knows nothing of it.
+            // Sent before the change: a draining searcher completes its parts, a new process does not know them.
             (false, Condition::Draining) => &[DispatchEnd::Ok, DispatchEnd::Error],
             (false, _) => &[],
         }
     }
 
-    /// The dispatch that comes back next if nothing goes wrong.
-    fn awaited(&self) -> Option<(&Leg, &Flight)> {
-        let awaited = self.flights.iter().filter(|(_, f)| !f.hangs);
-        awaited.min_by(|a, b| a.1.sent_at.total_cmp(&b.1.sent_at))
+    /// The dispatch that is answered next in the expected course.
+    fn next_answered(&self) -> Option<(&DispatchId, &InFlightDispatch)> {
+        let answered = self.in_flight.iter().filter(|(_, d)| !d.hangs);
+        answered.min_by(|a, b| a.1.sent_at.total_cmp(&b.1.sent_at))
     }
 
-    /// What happens next if nothing goes wrong: parts come back in the order in which they went, probes come back, the
-    /// list tells what it has not, the next scan arrives, and time passes. None at the end of a run.
-    pub fn usual(&self) -> Option<Move> {
-        if let Some((leg, flight)) = self.awaited() {
-            let how = self.endings(flight).first();
-            return Some(how.map_or(Move::Lost(flight.place), |how| Move::Ends(leg.0, leg.1, leg.2, *how)));
+    /// The next move in the expected course: dispatches are answered in the order in which they were sent, then probes
+    /// end, the list is updated, time passes, and the next scan arrives. `None` at the end of a run.
+    pub fn expected_move(&self) -> Option<Move> {
+        if let Some((id, dispatch)) = self.next_answered() {
+            let end = self.possible_ends(dispatch).first();
+            return Some(
+                end.map_or(Move::ConnectionLost(dispatch.searcher), |end| Move::DispatchEnds(*id, *end)),
+            );
         }
-        if let Some(place) = self.probes.first() {
-            return Some(Move::Pong(*place, self.places[*place].truth != Condition::Gone));
+        if let Some(searcher) = self.probes.first() {
+            let reachable = self.searchers[*searcher].actual != Condition::Gone;
+            return Some(Move::ProbeEnds(*searcher, reachable));
         }
-        if let Some(place) = self.places.iter().position(|p| p.behind) {
-            return Some(Move::Tell(place));
+        if let Some(searcher) = self.searchers.iter().position(|s| s.list_outdated) {
+            return Some(Move::ListUpdate(searcher));
         }
-        if self.scans.iter().flatten().any(|s| !s.done) {
+        if self.has_open_scans() {
             return Some(Move::Wait);
         }
-        self.scans.iter().position(Option::is_none).map(Move::Scan)
+        self.scans.iter().position(Option::is_none).map(Move::ScanArrives)
     }
 
-    /// Lets one of [`Simulation::moves`] happen.
-    pub fn play(&mut self, one: Move) {
-        if self.lines.is_some() {
-            let line = self.say(one);
-            self.line(&line);
+    /// Applies one of [`Simulation::moves`].
+    pub fn apply(&mut self, next: Move) {
+        if self.trace.is_some() {
+            let line = self.describe(next);
+            self.add_trace_line(&line);
         }
-        match one {
-            Move::Scan(nth) => self.scan(nth),
-            Move::Ends(scan, part, dispatch, how) => {
-                let event = self.end((scan, part, dispatch), how.ending());
-                self.turn(event.into_iter().collect());
-            }
-            Move::Hangs(scan, part, dispatch) => {
-                self.flights.get_mut(&(scan, part, dispatch)).into_iter().for_each(|f| f.hangs = true);
+        match next {
+            Move::ScanArrives(scan) => self.start_scan(scan),
+            Move::DispatchEnds(id, end) => {
+                let event = self.end_dispatch(id, end.outcome());
+                self.deliver(event.into_iter().collect());
             }
-            Move::Lost(place) => self.lose(place),
-            Move::Told(place, to) => {
-                self.left.told -= 1;
-                self.change(place, to);
-                self.tell(place);
+            Move::DispatchHangs(id) => {
+                if let Some(dispatch) = self.in_flight.get_mut(&id) {
+                    dispatch.hangs = true;
+                }
             }
-            Move::Unseen(place, to) => {
-                self.left.unseen -= 1;
-                self.change(place, to);
-                self.places[place].behind = true;
+            Move::ConnectionLost(searcher) => self.lose_connection(searcher),
+            Move::ListedChange(searcher, condition) => {
+                self.remaining.listed_changes -= 1;
+                self.change_searcher(searcher, condition);
+                self.update_list(searcher);
             }
-            Move::Tell(place) => self.tell(place),
-            Move::Pong(place, good) => {
-                self.probes.retain(|p| *p != place);
-                let ending = if good { DispatchOutcome::Ok } else { DispatchOutcome::TimedOut };
-                let searcher = self.scenario.searchers[place].addr;
-                self.turn(vec![Event::ProbeEnded { searcher, outcome: ending, took_ms: 1.0 }]);
+            Move::UnlistedChange(searcher, condition) => {
+                self.remaining.unlisted_changes -= 1;
+                self.change_searcher(searcher, condition);
+                self.searchers[searcher].list_outdated = true;
             }
-            Move::Leaves(nth) => {
-                self.left.leaves -= 1;
-                if let Some(scan) = &mut self.scans[nth] {
-                    scan.done = true;
+            Move::ListUpdate(searcher) => self.update_list(searcher),
+            Move::ProbeEnds(searcher, succeeded) => self.end_probe(searcher, succeeded),
+            Move::ClientLeaves(scan) => {
+                self.remaining.client_departures -= 1;
+                if let Some(state) = &mut self.scans[scan] {
+                    state.done = true;
                 }
-                self.turn(vec![Event::ClientGone { scan: id(nth) }]);
+                self.deliver(vec![Event::ClientGone { scan: scan_id(scan) }]);
             }
             Move::Wait => self.wait(),
             Move::Restart => self.restart(),
         }
     }
 
-    /// Lets time pass with nothing else until every scan is answered: what is lost shows only at the end.
-    pub fn close(&mut self) {
-        for _ in 0..CLOSING {
-            if !self.violations.is_empty() || !self.scans.iter().flatten().any(|s| !s.done) {
+    /// Waits until every scan is answered, as a lost scan shows only at its deadline.
+    pub fn finish(&mut self) {
+        for _ in 0..MAX_FINAL_WAITS {
+            if !self.violations.is_empty() || !self.has_open_scans() {
                 return;
             }
             self.wait();
         }
     }
 
-    /// All that decides what can follow, as one figure.
-    pub fn digest(&self) -> u64 {
-        let mut text = Hashing(DefaultHasher::new());
+    /// Hash of all state that the further run depends on.
+    pub fn state_hash(&self) -> u64 {
+        let mut hash = HashWriter(DefaultHasher::new());
         let _ = write!(
-            text,
+            hash,
             "{:?}|{:?}|{:?}|{:?}|{:?}|{:?}|{:?}|{:?}|{:?}|{:?}|{:?}",
             self.subject,
             self.now,
-            self.wake,
-            self.places,
+            self.wake_at,
+            self.searchers,
             self.scans,
-            self.flights,
+            self.in_flight,
             self.probes,
-            self.waiting,
-            self.left,
-            self.starts,
-            (&self.taken, &self.extras),
+            self.pending_events,
+            self.remaining,
+            self.restarts,
+            (&self.arrivals, &self.further_dispatches),
         );
-        text.0.finish()
+        hash.0.finish()
     }
 
-    fn list(&mut self, kind: ListKind) {
-        let lines = (0..self.places.len()).map(|p| self.listed(p)).collect();
-        self.turn(vec![Event::List { kind, searchers: lines }]);
+    fn send_list(&mut self, kind: ListKind) {
+        let searchers = (0..self.searchers.len()).map(|s| self.list_entry(s)).collect();
+        self.deliver(vec![Event::List { kind, searchers }]);
     }
 
-    fn listed(&self, place: usize) -> ListedSearcher {
-        let (at, state) = (&self.scenario.searchers[place], &self.places[place]);
+    fn list_entry(&self, searcher: usize) -> ListedSearcher {
+        let fixed = &self.scenario.searchers[searcher];
+        let state = &self.searchers[searcher];
         ListedSearcher {
-            searcher: at.addr,
-            cell: at.cell,
-            zone: at.hall as u16,
-            started_at: state.listed_since,
-            status: state.told,
+            searcher: fixed.addr,
+            cell: fixed.cell,
+            zone: fixed.hall as u16,
+            started_at: state.listed_started_at,
+            status: state.listed_status,
         }
     }
 
-    fn scan(&mut self, nth: usize) {
-        let plan = &self.scenario.templates[nth];
-        let terms = &self.scenario.config.table_types[plan.table_type];
-        let (now, number) = (self.now, nth as u32 + 1);
-        let gone_at = now + terms.query_timeout_ms;
+    fn start_scan(&mut self, scan: usize) {
+        let template = &self.scenario.templates[scan];
+        let table_type = &self.scenario.config.table_types[template.table_type];
+        let now = self.now;
+        let number = scan as u32 + 1;
+        let deadline_at = now + table_type.query_timeout_ms;
         let mut events = vec![Event::Scan {
-            id: id(nth),
+            id: scan_id(scan),
             number,
-            table_type: plan.table_type,
+            table_type: template.table_type,
             customer: 0,
-            deadline_at: gone_at,
+            deadline_at,
             work_ms: None,
             retry: false,
         }];
-        let part = |(i, (shard, weight)): (usize, &(u32, f64))| Event::Part {
-            id: id(nth) + 1 + i as u64,
+        let part_event = |(part, PartTemplate { slice, weight }): (usize, &PartTemplate)| Event::Part {
+            id: part_id(scan, part),
             number,
-            shard: *shard,
+            shard: *slice,
             weight: *weight,
         };
-        events.extend(plan.parts.iter().enumerate().map(part));
-        let parts = vec![Part { sent: Vec::new() }; plan.parts.len()];
-        self.taken.extend(vec![now; 1 + parts.len()]);
-        self.scans[nth] = Some(Scan { plan: nth, taken_at: now, gone_at, parts, done: false });
-        self.turn(events);
+        events.extend(template.parts.iter().enumerate().map(part_event));
+        let parts = vec![PartState { dispatches: Vec::new() }; template.parts.len()];
+        self.arrivals.extend(vec![now; 1 + parts.len()]);
+        self.scans[scan] =
+            Some(ScanState { template: scan, arrived_at: now, deadline_at, parts, done: false });
+        self.deliver(events);
     }
 
-    fn end(&mut self, leg: Leg, ending: DispatchOutcome) -> Option<Event> {
-        let flight = self.flights.remove(&leg)?;
-        if let Some(scan) = &mut self.scans[leg.0] {
-            scan.parts[leg.1].sent[usize::from(leg.2)].1 = Some(ending);
+    /// Ends a dispatch if it is in flight. Returns the event for the module.
+    fn end_dispatch(&mut self, id: DispatchId, outcome: DispatchOutcome) -> Option<Event> {
+        let dispatch = self.in_flight.remove(&id)?;
+        if let Some(scan) = &mut self.scans[id.scan] {
+            scan.parts[id.part].dispatches[usize::from(id.dispatch)].outcome = Some(outcome);
         }
         Some(Event::DispatchEnded {
-            part: id(leg.0) + 1 + leg.1 as u64,
-            dispatch: leg.2,
-            searcher: self.scenario.searchers[flight.place].addr,
-            outcome: ending,
-            took_ms: self.now - flight.sent_at,
+            part: part_id(id.scan, id.part),
+            dispatch: id.dispatch,
+            searcher: self.scenario.searchers[dispatch.searcher].addr,
+            outcome,
+            took_ms: self.now - dispatch.sent_at,
             busy: None,
         })
     }
 
-    fn lose(&mut self, place: usize) {
-        let legs: Vec<Leg> =
-            self.flights.iter().filter(|(_, f)| f.place == place).map(|(leg, _)| *leg).collect();
-        let events = legs.into_iter().filter_map(|leg| self.end(leg, DispatchOutcome::Reset)).collect();
-        self.turn(events);
+    fn end_probe(&mut self, searcher: usize, succeeded: bool) {
+        self.probes.retain(|s| *s != searcher);
+        let outcome = if succeeded { DispatchOutcome::Ok } else { DispatchOutcome::TimedOut };
+        let searcher = self.scenario.searchers[searcher].addr;
+        self.deliver(vec![Event::ProbeEnded { searcher, outcome, took_ms: 1.0 }]);
     }
 
-    fn change(&mut self, place: usize, to: Condition) {
-        let state = &mut self.places[place];
-        state.truth = to;
-        state.epoch += 1;
-        if to == Condition::Cold {
-            state.since = self.now;
+    fn lose_connection(&mut self, searcher: usize) {
+        let lost: Vec<DispatchId> =
+            self.in_flight.iter().filter(|(_, d)| d.searcher == searcher).map(|(id, _)| *id).collect();
+        let events =
+            lost.into_iter().filter_map(|id| self.end_dispatch(id, DispatchOutcome::Reset)).collect();
+        self.deliver(events);
+    }
+
+    fn change_searcher(&mut self, searcher: usize, condition: Condition) {
+        let state = &mut self.searchers[searcher];
+        state.actual = condition;
+        state.process += 1;
+        if condition == Condition::Cold {
+            state.started_at = self.now;
             state.cold_work.clear();
         }
     }
 
-    fn tell(&mut self, place: usize) {
-        let state = &mut self.places[place];
-        state.behind = false;
-        state.told = life(state.truth);
-        state.listed_since = state.since;
-        let lines = vec![self.listed(place)];
-        self.turn(vec![Event::List { kind: ListKind::Changes, searchers: lines }]);
+    fn update_list(&mut self, searcher: usize) {
+        let state = &mut self.searchers[searcher];
+        state.list_outdated = false;
+        state.listed_status = status_of(state.actual);
+        state.listed_started_at = state.started_at;
+        let searchers = vec![self.list_entry(searcher)];
+        self.deliver(vec![Event::List { kind: ListKind::Changes, searchers }]);
     }
 
     fn restart(&mut self) {
-        self.left.restarts -= 1;
-        self.starts += 1;
-        self.subject = (self.open)(self.scenario.seed + self.starts);
-        self.flights.clear();
+        self.remaining.restarts -= 1;
+        self.restarts += 1;
+        self.subject = (self.open)(self.scenario.seed + self.restarts);
+        self.in_flight.clear();
         self.probes.clear();
-        self.waiting.clear();
-        self.taken.clear();
-        self.extras.clear();
-        // What it had taken is no longer its duty, and what it sent is no longer known to it.
-        self.scans.iter_mut().flatten().for_each(|s| s.done = true);
-        self.places.iter_mut().for_each(|p| p.cold_work.clear());
-        self.wake = self.now;
-        self.list(ListKind::Cached);
+        self.pending_events.clear();
+        self.arrivals.clear();
+        self.further_dispatches.clear();
+        // The new process neither has to answer the scans of the old one, nor knows its dispatches.
+        self.scans.iter_mut().flatten().for_each(|scan| scan.done = true);
+        self.searchers.iter_mut().for_each(|searcher| searcher.cold_work.clear());
+        self.wake_at = self.now;
+        self.send_list(ListKind::Cached);
     }
 
-    /// Ticks until the mixer does something, a time-out is due, or long enough.
+    /// Lets time pass until the mixer acts, a dispatch times out, or [`MAX_WAIT_SHARE`] is reached.
     fn wait(&mut self) {
-        let longest =
-            self.scenario.config.table_types.iter().map(|t| t.query_timeout_ms).fold(f64::INFINITY, f64::min);
-        let limit = self.now + WAIT * longest;
+        let table_types = &self.scenario.config.table_types;
+        let shortest_timeout_ms =
+            table_types.iter().map(|t| t.query_timeout_ms).fold(f64::INFINITY, f64::min);
+        let limit = self.now + MAX_WAIT_SHARE * shortest_timeout_ms;
         loop {
-            let timeout = self.flights.values().map(|f| f.until).fold(f64::INFINITY, f64::min);
-            self.now = self.wake.min(timeout).min(limit).max(self.now);
-            let due: Vec<Leg> =
-                self.flights.iter().filter(|(_, f)| f.until <= self.now).map(|(leg, _)| *leg).collect();
+            let next_timeout = self.in_flight.values().map(|d| d.times_out_at).fold(f64::INFINITY, f64::min);
+            self.now = self.wake_at.min(next_timeout).min(limit).max(self.now);
+            let due: Vec<DispatchId> = self
+                .in_flight
+                .iter()
+                .filter(|(_, d)| d.times_out_at <= self.now)
+                .map(|(id, _)| *id)
+                .collect();
             let timed_out = !due.is_empty();
             let mut events: Vec<Event> =
-                due.into_iter().filter_map(|leg| self.end(leg, DispatchOutcome::TimedOut)).collect();
+                due.into_iter().filter_map(|id| self.end_dispatch(id, DispatchOutcome::TimedOut)).collect();
             if events.is_empty() {
                 events.push(Event::Wake);
             }
-            let acted = self.turn(events);
-            for nth in 0..self.scans.len() {
-                let late = self.scans[nth].as_ref().is_some_and(|s| !s.done && self.now > s.gone_at);
-                if late {
-                    self.report_violation(
-                        Rule::NoScanLost,
-                        format!("scan {nth} has no answer when its time is up"),
-                    );
-                    self.scans[nth].iter_mut().for_each(|s| s.done = true);
-                }
-            }
+            let acted = self.deliver(events);
+            self.check_deadlines();
             if acted || timed_out || self.now >= limit || !self.violations.is_empty() {
                 return;
             }
         }
     }
 
-    /// One turn of the module; whether it did anything that others see.
-    fn turn(&mut self, mut events: Vec<Event>) -> bool {
-        events.append(&mut self.waiting);
+    /// Rule 1: every scan is answered by its deadline.
+    fn check_deadlines(&mut self) {
+        for scan in 0..self.scans.len() {
+            let late = self.scans[scan].as_ref().is_some_and(|s| !s.done && self.now > s.deadline_at);
+            if late {
+                self.violation(Rule::NoScanLost, format!("scan {scan} has no answer when its time is up"));
+                self.scans[scan].iter_mut().for_each(|s| s.done = true);
+            }
+        }
+    }
+
+    /// Calls the module with the events, and executes its actions. Returns whether any of them is visible to others.
+    fn deliver(&mut self, mut events: Vec<Event>) -> bool {
+        events.append(&mut self.pending_events);
         let actions = self.subject.handle_events(self.now, events);
         let mut acted = false;
         for action in actions {
             acted |= !matches!(action, Action::WakeAt { .. } | Action::Log { .. } | Action::Subscribe);
-            self.act(action);
+            self.execute(action);
         }
         acted
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch { part, searcher, timeout_ms } => {
-                self.dispatch(part, searcher.port(), timeout_ms)
-            }
-            Action::Cancel { part, dispatch } => {
-                let leg = leg_of(part, dispatch);
-                if self.scenario.config.permissions.cancel
-                    && let Some(event) = self.end(leg, DispatchOutcome::Cancelled)
-                {
-                    self.line(&format!("    gives up part {}.{} dispatch {}", leg.0, leg.1, leg.2));
-                    self.waiting.push(event);
-                }
+                self.dispatch(part, searcher.port(), timeout_ms);
             }
+            Action::Cancel { part, dispatch } => self.cancel(dispatch_id(part, dispatch)),
             Action::Complete { scan, whole } => self.complete(scan, whole),
             Action::Throttle { scan, .. } => self.throttle(scan),
-            Action::Abandon { scan } => self.answered(scan, AnswerKind::Abandoned, None),
+            Action::Abandon { scan } => self.answer(scan, AnswerKind::Abandoned, None),
             Action::Probe { searcher } => {
-                let place = usize::from(searcher.port()) - 1;
-                self.line(&format!("    probes {}", self.scenario.searchers[place].name));
-                if !self.probes.contains(&place) {
-                    self.probes.push(place);
+                let searcher = usize::from(searcher.port()) - 1;
+                self.add_trace_line(&format!("    probes {}", self.scenario.searchers[searcher].name));
+                if !self.probes.contains(&searcher) {
+                    self.probes.push(searcher);
                 }
             }
             Action::CloseIdleConnections { .. } | Action::Subscribe => {}
-            Action::WakeAt { at } => self.wake = at,
+            Action::WakeAt { at } => self.wake_at = at,
             Action::Log { line } => {
-                if self.lines.is_some() {
-                    let named = (1u16..).zip(&self.scenario.searchers).fold(line, |line, (port, place)| {
-                        line.replace(&format!("127.0.0.1:{port} "), &format!("{} ", place.name))
-                    });
-                    self.line(&format!("    {named}"));
+                if self.trace.is_some() {
+                    let with_names =
+                        (1u16..).zip(&self.scenario.searchers).fold(line, |line, (port, searcher)| {
+                            line.replace(&format!("127.0.0.1:{port} "), &format!("{} ", searcher.name))
+                        });
+                    self.add_trace_line(&format!("    {with_names}"));
                 }
             }
         }
     }
 
-    fn dispatch(&mut self, part: u64, port: u16, timeout_ms: f64) {
-        let (now, place) = (self.now, usize::from(port) - 1);
-        let (nth, index, _) = leg_of(part, 0);
-        let at = &self.scenario.searchers[place];
-        let Some(scan) = &mut self.scans[nth] else {
-            return self.report_violation(
+    fn cancel(&mut self, id: DispatchId) {
+        if self.scenario.config.permissions.cancel
+            && let Some(event) = self.end_dispatch(id, DispatchOutcome::Cancelled)
+        {
+            let DispatchId { scan, part, dispatch } = id;
+            self.add_trace_line(&format!("    gives up part {scan}.{part} dispatch {dispatch}"));
+            self.pending_events.push(event);
+        }
+    }
+
+    /// Sends a dispatch, and checks it against the rules and the behaviour claims.
+    fn dispatch(&mut self, part_id: u64, port: u16, timeout_ms: f64) {
+        let now = self.now;
+        let searcher = usize::from(port) - 1;
+        let DispatchId { scan: scan_index, part: part_index, .. } = dispatch_id(part_id, 0);
+        let Some(scan) = &mut self.scans[scan_index] else {
+            return self.violation(
                 Rule::NoScanLost,
-                format!("a part of scan {nth}, which nobody asked, is sent"),
+                format!("a part of scan {scan_index}, which nobody asked, is sent"),
             );
         };
-        let dispatch = scan.parts[index].sent.len() as u8;
-        let terms = &self.scenario.config.table_types[self.scenario.templates[scan.plan].table_type];
-        let (done, taken_at, table_type) =
-            (scan.done, scan.taken_at, self.scenario.templates[scan.plan].table_type);
-        let earlier = scan.parts[index].sent.clone();
-        scan.parts[index].sent.push((now, None));
-        let state = &mut self.places[place];
-        let (truth, told, epoch) = (state.truth, state.told, state.epoch);
-        self.flights.insert(
-            (nth, index, dispatch),
-            Flight { place, sent_at: now, until: now + timeout_ms.max(0.0), epoch, hangs: false },
+        let number = scan.parts[part_index].dispatches.len() as u8;
+        let table_type_index = self.scenario.templates[scan.template].table_type;
+        let idempotency = self.scenario.config.table_types[table_type_index].idempotency;
+        let done = scan.done;
+        let arrived_at = scan.arrived_at;
+        let earlier = scan.parts[part_index].dispatches.clone();
+        scan.parts[part_index].dispatches.push(SentDispatch { sent_at: now, outcome: None });
+        let state = &self.searchers[searcher];
+        let actual = state.actual;
+        let listed_status = state.listed_status;
+        self.in_flight.insert(
+            DispatchId { scan: scan_index, part: part_index, dispatch: number },
+            InFlightDispatch {
+                searcher,
+                sent_at: now,
+                times_out_at: now + timeout_ms.max(0.0),
+                process: state.process,
+                hangs: false,
+            },
         );
-        let (name, hall) = (at.name.clone(), at.hall);
-        let which = format!("part {nth}.{index}");
-        self.line(&format!("    {which} dispatch {dispatch} -> {name}, which is {}", said(truth)));
+        let name = self.scenario.searchers[searcher].name.clone();
+        let part = format!("part {scan_index}.{part_index}");
+        let condition = condition_text(actual);
+        self.add_trace_line(&format!("    {part} dispatch {number} -> {name}, which is {condition}"));
         if done {
-            self.report_violation(
-                Rule::NoScanLost,
-                format!("{which} is sent to {name} after its scan's end"),
-            );
+            self.violation(Rule::NoScanLost, format!("{part} is sent to {name} after its scan's end"));
         }
-        self.repeat(&which, &name, &earlier, terms.idempotency, taken_at);
-        if told != SearcherStatus::Ready {
-            let word = if told == SearcherStatus::Gone { "gone" } else { "draining" };
-            self.report_violation(
+        self.check_repeat(&part, &name, &earlier, idempotency, arrived_at);
+        if listed_status != SearcherStatus::Ready {
+            let listed = if listed_status == SearcherStatus::Gone { "gone" } else { "draining" };
+            self.violation(
                 Rule::DrainsKept,
-                format!("{which} is sent to {name}, which was told to be {word}"),
+                format!("{part} is sent to {name}, which was told to be {listed}"),
             );
         }
-        self.spare(&which, place);
-        if dispatch > 0 {
-            self.extras.push_back(now);
-            self.afford();
-        }
-        let beside = earlier.iter().any(|s| s.1.is_none());
-        for (at, watch) in self.watches.iter().enumerate() {
-            let ObservedAction::Sent { to, hall: only, again, beside: only_beside } = &watch.action else {
+        self.check_cold_work(&part, searcher);
+        if number > 0 {
+            self.further_dispatches.push_back(now);
+            self.check_retry_budget();
+        }
+        self.check_dispatch_claims(&part, searcher, table_type_index, &earlier);
+    }
+
+    /// Checks a dispatch of a part, with these earlier dispatches, against the behaviour claims.
+    fn check_dispatch_claims(
+        &mut self,
+        part: &str,
+        searcher: usize,
+        table_type: usize,
+        earlier: &[SentDispatch],
+    ) {
+        let actual = self.searchers[searcher].actual;
+        let ScenarioSearcher { name, hall, .. } = &self.scenario.searchers[searcher];
+        let is_repeated = !earlier.is_empty();
+        let is_concurrent = earlier.iter().any(|d| d.outcome.is_none());
+        for (index, claim) in self.claims.iter().enumerate() {
+            let ObservedAction::Dispatch { conditions, hall: claimed_hall, repeated, concurrent } =
+                &claim.action
+            else {
                 continue;
             };
-            if watch.table_type.is_some_and(|t| t != table_type) {
+            if claim.table_type.is_some_and(|t| t != table_type) {
                 continue;
             }
-            let fits = (to.is_empty() || to.contains(&truth))
-                && only.is_none_or(|h| h == hall)
-                && (!again || dispatch > 0)
-                && (!only_beside || beside);
-            if fits != watch.always {
-                let what = format!("{which} is sent to {name}, which is {}", said(truth));
-                self.report_violation(Rule::BehaviourClaim(at), what);
+            let matches = (conditions.is_empty() || conditions.contains(&actual))
+                && claimed_hall.is_none_or(|h| h == *hall)
+                && (!repeated || is_repeated)
+                && (!concurrent || is_concurrent);
+            if matches != claim.always {
+                let description = format!("{part} is sent to {name}, which is {}", condition_text(actual));
+                self.violation(Rule::BehaviourClaim(index), description);
             }
         }
     }
 
-    /// Rule 2, and the number of dispatches that a part may have.
-    fn repeat(&mut self, which: &str, name: &str, earlier: &[Sent], repeat: Idempotency, taken_at: f64) {
-        let permits = &self.scenario.config.permissions;
-        if earlier.len() >= permits.max_dispatches as usize {
-            let what = format!("{which} gets dispatch {} of {}", earlier.len() + 1, permits.max_dispatches);
-            self.report_violation(Rule::NoEffectTwice, what);
-        }
-        let out = earlier.iter().any(|s| s.1.is_none());
-        if out && !permits.hedge {
-            self.report_violation(
-                Rule::NoEffectTwice,
-                format!("{which} gets a second copy, which is not allowed"),
-            );
-        }
-        let may_have_run = |s: &&Sent| s.1.is_none_or(|ending| !ending.never_ran());
-        let ran: Vec<&Sent> = earlier.iter().filter(may_have_run).collect();
-        let first = ran.iter().map(|s| s.0).fold(f64::INFINITY, f64::min);
-        let broken = match repeat {
+    /// Rule 2, and the maximum number of dispatches of a part.
+    fn check_repeat(
+        &mut self,
+        part: &str,
+        searcher: &str,
+        earlier: &[SentDispatch],
+        idempotency: Idempotency,
+        arrived_at: f64,
+    ) {
+        let permissions = &self.scenario.config.permissions;
+        if earlier.len() >= permissions.max_dispatches as usize {
+            let description =
+                format!("{part} gets dispatch {} of {}", earlier.len() + 1, permissions.max_dispatches);
+            self.violation(Rule::NoEffectTwice, description);
+        }
+        let in_flight = earlier.iter().any(|d| d.outcome.is_none());
+        if in_flight && !permissions.hedge {
+            self.violation(Rule::NoEffectTwice, format!("{part} gets a second copy, which is not allowed"));
+        }
+        let may_have_run = || earlier.iter().filter(|d| d.may_have_run());
+        let first_sent_at = may_have_run().map(|d| d.sent_at).fold(f64::INFINITY, f64::min);
+        let any_ran = may_have_run().next().is_some();
+        let violated = match idempotency {
             Idempotency::Replayable => false,
-            Idempotency::Keyed { window_ms } => !ran.is_empty() && self.now > first.max(taken_at) + window_ms,
-            Idempotency::NonReplayable => !ran.is_empty(),
+            Idempotency::Keyed { window_ms } => {
+                any_ran && self.now > first_sent_at.max(arrived_at) + window_ms
+            }
+            Idempotency::NonReplayable => any_ran,
         };
-        if broken {
-            let what = format!("{which} is sent again, to {name}, though it may have run");
-            self.report_violation(Rule::NoEffectTwice, what);
+        if violated {
+            let description = format!("{part} is sent again, to {searcher}, though it may have run");
+            self.violation(Rule::NoEffectTwice, description);
         }
     }
 
-    /// Rule 4: in any fall window, one part, or this mixer's equal share of the multiple of what it can do.
-    fn spare(&mut self, which: &str, place: usize) {
-        let (now, guards) = (self.now, &self.scenario.config.safety_limits);
-        let work = WORK * self.scenario.config.table_types[self.scenario.templates[0].table_type].target_ms;
-        let state = &mut self.places[place];
-        // What the list does not tell, a mixer can't spare; it is held to what it was told.
-        let age = now - state.listed_since;
-        if state.listed_since <= 0.0 || age >= guards.warm_up_ms || state.told != SearcherStatus::Ready {
+    /// Rule 4: in any overload window a cold searcher gets one part, or this mixer's equal share of the overload multiple
+    /// of its capacity.
+    fn check_cold_work(&mut self, part: &str, searcher: usize) {
+        let now = self.now;
+        let config = &self.scenario.config;
+        let limits = &config.safety_limits;
+        let work_ms = WORK_SHARE * config.table_types[self.scenario.templates[0].table_type].target_ms;
+        let state = &mut self.searchers[searcher];
+        // The mixer is judged by what the list reports; it can't know of an unlisted start.
+        let age_ms = now - state.listed_started_at;
+        if state.listed_started_at <= 0.0
+            || age_ms >= limits.warm_up_ms
+            || state.listed_status != SearcherStatus::Ready
+        {
             return;
         }
-        while state.cold_work.front().is_some_and(|w| w.0 < now - guards.overload_window_ms) {
+        while state.cold_work.front().is_some_and(|w| w.at < now - limits.overload_window_ms) {
             state.cold_work.pop_front();
         }
-        state.cold_work.push_back((now, work));
-        let able = guards.cold_capacity_share + (1.0 - guards.cold_capacity_share) * age / guards.warm_up_ms;
-        let mixers = f64::from(self.scenario.config.placement.mixers.max(1));
-        let share = guards.overload_multiple * able * guards.overload_window_ms / mixers;
-        let (parts, sum) = (state.cold_work.len(), state.cold_work.iter().map(|w| w.1).sum::<f64>());
-        if parts > 1 && sum > share {
-            let name = &self.scenario.searchers[place].name;
-            let what =
-                format!("{which} brings {name}, cold, {sum:.0} ms of work where {share:.0} is its share");
-            self.report_violation(Rule::ColdSpared, what);
+        state.cold_work.push_back(ColdWork { at: now, work_ms });
+        let capacity =
+            limits.cold_capacity_share + (1.0 - limits.cold_capacity_share) * age_ms / limits.warm_up_ms;
+        let mixers = f64::from(config.placement.mixers.max(1));
+        let share_ms = limits.overload_multiple * capacity * limits.overload_window_ms / mixers;
+        let parts = state.cold_work.len();
+        let total_ms = state.cold_work.iter().map(|w| w.work_ms).sum::<f64>();
+        if parts > 1 && total_ms > share_ms {
+            let name = &self.scenario.searchers[searcher].name;
+            let description = format!(
+                "{part} brings {name}, cold, {total_ms:.0} ms of work where {share_ms:.0} is its share"
+            );
+            self.violation(Rule::ColdSpared, description);
         }
     }
 
-    /// Rule 6, where a budget is stated.
-    fn afford(&mut self) {
+    /// Rule 6, if a retry budget is configured.
+    fn check_retry_budget(&mut self) {
         let Some(budget) = self.scenario.config.safety_limits.retry_budget else { return };
-        let from = self.now - budget.window_ms;
-        for queue in [&mut self.taken, &mut self.extras] {
-            while queue.front().is_some_and(|t| *t < from) {
-                queue.pop_front();
+        let window_start = self.now - budget.window_ms;
+        for times in [&mut self.arrivals, &mut self.further_dispatches] {
+            while times.front().is_some_and(|t| *t < window_start) {
+                times.pop_front();
             }
         }
-        let most = budget.free + budget.share * self.taken.len() as f64;
-        if self.extras.len() as f64 > most {
-            let what = format!(
-                "{} further dispatches in a window for which {most:.1} are stated",
-                self.extras.len()
+        let max = budget.free + budget.share * self.arrivals.len() as f64;
+        if self.further_dispatches.len() as f64 > max {
+            let description = format!(
+                "{} further dispatches in a window for which {max:.1} are stated",
+                self.further_dispatches.len()
             );
-            self.report_violation(Rule::BudgetKept, what);
+            self.violation(Rule::BudgetKept, description);
         }
     }
 
-    fn complete(&mut self, scan: u64, whole: bool) {
-        let nth = (scan / 100 - 1) as usize;
-        let Some(open) = &self.scans[nth] else {
-            return self.answered(scan, AnswerKind::Completed, Some(whole));
+    /// Rule 5: checks the weight of the answered parts.
+    fn complete(&mut self, scan_id: u64, whole: bool) {
+        let scan = scan_index(scan_id);
+        let Some(state) = &self.scans[scan] else {
+            return self.answer(scan_id, AnswerKind::Completed, Some(whole));
         };
-        let plan = &self.scenario.templates[open.plan];
-        let terms = &self.scenario.config.table_types[plan.table_type];
-        let is_in = |p: &Part| p.sent.iter().any(|s| s.1 == Some(DispatchOutcome::Ok));
-        let weights = open.parts.iter().zip(&plan.parts).filter(|(p, _)| is_in(p)).map(|(_, w)| w.1);
-        let have = weights.fold(0.0, |sum, weight| sum + weight);
-        let (need, least) = (terms.required_weight, terms.minimum_weight.min(terms.required_weight));
-        const HAIR: f64 = 1e-4;
-        if have + HAIR < least || have <= 0.0 {
-            let what = format!("scan {nth} is answered from {have:.2} of its parts, {least:.2} is the least");
-            self.report_violation(Rule::AnswersHonest, what);
-        }
-        if whole && have + HAIR < need {
-            let what =
-                format!("scan {nth} is called whole with {have:.2} of its parts, {need:.2} make it whole");
-            self.report_violation(Rule::AnswersHonest, what);
-        }
-        self.answered(scan, AnswerKind::Completed, Some(whole));
-    }
-
-    fn throttle(&mut self, scan: u64) {
-        let nth = (scan / 100 - 1) as usize;
-        if let Some(open) = &self.scans[nth] {
-            let repeat =
-                self.scenario.config.table_types[self.scenario.templates[open.plan].table_type].idempotency;
-            let may_have_run = |s: &Sent| s.1.is_none_or(|ending| !ending.never_ran());
-            if repeat == Idempotency::NonReplayable
-                && open.parts.iter().any(|p| p.sent.iter().any(may_have_run))
+        let template = &self.scenario.templates[state.template];
+        let table_type = &self.scenario.config.table_types[template.table_type];
+        let is_answered =
+            |part: &PartState| part.dispatches.iter().any(|d| d.outcome == Some(DispatchOutcome::Ok));
+        let answered = state.parts.iter().zip(&template.parts).filter(|(part, _)| is_answered(part));
+        let weight = answered.map(|(_, part)| part.weight).fold(0.0, |sum, weight| sum + weight);
+        let required = table_type.required_weight;
+        let minimum = table_type.minimum_weight.min(required);
+        if weight + WEIGHT_TOLERANCE < minimum || weight <= 0.0 {
+            let description =
+                format!("scan {scan} is answered from {weight:.2} of its parts, {minimum:.2} is the least");
+            self.violation(Rule::AnswersHonest, description);
+        }
+        if whole && weight + WEIGHT_TOLERANCE < required {
+            let description = format!(
+                "scan {scan} is called whole with {weight:.2} of its parts, {required:.2} make it whole"
+            );
+            self.violation(Rule::AnswersHonest, description);
+        }
+        self.answer(scan_id, AnswerKind::Completed, Some(whole));
+    }
+
+    /// Rule 2: a throttled client may repeat its scan, so no non-replayable part of it may have run.
+    fn throttle(&mut self, scan_id: u64) {
+        let scan = scan_index(scan_id);
+        if let Some(state) = &self.scans[scan] {
+            let table_type = self.scenario.templates[state.template].table_type;
+            let idempotency = self.scenario.config.table_types[table_type].idempotency;
+            if idempotency == Idempotency::NonReplayable
+                && state.parts.iter().any(|p| p.dispatches.iter().any(SentDispatch::may_have_run))
             {
-                let what = format!("scan {nth} is throttled though a part of it may have run");
-                self.report_violation(Rule::NoEffectTwice, what);
+                let description = format!("scan {scan} is throttled though a part of it may have run");
+                self.violation(Rule::NoEffectTwice, description);
             }
         }
-        self.answered(scan, AnswerKind::Throttled, None);
+        self.answer(scan_id, AnswerKind::Throttled, None);
     }
 
-    fn answered(&mut self, scan: u64, kind: AnswerKind, whole: Option<bool>) {
-        let nth = (scan / 100 - 1) as usize;
-        let words = match (kind, whole) {
+    /// Ends a scan with its final answer, and checks it against rule 1 and the behaviour claims.
+    fn answer(&mut self, scan_id: u64, kind: AnswerKind, whole: Option<bool>) {
+        let scan = scan_index(scan_id);
+        let text = match (kind, whole) {
             (AnswerKind::Completed, Some(true)) => "completed, whole",
             (AnswerKind::Completed, _) => "completed, not whole",
             (AnswerKind::Throttled, _) => "throttled",
             (AnswerKind::Abandoned, _) => "abandoned",
         };
-        self.line(&format!("    scan {nth} is {words}"));
+        self.add_trace_line(&format!("    scan {scan} is {text}"));
         let now = self.now;
-        let Some(open) = self.scans[nth].as_mut().filter(|s| !s.done) else {
-            return self
-                .report_violation(Rule::NoScanLost, format!("scan {nth} is {words} when it is not open"));
+        let Some(state) = self.scans[scan].as_mut().filter(|s| !s.done) else {
+            return self.violation(Rule::NoScanLost, format!("scan {scan} is {text} when it is not open"));
         };
-        open.done = true;
-        let late = now > open.gone_at;
-        let table_type = self.scenario.templates[open.plan].table_type;
+        state.done = true;
+        let late = now > state.deadline_at;
+        let table_type = self.scenario.templates[state.template].table_type;
         if late {
-            self.report_violation(Rule::NoScanLost, format!("scan {nth} is {words} after its time is up"));
+            self.violation(Rule::NoScanLost, format!("scan {scan} is {text} after its time is up"));
         }
-        for (at, watch) in self.watches.iter().enumerate() {
-            let ObservedAction::Answered { kinds, whole: wanted } = &watch.action else { continue };
-            if watch.table_type.is_some_and(|t| t != table_type) {
+        for (index, claim) in self.claims.iter().enumerate() {
+            let ObservedAction::Answer { kinds, whole: claimed_whole } = &claim.action else { continue };
+            if claim.table_type.is_some_and(|t| t != table_type) {
                 continue;
             }
-            let fits = (kinds.is_empty() || kinds.contains(&kind))
-                && wanted.is_none_or(|w| whole.is_some_and(|whole| whole == w));
-            if fits != watch.always {
-                self.report_violation(Rule::BehaviourClaim(at), format!("scan {nth} is {words}"));
+            let matches = (kinds.is_empty() || kinds.contains(&kind))
+                && claimed_whole.is_none_or(|claimed| whole.is_some_and(|whole| whole == claimed));
+            if matches != claim.always {
+                self.violation(Rule::BehaviourClaim(index), format!("scan {scan} is {text}"));
             }
         }
     }
 
-    fn report_violation(&mut self, rule: Rule, what: String) {
-        self.line(&format!("!!  {rule}: {what}"));
-        self.violations.push(Violation { rule, what });
+    fn violation(&mut self, rule: Rule, description: String) {
+        self.add_trace_line(&format!("{VIOLATION_MARK}{rule}: {description}"));
+        self.violations.push(Violation { rule, description });
     }
 
-    fn line(&mut self, line: &str) {
-        let at = self.now - BEGIN;
-        if let Some(lines) = &mut self.lines {
-            lines.push(format!("{at:>7.0} {line}"));
+    fn add_trace_line(&mut self, line: &str) {
+        let elapsed_ms = self.now - START_MS;
+        if let Some(trace) = &mut self.trace {
+            trace.push(format!("{elapsed_ms:>7.0} {line}"));
         }
     }
 
-    fn say(&self, one: Move) -> String {
-        let name = |place: usize| &self.scenario.searchers[place].name;
-        match one {
-            Move::Scan(nth) => {
-                let plan = &self.scenario.templates[nth];
-                let slices: Vec<String> = plan.parts.iter().map(|p| p.0.to_string()).collect();
-                let table_type = &self.scenario.config.table_type_names[plan.table_type];
-                format!("scan {nth} arrives: {table_type}, slices {}", slices.join(" and "))
+    /// Line of the trace for a move.
+    fn describe(&self, next: Move) -> String {
+        let name = |searcher: usize| &self.scenario.searchers[searcher].name;
+        let dispatch = |id: DispatchId| {
+            let searcher = self.in_flight.get(&id).map(|d| d.searcher);
+            let at = searcher.map(|s| format!(" at {}", name(s))).unwrap_or_default();
+            format!("part {}.{} dispatch {}{at}", id.scan, id.part, id.dispatch)
+        };
+        match next {
+            Move::ScanArrives(scan) => {
+                let template = &self.scenario.templates[scan];
+                let slices: Vec<String> = template.parts.iter().map(|p| p.slice.to_string()).collect();
+                let table_type = &self.scenario.config.table_type_names[template.table_type];
+                format!("scan {scan} arrives: {table_type}, slices {}", slices.join(" and "))
             }
-            Move::Ends(scan, part, dispatch, how) => {
-                let place = self.flights.get(&(scan, part, dispatch)).map(|f| f.place);
-                let at = place.map(|p| format!(" at {}", name(p))).unwrap_or_default();
-                let how = match how {
+            Move::DispatchEnds(id, end) => {
+                let end = match end {
                     DispatchEnd::Ok => "comes back",
                     DispatchEnd::Error => "fails",
                     DispatchEnd::Full => "is turned away",
                     DispatchEnd::Refused => "meets no connection",
                 };
-                format!("part {scan}.{part} dispatch {dispatch}{at} {how}")
+                format!("{} {end}", dispatch(id))
             }
-            Move::Hangs(scan, part, dispatch) => {
-                let place = self.flights.get(&(scan, part, dispatch)).map(|f| f.place);
-                let at = place.map(|p| format!(" at {}", name(p))).unwrap_or_default();
-                format!("part {scan}.{part} dispatch {dispatch}{at} will not be answered")
+            Move::DispatchHangs(id) => format!("{} will not be answered", dispatch(id)),
+            Move::ConnectionLost(searcher) => format!("the connection to {} is lost", name(searcher)),
+            Move::ListedChange(searcher, condition) => {
+                format!("{} is now {}, and the list tells so", name(searcher), condition_text(condition))
             }
-            Move::Lost(place) => format!("the connection to {} is lost", name(place)),
-            Move::Told(place, to) => format!("{} is now {}, and the list tells so", name(place), said(to)),
-            Move::Unseen(place, to) => {
-                format!("{} is now {}, and the list does not tell", name(place), said(to))
+            Move::UnlistedChange(searcher, condition) => {
+                format!("{} is now {}, and the list does not tell", name(searcher), condition_text(condition))
             }
-            Move::Tell(place) => {
-                format!("the list tells that {} is {}", name(place), said(self.places[place].truth))
+            Move::ListUpdate(searcher) => {
+                let condition = condition_text(self.searchers[searcher].actual);
+                format!("the list tells that {} is {condition}", name(searcher))
             }
-            Move::Pong(place, true) => format!("the probe to {} comes back", name(place)),
-            Move::Pong(place, false) => format!("the probe to {} fails", name(place)),
-            Move::Leaves(nth) => format!("the client of scan {nth} leaves"),
+            Move::ProbeEnds(searcher, true) => format!("the probe to {} comes back", name(searcher)),
+            Move::ProbeEnds(searcher, false) => format!("the probe to {} fails", name(searcher)),
+            Move::ClientLeaves(scan) => format!("the client of scan {scan} leaves"),
             Move::Wait => "time passes".to_owned(),
             Move::Restart => "the mixer is killed and starts again with the list it held".to_owned(),
         }
     }
 }
 
-fn life(condition: Condition) -> SearcherStatus {
+/// The status with which a searcher in this condition is listed.
+fn status_of(condition: Condition) -> SearcherStatus {
     match condition {
         Condition::Up | Condition::Cold => SearcherStatus::Ready,
         Condition::Draining => SearcherStatus::Draining,
@@ -837,7 +947,7 @@
     }
 }
 
-fn said(condition: Condition) -> &'static str {
+fn condition_text(condition: Condition) -> &'static str {
     match condition {
         Condition::Up => "up",
         Condition::Cold => "back and cold",
@@ -846,9 +956,10 @@
     }
 }
 
-struct Hashing(DefaultHasher);
+/// Hashes formatted text without storing it.
+struct HashWriter(DefaultHasher);
 
-impl fmt::Write for Hashing {
+impl fmt::Write for HashWriter {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.write(text.as_bytes());
         Ok(())
--- a/crates/expect/src/groups.rs
+++ b/crates/expect/src/groups.rs
@@ -1,8 +1,8 @@
-//! Searchers that no question can tell apart, counted instead of named, and what may befall them.
+//! Groups of interchangeable searchers, and the failures that are applied to them.
 //!
-//! A [`GroupedFleet`] is a list of groups; a failure of any `n` searchers becomes a choice of how many of each group, so
-//! that interchangeable cases are looked at once. Groups are ranges of one order of all searchers: a group splits
-//! without copying its members.
+//! A [`GroupedFleet`] is a list of groups. A failure of any `n` searchers becomes a choice of how many of each group
+//! fail, so that interchangeable cases are checked once. A group is a range of one order of all searchers, so it is
+//! split without copying its members.
 
 use std::ops::ControlFlow;
 
@@ -10,29 +10,31 @@
 
 use crate::claim::{Failure, FailureTarget};
 
-/// Searchers of one hall, set, condition and certainty.
+/// Searchers with the same hall, set, condition and certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     pub set: u32,
     pub hall: u32,
     pub condition: Condition,
-    /// The list's word of them may be wrong.
-    pub unsure: bool,
-    /// Where they stand in the order, and how many they are.
-    pub from: u32,
+    /// The listed status may be outdated.
+    pub maybe_stale: bool,
+    /// Index of the first searcher in [`Grouping::order`].
+    pub first: u32,
+    /// Number of searchers.
     pub count: u32,
 }
 
-/// Groups, those of one set side by side.
+/// Groups of all searchers; the groups of a set are adjacent.
 pub type GroupedFleet = Vec<Group>;
 
-/// What has befallen whom, in one case.
+/// A failure with the searchers that it hits in one case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedFailure {
-    pub what: Condition,
-    pub whom: AppliedTarget,
+    pub condition: Condition,
+    pub target: AppliedTarget,
 }
 
+/// The searchers that an [`AppliedFailure`] hits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AppliedTarget {
     Hall(usize),
@@ -41,123 +43,143 @@
 }
 
 impl AppliedFailure {
-    /// DispatchEnd much it takes: a hall or a set at once is one thing, searchers are one each.
-    pub fn units(&self) -> u32 {
-        match &self.whom {
+    /// Number of independent events: one for a hall or a set, one for each single searcher.
+    pub fn events(&self) -> u32 {
+        match &self.target {
             AppliedTarget::Hall(_) | AppliedTarget::Set(_) => 1,
             AppliedTarget::Searchers(searchers) => searchers.len() as u32,
         }
     }
 
-    /// For people: what happened to whom, by name.
-    pub fn tell(&self, fleet: &Fleet) -> String {
-        let (verb, verbs) = match self.what {
+    /// Description with the names of the searchers.
+    pub fn describe(&self, fleet: &Fleet) -> String {
+        let (singular, plural) = match self.condition {
             Condition::Gone => ("is lost", "are lost"),
             Condition::Draining => ("drains", "drain"),
             Condition::Cold => ("is back and cold", "are back and cold"),
             Condition::Up => ("is up", "are up"),
         };
-        match &self.whom {
-            AppliedTarget::Hall(hall) => format!("hall {} {verb}", fleet.halls()[*hall]),
-            AppliedTarget::Set(set) => format!("set {set} {verb}"),
-            AppliedTarget::Searchers(who) => {
+        match &self.target {
+            AppliedTarget::Hall(hall) => format!("hall {} {singular}", fleet.halls()[*hall]),
+            AppliedTarget::Set(set) => format!("set {set} {singular}"),
+            AppliedTarget::Searchers(searchers) => {
                 let names: Vec<&str> =
-                    who.iter().map(|s| fleet.searchers()[*s as usize].name.as_str()).collect();
-                let verb = if who.len() == 1 { verb } else { verbs };
+                    searchers.iter().map(|s| fleet.searchers()[*s as usize].name.as_str()).collect();
+                let verb = if searchers.len() == 1 { singular } else { plural };
                 format!("{} {verb}", names.join(", "))
             }
         }
     }
 }
 
-/// Whether something befalls a group.
-type Hit = Box<dyn Fn(&Group) -> bool>;
+/// Predicate: whether a failure hits a group.
+type IsHit = Box<dyn Fn(&Group) -> bool>;
+
+/// Called for each case of a failure.
+type CaseVisitor<'a> = dyn FnMut(GroupedFleet, Vec<AppliedFailure>) -> ControlFlow<()> + 'a;
+/// Called for each choice of searchers.
+type ChoiceVisitor<'a> = dyn FnMut(GroupedFleet, Vec<u32>) -> ControlFlow<()> + 'a;
 
-/// All searchers by kind, and the scene of the fleet as listed.
+/// The searchers of a fleet in groups.
 pub struct Grouping {
+    /// All searchers, sorted by group.
     pub order: Vec<u32>,
+    /// The groups of the fleet as listed.
     pub listed: GroupedFleet,
-    /// Halls and sets that there are, also those in which nobody stands.
-    halls: u32,
-    sets: u32,
+    /// Number of halls and of sets, including those without a searcher.
+    hall_count: u32,
+    set_count: u32,
 }
 
 impl Grouping {
-    /// Searchers whose word is older than `sure_ms` less `list_ms` are unsure.
-    pub fn of(fleet: &Fleet, list_ms: f64, sure_ms: f64) -> Self {
-        let kind = |at: &u32| {
-            let s = &fleet.searchers()[*at as usize];
-            (s.set, s.hall as u32, Condition::listed(s.life), s.age_ms + list_ms >= sure_ms)
+    /// Groups the searchers of a list of age `list_age_ms`. The status of a searcher whose entry is `stale_after_ms` old or
+    /// older may be outdated.
+    pub fn new(fleet: &Fleet, list_age_ms: f64, stale_after_ms: f64) -> Self {
+        let group_key = |index: &u32| {
+            let searcher = &fleet.searchers()[*index as usize];
+            let maybe_stale = searcher.age_ms + list_age_ms >= stale_after_ms;
+            (searcher.set, searcher.hall as u32, Condition::listed(searcher.life), maybe_stale)
         };
         let mut order: Vec<u32> = (0..fleet.searchers().len() as u32).collect();
-        order.sort_by_key(kind);
-        let mut scene: GroupedFleet = Vec::new();
-        for (from, at) in order.iter().enumerate() {
-            let (set, hall, condition, unsure) = kind(at);
-            match scene.last_mut() {
-                Some(g) if (g.set, g.hall, g.condition, g.unsure) == (set, hall, condition, unsure) => {
-                    g.count += 1
+        order.sort_by_key(group_key);
+        let mut listed: GroupedFleet = Vec::new();
+        for (first, index) in order.iter().enumerate() {
+            let (set, hall, condition, maybe_stale) = group_key(index);
+            match listed.last_mut() {
+                Some(group)
+                    if (group.set, group.hall, group.condition, group.maybe_stale)
+                        == (set, hall, condition, maybe_stale) =>
+                {
+                    group.count += 1;
                 }
-                _ => scene.push(Group { set, hall, condition, unsure, from: from as u32, count: 1 }),
+                _ => listed.push(Group { set, hall, condition, maybe_stale, first: first as u32, count: 1 }),
             }
         }
-        Self { order, listed: scene, halls: fleet.halls().len() as u32, sets: fleet.sets() as u32 }
+        Self { order, listed, hall_count: fleet.halls().len() as u32, set_count: fleet.sets() as u32 }
     }
 
+    /// The first `count` members of a group.
     fn members(&self, group: &Group, count: u32) -> &[u32] {
-        &self.order[group.from as usize..(group.from + count) as usize]
+        &self.order[group.first as usize..(group.first + count) as usize]
     }
 
-    /// Where something is certain to befall certain searchers, the one scene that follows.
-    pub fn certain(&self, scene: &[Group], failure: &Failure) -> Option<(GroupedFleet, AppliedFailure)> {
-        let what = failure.what;
-        let (whom, hit): (AppliedTarget, Hit) = match failure.whom {
+    /// Applies a failure that names its target; `None` if it has more than one case.
+    pub fn apply_named(&self, groups: &[Group], failure: &Failure) -> Option<(GroupedFleet, AppliedFailure)> {
+        let condition = failure.condition;
+        let (target, is_hit): (AppliedTarget, IsHit) = match failure.target {
             FailureTarget::Hall(Some(hall)) => {
                 (AppliedTarget::Hall(hall), Box::new(move |g| g.hall as usize == hall))
             }
             FailureTarget::Set(Some(set)) => (AppliedTarget::Set(set), Box::new(move |g| g.set == set)),
             FailureTarget::Searcher(searcher) => {
-                let mut after = Vec::with_capacity(scene.len() + 2);
-                for group in scene {
+                let mut after = Vec::with_capacity(groups.len() + 2);
+                for group in groups {
                     match self.members(group, group.count).iter().position(|s| *s == searcher) {
-                        Some(at) => single(group, at as u32, what, &mut after),
+                        Some(index) => worsen_member(group, index as u32, condition, &mut after),
                         None => after.push(*group),
                     }
                 }
-                return Some((
-                    after,
-                    AppliedFailure { what, whom: AppliedTarget::Searchers(vec![searcher]) },
-                ));
+                let target = AppliedTarget::Searchers(vec![searcher]);
+                return Some((after, AppliedFailure { condition, target }));
             }
             _ => return None,
         };
-        let befall =
-            |g: &Group| Group { condition: if hit(g) { g.condition.worst(what) } else { g.condition }, ..*g };
-        Some((scene.iter().map(befall).collect(), AppliedFailure { what, whom }))
+        let worsen = |group: &Group| Group {
+            condition: if is_hit(group) { group.condition.worst(condition) } else { group.condition },
+            ..*group
+        };
+        Some((groups.iter().map(worsen).collect(), AppliedFailure { condition, target }))
     }
 
-    /// Calls `each` with every case of something uncertain, the one in which nothing happens first, cases of `n`
+    /// Calls `visit` with each case of a failure: first the case without any failed searcher, and the cases of `n`
     /// searchers before those of `n + 1`.
-    pub fn cases(
+    pub fn for_each_case(
         &self,
-        scene: &[Group],
+        groups: &[Group],
         failure: &Failure,
-        each: &mut dyn FnMut(GroupedFleet, Vec<AppliedFailure>) -> ControlFlow<()>,
+        visit: &mut CaseVisitor<'_>,
     ) -> ControlFlow<()> {
-        let what = failure.what;
-        match &failure.whom {
+        let condition = failure.condition;
+        match &failure.target {
             FailureTarget::Hall(None) => {
-                self.places(scene, self.halls, what, |g| g.hall, |h| AppliedTarget::Hall(h as usize), each)
+                let target = |hall| AppliedTarget::Hall(hall as usize);
+                self.for_each_location(groups, self.hall_count, condition, |g| g.hall, target, visit)
             }
-            FailureTarget::Set(None) => {
-                self.places(scene, self.sets, what, |g| g.set, AppliedTarget::Set, each)
-            }
-            FailureTarget::Searchers(most) => {
-                for total in 0..=*most {
+            FailureTarget::Set(None) => self.for_each_location(
+                groups,
+                self.set_count,
+                condition,
+                |g| g.set,
+                AppliedTarget::Set,
+                visit,
+            ),
+            FailureTarget::Searchers(max) => {
+                for total in 0..=*max {
                     let mut any = false;
-                    self.choose(scene, 0, total, what, false, &mut Vec::new(), &mut |after, who| {
+                    let mut chosen = Vec::new();
+                    self.choose(groups, 0, total, condition, false, &mut chosen, &mut |after, searchers| {
                         any = true;
-                        each(after, befell(what, who).into_iter().collect())
+                        visit(after, applied(condition, searchers).into_iter().collect())
                     })?;
                     if !any {
                         break;
@@ -165,124 +187,123 @@
                 }
                 ControlFlow::Continue(())
             }
-            FailureTarget::MaybeStale(most) => {
-                for total in 0..=*most {
-                    self.unsure(scene, total, each)?;
+            FailureTarget::MaybeStale(max) => {
+                for total in 0..=*max {
+                    self.for_each_mixture(groups, total, visit)?;
                 }
                 ControlFlow::Continue(())
             }
-            _ => match self.certain(scene, failure) {
-                Some((after, befell)) => each(after, vec![befell]),
+            _ => match self.apply_named(groups, failure) {
+                Some((after, applied)) => visit(after, vec![applied]),
                 None => ControlFlow::Continue(()),
             },
         }
     }
 
-    /// One of `count` places at a time; those that nobody here stands in are one case.
-    fn places(
+    /// Each of `count` halls or sets fails on its own. All those without a searcher in `groups` are one case.
+    fn for_each_location(
         &self,
-        scene: &[Group],
+        groups: &[Group],
         count: u32,
-        what: Condition,
-        place: impl Fn(&Group) -> u32,
-        whom: impl Fn(u32) -> AppliedTarget,
-        each: &mut dyn FnMut(GroupedFleet, Vec<AppliedFailure>) -> ControlFlow<()>,
+        condition: Condition,
+        location: impl Fn(&Group) -> u32,
+        target: impl Fn(u32) -> AppliedTarget,
+        visit: &mut CaseVisitor<'_>,
     ) -> ControlFlow<()> {
-        let mut here: Vec<u32> = scene.iter().map(&place).collect();
-        here.sort_unstable();
-        here.dedup();
-        if let Some(elsewhere) = (0..count).find(|p| here.binary_search(p).is_err()) {
-            each(scene.to_vec(), vec![AppliedFailure { what, whom: whom(elsewhere) }])?;
-        } else if here.is_empty() {
-            each(scene.to_vec(), Vec::new())?;
+        let mut occupied: Vec<u32> = groups.iter().map(&location).collect();
+        occupied.sort_unstable();
+        occupied.dedup();
+        if let Some(empty) = (0..count).find(|l| occupied.binary_search(l).is_err()) {
+            visit(groups.to_vec(), vec![AppliedFailure { condition, target: target(empty) }])?;
+        } else if occupied.is_empty() {
+            visit(groups.to_vec(), Vec::new())?;
         }
-        for at in here {
-            let befall = |g: &Group| Group {
-                condition: if place(g) == at { g.condition.worst(what) } else { g.condition },
-                ..*g
+        for failed in occupied {
+            let worsen = |group: &Group| Group {
+                condition: if location(group) == failed {
+                    group.condition.worst(condition)
+                } else {
+                    group.condition
+                },
+                ..*group
             };
-            each(scene.iter().map(befall).collect(), vec![AppliedFailure { what, whom: whom(at) }])?;
+            let after = groups.iter().map(worsen).collect();
+            visit(after, vec![AppliedFailure { condition, target: target(failed) }])?;
         }
         ControlFlow::Continue(())
     }
 
-    /// Exactly `total` searchers, counted by group from `at` on.
-    #[allow(clippy::too_many_arguments)] // a recursion's state
+    /// Calls `visit` with each choice of exactly `total` searchers from the groups at `index` and after. `chosen` holds
+    /// the numbers chosen from the groups before.
+    #[allow(clippy::too_many_arguments)] // state of the recursion
     fn choose(
         &self,
-        scene: &[Group],
-        at: usize,
+        groups: &[Group],
+        index: usize,
         total: u32,
-        what: Condition,
-        unsure: bool,
-        who: &mut Vec<(Group, u32)>,
-        each: &mut dyn FnMut(GroupedFleet, Vec<u32>) -> ControlFlow<()>,
+        condition: Condition,
+        only_maybe_stale: bool,
+        chosen: &mut Vec<(Group, u32)>,
+        visit: &mut ChoiceVisitor<'_>,
     ) -> ControlFlow<()> {
         if total == 0 {
-            let mut after = Vec::with_capacity(scene.len() + who.len());
-            let mut chosen = who.iter().peekable();
-            for group in scene {
-                match chosen.next_if(|(g, _)| g == group) {
-                    Some((_, count)) => split(group, *count, what, &mut after),
+            let mut after = Vec::with_capacity(groups.len() + chosen.len());
+            let mut next_chosen = chosen.iter().peekable();
+            for group in groups {
+                match next_chosen.next_if(|(g, _)| g == group) {
+                    Some((_, count)) => worsen_first(group, *count, condition, &mut after),
                     None => after.push(*group),
                 }
             }
-            let names = who.iter().flat_map(|(g, count)| self.members(g, *count)).copied().collect();
-            return each(after, names);
+            let searchers =
+                chosen.iter().flat_map(|(group, count)| self.members(group, *count)).copied().collect();
+            return visit(after, searchers);
         }
-        let Some(group) = scene.get(at) else { return ControlFlow::Continue(()) };
-        let able = group.condition.worst(what) != group.condition && (group.unsure || !unsure);
-        let most = if able { group.count.min(total) } else { 0 };
-        for count in (0..=most).rev() {
+        let Some(group) = groups.get(index) else { return ControlFlow::Continue(()) };
+        let worsens = group.condition.worst(condition) != group.condition;
+        let eligible = worsens && (group.maybe_stale || !only_maybe_stale);
+        let max = if eligible { group.count.min(total) } else { 0 };
+        for count in (0..=max).rev() {
             if count > 0 {
-                who.push((*group, count));
+                chosen.push((*group, count));
             }
-            let flow = self.choose(scene, at + 1, total - count, what, unsure, who, each);
+            let flow =
+                self.choose(groups, index + 1, total - count, condition, only_maybe_stale, chosen, visit);
             if count > 0 {
-                who.pop();
+                chosen.pop();
             }
             flow?;
         }
         ControlFlow::Continue(())
     }
 
-    /// Exactly `total` unsure searchers, in every mixture: some gone, some draining, some back and cold. For the load a
-    /// mixture is the worst: of two holders one gone and one cold bears more than two cold, and two gone bear nothing.
-    fn unsure(
-        &self,
-        scene: &[Group],
-        total: u32,
-        each: &mut dyn FnMut(GroupedFleet, Vec<AppliedFailure>) -> ControlFlow<()>,
-    ) -> ControlFlow<()> {
+    /// Changes exactly `total` searchers whose listed status may be outdated, in every mixture of gone, draining and
+    /// cold. A mixture can be the worst case for the load: of two holders, one gone and one cold carry more than two cold,
+    /// and two gone carry nothing.
+    fn for_each_mixture(&self, groups: &[Group], total: u32, visit: &mut CaseVisitor<'_>) -> ControlFlow<()> {
         for gone in (0..=total).rev() {
             for draining in (0..=total - gone).rev() {
                 let cold = total - gone - draining;
-                self.choose(scene, 0, gone, Condition::Gone, true, &mut Vec::new(), &mut |scene, lost| {
-                    // Who has changed has changed; nobody does so twice here.
-                    let scene = settled(&scene, Condition::Gone);
-                    self.choose(
-                        &scene,
-                        0,
+                self.choose_stale(groups, gone, Condition::Gone, &mut |after_gone, gone_searchers| {
+                    // Each searcher changes at most once.
+                    let after_gone = without_staleness(&after_gone, Condition::Gone);
+                    self.choose_stale(
+                        &after_gone,
                         draining,
                         Condition::Draining,
-                        true,
-                        &mut Vec::new(),
-                        &mut |scene, drain| {
-                            let scene = settled(&scene, Condition::Draining);
-                            self.choose(
-                                &scene,
-                                0,
+                        &mut |after_draining, draining_searchers| {
+                            let after_draining = without_staleness(&after_draining, Condition::Draining);
+                            self.choose_stale(
+                                &after_draining,
                                 cold,
                                 Condition::Cold,
-                                true,
-                                &mut Vec::new(),
-                                &mut |after, back| {
-                                    let befallen = [
-                                        befell(Condition::Gone, lost.clone()),
-                                        befell(Condition::Draining, drain.clone()),
-                                        befell(Condition::Cold, back),
+                                &mut |after, cold_searchers| {
+                                    let failures = [
+                                        applied(Condition::Gone, gone_searchers.clone()),
+                                        applied(Condition::Draining, draining_searchers.clone()),
+                                        applied(Condition::Cold, cold_searchers),
                                     ];
-                                    each(after, befallen.into_iter().flatten().collect())
+                                    visit(after, failures.into_iter().flatten().collect())
                                 },
                             )
                         },
@@ -292,29 +313,45 @@
         }
         ControlFlow::Continue(())
     }
+
+    /// Each choice of exactly `total` searchers whose listed status may be outdated.
+    fn choose_stale(
+        &self,
+        groups: &[Group],
+        total: u32,
+        condition: Condition,
+        visit: &mut ChoiceVisitor<'_>,
+    ) -> ControlFlow<()> {
+        self.choose(groups, 0, total, condition, true, &mut Vec::new(), visit)
+    }
 }
 
-/// Those in this condition are sure of it.
-fn settled(scene: &[Group], condition: Condition) -> GroupedFleet {
-    scene.iter().map(|g| Group { unsure: g.unsure && g.condition != condition, ..*g }).collect()
+/// Groups in which the searchers in this condition have a certain status.
+fn without_staleness(groups: &[Group], condition: Condition) -> GroupedFleet {
+    let certain =
+        |group: &Group| Group { maybe_stale: group.maybe_stale && group.condition != condition, ..*group };
+    groups.iter().map(certain).collect()
 }
 
-fn befell(what: Condition, who: Vec<u32>) -> Option<AppliedFailure> {
-    (!who.is_empty()).then_some(AppliedFailure { what, whom: AppliedTarget::Searchers(who) })
+/// The failure of these searchers; `None` if there are none.
+fn applied(condition: Condition, searchers: Vec<u32>) -> Option<AppliedFailure> {
+    (!searchers.is_empty())
+        .then_some(AppliedFailure { condition, target: AppliedTarget::Searchers(searchers) })
 }
 
-/// The first `count` of a group become `what`.
-fn split(group: &Group, count: u32, what: Condition, into: &mut GroupedFleet) {
-    into.push(Group { condition: group.condition.worst(what), count, ..*group });
+/// Splits a group: its first `count` members change to `condition`.
+fn worsen_first(group: &Group, count: u32, condition: Condition, out: &mut GroupedFleet) {
+    out.push(Group { condition: group.condition.worst(condition), count, ..*group });
     if count < group.count {
-        into.push(Group { from: group.from + count, count: group.count - count, ..*group });
+        out.push(Group { first: group.first + count, count: group.count - count, ..*group });
     }
 }
 
-/// The one at `at` becomes `what`.
-fn single(group: &Group, at: u32, what: Condition, into: &mut GroupedFleet) {
-    if at > 0 {
-        into.push(Group { count: at, ..*group });
+/// Splits a group: its member at `index` changes to `condition`.
+fn worsen_member(group: &Group, index: u32, condition: Condition, out: &mut GroupedFleet) {
+    if index > 0 {
+        out.push(Group { count: index, ..*group });
     }
-    split(&Group { from: group.from + at, count: group.count - at, ..*group }, 1, what, into);
+    let rest = Group { first: group.first + index, count: group.count - index, ..*group };
+    worsen_first(&rest, 1, condition, out);
 }
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -1,12 +1,12 @@
 //! Expectations about routing, checked without sending anything.
 //!
-//! Operators write what must be true of a configuration and a searcher list ([`read`], the language in [`claim`]).
-//! What follows from who holds what is judged over all cases of the failures they name ([`structural`]); what is sent and
-//! answered is found by running the decision module itself ([`mod@explore`]). [`plan`] orders a season's moves so that
-//! all of it holds after each. [`Suite`] is the entry: it reads, checks, and returns a [`Verdict`] for each.
+//! Operators write what must hold for a configuration and a searcher list ([`read`]; [`claim`] is the language).
+//! Claims that follow from the placement are checked in all cases of the failures that they name ([`structural`]).
+//! Claims about what is sent and answered are checked by running the decision module itself ([`mod@explore`]). [`plan`]
+//! orders the moves of a migration so that all claims hold after each. [`Suite`] is the entry point: it reads a file,
+//! checks it, and returns a [`Verdict`] for each expectation.
 //!
-//! Nothing here does I/O; texts come in, verdicts go out. The same inputs give the same verdicts, whatever the number
-//! of threads.
+//! The crate does no I/O. The same inputs give the same verdicts, whatever the number of threads.
 
 pub mod brute_force;
 pub mod claim;
--- a/crates/expect/src/plan.rs
+++ b/crates/expect/src/plan.rs
@@ -1,10 +1,11 @@
-//! The order of a season's moves.
+//! Order of the moves of a migration between two placements.
 //!
-//! Between two seasons searchers come to hold other slices. The step is one slice of one group of searchers that move
-//! alike; a slice is copied to all who get it before anybody drops it. [`Migration::plan`] finds an order in which every
-//! structural expectation holds after each step, by depth-first search over the sets of steps done: drops first, as
-//! they make room; states from which the rest can't be done are remembered and never entered again. If there is no
-//! order, it names the smallest set of expectations that excludes one.
+//! From one season to the next searchers come to hold other slices. A step copies or drops one slice at one group of
+//! searchers that move together; a slice is copied to all its new holders before any old holder drops it.
+//! [`Migration::plan`] finds an order in which every structural expectation holds after each step, by depth-first search
+//! over the sets of completed steps. Drops are tried first, as they free capacity; states from which the migration can't
+//! be completed are remembered, and never entered again. If there is no order, the search names the smallest set of
+//! expectations that excludes one.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -15,19 +16,19 @@
 use crate::read::Expectation;
 use crate::structural::StructuralChecker;
 
-/// States that one search looks at, at most.
-const MOST_STATES: usize = 20_000;
-/// Searches for a smaller set of expectations, at most.
-const MOST_SEARCHES: usize = 2_000;
+/// Maximum number of states that one search visits.
+const MAX_STATES: usize = 20_000;
+/// Maximum number of searches for a smaller set of expectations that excludes a plan.
+const MAX_SUBSET_SEARCHES: usize = 2_000;
 
-/// What is done to a slice.
+/// What a step does with a slice. Steps are sorted by kind, so drops come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepKind {
     Drop,
     Copy,
 }
 
-/// One step: searchers that move alike get a slice, or drop it.
+/// One step: the searchers of a group copy or drop a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
     pub kind: StepKind,
@@ -36,7 +37,7 @@
     pub group: u32,
 }
 
-/// Searchers that leave one set for another together, or stay in theirs.
+/// Searchers with the same set before and the same set after; `None` where they are not part of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearcherGroup {
     pub old: Option<u32>,
@@ -47,11 +48,11 @@
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// These expectations exclude any order; no smaller set of them does, where `smallest`.
+    /// These expectations exclude any order. `smallest`: no smaller set of expectations does.
     Excluded { names: Vec<String>, smallest: bool },
-    /// None was found among the states looked at.
+    /// No order was found among the states visited.
     SearchLimitReached { states: usize },
-    /// An expectation speaks of sets, which have no meaning while searchers move between them.
+    /// An expectation depends on sets, which are undefined while searchers move between them.
     DependsOnSets { name: String },
     /// The two fleets can't be compared.
     NotComparable { reason: String },
@@ -61,241 +62,290 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     pub steps: Vec<Step>,
-    /// Expectations that the old fleet does not meet; they are asked of the last step alone.
+    /// Expectations that the old fleet does not meet; they are only required after the last step.
     pub initially_failing: Vec<String>,
-    /// States that the search looked at.
+    /// States that the search visited.
     pub states: usize,
 }
 
 /// Two fleets, and the steps from one to the other.
 pub struct Migration {
-    /// All searchers of both, those of the new one first, so that its numbers hold.
+    /// The searchers of both fleets. Those of the new fleet come first, so that their indices stay valid.
     fleet: Fleet,
+    /// Index of the group of each searcher, used as its set.
     sets: Vec<u32>,
     groups: Vec<SearcherGroup>,
-    start: Vec<BTreeSet<u32>>,
+    /// Slices that each group holds at the start.
+    initial_slices: Vec<BTreeSet<u32>>,
     steps: Vec<Step>,
 }
 
+/// Result of one search.
+enum SearchResult {
+    Found(Plan),
+    /// There is no order among the states visited.
+    NotFound {
+        states: usize,
+    },
+}
+
 impl Migration {
     /// # Errors
-    /// If the fleets can't be compared, or hold too much.
+    /// If the fleets can't be compared, or are too large.
     pub fn new(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Self, PlanError> {
-        let apart = |reason: String| PlanError::NotComparable { reason };
         if old.slices() != new.slices() {
-            return Err(apart(format!(
-                "{} slices in the old fleet, {} in the new",
-                old.slices(),
-                new.slices()
-            )));
-        }
-        let joined = |entry: &&Entry| new.searcher(&entry.name).is_err() && old.searcher(&entry.name).is_ok();
-        let mut union = new_list.clone();
-        // One who leaves stands in no set of the new layout; any will do, its own slices are told by its group.
-        union.entries.extend(old_list.entries.iter().filter(joined).map(|e| Entry { cell: 0, ..e.clone() }));
-        let mut fleet = Fleet::new(new.config().clone(), &union).map_err(|e| apart(e.to_string()))?;
-        for owned in new.customer_slices() {
-            let name = &new.config().customer_names[owned.customer];
-            for slices in &owned.slices {
-                fleet.add_customer_slices(name, slices.clone()).map_err(|e| apart(e.to_string()))?;
-            }
+            return Err(PlanError::NotComparable {
+                reason: format!("{} slices in the old fleet, {} in the new", old.slices(), new.slices()),
+            });
         }
+        let fleet = joint_fleet(old, new, old_list, new_list)?;
         let set_in =
-            |fleet: &Fleet, name: &str| fleet.searcher(name).ok().map(|at| fleet.searchers()[at].set);
+            |fleet: &Fleet, name: &str| fleet.searcher(name).ok().map(|index| fleet.searchers()[index].set);
         let mut groups: Vec<SearcherGroup> = Vec::new();
-        let mut known: BTreeMap<(Option<u32>, Option<u32>), u32> = BTreeMap::new();
+        let mut group_by_sets: BTreeMap<(Option<u32>, Option<u32>), u32> = BTreeMap::new();
         let mut sets = Vec::new();
         for searcher in fleet.searchers() {
-            let (from, to) = (set_in(old, &searcher.name), set_in(new, &searcher.name));
-            let group = *known.entry((from, to)).or_insert_with(|| {
-                groups.push(SearcherGroup { old: from, new: to, searchers: Vec::new() });
+            let old_set = set_in(old, &searcher.name);
+            let new_set = set_in(new, &searcher.name);
+            let group = *group_by_sets.entry((old_set, new_set)).or_insert_with(|| {
+                groups.push(SearcherGroup { old: old_set, new: new_set, searchers: Vec::new() });
                 groups.len() as u32 - 1
             });
             groups[group as usize].searchers.push(searcher.name.clone());
             sets.push(group);
         }
-        let held = |fleet: &Fleet, set: Option<u32>| -> BTreeSet<u32> {
+        let slices_of = |fleet: &Fleet, set: Option<u32>| -> BTreeSet<u32> {
             let Some(set) = set else { return BTreeSet::new() };
             (0..fleet.slices()).filter(|s| fleet.placement().sets_of_slice(*s).contains(&set)).collect()
         };
-        let (mut start, mut steps) = (Vec::new(), Vec::new());
-        for (group, troop) in (0u32..).zip(&groups) {
-            let (from, to) = (held(old, troop.old), held(new, troop.new));
-            steps.extend(from.difference(&to).map(|s| Step { kind: StepKind::Drop, slice: *s, group }));
-            steps.extend(to.difference(&from).map(|s| Step { kind: StepKind::Copy, slice: *s, group }));
-            start.push(from);
+        let mut initial_slices = Vec::new();
+        let mut steps = Vec::new();
+        for (group, searchers) in (0u32..).zip(&groups) {
+            let before = slices_of(old, searchers.old);
+            let after = slices_of(new, searchers.new);
+            let step = |kind: StepKind| move |slice: &u32| Step { kind, slice: *slice, group };
+            steps.extend(before.difference(&after).map(step(StepKind::Drop)));
+            steps.extend(after.difference(&before).map(step(StepKind::Copy)));
+            initial_slices.push(before);
         }
         steps.sort();
-        Ok(Self { fleet, sets, groups, start, steps })
+        Ok(Self { fleet, sets, groups, initial_slices, steps })
     }
 
     pub fn groups(&self) -> &[SearcherGroup] {
         &self.groups
     }
 
-    /// All steps that the change takes, in no order that counts.
+    /// All steps of the migration, unordered.
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// The fleet once these steps are done.
+    /// The fleet after the completed steps.
     ///
     /// # Errors
-    /// If the holding can't be told, which steps of this season never cause.
-    pub fn after(&self, done: &[bool]) -> Result<Fleet, PlanError> {
-        let mut held_by = vec![Vec::new(); self.fleet.slices() as usize];
-        for (group, slices) in (0u32..).zip(&self.start) {
-            slices.iter().for_each(|slice| held_by[*slice as usize].push(group));
+    /// If the placement is not valid, which the steps of this migration never cause.
+    pub fn after(&self, completed: &[bool]) -> Result<Fleet, PlanError> {
+        let mut groups_by_slice = vec![Vec::new(); self.fleet.slices() as usize];
+        for (group, slices) in (0u32..).zip(&self.initial_slices) {
+            slices.iter().for_each(|slice| groups_by_slice[*slice as usize].push(group));
         }
-        for (step, _) in self.steps.iter().zip(done).filter(|(_, done)| **done) {
-            let held = &mut held_by[step.slice as usize];
+        for (step, _) in self.steps.iter().zip(completed).filter(|(_, completed)| **completed) {
+            let groups = &mut groups_by_slice[step.slice as usize];
             match step.kind {
-                StepKind::Copy => held.push(step.group),
-                StepKind::Drop => held.retain(|g| *g != step.group),
+                StepKind::Copy => groups.push(step.group),
+                StepKind::Drop => groups.retain(|g| *g != step.group),
             }
         }
-        let holding = Placement::new(self.groups.len(), held_by);
-        let fleet = holding.and_then(|holding| self.fleet.with_placement(holding, &self.sets));
-        fleet.map_err(|e| PlanError::NotComparable { reason: e.to_string() })
+        let placement = Placement::new(self.groups.len(), groups_by_slice);
+        let fleet = placement.and_then(|placement| self.fleet.with_placement(placement, &self.sets));
+        fleet.map_err(not_comparable)
     }
 
-    /// An order of all steps after each of which every structural expectation holds.
+    /// An order of all steps in which every structural expectation holds after each.
     ///
     /// # Errors
-    /// Why there is none, or none was found.
-    pub fn plan(&self, expects: &[Expectation], pace: Pace) -> Result<Plan, PlanError> {
-        let asked: Vec<&Expectation> = expects.iter().filter(|e| e.claim.structural()).collect();
-        if let Some(expect) = asked.iter().find(|e| of_sets(&e.claim)) {
-            return Err(PlanError::DependsOnSets { name: expect.name.clone() });
+    /// Why there is no order, or why none was found.
+    pub fn plan(&self, expectations: &[Expectation], pace: Pace) -> Result<Plan, PlanError> {
+        let structural: Vec<&Expectation> = expectations.iter().filter(|e| e.claim.is_structural()).collect();
+        if let Some(expectation) = structural.iter().find(|e| depends_on_sets(&e.claim)) {
+            return Err(PlanError::DependsOnSets { name: expectation.name.clone() });
         }
-        let first = self.search(&asked, pace);
-        match first {
-            Ok(Ok(plan)) => Ok(plan),
-            Ok(Err(states)) if states >= MOST_STATES => Err(PlanError::SearchLimitReached { states }),
-            Ok(Err(_)) => Err(self.excluding(&asked, pace)?),
-            Err(stuck) => Err(stuck),
+        match self.search(&structural, pace)? {
+            SearchResult::Found(plan) => Ok(plan),
+            SearchResult::NotFound { states } if states >= MAX_STATES => {
+                Err(PlanError::SearchLimitReached { states })
+            }
+            SearchResult::NotFound { .. } => Err(self.excluding_expectations(&structural, pace)?),
         }
     }
 
-    /// The plan, or the number of states in which none was found.
-    fn search(&self, asked: &[&Expectation], pace: Pace) -> Result<Result<Plan, usize>, PlanError> {
-        let none = vec![false; self.steps.len()];
-        let holds = |done: &[bool], asked: &[&Expectation]| -> Result<bool, PlanError> {
-            let fleet = self.after(done)?;
-            let mut judge = StructuralChecker::new(&fleet, pace, 0.0);
-            Ok(asked.iter().all(|e| judge.fails(&e.claim) == Ok(None)))
-        };
-        if !holds(&vec![true; self.steps.len()], asked)? {
-            return Ok(Err(1));
+    fn search(&self, expectations: &[&Expectation], pace: Pace) -> Result<SearchResult, PlanError> {
+        let none_completed = vec![false; self.steps.len()];
+        let all_completed = vec![true; self.steps.len()];
+        if !self.hold_after(&all_completed, expectations, pace)? {
+            return Ok(SearchResult::NotFound { states: 1 });
         }
         let mut initially_failing = Vec::new();
-        let mut always = Vec::new();
-        for expect in asked {
-            if holds(&none, &[*expect])? {
-                always.push(*expect);
+        let mut required = Vec::new();
+        for expectation in expectations {
+            if self.hold_after(&none_completed, &[*expectation], pace)? {
+                required.push(*expectation);
             } else {
-                initially_failing.push(expect.name.clone());
+                initially_failing.push(expectation.name.clone());
             }
         }
-        let mut dead: HashSet<Vec<bool>> = HashSet::new();
+        let mut dead_ends: HashSet<Vec<bool>> = HashSet::new();
         let mut states = 0;
-        // Of each state on the way: the steps done, and the next that is to be tried from there.
-        let mut done = none;
-        let mut way: Vec<(usize, usize)> = Vec::new();
+        let mut completed = none_completed;
+        // Completed steps in order.
+        let mut path: Vec<usize> = Vec::new();
+        // The first step to try in the current state.
         let mut next = 0;
         loop {
-            if way.len() == self.steps.len() {
-                let steps = way.iter().map(|(step, _)| self.steps[*step]).collect();
-                return Ok(Ok(Plan { steps, initially_failing, states }));
+            if path.len() == self.steps.len() {
+                let steps = path.iter().map(|step| self.steps[*step]).collect();
+                return Ok(SearchResult::Found(Plan { steps, initially_failing, states }));
             }
-            let step = (next..self.steps.len()).find(|s| !done[*s] && self.allowed(*s, &done));
-            let Some(step) = step else {
-                dead.insert(done.clone());
-                let Some((back, tried)) = way.pop() else { return Ok(Err(states)) };
-                done[back] = false;
-                next = tried + 1;
+            let candidate =
+                (next..self.steps.len()).find(|s| !completed[*s] && self.is_allowed(*s, &completed));
+            let Some(step) = candidate else {
+                dead_ends.insert(completed.clone());
+                let Some(undone) = path.pop() else { return Ok(SearchResult::NotFound { states }) };
+                completed[undone] = false;
+                next = undone + 1;
                 continue;
             };
-            done[step] = true;
+            completed[step] = true;
             states += 1;
-            if states > MOST_STATES {
-                return Ok(Err(states));
+            if states > MAX_STATES {
+                return Ok(SearchResult::NotFound { states });
             }
-            if !dead.contains(&done) && holds(&done, &always)? {
-                way.push((step, step));
+            if !dead_ends.contains(&completed) && self.hold_after(&completed, &required, pace)? {
+                path.push(step);
                 next = 0;
             } else {
-                done[step] = false;
+                completed[step] = false;
                 next = step + 1;
             }
         }
     }
 
-    /// A slice is dropped once all who get it have it.
-    fn allowed(&self, step: usize, done: &[bool]) -> bool {
+    /// Whether the expectations hold after the completed steps.
+    fn hold_after(
+        &self,
+        completed: &[bool],
+        expectations: &[&Expectation],
+        pace: Pace,
+    ) -> Result<bool, PlanError> {
+        let fleet = self.after(completed)?;
+        let mut checker = StructuralChecker::new(&fleet, pace, 0.0);
+        Ok(expectations.iter().all(|e| checker.find_failure(&e.claim) == Ok(None)))
+    }
+
+    /// A slice may be dropped once all its new holders have copied it.
+    fn is_allowed(&self, step: usize, completed: &[bool]) -> bool {
         let Step { kind, slice, .. } = self.steps[step];
-        let copied =
-            |(other, done): (&Step, &bool)| other.slice != slice || other.kind != StepKind::Copy || *done;
-        kind == StepKind::Copy || self.steps.iter().zip(done).all(copied)
+        let is_copied = |(other, completed): (&Step, &bool)| {
+            other.slice != slice || other.kind != StepKind::Copy || *completed
+        };
+        kind == StepKind::Copy || self.steps.iter().zip(completed).all(is_copied)
     }
 
     /// The smallest set of expectations that has no plan.
-    fn excluding(&self, asked: &[&Expectation], pace: Pace) -> Result<PlanError, PlanError> {
-        // One that was given up is no proof.
-        let stuck = |set: &[&Expectation]| -> Result<bool, PlanError> {
-            Ok(matches!(self.search(set, pace)?, Err(states) if states < MOST_STATES))
+    fn excluding_expectations(
+        &self,
+        expectations: &[&Expectation],
+        pace: Pace,
+    ) -> Result<PlanError, PlanError> {
+        // A search that reached its limit is no proof that there is no plan.
+        let has_no_plan = |set: &[&Expectation]| -> Result<bool, PlanError> {
+            let result = self.search(set, pace)?;
+            Ok(matches!(result, SearchResult::NotFound { states } if states < MAX_STATES))
         };
-        let mut searches = 0;
-        // Leaving out one after the other gives a set of which every member counts.
-        let mut core = asked.to_vec();
-        let mut at = 0;
-        while at < core.len() {
+        // Removing one expectation after the other gives a set in which each is needed.
+        let mut core = expectations.to_vec();
+        let mut index = 0;
+        while index < core.len() {
             let mut fewer = core.clone();
-            fewer.remove(at);
-            if stuck(&fewer)? {
+            fewer.remove(index);
+            if has_no_plan(&fewer)? {
                 core = fewer;
             } else {
-                at += 1;
+                index += 1;
             }
         }
-        // Another may be smaller still.
+        // Another set may be smaller still.
+        let mut searches = 0;
         let mut smallest = true;
         'sizes: for size in 1..core.len() {
             let mut chosen: Vec<usize> = (0..size).collect();
             loop {
-                if searches >= MOST_SEARCHES {
+                if searches >= MAX_SUBSET_SEARCHES {
                     smallest = false;
                     break 'sizes;
                 }
-                let set: Vec<&Expectation> = chosen.iter().map(|i| asked[*i]).collect();
+                let set: Vec<&Expectation> = chosen.iter().map(|i| expectations[*i]).collect();
                 searches += 1;
-                if stuck(&set)? {
+                if has_no_plan(&set)? {
                     core = set;
                     break 'sizes;
                 }
-                let Some(at) = (0..size).rev().find(|i| chosen[*i] < asked.len() - size + i) else { break };
-                chosen[at] += 1;
-                (at + 1..size).for_each(|i| chosen[i] = chosen[i - 1] + 1);
+                if !next_combination(&mut chosen, expectations.len()) {
+                    break;
+                }
             }
         }
         Ok(PlanError::Excluded { names: core.iter().map(|e| e.name.clone()).collect(), smallest })
     }
 }
 
-/// Whether a claim speaks of sets.
-fn of_sets(claim: &Claim) -> bool {
-    fn local(what: &SliceClaim) -> bool {
-        match what {
-            SliceClaim::All(locals) | SliceClaim::Some(locals) => locals.iter().any(local),
-            SliceClaim::Not(inner) => local(inner),
-            SliceClaim::Reachable(reach) => reach.sets > 1,
+fn not_comparable(error: impl std::fmt::Display) -> PlanError {
+    PlanError::NotComparable { reason: error.to_string() }
+}
+
+/// A fleet with the searchers of both lists, in the configuration of the new fleet.
+fn joint_fleet(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Fleet, PlanError> {
+    let is_leaving = |entry: &&Entry| new.searcher(&entry.name).is_err() && old.searcher(&entry.name).is_ok();
+    let mut union = new_list.clone();
+    // A leaving searcher has no set in the new layout. Any set will do, as its group determines its slices.
+    union.entries.extend(old_list.entries.iter().filter(is_leaving).map(|e| Entry { cell: 0, ..e.clone() }));
+    let mut fleet = Fleet::new(new.config().clone(), &union).map_err(not_comparable)?;
+    for owned in new.customer_slices() {
+        let name = &new.config().customer_names[owned.customer];
+        for slices in &owned.slices {
+            fleet.add_customer_slices(name, slices.clone()).map_err(not_comparable)?;
         }
     }
+    Ok(fleet)
+}
+
+/// Advances to the next combination of indices below `count`. Returns `false` after the last one.
+fn next_combination(chosen: &mut [usize], count: usize) -> bool {
+    let size = chosen.len();
+    let Some(index) = (0..size).rev().find(|i| chosen[*i] < count - size + i) else { return false };
+    chosen[index] += 1;
+    (index + 1..size).for_each(|i| chosen[i] = chosen[i - 1] + 1);
+    true
+}
+
+/// Whether a claim depends on sets.
+fn depends_on_sets(claim: &Claim) -> bool {
     match claim {
-        Claim::All(claims) | Claim::Some(claims) => claims.iter().any(of_sets),
-        Claim::Not(claim) | Claim::WhileListYounger { claim, .. } => of_sets(claim),
-        Claim::After(failure, claim) => matches!(failure.whom, FailureTarget::Set(_)) || of_sets(claim),
-        Claim::ForAllSlices { what, .. } => local(what),
+        Claim::All(claims) | Claim::Some(claims) => claims.iter().any(depends_on_sets),
+        Claim::Not(claim) | Claim::WhileListYounger { claim, .. } => depends_on_sets(claim),
+        Claim::After(failure, claim) => {
+            matches!(failure.target, FailureTarget::Set(_)) || depends_on_sets(claim)
+        }
+        Claim::ForAllSlices { claim, .. } => slice_claim_depends_on_sets(claim),
         Claim::LoadAtMost(_) | Claim::SlicesAtMost(_) | Claim::Behaviour(_) => false,
     }
 }
+
+fn slice_claim_depends_on_sets(claim: &SliceClaim) -> bool {
+    match claim {
+        SliceClaim::All(claims) | SliceClaim::Some(claims) => claims.iter().any(slice_claim_depends_on_sets),
+        SliceClaim::Not(claim) => slice_claim_depends_on_sets(claim),
+        SliceClaim::Reachable(minimum) => minimum.sets > 1,
+    }
+}
