--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -1,4 +1,5 @@
-//! From text to claims. What a name means is looked up at once, so that a wrong one is told with its place.
+//! Parser of expectation files. Names are resolved against the fleet, so that an unknown name is reported with its
+//! position in the file.
 
 use std::ops::RangeInclusive;
 
@@ -9,116 +10,134 @@
     AnswerKind, BehaviourClaim, Claim, Failure, FailureTarget, ObservedAction, Pace, Reachability, SliceClaim,
 };
 
-/// Most searchers that may be lost at once in a claim: beyond that no case is small.
-const MOST_LOST: u32 = 64;
-/// Most expectations in a file.
-const MOST: usize = 10_000;
+/// Maximum number of searchers that one claim may name as failed; the number of cases grows too fast beyond it.
+const MAX_FAILED_SEARCHERS: u32 = 64;
+/// Maximum number of forms in a file.
+const MAX_FORMS: usize = 10_000;
 
-/// What a file says of the fleet it speaks of.
+/// The `(fleet ...)` form: the files that describe the fleet, and what they lack.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSource {
-    /// Paths as written, to be taken from the file's own folder.
+    /// Paths as written, relative to the directory of the expectation file.
     pub config_path: String,
     pub list_path: String,
-    /// Customers and the slices that their scans read.
-    pub customer_slices: Vec<(String, RangeInclusive<u32>, sexpr::Position)>,
+    pub customer_slices: Vec<CustomerSlices>,
     pub pace: Option<Pace>,
 }
 
-/// A file of which the names are not yet looked up.
+/// A customer, and the slices that its scans read.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CustomerSlices {
+    pub customer: String,
+    pub slices: RangeInclusive<u32>,
+    pub position: sexpr::Position,
+}
+
+/// A parsed file whose names are not resolved yet.
 #[derive(Clone, Debug)]
 pub struct ParsedFile {
     pub source: FleetSource,
-    expects: Vec<(String, Node)>,
+    expectations: Vec<UnresolvedExpectation>,
+}
+
+#[derive(Clone, Debug)]
+struct UnresolvedExpectation {
+    name: String,
+    claim: Node,
 }
 
 /// One expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expectation {
     pub name: String,
-    /// Line of the file.
+    /// Line in the file.
     pub line: usize,
     pub claim: Claim,
 }
 
 impl ParsedFile {
-    /// Reads a file's text: one `(fleet ...)`, then any number of `(expect "name" CLAIM)`.
+    /// Parses a file: one `(fleet ...)`, and any number of `(expect "name" CLAIM)`.
     ///
     /// # Errors
-    /// The place that can't be read, and what was expected there.
+    /// Position of the first form that can't be parsed, and what was expected there.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
-        let (mut source, mut expects) = (None, Vec::new());
+        let mut source = None;
+        let mut expectations: Vec<UnresolvedExpectation> = Vec::new();
         let nodes = sexpr::parse(text)?;
-        if nodes.len() > MOST {
-            return Err(nodes[MOST].error(format!("over {MOST} forms")));
+        if nodes.len() > MAX_FORMS {
+            return Err(nodes[MAX_FORMS].error(format!("more than {MAX_FORMS} forms")));
         }
         for node in nodes {
-            let (head, rest) = node.head_and_args("(fleet ...) or (expect \"name\" ...)")?;
-            match (head, rest) {
-                ("fleet", rest) if source.is_none() => source = Some(read_about(&node, rest)?),
+            let (head, args) = node.head_and_args("(fleet ...) or (expect \"name\" ...)")?;
+            match (head, args) {
+                ("fleet", args) if source.is_none() => source = Some(parse_fleet(&node, args)?),
                 ("fleet", _) => return Err(node.error("a second (fleet ...)")),
                 ("expect", [name, claim]) => {
                     let name = name.string("the name of an expectation")?.to_owned();
-                    if expects.iter().any(|(other, _)| *other == name) {
+                    if expectations.iter().any(|other| other.name == name) {
                         return Err(node.error(format!("a second expectation is called \"{name}\"")));
                     }
-                    expects.push((name, claim.clone()));
+                    expectations.push(UnresolvedExpectation { name, claim: claim.clone() });
                 }
                 ("expect", _) => return Err(node.error("expected (expect \"name\" CLAIM), with one claim")),
                 (other, _) => return Err(unexpected_name(&node, other, &["fleet", "expect"])),
             }
         }
-        let nowhere = sexpr::Position { line: 1, column: 1 };
-        let source = source
-            .ok_or(ParseError { position: nowhere, message: "expected a form (fleet ...)".to_owned() })?;
-        Ok(Self { source, expects })
+        let start_of_file = sexpr::Position { line: 1, column: 1 };
+        let source = source.ok_or(ParseError {
+            position: start_of_file,
+            message: "expected a form (fleet ...)".to_owned(),
+        })?;
+        Ok(Self { source, expectations })
     }
 
-    /// States the customers' slices in the fleet.
+    /// Adds the slices of the customers to the fleet.
     ///
     /// # Errors
-    /// The place of a customer or slice that the fleet does not have.
-    pub fn own(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
-        for (customer, slices, at) in &self.source.customer_slices {
-            let done = fleet.add_customer_slices(customer, slices.clone());
-            done.map_err(|error| ParseError { position: *at, message: error.to_string() })?;
+    /// Position of a customer or slice that the fleet does not have.
+    pub fn add_customer_slices(&self, fleet: &mut Fleet) -> Result<(), ParseError> {
+        for CustomerSlices { customer, slices, position } in &self.source.customer_slices {
+            let added = fleet.add_customer_slices(customer, slices.clone());
+            added.map_err(|error| ParseError { position: *position, message: error.to_string() })?;
         }
         Ok(())
     }
 
-    /// Looks up all names.
+    /// Resolves all names.
     ///
     /// # Errors
-    /// The place of a word that does not belong there, or of a name that the fleet does not have.
-    pub fn settle(&self, fleet: &Fleet) -> Result<Vec<Expectation>, ParseError> {
-        let reader = Reader { fleet };
-        let read = |(name, node): &(String, Node)| {
-            let claim = reader.claim(node, Within::default())?;
-            Ok(Expectation { name: name.clone(), line: node.position.line, claim })
+    /// Position of a word that is not valid there, or of a name that the fleet does not have.
+    pub fn resolve(&self, fleet: &Fleet) -> Result<Vec<Expectation>, ParseError> {
+        let parser = ClaimParser { fleet };
+        let resolve = |unresolved: &UnresolvedExpectation| {
+            let claim = parser.claim(&unresolved.claim, Context::default())?;
+            let line = unresolved.claim.position.line;
+            Ok(Expectation { name: unresolved.name.clone(), line, claim })
         };
-        self.expects.iter().map(read).collect()
+        self.expectations.iter().map(resolve).collect()
     }
 }
 
-fn read_about(whole: &Node, rest: &[Node]) -> Result<FleetSource, ParseError> {
-    let (mut source, mut told) = (FleetSource::default(), Vec::new());
-    for node in rest {
+fn parse_fleet(form: &Node, args: &[Node]) -> Result<FleetSource, ParseError> {
+    let mut source = FleetSource::default();
+    let mut seen_keys = Vec::new();
+    for node in args {
         let (key, values) = node.head_and_args("a part of the fleet, as (terms \"mixer.json\")")?;
-        if key != "slices" && told.contains(&key) {
+        if key != "slices" && seen_keys.contains(&key) {
             return Err(node.error(format!("{key} is given twice")));
         }
-        told.push(key);
+        seen_keys.push(key);
         match (key, values) {
             ("terms", [path]) => {
-                source.config_path = path.string("the path of a mixer's configuration")?.to_owned()
+                source.config_path = path.string("the path of a mixer's configuration")?.to_owned();
             }
             ("list", [path]) => source.list_path = path.string("the path of a searcher list")?.to_owned(),
-            ("slices", [customer, from, to]) => {
-                let range = range(from, to)?;
+            ("slices", [customer, first, last]) => {
+                let slices = parse_slice_range(first, last)?;
                 let customer = customer.string("a customer's name")?.to_owned();
-                source.customer_slices.push((customer, range, node.position));
+                source.customer_slices.push(CustomerSlices { customer, slices, position: node.position });
             }
-            ("pace", [changes, every]) => source.pace = Some(pace(changes, every)?),
+            ("pace", [changes, every]) => source.pace = Some(parse_pace(changes, every)?),
             ("terms" | "list" | "slices" | "pace", values) => {
                 return Err(node.error(format!("{key} has {} values, which do not fit it", values.len())));
             }
@@ -126,44 +145,46 @@
         }
     }
     match (source.config_path.is_empty(), source.list_path.is_empty()) {
-        (true, _) => Err(whole.error("expected (terms \"PATH\") in (fleet ...)")),
-        (_, true) => Err(whole.error("expected (list \"PATH\") in (fleet ...)")),
+        (true, _) => Err(form.error("expected (terms \"PATH\") in (fleet ...)")),
+        (_, true) => Err(form.error("expected (list \"PATH\") in (fleet ...)")),
         _ => Ok(source),
     }
 }
 
-/// `(pace (changes 1) (every 2s))`
-fn pace(changes: &Node, every: &Node) -> Result<Pace, ParseError> {
+/// Parses the arguments of `(pace (changes 1) (every 2s))`.
+fn parse_pace(changes: &Node, every: &Node) -> Result<Pace, ParseError> {
     match (changes.head_and_args("(changes N)")?, every.head_and_args("(every TIME)")?) {
         (("changes", [changes]), ("every", [every])) => Ok(Pace {
-            changes: changes.integer("changes", 1, MOST_LOST)?,
+            changes: changes.integer("changes", 1, MAX_FAILED_SEARCHERS)?,
             every_ms: every.duration_ms("the time in which they may happen")?,
         }),
         _ => Err(changes.error("expected (changes N) (every TIME)")),
     }
 }
 
-fn range(from: &Node, to: &Node) -> Result<RangeInclusive<u32>, ParseError> {
-    let range = from.integer("first slice", 0, u32::MAX - 1)?..=to.integer("last slice", 0, u32::MAX - 1)?;
+fn parse_slice_range(first: &Node, last: &Node) -> Result<RangeInclusive<u32>, ParseError> {
+    let range =
+        first.integer("first slice", 0, u32::MAX - 1)?..=last.integer("last slice", 0, u32::MAX - 1)?;
     if range.is_empty() {
-        return Err(to.error(format!("found {}, expected a slice from {} on", range.end(), range.start())));
+        return Err(last.error(format!("found {}, expected a slice from {} on", range.end(), range.start())));
     }
     Ok(range)
 }
 
-/// What stands around a claim.
+/// The forms around a claim, as far as they restrict it.
 #[derive(Clone, Copy, Default)]
-struct Within {
-    /// Under `some` or `not`, where a claim source behaviour can't be explored.
-    turned: bool,
-    younger: bool,
+struct Context {
+    /// Under `some` or `not`, where claims about behaviour can't be explored.
+    under_some_or_not: bool,
+    under_list_age: bool,
 }
 
-struct Reader<'a> {
+/// Parser of claims that resolves names against a fleet.
+struct ClaimParser<'a> {
     fleet: &'a Fleet,
 }
 
-const CLAIMS: [&str; 10] = [
+const CLAIM_NAMES: [&str; 10] = [
     "for-all-slices",
     "after",
     "while-list-younger",
@@ -175,259 +196,290 @@
     "some",
     "not",
 ];
+const SLICE_CLAIM_NAMES: [&str; 6] = ["reachable", "all", "some", "not", "of", "slices"];
+const FAILURE_NAMES: [&str; 12] = [
+    "lose-hall",
+    "lose-set",
+    "lose-searchers",
+    "lose-searcher",
+    "drain-hall",
+    "drain-set",
+    "drain-searchers",
+    "drain-searcher",
+    "restart-hall",
+    "restart-set",
+    "restart-searchers",
+    "restart-searcher",
+];
 
-/// `found` looked up in the fleet, a fault at its place if it is not there.
-fn named<T>(node: &Node, found: Result<T, impl std::fmt::Display>) -> Result<T, ParseError> {
-    found.map_err(|error| node.error(error.to_string()))
+/// Adds the position of `node` to the error of a lookup.
+fn resolved<T>(node: &Node, lookup: Result<T, impl std::fmt::Display>) -> Result<T, ParseError> {
+    lookup.map_err(|error| node.error(error.to_string()))
 }
 
-impl Reader<'_> {
-    fn claim(&self, node: &Node, within: Within) -> Result<Claim, ParseError> {
-        let (head, rest) = node.head_and_args("a claim, as (for-all-slices ...)")?;
-        let many = |within: Within| -> Result<Vec<Claim>, ParseError> {
-            if rest.is_empty() {
+impl ClaimParser<'_> {
+    fn claim(&self, node: &Node, context: Context) -> Result<Claim, ParseError> {
+        let (head, args) = node.head_and_args("a claim, as (for-all-slices ...)")?;
+        let claims = |context: Context| -> Result<Vec<Claim>, ParseError> {
+            if args.is_empty() {
                 return Err(node.error(format!("expected a claim in ({head})")));
             }
-            rest.iter().map(|claim| self.claim(claim, within)).collect()
+            args.iter().map(|claim| self.claim(claim, context)).collect()
         };
-        let turned = Within { turned: true, ..within };
-        Ok(match (head, rest) {
-            ("all", _) => Claim::All(many(within)?),
-            ("some", _) => Claim::Some(many(turned)?),
-            ("not", [claim]) => Claim::Not(Box::new(self.claim(claim, turned)?)),
-            ("for-all-slices", rest) => self.slices(node, rest)?,
+        let some_or_not = Context { under_some_or_not: true, ..context };
+        Ok(match (head, args) {
+            ("all", _) => Claim::All(claims(context)?),
+            ("some", _) => Claim::Some(claims(some_or_not)?),
+            ("not", [claim]) => Claim::Not(Box::new(self.claim(claim, some_or_not)?)),
+            ("for-all-slices", args) => self.for_all_slices(node, args)?,
             ("after", [failures @ .., claim]) if !failures.is_empty() => {
-                let mut claim = self.claim(claim, within)?;
+                let mut claim = self.claim(claim, context)?;
                 for failure in failures.iter().rev() {
                     claim = Claim::After(self.failure(failure)?, Box::new(claim));
                 }
                 claim
             }
-            ("while-list-younger", [age, rest @ .., claim]) => {
-                if within.younger {
-                    return Err(node.error("while-list-younger stands in another"));
-                }
-                if within.turned {
-                    return Err(node.error("while-list-younger can't stand under some or not"));
-                }
-                let changes = match rest {
-                    [] => None,
-                    [changes] => match changes.head_and_args("(changes N)")? {
-                        ("changes", [n]) => Some(n.integer("changes", 0, MOST_LOST)?),
-                        _ => {
-                            return Err(
-                                changes.error(format!("found {}, expected (changes N)", changes.describe()))
-                            );
-                        }
-                    },
-                    [_, more, ..] => return Err(more.error("expected one claim")),
-                };
-                let claim = Box::new(self.claim(claim, Within { younger: true, ..within })?);
-                Claim::WhileListYounger { ms: age.duration_ms("the list's age")?, changes, claim }
+            ("while-list-younger", [age, options @ .., claim]) => {
+                self.while_list_younger(node, age, options, claim, context)?
             }
-            ("load-per-searcher-at-most", [times]) => {
-                Claim::LoadAtMost(times.positive_number("times the average load")?)
+            ("load-per-searcher-at-most", [multiple]) => {
+                Claim::LoadAtMost(multiple.positive_number("times the average load")?)
             }
-            ("slices-per-searcher-at-most", [n]) => {
-                Claim::SlicesAtMost(n.integer("slices", 1, u32::MAX - 1)?)
+            ("slices-per-searcher-at-most", [count]) => {
+                Claim::SlicesAtMost(count.integer("slices", 1, u32::MAX - 1)?)
             }
-            ("never" | "always", [watch]) => {
-                if within.turned {
+            ("never" | "always", [action]) => {
+                if context.under_some_or_not {
                     return Err(node.error(format!("{head} can't stand under some or not")));
                 }
-                Claim::Behaviour(self.watch(watch, head == "always")?)
+                Claim::Behaviour(self.behaviour(action, head == "always")?)
             }
-            (head, rest) if CLAIMS.contains(&head) => {
-                return Err(node.error(format!("{head} has {} parts, which do not fit it", rest.len())));
+            (head, args) if CLAIM_NAMES.contains(&head) => {
+                return Err(node.error(format!("{head} has {} parts, which do not fit it", args.len())));
             }
-            (other, _) => return Err(unexpected_name(node, other, &CLAIMS)),
+            (other, _) => return Err(unexpected_name(node, other, &CLAIM_NAMES)),
         })
     }
 
-    fn slices(&self, node: &Node, rest: &[Node]) -> Result<Claim, ParseError> {
-        let (mut of, mut only, mut what) = (None, None, Vec::new());
-        for part in rest {
-            match part.head_and_args("(reachable ...)")? {
-                ("of", [customer]) => {
-                    let name = customer.string("a customer's name")?;
-                    let index = named(customer, self.fleet.customer(name))?;
-                    if !self.fleet.customer_slices().iter().any(|o| o.customer == index) {
-                        return Err(customer.error(format!("(fleet ...) states no slices of \"{name}\"")));
-                    }
-                    of = Some(index);
-                }
-                ("slices", [from, to]) => {
-                    let range = range(from, to)?;
-                    if *range.end() >= self.fleet.slices() {
-                        let count = self.fleet.slices();
-                        return Err(to.error(format!("slice {} is not among the {count}", range.end())));
-                    }
-                    only = Some(range);
+    fn while_list_younger(
+        &self,
+        node: &Node,
+        age: &Node,
+        options: &[Node],
+        claim: &Node,
+        context: Context,
+    ) -> Result<Claim, ParseError> {
+        if context.under_list_age {
+            return Err(node.error("while-list-younger can't stand in another while-list-younger"));
+        }
+        if context.under_some_or_not {
+            return Err(node.error("while-list-younger can't stand under some or not"));
+        }
+        let max_changes = match options {
+            [] => None,
+            [changes] => match changes.head_and_args("(changes N)")? {
+                ("changes", [count]) => Some(count.integer("changes", 0, MAX_FAILED_SEARCHERS)?),
+                _ => {
+                    let found = changes.describe();
+                    return Err(changes.error(format!("found {found}, expected (changes N)")));
                 }
-                _ => what.push(self.local(part)?),
+            },
+            [_, surplus, ..] => return Err(surplus.error("expected one claim")),
+        };
+        let claim = Box::new(self.claim(claim, Context { under_list_age: true, ..context })?);
+        let max_age_ms = age.duration_ms("the list's age")?;
+        Ok(Claim::WhileListYounger { max_age_ms, max_changes, claim })
+    }
+
+    fn for_all_slices(&self, node: &Node, args: &[Node]) -> Result<Claim, ParseError> {
+        let mut customer = None;
+        let mut range = None;
+        let mut claims = Vec::new();
+        for arg in args {
+            match arg.head_and_args("(reachable ...)")? {
+                ("of", [name]) => customer = Some(self.customer_with_slices(name)?),
+                ("slices", [first, last]) => range = Some(self.slice_range(first, last)?),
+                _ => claims.push(self.slice_claim(arg)?),
             }
         }
-        match what.len() {
-            0 => Err(node.error("expected (reachable ...) in (for-all-slices ...)")),
-            1 => Ok(Claim::ForAllSlices { of, only, what: what.remove(0) }),
-            _ => Ok(Claim::ForAllSlices { of, only, what: SliceClaim::All(what) }),
+        let claim = match claims.len() {
+            0 => return Err(node.error("expected (reachable ...) in (for-all-slices ...)")),
+            1 => claims.remove(0),
+            _ => SliceClaim::All(claims),
+        };
+        Ok(Claim::ForAllSlices { customer, range, claim })
+    }
+
+    /// Index of the customer; an error if the file states no slices of it.
+    fn customer_with_slices(&self, node: &Node) -> Result<usize, ParseError> {
+        let name = node.string("a customer's name")?;
+        let customer = resolved(node, self.fleet.customer(name))?;
+        if !self.fleet.customer_slices().iter().any(|owned| owned.customer == customer) {
+            return Err(node.error(format!("(fleet ...) states no slices of \"{name}\"")));
+        }
+        Ok(customer)
+    }
+
+    fn slice_range(&self, first: &Node, last: &Node) -> Result<RangeInclusive<u32>, ParseError> {
+        let range = parse_slice_range(first, last)?;
+        if *range.end() >= self.fleet.slices() {
+            let count = self.fleet.slices();
+            return Err(last.error(format!("slice {} is not among the {count}", range.end())));
         }
+        Ok(range)
     }
 
-    fn local(&self, node: &Node) -> Result<SliceClaim, ParseError> {
-        const WORDS: [&str; 6] = ["reachable", "all", "some", "not", "of", "slices"];
-        let (head, rest) = node.head_and_args("(reachable ...)")?;
-        let many = || -> Result<Vec<SliceClaim>, ParseError> {
-            if rest.is_empty() {
+    fn slice_claim(&self, node: &Node) -> Result<SliceClaim, ParseError> {
+        let (head, args) = node.head_and_args("(reachable ...)")?;
+        let claims = || -> Result<Vec<SliceClaim>, ParseError> {
+            if args.is_empty() {
                 return Err(node.error(format!("expected (reachable ...) in ({head})")));
             }
-            rest.iter().map(|l| self.local(l)).collect()
+            args.iter().map(|claim| self.slice_claim(claim)).collect()
         };
-        Ok(match (head, rest) {
-            ("all", _) => SliceClaim::All(many()?),
-            ("some", _) => SliceClaim::Some(many()?),
-            ("not", [local]) => SliceClaim::Not(Box::new(self.local(local)?)),
-            ("reachable", rest) => SliceClaim::Reachable(self.reach(rest)?),
-            (other, _) => return Err(unexpected_name(node, other, &WORDS)),
+        Ok(match (head, args) {
+            ("all", _) => SliceClaim::All(claims()?),
+            ("some", _) => SliceClaim::Some(claims()?),
+            ("not", [claim]) => SliceClaim::Not(Box::new(self.slice_claim(claim)?)),
+            ("reachable", args) => SliceClaim::Reachable(self.reachability(args)?),
+            (other, _) => return Err(unexpected_name(node, other, &SLICE_CLAIM_NAMES)),
         })
     }
 
-    fn reach(&self, rest: &[Node]) -> Result<Reachability, ParseError> {
-        let mut reach = Reachability { searchers: 1, halls: 1, sets: 1, hall: None };
-        for part in rest {
-            let (head, values) = part.head_and_args("a measure, as (halls 2)")?;
+    fn reachability(&self, args: &[Node]) -> Result<Reachability, ParseError> {
+        let mut minimum = Reachability { searchers: 1, halls: 1, sets: 1, hall: None };
+        for arg in args {
+            let (head, values) = arg.head_and_args("a measure, as (halls 2)")?;
             match (head, values) {
-                ("searchers", [n]) => reach.searchers = n.integer("searchers", 1, u32::MAX - 1)?,
-                ("halls", [n]) => reach.halls = n.integer("halls", 1, u32::MAX - 1)?,
-                ("sets", [n]) => reach.sets = n.integer("sets", 1, u32::MAX - 1)?,
-                ("in", [hall]) => {
-                    reach.hall = Some(named(hall, self.fleet.hall(hall.string("a hall's name")?))?)
+                ("searchers", [count]) => {
+                    minimum.searchers = count.integer("searchers", 1, u32::MAX - 1)?;
                 }
+                ("halls", [count]) => minimum.halls = count.integer("halls", 1, u32::MAX - 1)?,
+                ("sets", [count]) => minimum.sets = count.integer("sets", 1, u32::MAX - 1)?,
+                ("in", [hall]) => minimum.hall = Some(self.hall(hall, "a hall's name")?),
                 (other, _) => {
-                    return Err(unexpected_name(part, other, &["searchers", "halls", "sets", "in"]));
+                    return Err(unexpected_name(arg, other, &["searchers", "halls", "sets", "in"]));
                 }
             }
         }
-        Ok(reach)
+        Ok(minimum)
+    }
+
+    fn hall(&self, node: &Node, expected: &str) -> Result<usize, ParseError> {
+        resolved(node, self.fleet.hall(node.string(expected)?))
     }
 
     fn failure(&self, node: &Node) -> Result<Failure, ParseError> {
-        const WORDS: [&str; 12] = [
-            "lose-hall",
-            "lose-set",
-            "lose-searchers",
-            "lose-searcher",
-            "drain-hall",
-            "drain-set",
-            "drain-searchers",
-            "drain-searcher",
-            "restart-hall",
-            "restart-set",
-            "restart-searchers",
-            "restart-searcher",
-        ];
-        let (head, rest) = node.head_and_args("a failure, as (lose-hall any)")?;
-        let (verb, whom) = head.split_once('-').unwrap_or((head, ""));
-        let what = match verb {
+        let (head, args) = node.head_and_args("a failure, as (lose-hall any)")?;
+        let (verb, target) = head.split_once('-').unwrap_or((head, ""));
+        let condition = match verb {
             "lose" => Condition::Gone,
             "drain" => Condition::Draining,
             "restart" => Condition::Cold,
-            _ => return Err(unexpected_name(node, head, &WORDS)),
+            _ => return Err(unexpected_name(node, head, &FAILURE_NAMES)),
         };
-        let [value] = rest else {
-            return Err(node.error(format!("{head} has {} values, expected one", rest.len())));
+        let [value] = args else {
+            return Err(node.error(format!("{head} has {} values, expected one", args.len())));
         };
-        let any = matches!(&value.kind, NodeKind::Symbol(word) if word == "any");
-        let whom = match whom {
+        let any = matches!(&value.kind, NodeKind::Symbol(symbol) if symbol == "any");
+        let target = match target {
             "hall" if any => FailureTarget::Hall(None),
-            "hall" => FailureTarget::Hall(Some(named(
-                value,
-                self.fleet.hall(value.string("any, or a hall's name")?),
-            )?)),
+            "hall" => FailureTarget::Hall(Some(self.hall(value, "any, or a hall's name")?)),
             "set" if any => FailureTarget::Set(None),
             "set" => FailureTarget::Set(Some(value.integer(
                 "any, or a set",
                 0,
                 self.fleet.sets().saturating_sub(1) as u32,
             )?)),
-            "searchers" => FailureTarget::Searchers(value.integer("searchers", 1, MOST_LOST)?),
+            "searchers" => FailureTarget::Searchers(value.integer("searchers", 1, MAX_FAILED_SEARCHERS)?),
             "searcher" if any => FailureTarget::Searchers(1),
             "searcher" => {
                 let name = value.string("any, or a searcher's name")?;
-                FailureTarget::Searcher(named(value, self.fleet.searcher(name))? as u32)
+                FailureTarget::Searcher(resolved(value, self.fleet.searcher(name))? as u32)
             }
-            _ => return Err(unexpected_name(node, head, &WORDS)),
+            _ => return Err(unexpected_name(node, head, &FAILURE_NAMES)),
         };
-        Ok(Failure { what, whom })
+        Ok(Failure { condition, target })
     }
 
-    fn watch(&self, node: &Node, always: bool) -> Result<BehaviourClaim, ParseError> {
-        let (head, rest) = node.head_and_args("(sent ...) or (answered ...)")?;
-        let (mut table_type, mut to, mut hall) = (None, Vec::new(), None);
-        let (mut again, mut beside, mut kinds, mut whole) = (false, false, Vec::new(), None);
-        let sent = match head {
-            "sent" => true,
-            "answered" => false,
-            other => return Err(unexpected_name(node, other, &["sent", "answered"])),
-        };
-        for part in rest {
-            match (part.head_and_args("a condition, as (table-type \"standings\")")?, sent) {
-                (("table-type", [name]), _) => {
-                    table_type = Some(named(name, self.fleet.table_type(name.string("a table type")?))?);
-                }
-                (("to", conditions), true) if !conditions.is_empty() => {
-                    for condition in conditions {
-                        to.push(match condition.symbol("up, cold, draining or gone")? {
-                            "up" => Condition::Up,
-                            "cold" => Condition::Cold,
-                            "draining" => Condition::Draining,
-                            "gone" => Condition::Gone,
-                            other => {
-                                return Err(unexpected_name(
-                                    condition,
-                                    other,
-                                    &["up", "cold", "draining", "gone"],
-                                ));
-                            }
-                        });
+    fn behaviour(&self, node: &Node, always: bool) -> Result<BehaviourClaim, ParseError> {
+        let (head, args) = node.head_and_args("(sent ...) or (answered ...)")?;
+        match head {
+            "sent" => self.dispatch_claim(args, always),
+            "answered" => self.answer_claim(args, always),
+            other => Err(unexpected_name(node, other, &["sent", "answered"])),
+        }
+    }
+
+    fn dispatch_claim(&self, args: &[Node], always: bool) -> Result<BehaviourClaim, ParseError> {
+        let mut table_type = None;
+        let mut conditions = Vec::new();
+        let mut hall = None;
+        let mut repeated = false;
+        let mut concurrent = false;
+        for arg in args {
+            match arg.head_and_args("a condition, as (table-type \"standings\")")? {
+                ("table-type", [name]) => table_type = Some(self.table_type(name)?),
+                ("to", names) if !names.is_empty() => {
+                    for name in names {
+                        conditions.push(parse_condition(name)?);
                     }
                 }
-                (("in", [name]), true) => {
-                    hall = Some(named(name, self.fleet.hall(name.string("a hall's name")?))?)
+                ("in", [name]) => hall = Some(self.hall(name, "a hall's name")?),
+                ("again", []) => repeated = true,
+                ("beside", []) => concurrent = true,
+                (other, _) => {
+                    return Err(unexpected_name(arg, other, &["table-type", "to", "in", "again", "beside"]));
                 }
-                (("again", []), true) => again = true,
-                (("beside", []), true) => beside = true,
-                (("as", words), false) if !words.is_empty() => {
-                    for word in words {
-                        kinds.push(match word.symbol("completed, throttled or abandoned")? {
-                            "completed" => AnswerKind::Completed,
-                            "throttled" => AnswerKind::Throttled,
-                            "abandoned" => AnswerKind::Abandoned,
-                            other => {
-                                return Err(unexpected_name(
-                                    word,
-                                    other,
-                                    &["completed", "throttled", "abandoned"],
-                                ));
-                            }
-                        });
+            }
+        }
+        let action = ObservedAction::Dispatch { conditions, hall, repeated, concurrent };
+        Ok(BehaviourClaim { always, table_type, action })
+    }
+
+    fn answer_claim(&self, args: &[Node], always: bool) -> Result<BehaviourClaim, ParseError> {
+        let mut table_type = None;
+        let mut kinds = Vec::new();
+        let mut whole = None;
+        for arg in args {
+            match arg.head_and_args("a condition, as (table-type \"standings\")")? {
+                ("table-type", [name]) => table_type = Some(self.table_type(name)?),
+                ("as", names) if !names.is_empty() => {
+                    for name in names {
+                        kinds.push(parse_answer_kind(name)?);
                     }
                 }
-                (("whole", []), false) => whole = Some(true),
-                (("not-whole", []), false) => whole = Some(false),
-                ((other, _), true) => {
-                    return Err(unexpected_name(part, other, &["table-type", "to", "in", "again", "beside"]));
-                }
-                ((other, _), false) => {
-                    return Err(unexpected_name(part, other, &["table-type", "as", "whole", "not-whole"]));
+                ("whole", []) => whole = Some(true),
+                ("not-whole", []) => whole = Some(false),
+                (other, _) => {
+                    return Err(unexpected_name(arg, other, &["table-type", "as", "whole", "not-whole"]));
                 }
             }
         }
-        let action = if sent {
-            ObservedAction::Sent { to, hall, again, beside }
-        } else {
-            ObservedAction::Answered { kinds, whole }
-        };
+        let action = ObservedAction::Answer { kinds, whole };
         Ok(BehaviourClaim { always, table_type, action })
     }
+
+    fn table_type(&self, node: &Node) -> Result<usize, ParseError> {
+        resolved(node, self.fleet.table_type(node.string("a table type")?))
+    }
+}
+
+fn parse_condition(node: &Node) -> Result<Condition, ParseError> {
+    match node.symbol("up, cold, draining or gone")? {
+        "up" => Ok(Condition::Up),
+        "cold" => Ok(Condition::Cold),
+        "draining" => Ok(Condition::Draining),
+        "gone" => Ok(Condition::Gone),
+        other => Err(unexpected_name(node, other, &["up", "cold", "draining", "gone"])),
+    }
+}
+
+fn parse_answer_kind(node: &Node) -> Result<AnswerKind, ParseError> {
+    match node.symbol("completed, throttled or abandoned")? {
+        "completed" => Ok(AnswerKind::Completed),
+        "throttled" => Ok(AnswerKind::Throttled),
+        "abandoned" => Ok(AnswerKind::Abandoned),
+        other => Err(unexpected_name(node, other, &["completed", "throttled", "abandoned"])),
+    }
 }
--- a/crates/expect/src/structural.rs
+++ b/crates/expect/src/structural.rs
@@ -1,316 +1,348 @@
-//! Structural verdicts: what follows from who holds what, under every case of the failures named.
+//! Structural checks: what follows from the placement, in every case of the failures named.
 //!
-//! The options weighed stand in `docs/expectations.md`. Three things make every case affordable, all exact:
+//! The alternatives are discussed in `docs/expectations.md`. Three exact reductions keep the number of cases small:
 //!
-//! 1. *For all slices* and *after any failure* are both universal and change places: a slice is asked alone, under the
-//!    failures of its own holders only.
-//! 2. Slices held by the same sets are one class, and classes of the same shape (halls, conditions, counts) are
-//!    judged once.
-//! 3. Searchers of one kind are counted, not named ([`crate::groups`]).
+//! 1. *For all slices* and *after any failure* are both universal, so they commute: each slice is checked on its own,
+//!    under the failures of its own holders only.
+//! 2. Slices held by the same sets form a class, and classes with the same halls, conditions and counts are checked
+//!    once.
+//! 3. Interchangeable searchers are counted in groups ([`crate::groups`]).
 //!
-//! Under `some` and `not` the first does not hold; there the cases of the whole fleet are gone through, by kind, up
-//! to a bound, and past it the verdict is *undecided*.
+//! The first does not hold under `some` and `not`; there the cases of the whole fleet are enumerated by group, up to a
+//! bound. Beyond it the verdict is *undecided*.
 
 use std::collections::HashSet;
-use std::ops::ControlFlow;
+use std::ops::{ControlFlow, Range, RangeInclusive};
 
 use pewterwharf_fleet::{Condition, Fleet};
 
 use crate::claim::{Claim, Failure, FailureTarget, Pace, Reachability, SliceClaim};
 use crate::groups::{AppliedFailure, Group, GroupedFleet, Grouping};
 
-/// Cases that are gone through for one expectation, at most: some seconds.
-pub const MOST_CASES: u64 = 20_000_000;
+/// Maximum number of cases for one expectation; they take some seconds.
+pub const MAX_CASES: u64 = 20_000_000;
 
-/// A case in which a claim does not hold, the smallest there is.
+/// A case in which a claim does not hold, with as few failures as possible.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Case {
     pub failures: Vec<AppliedFailure>,
     pub slice: Option<u32>,
-    /// What was found instead.
+    /// What was found instead of what the claim expects.
     pub observed: String,
 }
 
 impl Case {
-    fn units(&self) -> u32 {
-        self.failures.iter().map(AppliedFailure::units).sum()
+    fn events(&self) -> u32 {
+        self.failures.iter().map(AppliedFailure::events).sum()
     }
 }
 
-/// Why there is no verdict.
+/// A check that would exceed [`MAX_CASES`], so that there is no verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TooMany;
+pub struct TooManyCases;
 
-type Found = Result<Option<Case>, TooMany>;
+type CheckResult = Result<Option<Case>, TooManyCases>;
 
-/// Judges the claims of one fleet at one age of its list.
+/// Checks claims against one fleet, at one age of its list.
 pub struct StructuralChecker<'a> {
     fleet: &'a Fleet,
     grouping: Grouping,
-    /// Of each class, the weight of its slices.
-    weights: Vec<f64>,
-    /// Of each set, the classes that it holds.
-    classes: Vec<Vec<usize>>,
-    average: f64,
-    changes: u32,
-    cases: u64,
+    /// Total weight of the slices of each class.
+    class_weights: Vec<f64>,
+    /// Classes that each set holds.
+    classes_of_set: Vec<Vec<usize>>,
+    average_load: f64,
+    max_unlisted_changes: u32,
+    checked_cases: u64,
 }
 
 impl<'a> StructuralChecker<'a> {
-    /// The list is `list_ms` old, and grows old at this pace.
-    pub fn new(fleet: &'a Fleet, pace: Pace, list_ms: f64) -> Self {
-        let holding = fleet.placement();
-        let by_slice = fleet.weights();
-        let weigh = |class| holding.slices_of_class(class).iter().map(|s| by_slice[*s as usize]).sum();
-        let mut classes = vec![Vec::new(); fleet.sets()];
-        for class in 0..holding.classes() {
-            holding.sets_of_class(class).iter().for_each(|set| classes[*set as usize].push(class));
+    /// A checker for a list that is `list_age_ms` old and gets outdated at this pace.
+    pub fn new(fleet: &'a Fleet, pace: Pace, list_age_ms: f64) -> Self {
+        let placement = fleet.placement();
+        let slice_weights = fleet.weights();
+        let class_weight =
+            |class| placement.slices_of_class(class).iter().map(|s| slice_weights[*s as usize]).sum();
+        let mut classes_of_set = vec![Vec::new(); fleet.sets()];
+        for class in 0..placement.classes() {
+            placement.sets_of_class(class).iter().for_each(|set| classes_of_set[*set as usize].push(class));
         }
-        let oldest = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
+        let oldest_ms = fleet.searchers().iter().map(|s| s.age_ms).fold(0.0, f64::max);
         Self {
-            grouping: Grouping::of(fleet, list_ms, pace.every_ms),
-            weights: (0..holding.classes()).map(weigh).collect(),
-            classes,
-            average: average(fleet, &by_slice),
-            changes: pace.within(list_ms + oldest),
-            cases: 0,
+            grouping: Grouping::new(fleet, list_age_ms, pace.every_ms),
+            class_weights: (0..placement.classes()).map(class_weight).collect(),
+            classes_of_set,
+            average_load: average_load(fleet, &slice_weights),
+            max_unlisted_changes: pace.max_unlisted_changes(list_age_ms + oldest_ms),
+            checked_cases: 0,
             fleet,
         }
     }
 
-    /// Changes that the list may not tell at this age.
-    pub fn changes(&self) -> u32 {
-        self.changes
+    /// Maximum number of changes that the list may lack at this age.
+    pub fn max_unlisted_changes(&self) -> u32 {
+        self.max_unlisted_changes
     }
 
-    /// Cases looked at so far.
-    pub fn cases(&self) -> u64 {
-        self.cases
+    /// Cases checked so far.
+    pub fn checked_cases(&self) -> u64 {
+        self.checked_cases
     }
 
-    /// The smallest case in which the claim does not hold; claims about behaviour count as holding here.
+    /// A case with the fewest failures in which the claim does not hold. Claims about behaviour count as holding.
     ///
     /// # Errors
-    /// If over [`MOST_CASES`] would have to be looked at.
-    pub fn fails(&mut self, claim: &Claim) -> Found {
-        let scene = self.grouping.listed.clone();
-        self.find(claim, &scene, &[], &[])
+    /// If more than [`MAX_CASES`] cases would have to be checked.
+    pub fn find_failure(&mut self, claim: &Claim) -> CheckResult {
+        let groups = self.grouping.listed.clone();
+        self.check(claim, &groups, &[], &[])
     }
 
-    fn find(
+    /// Checks a claim after the failures `applied`, whose result is `groups`, and in all cases of those `pending`.
+    fn check(
         &mut self,
         claim: &Claim,
-        scene: &[Group],
-        sure: &[AppliedFailure],
+        groups: &[Group],
+        applied: &[AppliedFailure],
         pending: &[Failure],
-    ) -> Found {
+    ) -> CheckResult {
         match claim {
             Claim::All(claims) => {
-                let mut least = None;
+                let mut smallest = None;
                 for claim in claims {
-                    lesser(&mut least, self.find(claim, scene, sure, pending)?);
+                    keep_smaller(&mut smallest, self.check(claim, groups, applied, pending)?);
                 }
-                Ok(least)
+                Ok(smallest)
             }
-            Claim::After(failure, claim) => match self.grouping.certain(scene, failure) {
-                Some((after, befell)) => {
-                    let sure: Vec<AppliedFailure> = sure.iter().cloned().chain([befell]).collect();
-                    self.find(claim, &after, &sure, pending)
+            Claim::After(failure, claim) => match self.grouping.apply_named(groups, failure) {
+                Some((after, failure)) => {
+                    let applied: Vec<AppliedFailure> = applied.iter().cloned().chain([failure]).collect();
+                    self.check(claim, &after, &applied, pending)
                 }
-                None => self.find(claim, scene, sure, &with(pending, failure.clone())),
+                None => self.check(claim, groups, applied, &appended(pending, failure.clone())),
             },
-            Claim::WhileListYounger { changes, claim, .. } => {
-                let most = changes.unwrap_or(u32::MAX).min(self.changes);
-                let unsure = Failure { what: Condition::Gone, whom: FailureTarget::MaybeStale(most) };
-                self.find(claim, scene, sure, &with(pending, unsure))
+            Claim::WhileListYounger { max_changes, claim, .. } => {
+                let max = max_changes.unwrap_or(u32::MAX).min(self.max_unlisted_changes);
+                let unlisted = Failure { condition: Condition::Gone, target: FailureTarget::MaybeStale(max) };
+                self.check(claim, groups, applied, &appended(pending, unlisted))
             }
-            Claim::ForAllSlices { of, only, what } => {
-                self.slices(*of, only.as_ref(), what, scene, sure, pending)
+            Claim::ForAllSlices { customer, range, claim } => {
+                self.check_slices(*customer, range.as_ref(), claim, groups, applied, pending)
             }
-            Claim::LoadAtMost(most) => self.load(*most, scene, sure, pending),
-            Claim::SlicesAtMost(most) => Ok(self.room(*most)),
+            Claim::LoadAtMost(max_multiple) => self.check_load(*max_multiple, groups, applied, pending),
+            Claim::SlicesAtMost(max) => Ok(self.check_slice_count(*max)),
             Claim::Behaviour(_) => Ok(None),
             Claim::Some(_) | Claim::Not(_) => match pending.split_first() {
-                Some((failure, rest)) => self.expand(claim, scene, sure, failure, rest),
-                None => self.turned(claim, scene, sure),
+                Some((failure, rest)) => self.check_in_all_cases(claim, groups, applied, failure, rest),
+                None => self.check_some_or_not(claim, groups, applied),
             },
         }
     }
 
-    fn turned(&mut self, claim: &Claim, scene: &[Group], sure: &[AppliedFailure]) -> Found {
+    fn check_some_or_not(
+        &mut self,
+        claim: &Claim,
+        groups: &[Group],
+        applied: &[AppliedFailure],
+    ) -> CheckResult {
         match claim {
-            Claim::Not(inner) => Ok(match self.find(inner, scene, sure, &[])? {
+            Claim::Not(inner) => Ok(match self.check(inner, groups, applied, &[])? {
                 Some(_) => None,
-                None => Some(case(sure, None, "what stands under not holds".to_owned())),
+                None => Some(case(applied, None, "what stands under not holds".to_owned())),
             }),
             Claim::Some(claims) => {
-                let mut found = Vec::new();
+                let mut observed = Vec::new();
                 for claim in claims {
-                    match self.find(claim, scene, sure, &[])? {
-                        Some(case) => found.push(case.observed),
+                    match self.check(claim, groups, applied, &[])? {
+                        Some(case) => observed.push(case.observed),
                         None => return Ok(None),
                     }
                 }
-                Ok(Some(case(sure, None, format!("none holds: {}", found.join("; ")))))
+                Ok(Some(case(applied, None, format!("none holds: {}", observed.join("; ")))))
             }
             _ => Ok(None),
         }
     }
 
-    /// Every case of a failure for the whole fleet, where slices can't be asked alone.
-    fn expand(
+    /// Checks a claim in every case of a failure of the whole fleet, where slices can't be checked on their own.
+    fn check_in_all_cases(
         &mut self,
         claim: &Claim,
-        scene: &[Group],
-        sure: &[AppliedFailure],
+        groups: &[Group],
+        applied: &[AppliedFailure],
         failure: &Failure,
-        rest: &[Failure],
-    ) -> Found {
-        let mut scenes = Vec::new();
-        let left = MOST_CASES.saturating_sub(self.cases) / scene.len().max(1) as u64;
-        let _ = self.grouping.cases(scene, failure, &mut |after, befell| {
-            scenes.push((after, befell));
-            if scenes.len() as u64 > left { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        pending: &[Failure],
+    ) -> CheckResult {
+        let mut cases = Vec::new();
+        let max = MAX_CASES.saturating_sub(self.checked_cases) / groups.len().max(1) as u64;
+        let _ = self.grouping.for_each_case(groups, failure, &mut |after, failures| {
+            cases.push((after, failures));
+            if cases.len() as u64 > max { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         });
-        if scenes.len() as u64 > left {
-            return Err(TooMany);
+        if cases.len() as u64 > max {
+            return Err(TooManyCases);
         }
-        let mut least = None;
-        for (after, befell) in scenes {
-            self.cases += after.len() as u64;
-            let sure: Vec<AppliedFailure> = sure.iter().cloned().chain(befell).collect();
-            lesser(&mut least, self.find(claim, &after, &sure, rest)?);
+        let mut smallest = None;
+        for (after, failures) in cases {
+            self.checked_cases += after.len() as u64;
+            let applied: Vec<AppliedFailure> = applied.iter().cloned().chain(failures).collect();
+            keep_smaller(&mut smallest, self.check(claim, &after, &applied, pending)?);
         }
-        Ok(least)
+        Ok(smallest)
     }
 
-    fn slices(
+    fn check_slices(
         &mut self,
-        of: Option<usize>,
-        only: Option<&std::ops::RangeInclusive<u32>>,
-        what: &SliceClaim,
-        scene: &[Group],
-        sure: &[AppliedFailure],
+        customer: Option<usize>,
+        range: Option<&RangeInclusive<u32>>,
+        claim: &SliceClaim,
+        groups: &[Group],
+        applied: &[AppliedFailure],
         pending: &[Failure],
-    ) -> Found {
+    ) -> CheckResult {
         let fleet = self.fleet;
-        let holding = fleet.placement();
-        let sets = ranges(scene, holding.sets());
-        let counts = |slice: &u32| {
-            of.is_none_or(|customer| fleet.customer_reads(customer, *slice))
-                && only.is_none_or(|r| r.contains(slice))
+        let placement = fleet.placement();
+        let groups_of_set = group_ranges(groups, placement.sets());
+        let is_selected = |slice: &u32| {
+            customer.is_none_or(|customer| fleet.customer_reads(customer, *slice))
+                && range.is_none_or(|r| r.contains(slice))
         };
-        let (mut least, mut seen) = (None, HashSet::new());
-        for class in 0..holding.classes() {
-            let Some(slice) = holding.slices_of_class(class).iter().copied().find(counts) else { continue };
-            let held = holding.sets_of_class(class);
-            let local: GroupedFleet =
-                held.iter().flat_map(|set| &scene[sets[*set as usize].clone()]).copied().collect();
-            if seen.insert(shape(&local)) {
-                let fails =
-                    |groups: &[Group]| (!local_holds(what, groups)).then(|| reached(what, groups, fleet));
-                self.least(&local, pending, sure, Some(slice), &fails, &mut least)?;
+        let mut smallest = None;
+        let mut checked_shapes = HashSet::new();
+        for class in 0..placement.classes() {
+            let slices = placement.slices_of_class(class);
+            let Some(slice) = slices.iter().copied().find(is_selected) else { continue };
+            let holders: GroupedFleet = placement
+                .sets_of_class(class)
+                .iter()
+                .flat_map(|set| &groups[groups_of_set[*set as usize].clone()])
+                .copied()
+                .collect();
+            if checked_shapes.insert(shape(&holders)) {
+                let fails = |groups: &[Group]| {
+                    (!slice_claim_holds(claim, groups)).then(|| describe_reachability(claim, groups, fleet))
+                };
+                self.check_cases(&holders, pending, applied, Some(slice), &fails, &mut smallest)?;
             }
         }
-        Ok(least)
+        Ok(smallest)
     }
 
-    fn load(&mut self, most: f64, scene: &[Group], sure: &[AppliedFailure], pending: &[Failure]) -> Found {
+    fn check_load(
+        &mut self,
+        max_multiple: f64,
+        groups: &[Group],
+        applied: &[AppliedFailure],
+        pending: &[Failure],
+    ) -> CheckResult {
         let fleet = self.fleet;
-        let holding = fleet.placement();
-        let sets = ranges(scene, holding.sets());
-        let cold = fleet.config().safety_limits.cold_capacity_share;
-        let (weights, classes, average) = (self.weights.clone(), self.classes.clone(), self.average);
-        let mut least = None;
-        for (set, held) in classes.iter().enumerate() {
-            let mut near: Vec<u32> = held.iter().flat_map(|c| holding.sets_of_class(*c)).copied().collect();
-            near.sort_unstable();
-            near.dedup();
-            let local: GroupedFleet =
-                near.iter().flat_map(|set| &scene[sets[*set as usize].clone()]).copied().collect();
+        let placement = fleet.placement();
+        let groups_of_set = group_ranges(groups, placement.sets());
+        let cold_capacity_share = fleet.config().safety_limits.cold_capacity_share;
+        let class_weights = self.class_weights.clone();
+        let classes_of_set = self.classes_of_set.clone();
+        let average_load = self.average_load;
+        let mut smallest = None;
+        for (set, classes) in classes_of_set.iter().enumerate() {
+            // Only sets that share a class with this one affect its load.
+            let mut related_sets: Vec<u32> =
+                classes.iter().flat_map(|c| placement.sets_of_class(*c)).copied().collect();
+            related_sets.sort_unstable();
+            related_sets.dedup();
+            let related: GroupedFleet = related_sets
+                .iter()
+                .flat_map(|set| &groups[groups_of_set[*set as usize].clone()])
+                .copied()
+                .collect();
             let fails = |groups: &[Group]| {
                 if !groups.iter().any(|g| g.set as usize == set && g.condition.accepts_work()) {
                     return None;
                 }
-                let able = |class: &usize| {
-                    let of = groups.iter().filter(|g| holding.sets_of_class(*class).contains(&g.set));
-                    of.map(|g| able(g.condition, cold) * f64::from(g.count)).sum::<f64>()
+                let class_capacity = |class: &usize| {
+                    let holders = groups.iter().filter(|g| placement.sets_of_class(*class).contains(&g.set));
+                    holders
+                        .map(|g| capacity(g.condition, cold_capacity_share) * f64::from(g.count))
+                        .sum::<f64>()
                 };
-                let load: f64 = held.iter().map(|class| weights[*class] / able(class)).sum::<f64>() / average;
-                (load > most * (1.0 + HAIR))
+                let load: f64 =
+                    classes.iter().map(|class| class_weights[*class] / class_capacity(class)).sum::<f64>()
+                        / average_load;
+                (load > max_multiple * (1.0 + ROUNDING_TOLERANCE))
                     .then(|| format!("{load:.2} times the average at the searchers of set {set}"))
             };
-            self.least(&local, pending, sure, None, &fails, &mut least)?;
+            self.check_cases(&related, pending, applied, None, &fails, &mut smallest)?;
         }
-        Ok(least)
+        Ok(smallest)
     }
 
-    fn room(&self, most: u32) -> Option<Case> {
-        let holding = self.fleet.placement();
-        let held =
-            |set: usize| self.classes[set].iter().map(|c| holding.slices_of_class(*c).len()).sum::<usize>();
-        let over = (0..self.classes.len())
-            .find(|s| held(*s) > most as usize && !self.fleet.members(*s as u32).is_empty())?;
-        Some(case(&[], None, format!("{} slices at the searchers of set {over}", held(over))))
+    fn check_slice_count(&self, max: u32) -> Option<Case> {
+        let placement = self.fleet.placement();
+        let held = |set: usize| {
+            let classes = &self.classes_of_set[set];
+            classes.iter().map(|c| placement.slices_of_class(*c).len()).sum::<usize>()
+        };
+        let exceeds = |set: &usize| held(*set) > max as usize && !self.fleet.members(*set as u32).is_empty();
+        let set = (0..self.classes_of_set.len()).find(exceeds)?;
+        Some(case(&[], None, format!("{} slices at the searchers of set {set}", held(set))))
     }
 
-    /// Goes through the cases of all that is pending, and keeps the smallest that fails.
-    fn least(
+    /// Evaluates `fails` in all cases of the pending failures, and keeps the smallest case that fails.
+    fn check_cases(
         &mut self,
-        scene: &[Group],
+        groups: &[Group],
         pending: &[Failure],
-        befell: &[AppliedFailure],
+        applied: &[AppliedFailure],
         slice: Option<u32>,
         fails: &dyn Fn(&[Group]) -> Option<String>,
-        least: &mut Option<Case>,
-    ) -> Result<(), TooMany> {
-        let walk = Walk { grouping: &self.grouping, slice, fails };
-        walk.go(scene, pending, befell, &mut self.cases, least)
+        smallest: &mut Option<Case>,
+    ) -> Result<(), TooManyCases> {
+        let enumeration = CaseEnumeration { grouping: &self.grouping, slice, fails };
+        enumeration.run(groups, pending, applied, &mut self.checked_cases, smallest)
     }
 }
 
-/// One question under all cases of what is pending.
-struct Walk<'a> {
+/// Enumeration of all cases of pending failures, for one predicate.
+struct CaseEnumeration<'a> {
     grouping: &'a Grouping,
     slice: Option<u32>,
     fails: &'a dyn Fn(&[Group]) -> Option<String>,
 }
 
-impl Walk<'_> {
-    fn go(
+impl CaseEnumeration<'_> {
+    fn run(
         &self,
-        scene: &[Group],
+        groups: &[Group],
         pending: &[Failure],
-        befell: &[AppliedFailure],
-        cases: &mut u64,
-        least: &mut Option<Case>,
-    ) -> Result<(), TooMany> {
-        let units: u32 = befell.iter().map(AppliedFailure::units).sum();
-        if least.as_ref().is_some_and(|l| l.units() <= units) {
+        applied: &[AppliedFailure],
+        checked_cases: &mut u64,
+        smallest: &mut Option<Case>,
+    ) -> Result<(), TooManyCases> {
+        let events: u32 = applied.iter().map(AppliedFailure::events).sum();
+        if smallest.as_ref().is_some_and(|case| case.events() <= events) {
             return Ok(());
         }
         let Some((failure, rest)) = pending.split_first() else {
-            *cases += 1;
-            if let Some(found) = (self.fails)(scene) {
-                lesser(least, Some(case(befell, self.slice, found)));
+            *checked_cases += 1;
+            if let Some(observed) = (self.fails)(groups) {
+                keep_smaller(smallest, Some(case(applied, self.slice, observed)));
             }
-            return if *cases > MOST_CASES { Err(TooMany) } else { Ok(()) };
+            return if *checked_cases > MAX_CASES { Err(TooManyCases) } else { Ok(()) };
         };
-        let mut done = Ok(());
-        let _ = self.grouping.cases(scene, failure, &mut |after, one| {
-            let befell: Vec<AppliedFailure> = befell.iter().cloned().chain(one).collect();
-            done = self.go(&after, rest, &befell, cases, least);
-            if done.is_err() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        let mut result = Ok(());
+        let _ = self.grouping.for_each_case(groups, failure, &mut |after, failures| {
+            let applied: Vec<AppliedFailure> = applied.iter().cloned().chain(failures).collect();
+            result = self.run(&after, rest, &applied, checked_cases, smallest);
+            if result.is_err() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         });
-        done
+        result
     }
 }
 
-/// Loads are sums of quotients; they may be off by this share.
-const HAIR: f64 = 1e-9;
+/// Relative rounding error that is tolerated in a load, which is a sum of quotients.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What a searcher can do, as a share of a warm one.
-pub(crate) fn able(condition: Condition, cold_capacity_share: f64) -> f64 {
+/// Capacity of a searcher, relative to a warm one.
+pub(crate) fn capacity(condition: Condition, cold_capacity_share: f64) -> f64 {
     match condition {
         Condition::Up => 1.0,
         Condition::Cold => cold_capacity_share,
@@ -318,67 +350,92 @@
     }
 }
 
-/// The load of a searcher if all of the fleet as listed bore the same.
-pub(crate) fn average(fleet: &Fleet, weights: &[f64]) -> f64 {
+/// Load of each searcher if all ready searchers of the fleet as listed shared the work equally.
+pub(crate) fn average_load(fleet: &Fleet, slice_weights: &[f64]) -> f64 {
     let ready = fleet.in_state(pewterwharf::interface::SearcherStatus::Ready).count_ones(..);
-    (weights.iter().sum::<f64>() / ready.max(1) as f64).max(f64::MIN_POSITIVE)
+    (slice_weights.iter().sum::<f64>() / ready.max(1) as f64).max(f64::MIN_POSITIVE)
 }
 
-fn with(pending: &[Failure], more: Failure) -> Vec<Failure> {
-    pending.iter().cloned().chain([more]).collect()
+fn appended(pending: &[Failure], failure: Failure) -> Vec<Failure> {
+    pending.iter().cloned().chain([failure]).collect()
 }
 
-fn case(befell: &[AppliedFailure], slice: Option<u32>, found: String) -> Case {
-    Case { failures: befell.to_vec(), slice, observed: found }
+fn case(failures: &[AppliedFailure], slice: Option<u32>, observed: String) -> Case {
+    Case { failures: failures.to_vec(), slice, observed }
 }
 
-fn lesser(least: &mut Option<Case>, other: Option<Case>) {
+fn keep_smaller(smallest: &mut Option<Case>, other: Option<Case>) {
     if let Some(other) = other
-        && least.as_ref().is_none_or(|l| other.units() < l.units())
+        && smallest.as_ref().is_none_or(|case| other.events() < case.events())
     {
-        *least = Some(other);
+        *smallest = Some(other);
     }
 }
 
-/// Where the groups of each set stand.
-fn ranges(scene: &[Group], sets: usize) -> Vec<std::ops::Range<usize>> {
+/// Index range of the groups of each set.
+fn group_ranges(groups: &[Group], sets: usize) -> Vec<Range<usize>> {
     let mut ranges = vec![0..0; sets];
-    let mut from = 0;
-    for groups in scene.chunk_by(|a, b| a.set == b.set) {
-        ranges[groups[0].set as usize] = from..from + groups.len();
-        from += groups.len();
+    let mut start = 0;
+    for of_set in groups.chunk_by(|a, b| a.set == b.set) {
+        ranges[of_set[0].set as usize] = start..start + of_set.len();
+        start += of_set.len();
     }
     ranges
 }
 
-/// What a question about one class can tell of it: sets by their order, not their number.
-fn shape(scene: &[Group]) -> Vec<(u32, u32, Condition, bool, u32)> {
-    let mut nth = 0;
-    let mut shape = Vec::with_capacity(scene.len());
-    for (i, group) in scene.iter().enumerate() {
-        nth += u32::from(i > 0 && scene[i - 1].set != group.set);
-        shape.push((nth, group.hall, group.condition, group.unsure, group.count));
+/// What distinguishes a [`Group`] in a check of one class: its set by order of appearance, not by number.
+#[derive(PartialEq, Eq, Hash)]
+struct GroupShape {
+    nth_set: u32,
+    hall: u32,
+    condition: Condition,
+    maybe_stale: bool,
+    count: u32,
+}
+
+fn shape(groups: &[Group]) -> Vec<GroupShape> {
+    let mut nth_set = 0;
+    let mut shape = Vec::with_capacity(groups.len());
+    for (i, group) in groups.iter().enumerate() {
+        nth_set += u32::from(i > 0 && groups[i - 1].set != group.set);
+        shape.push(GroupShape {
+            nth_set,
+            hall: group.hall,
+            condition: group.condition,
+            maybe_stale: group.maybe_stale,
+            count: group.count,
+        });
     }
     shape
 }
 
-fn local_holds(local: &SliceClaim, groups: &[Group]) -> bool {
-    match local {
-        SliceClaim::All(locals) => locals.iter().all(|l| local_holds(l, groups)),
-        SliceClaim::Some(locals) => locals.iter().any(|l| local_holds(l, groups)),
-        SliceClaim::Not(local) => !local_holds(local, groups),
-        SliceClaim::Reachable(reach) => {
-            let (searchers, halls, sets) = count(reach, groups);
-            searchers >= reach.searchers && halls >= reach.halls && sets >= reach.sets
+fn slice_claim_holds(claim: &SliceClaim, groups: &[Group]) -> bool {
+    match claim {
+        SliceClaim::All(claims) => claims.iter().all(|c| slice_claim_holds(c, groups)),
+        SliceClaim::Some(claims) => claims.iter().any(|c| slice_claim_holds(c, groups)),
+        SliceClaim::Not(claim) => !slice_claim_holds(claim, groups),
+        SliceClaim::Reachable(minimum) => {
+            let reachable = count_reachable(minimum.hall, groups);
+            reachable.searchers >= minimum.searchers
+                && reachable.halls >= minimum.halls
+                && reachable.sets >= minimum.sets
         }
     }
 }
 
-/// Searchers, halls and sets that are reached.
-fn count(reach: &Reachability, groups: &[Group]) -> (u32, u32, u32) {
-    let counts = |g: &&Group| g.condition.accepts_work() && reach.hall.is_none_or(|h| h == g.hall as usize);
-    let (mut searchers, mut halls, mut sets) = (0, Vec::new(), Vec::new());
-    for group in groups.iter().filter(counts) {
+/// Numbers of the reachable searchers, and of their halls and sets.
+struct ReachableCounts {
+    searchers: u32,
+    halls: u32,
+    sets: u32,
+}
+
+fn count_reachable(hall: Option<usize>, groups: &[Group]) -> ReachableCounts {
+    let is_reachable = |g: &&Group| g.condition.accepts_work() && hall.is_none_or(|h| h == g.hall as usize);
+    let mut searchers = 0;
+    let mut halls = Vec::new();
+    let mut sets = Vec::new();
+    for group in groups.iter().filter(is_reachable) {
         searchers += group.count;
         if !halls.contains(&group.hall) {
             halls.push(group.hall);
@@ -387,32 +444,34 @@
             sets.push(group.set);
         }
     }
-    (searchers, halls.len() as u32, sets.len() as u32)
+    ReachableCounts { searchers, halls: halls.len() as u32, sets: sets.len() as u32 }
 }
 
-fn reached(local: &SliceClaim, groups: &[Group], fleet: &Fleet) -> String {
-    let reach = first(local);
-    let (searchers, halls, sets) = count(&reach, groups);
-    let place = reach.hall.map(|h| format!(" in {}", fleet.halls()[h])).unwrap_or_default();
+fn describe_reachability(claim: &SliceClaim, groups: &[Group], fleet: &Fleet) -> String {
+    let hall = first_reachability(claim).hall;
+    let reachable = count_reachable(hall, groups);
+    let place = hall.map(|h| format!(" in {}", fleet.halls()[h])).unwrap_or_default();
     let listed: u32 = groups.iter().map(|g| g.count).sum();
     format!(
-        "{searchers} of {listed} searchers reachable{place}, {} and {}",
-        many(halls, "hall"),
-        many(sets, "set")
+        "{} of {listed} searchers reachable{place}, {} and {}",
+        reachable.searchers,
+        pluralized(reachable.halls, "hall"),
+        pluralized(reachable.sets, "set")
     )
 }
 
-fn many(count: u32, what: &str) -> String {
-    format!("{count} {what}{}", if count == 1 { "" } else { "s" })
+fn pluralized(count: u32, noun: &str) -> String {
+    format!("{count} {noun}{}", if count == 1 { "" } else { "s" })
 }
 
-fn first(local: &SliceClaim) -> Reachability {
-    match local {
-        SliceClaim::Reachable(reach) => reach.clone(),
-        SliceClaim::All(locals) | SliceClaim::Some(locals) => match locals.first() {
-            Some(local) => first(local),
+/// The first minimum in a claim, which its failure is described by.
+fn first_reachability(claim: &SliceClaim) -> Reachability {
+    match claim {
+        SliceClaim::Reachable(minimum) => minimum.clone(),
+        SliceClaim::All(claims) | SliceClaim::Some(claims) => match claims.first() {
+            Some(claim) => first_reachability(claim),
             None => Reachability { searchers: 1, halls: 1, sets: 1, hall: None },
         },
-        SliceClaim::Not(local) => first(local),
+        SliceClaim::Not(claim) => first_reachability(claim),
     }
 }
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -1,88 +1,115 @@
-//! All expectations of a file against one fleet.
+//! Checks all expectations of a file against one fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use pewterwharf_fleet::Fleet;
+use pewterwharf_fleet::{Condition, Fleet};
 use pewterwharf_settings::sexpr::ParseError;
 
 use crate::claim::{BehaviourClaim, Claim, Failure, FailureTarget, ObservedAction, Pace};
-use crate::explore::scenario::alike;
-use crate::explore::search::tell;
-use crate::explore::simulation::SubjectFactory;
+use crate::explore::scenario::{GroupsAndOrder, signature};
+use crate::explore::search::{FoundViolation, trace};
+use crate::explore::simulation::{SubjectFactory, VIOLATION_MARK};
 use crate::explore::{Bounds, EventLimits, Exploration, Move, Rule, Scenario, explore, shrink};
-use crate::groups::{AppliedFailure, Group, Grouping};
+use crate::groups::{AppliedFailure, GroupedFleet, Grouping};
 use crate::read::{Expectation, ParsedFile};
-use crate::structural::{Case, StructuralChecker, TooMany};
+use crate::structural::{Case, StructuralChecker, TooManyCases};
 
-/// DispatchEnd far a check goes, and on which seed.
+/// Options of a check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CheckOptions {
     pub bounds: Bounds,
-    /// Explorations that run side by side.
+    /// Explorations that run in parallel.
     pub threads: usize,
+    /// Seed of the decision module.
     pub seed: u64,
 }
 
-/// What was looked at for a verdict.
+/// What was checked for a verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
     /// Cases of failures.
     pub cases: u64,
     /// States of the decision module.
     pub states: u64,
-    /// All runs with so many departures were looked at; absent where the module was not asked, or fewer were.
+    /// All runs with up to this number of departures were explored; `None` if the module was not run, or if not even the
+    /// runs without departures were completed.
     pub departures: Option<u32>,
-    /// Explorations that this stands for.
+    /// Number of explorations.
     pub explorations: u32,
 }
 
-/// A case in which an expectation fails, for people and for replay.
+/// A case in which an expectation fails, to be reported and replayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counterexample {
-    /// What had to happen first.
+    /// Descriptions of the failures that occur first.
     pub failures: Vec<String>,
     pub slice: Option<u32>,
+    /// What was found instead of what was expected.
     pub observed: String,
-    /// What the module was told and did, a line each.
+    /// Inputs and actions of the decision module, one per line.
     pub trace: Vec<String>,
-    /// The moves of the trace, to be run again, and the index of the scenario in which they were found.
+    /// The moves of the trace in text form, to be replayed.
     pub moves: Vec<String>,
+    /// Index of the scenario that the moves refer to.
     pub scenario: Option<usize>,
 }
 
+/// Result of a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Holds,
     Fails(Box<Counterexample>),
-    /// There were more cases than are gone through.
+    /// There are more cases or states than the bounds allow.
     Undecided,
 }
 
-/// What became of one expectation.
+/// Result for one expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     pub name: String,
-    /// Line of the file; absent for the six rules, which always run.
+    /// Line in the file; `None` for the six rules, which are always checked.
     pub line: Option<usize>,
     pub outcome: Outcome,
-    /// The age of the list in milliseconds from which on it fails; absent where age does not matter or it holds at all
-    /// ages that were looked at.
+    /// Age of the list in milliseconds from which the expectation fails; `None` if the age does not matter, or if it holds
+    /// at all ages checked.
     pub fails_at_ms: Option<f64>,
-    /// The age of the list up to which it has to hold; absent where it does not say.
+    /// Age of the list in milliseconds up to which the expectation must hold, if it states one.
     pub required_ms: Option<f64>,
     pub coverage: Coverage,
 }
 
 impl Verdict {
+    fn new(name: String, line: Option<usize>) -> Self {
+        Self {
+            name,
+            line,
+            outcome: Outcome::Holds,
+            fails_at_ms: None,
+            required_ms: None,
+            coverage: Coverage::default(),
+        }
+    }
+
     pub fn holds(&self) -> bool {
         self.outcome == Outcome::Holds
     }
 }
 
-/// The rules' own claims, which no file has to state.
+impl Coverage {
+    fn add(&mut self, exploration: &Exploration) {
+        self.states += exploration.visited;
+        self.departures = match self.explorations {
+            0 => exploration.departures,
+            _ => self.departures.zip(exploration.departures).map(|(a, b)| a.min(b)),
+        };
+        self.explorations += 1;
+    }
+}
+
+/// Rules that are checked for every file.
 const RULES: [Rule; 6] = [
     Rule::NoScanLost,
     Rule::NoEffectTwice,
@@ -92,40 +119,64 @@
     Rule::BudgetKept,
 ];
 
-/// In a check of the rules: changes told and untold, restarts, clients that leave.
-const RULES_MEET: EventLimits = EventLimits { told: 2, unseen: 1, restarts: 1, leaves: 1 };
-/// Ages of the list that are looked at for one expectation, at most.
-const MOST_AGES: usize = 64;
-/// Spans of the pace beyond the wanted age that are looked at, to say how far it holds.
-const BEYOND: u32 = 8;
-/// Cases of a failure for which the module is asked, at most; those alike in all that it can meet are one.
-const MOST_SCENES: usize = 20_000;
+/// Limits of the events in the exploration of the rules.
+const RULES_LIMITS: EventLimits =
+    EventLimits { listed_changes: 2, unlisted_changes: 1, restarts: 1, client_departures: 1 };
+/// Maximum number of ages of the list that are checked for one expectation.
+const MAX_AGES: usize = 64;
+/// Periods of the pace that are checked beyond the required age, to report how long the expectation holds.
+const PERIODS_BEYOND_REQUIRED: u32 = 8;
+/// Maximum number of cases of a failure for which the module is run. Cases that the module can't distinguish share one run.
+const MAX_EXPLORED_CASES: usize = 20_000;
 
-/// One exploration, and who waits for what it finds.
+/// Index of an expectation, and index of the age of its list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct ExpectationAtAge {
+    expectation: usize,
+    age: usize,
+}
+
+/// One exploration, with the behaviour claims that it checks.
 struct Job {
     scenario: Scenario,
-    watches: Vec<BehaviourClaim>,
-    /// Expectation and age of the list, of each watch.
-    whose: Vec<(usize, usize)>,
-    befell: Vec<AppliedFailure>,
+    claims: Vec<BehaviourClaim>,
+    /// Where each claim comes from.
+    origins: Vec<ExpectationAtAge>,
+    failures: Vec<AppliedFailure>,
 }
 
-/// A file's expectations and the fleet that they speak of.
+/// A behaviour claim, with the state of the fleet in which it is checked.
+struct ClaimCase {
+    claim: BehaviourClaim,
+    groups: GroupedFleet,
+    failures: Vec<AppliedFailure>,
+    limits: EventLimits,
+}
+
+/// A violated behaviour claim, in the order of preference for a counterexample.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ViolationRank {
+    age: usize,
+    moves: usize,
+    job: usize,
+}
+
+/// The expectations of a file, and the fleet that they refer to.
 pub struct Suite {
     fleet: Fleet,
     pace: Pace,
-    expects: Vec<Expectation>,
+    expectations: Vec<Expectation>,
 }
 
 impl Suite {
-    /// Looks up what a file says in its fleet.
+    /// Resolves the expectations of a file against its fleet.
     ///
     /// # Errors
-    /// The place of what can't be read or does not exist.
+    /// Position of what is not valid or does not exist.
     pub fn new(parsed: &ParsedFile, mut fleet: Fleet) -> Result<Self, ParseError> {
-        parsed.own(&mut fleet)?;
-        let expects = parsed.settle(&fleet)?;
-        Ok(Self { fleet, pace: parsed.source.pace.unwrap_or_default(), expects })
+        parsed.add_customer_slices(&mut fleet)?;
+        let expectations = parsed.resolve(&fleet)?;
+        Ok(Self { fleet, pace: parsed.source.pace.unwrap_or_default(), expectations })
     }
 
     pub fn fleet(&self) -> &Fleet {
@@ -137,43 +188,44 @@
     }
 
     pub fn expectations(&self) -> &[Expectation] {
-        &self.expects
+        &self.expectations
     }
 
-    /// Checks all expectations, then the six rules, on the module that `open` starts. `done` hears of finished steps
-    /// and their number.
+    /// Checks all expectations and then the six rules, on the modules that `open` creates. Calls `progress` with the number
+    /// of finished steps and of all steps.
     pub fn check(
         &self,
-        terms: CheckOptions,
+        options: CheckOptions,
         open: &SubjectFactory,
-        done: &(dyn Fn(usize, usize) + Sync),
+        progress: &(dyn Fn(usize, usize) + Sync),
     ) -> Vec<Verdict> {
-        let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
-        let jobs = self.jobs(terms, &mut verdicts);
-        let steps = self.expects.len() + jobs.len();
-        done(self.expects.len(), steps);
-        let found = run(&jobs, terms, open, &|n| done(self.expects.len() + n, steps));
-        let mut rules: Vec<Verdict> = RULES.iter().map(|rule| verdict(rule.to_string(), None)).collect();
-        for (at, (job, found)) in jobs.iter().zip(&found).enumerate() {
-            if job.watches.is_empty() {
+        let mut verdicts: Vec<Verdict> = self.expectations.iter().map(|e| self.check_structure(e)).collect();
+        let jobs = self.jobs(options, &mut verdicts);
+        let steps = self.expectations.len() + jobs.len();
+        progress(self.expectations.len(), steps);
+        let found =
+            run_all(&jobs, options, open, &|finished| progress(self.expectations.len() + finished, steps));
+        let mut rules: Vec<Verdict> = RULES.iter().map(|rule| Verdict::new(rule.to_string(), None)).collect();
+        for (index, (job, found)) in jobs.iter().zip(&found).enumerate() {
+            if job.claims.is_empty() {
                 for (rule, verdict) in RULES.iter().zip(&mut rules) {
-                    add(&mut verdict.coverage, found);
-                    if let Some((moves, _)) = found.violations.get(rule)
+                    verdict.coverage.add(found);
+                    if let Some(FoundViolation { moves, .. }) = found.violations.get(rule)
                         && verdict.holds()
                     {
-                        verdict.outcome =
-                            Outcome::Fails(Box::new(self.shown(at, job, terms, open, moves, *rule)));
+                        let case = self.counterexample(index, job, options, open, moves, *rule);
+                        verdict.outcome = Outcome::Fails(Box::new(case));
                     }
                 }
                 continue;
             }
-            for (expect, _) in &job.whose {
-                add(&mut verdicts[*expect].coverage, found);
+            for origin in &job.origins {
+                verdicts[origin.expectation].coverage.add(found);
             }
         }
-        self.watched(&jobs, &found, terms, open, &mut verdicts);
+        self.apply_violations(&jobs, &found, options, open, &mut verdicts);
         verdicts.extend(rules);
-        // Where not even the usual runs were looked at to their end, nothing holds by that.
+        // If not even the runs without departures were completed, nothing is known to hold.
         for verdict in &mut verdicts {
             if verdict.holds() && verdict.coverage.explorations > 0 && verdict.coverage.departures.is_none() {
                 verdict.outcome = Outcome::Undecided;
@@ -182,11 +234,10 @@
         verdicts
     }
 
-    /// Runs the moves of a counterexample again on the arena that it was found on: the trace, and whether anything was
-    /// broken.
+    /// Replays the moves of a counterexample on its scenario. Returns the trace, and whether anything was violated.
     ///
     /// # Errors
-    /// If the check of this file has no such arena, or a move can't be read.
+    /// If the check of this file has no such scenario, or a move can't be parsed.
     pub fn replay(
         &self,
         scenario: usize,
@@ -194,123 +245,135 @@
         seed: u64,
         open: &SubjectFactory,
     ) -> Result<(Vec<String>, bool), String> {
-        let terms =
+        let options =
             CheckOptions { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
-        let mut verdicts: Vec<Verdict> = self.expects.iter().map(|e| self.structural(e)).collect();
-        let jobs = self.jobs(terms, &mut verdicts);
+        let mut verdicts: Vec<Verdict> = self.expectations.iter().map(|e| self.check_structure(e)).collect();
+        let jobs = self.jobs(options, &mut verdicts);
         let job =
             jobs.get(scenario).ok_or_else(|| format!("there is no arena {scenario} of {}", jobs.len()))?;
         let moves = moves.iter().map(|m| m.parse()).collect::<Result<Vec<Move>, String>>()?;
-        let lines = tell(&job.scenario, &job.watches, open, &moves);
-        let broken = lines.iter().any(|line| line.contains("!!  "));
-        Ok((lines, broken))
+        let lines = trace(&job.scenario, &job.claims, open, &moves);
+        let violated = lines.iter().any(|line| line.contains(VIOLATION_MARK));
+        Ok((lines, violated))
     }
 
-    /// The youngest list, and then the simplest case, in which a watch saw what it must not.
-    fn watched(
+    /// Sets the outcome of the expectations whose behaviour claims are violated: the counterexample is the one with the
+    /// youngest list, and among these the one with the fewest moves.
+    fn apply_violations(
         &self,
         jobs: &[Job],
         found: &[Exploration],
-        terms: CheckOptions,
+        options: CheckOptions,
         open: &SubjectFactory,
         verdicts: &mut [Verdict],
     ) {
-        let mut worst: BTreeMap<usize, (usize, usize, usize)> = BTreeMap::new();
-        for (at, (job, found)) in jobs.iter().zip(found).enumerate() {
-            for (nth, (expect, age)) in job.whose.iter().enumerate() {
-                if let Some((moves, _)) = found.violations.get(&Rule::BehaviourClaim(nth)) {
-                    let this = (*age, moves.len(), at);
-                    let least = worst.entry(*expect).or_insert(this);
-                    *least = this.min(*least);
+        let mut best: BTreeMap<usize, ViolationRank> = BTreeMap::new();
+        for (job_index, (job, found)) in jobs.iter().zip(found).enumerate() {
+            for (claim, origin) in job.origins.iter().enumerate() {
+                if let Some(FoundViolation { moves, .. }) = found.violations.get(&Rule::BehaviourClaim(claim))
+                {
+                    let rank = ViolationRank { age: origin.age, moves: moves.len(), job: job_index };
+                    let best = best.entry(origin.expectation).or_insert(rank);
+                    *best = rank.min(*best);
                 }
             }
         }
-        for (expect, (age, _, at)) in worst {
-            let verdict = &mut verdicts[expect];
-            let ages = self.ages(&self.expects[expect].claim);
+        for (expectation, ViolationRank { age, job: job_index, .. }) in best {
+            let verdict = &mut verdicts[expectation];
+            let ages = self.ages(&self.expectations[expectation].claim);
             let at_ms = ages.get(age).copied().filter(|_| verdict.required_ms.is_some());
-            // What follows from who holds what has gone before, and may have failed on a younger list.
+            // The structural check comes first, and may have failed at a lower age.
             if !verdict.holds() && verdict.fails_at_ms.unwrap_or(0.0) <= at_ms.unwrap_or(0.0) {
                 continue;
             }
-            let job = &jobs[at];
-            let Some(nth) = job.whose.iter().position(|w| *w == (expect, age)) else { continue };
-            let rule = Rule::BehaviourClaim(nth);
-            if let Some((moves, _)) = found[at].violations.get(&rule) {
+            let job = &jobs[job_index];
+            let origin = ExpectationAtAge { expectation, age };
+            let Some(claim) = job.origins.iter().position(|o| *o == origin) else { continue };
+            let rule = Rule::BehaviourClaim(claim);
+            if let Some(FoundViolation { moves, .. }) = found[job_index].violations.get(&rule) {
                 verdict.fails_at_ms = at_ms;
-                if verdict.required_ms.is_none_or(|wanted| at_ms.is_some_and(|at| at < wanted)) {
-                    verdict.outcome = Outcome::Fails(Box::new(self.shown(at, job, terms, open, moves, rule)));
+                if verdict.required_ms.is_none_or(|required| at_ms.is_some_and(|at| at < required)) {
+                    let case = self.counterexample(job_index, job, options, open, moves, rule);
+                    verdict.outcome = Outcome::Fails(Box::new(case));
                 }
             }
         }
     }
 
-    fn shown(
+    /// The shortest counterexample for a violation that a job found.
+    fn counterexample(
         &self,
-        at: usize,
+        job_index: usize,
         job: &Job,
-        terms: CheckOptions,
+        options: CheckOptions,
         open: &SubjectFactory,
         moves: &[Move],
         rule: Rule,
     ) -> Counterexample {
-        let scenario = Scenario { seed: terms.seed, ..job.scenario.clone() };
-        let moves = shrink(&scenario, &job.watches, open, moves, rule);
-        let trace = tell(&scenario, &job.watches, open, &moves);
-        let broken = trace.iter().find_map(|l| l.split_once("!!  ")).map(|l| l.1.to_owned());
+        let scenario = Scenario { seed: options.seed, ..job.scenario.clone() };
+        let moves = shrink(&scenario, &job.claims, open, moves, rule);
+        let trace = trace(&scenario, &job.claims, open, &moves);
+        let violation = trace.iter().find_map(|l| l.split_once(VIOLATION_MARK)).map(|l| l.1.to_owned());
         Counterexample {
-            failures: job.befell.iter().map(|b| b.tell(&self.fleet)).collect(),
+            failures: job.failures.iter().map(|f| f.describe(&self.fleet)).collect(),
             slice: None,
-            observed: broken.unwrap_or_default(),
+            observed: violation.unwrap_or_default(),
             trace,
             moves: moves.iter().map(ToString::to_string).collect(),
-            scenario: Some(at),
+            scenario: Some(job_index),
         }
     }
 
-    /// Ages of the list at which something new can be untold: the first is zero.
+    /// Ages of the list, from 0 on, at which the list may lack another change.
     fn ages(&self, claim: &Claim) -> Vec<f64> {
-        let Some((most, _)) = claim.younger() else { return vec![0.0] };
-        let every = self.pace.every_ms;
+        // Ages are compared as integers.
+        const UNITS_PER_MS: f64 = 1024.0;
+        let Some(max_age_ms) = claim.max_list_age_ms() else { return vec![0.0] };
+        let period_ms = self.pace.every_ms;
         let mut ages = BTreeSet::new();
         let mut add = |ms: f64| {
-            if ms >= 0.0 && ms <= most + f64::from(BEYOND) * every && ages.len() < MOST_AGES {
-                ages.insert((ms * 1024.0).round() as u64);
+            let limit_ms = max_age_ms + f64::from(PERIODS_BEYOND_REQUIRED) * period_ms;
+            if ms >= 0.0 && ms <= limit_ms && ages.len() < MAX_AGES {
+                ages.insert((ms * UNITS_PER_MS).round() as u64);
             }
         };
         add(0.0);
-        let spans = ((most / every).ceil() as u32).saturating_add(BEYOND).min(MOST_AGES as u32);
-        (1..=spans).for_each(|n| add(f64::from(n) * every));
-        self.fleet.searchers().iter().filter(|s| s.age_ms > 0.0).for_each(|s| add(every - s.age_ms));
-        ages.into_iter().map(|ms| ms as f64 / 1024.0).collect()
+        let periods = ((max_age_ms / period_ms).ceil() as u32)
+            .saturating_add(PERIODS_BEYOND_REQUIRED)
+            .min(MAX_AGES as u32);
+        (1..=periods).for_each(|n| add(f64::from(n) * period_ms));
+        let old_entries = self.fleet.searchers().iter().filter(|s| s.age_ms > 0.0);
+        old_entries.for_each(|s| add(period_ms - s.age_ms));
+        ages.into_iter().map(|units| units as f64 / UNITS_PER_MS).collect()
     }
 
-    fn structural(&self, expect: &Expectation) -> Verdict {
-        let mut verdict = verdict(expect.name.clone(), Some(expect.line));
-        verdict.required_ms = expect.claim.younger().map(|y| y.0);
-        let mut changes = None;
-        for ms in self.ages(&expect.claim) {
-            let mut judge = StructuralChecker::new(&self.fleet, self.pace, ms);
-            // Where nothing more can be untold the verdict is that of the age before.
-            let unsure =
-                self.fleet.searchers().iter().filter(|s| s.age_ms + ms >= self.pace.every_ms).count();
-            if changes.replace((judge.changes(), unsure)) == Some((judge.changes(), unsure)) {
+    fn check_structure(&self, expectation: &Expectation) -> Verdict {
+        let mut verdict = Verdict::new(expectation.name.clone(), Some(expectation.line));
+        verdict.required_ms = expectation.claim.max_list_age_ms();
+        let mut previous = None;
+        for age_ms in self.ages(&expectation.claim) {
+            let mut checker = StructuralChecker::new(&self.fleet, self.pace, age_ms);
+            let searchers = self.fleet.searchers().iter();
+            let maybe_stale = searchers.filter(|s| s.age_ms + age_ms >= self.pace.every_ms).count();
+            // If the list can't lack more than at the previous age, the verdict is the same.
+            let staleness = (checker.max_unlisted_changes(), maybe_stale);
+            if previous.replace(staleness) == Some(staleness) {
                 continue;
             }
-            let failed = judge.fails(&expect.claim);
-            verdict.coverage.cases += judge.cases();
-            let in_time = verdict.required_ms.is_none_or(|wanted| ms < wanted);
-            match failed {
+            let result = checker.find_failure(&expectation.claim);
+            verdict.coverage.cases += checker.checked_cases();
+            let is_required = verdict.required_ms.is_none_or(|required| age_ms < required);
+            match result {
                 Ok(None) => {}
-                Err(TooMany) if in_time => {
+                Err(TooManyCases) if is_required => {
                     verdict.outcome = Outcome::Undecided;
                     return verdict;
                 }
-                Err(TooMany) => return verdict,
+                Err(TooManyCases) => return verdict,
                 Ok(Some(case)) => {
-                    verdict.fails_at_ms = verdict.required_ms.map(|_| ms);
-                    if in_time {
-                        verdict.outcome = Outcome::Fails(Box::new(self.case(&case)));
+                    verdict.fails_at_ms = verdict.required_ms.map(|_| age_ms);
+                    if is_required {
+                        verdict.outcome = Outcome::Fails(Box::new(self.structural_counterexample(&case)));
                     }
                     return verdict;
                 }
@@ -319,192 +382,207 @@
         verdict
     }
 
-    fn case(&self, case: &Case) -> Counterexample {
+    fn structural_counterexample(&self, case: &Case) -> Counterexample {
         Counterexample {
-            failures: case.failures.iter().map(|b| b.tell(&self.fleet)).collect(),
+            failures: case.failures.iter().map(|f| f.describe(&self.fleet)).collect(),
             slice: case.slice,
             observed: case.observed.clone(),
             ..Counterexample::default()
         }
     }
 
-    /// All explorations that the expectations need, those alike joined; then those of the six rules.
-    fn jobs(&self, terms: CheckOptions, verdicts: &mut [Verdict]) -> Vec<Job> {
+    /// The explorations of all behaviour claims, where equivalent scenarios share one, and then those of the six rules.
+    fn jobs(&self, options: CheckOptions, verdicts: &mut [Verdict]) -> Vec<Job> {
         let mut jobs: Vec<Job> = Vec::new();
-        let mut known: BTreeMap<String, usize> = BTreeMap::new();
-        for (at, expect) in self.expects.iter().enumerate() {
-            if expect.claim.structural() {
+        let mut job_by_key: BTreeMap<String, usize> = BTreeMap::new();
+        for (index, expectation) in self.expectations.iter().enumerate() {
+            if expectation.claim.is_structural() {
                 continue;
             }
-            let mut last = None;
-            for (age, ms) in self.ages(&expect.claim).into_iter().enumerate() {
-                // Beyond the wanted age the module is not asked: it costs seconds, and says little more.
-                if verdicts[at].required_ms.is_some_and(|wanted| ms >= wanted) && age > 0 {
+            let mut previous = None;
+            for (age, age_ms) in self.ages(&expectation.claim).into_iter().enumerate() {
+                // Beyond the required age the module is not run: it takes seconds, and adds little.
+                if verdicts[index].required_ms.is_some_and(|required| age_ms >= required) && age > 0 {
                     break;
                 }
-                let grouping = Grouping::of(&self.fleet, ms, self.pace.every_ms);
-                let changes = StructuralChecker::new(&self.fleet, self.pace, ms).changes();
-                let unsure = grouping.listed.iter().filter(|g| g.unsure).count();
-                if last.replace((changes, unsure)) == Some((changes, unsure)) {
+                let grouping = Grouping::new(&self.fleet, age_ms, self.pace.every_ms);
+                let checker = StructuralChecker::new(&self.fleet, self.pace, age_ms);
+                let max_unlisted_changes = checker.max_unlisted_changes();
+                let maybe_stale = grouping.listed.iter().filter(|g| g.maybe_stale).count();
+                let staleness = (max_unlisted_changes, maybe_stale);
+                if previous.replace(staleness) == Some(staleness) {
                     continue;
                 }
-                let mut asked = Vec::new();
-                let fits =
-                    self.ask(&grouping, &expect.claim, &grouping.listed, &[], &[], changes, &mut asked);
-                if !fits {
-                    verdicts[at].outcome = Outcome::Undecided;
+                let mut collector =
+                    ClaimCollector { grouping: &grouping, max_unlisted_changes, cases: Vec::new() };
+                if !collector.collect(&expectation.claim, &[]) {
+                    verdicts[index].outcome = Outcome::Undecided;
                 }
-                for (watch, scene, befell, allow) in asked {
-                    let types = match watch.table_type {
-                        Some(table_type) => table_type..table_type + 1,
-                        None => 0..self.fleet.config().table_types.len(),
-                    };
-                    for table_type in types {
-                        let named = matches!(watch.action, ObservedAction::Sent { hall: Some(_), .. });
-                        let (fleet, order) = (&self.fleet, &grouping.order);
-                        for scenario in
-                            Scenario::of(fleet, &scene, order, table_type, allow, named, terms.seed)
-                        {
-                            let key = key(&scenario, named);
-                            let job = *known.entry(key).or_insert_with(|| {
-                                let (watches, whose) = (Vec::new(), Vec::new());
-                                jobs.push(Job { scenario, watches, whose, befell: befell.clone() });
-                                jobs.len() - 1
-                            });
-                            if !jobs[job].whose.contains(&(at, age)) {
-                                jobs[job].watches.push(watch.clone());
-                                jobs[job].whose.push((at, age));
-                            }
-                        }
-                    }
+                let origin = ExpectationAtAge { expectation: index, age };
+                for case in &collector.cases {
+                    self.add_jobs(case, origin, &grouping, options, &mut jobs, &mut job_by_key);
                 }
             }
         }
-        let grouping = Grouping::of(&self.fleet, 0.0, 0.0);
+        let grouping = Grouping::new(&self.fleet, 0.0, 0.0);
         for table_type in 0..self.fleet.config().table_types.len() {
-            let (fleet, scene, order) = (&self.fleet, &grouping.listed, &grouping.order);
-            for scenario in Scenario::of(fleet, scene, order, table_type, RULES_MEET, false, terms.seed) {
-                jobs.push(Job { scenario, watches: Vec::new(), whose: Vec::new(), befell: Vec::new() });
+            let grouped = GroupsAndOrder { groups: &grouping.listed, order: &grouping.order };
+            let scenarios =
+                Scenario::for_table_type(&self.fleet, grouped, table_type, RULES_LIMITS, false, options.seed);
+            for scenario in scenarios {
+                jobs.push(Job { scenario, claims: Vec::new(), origins: Vec::new(), failures: Vec::new() });
             }
         }
         jobs
     }
 
-    /// The watches of a claim, each with every scene under which it has to be asked; false if these are too many.
-    #[allow(clippy::too_many_arguments)] // a recursion's state
-    #[allow(clippy::type_complexity)]
-    fn ask(
+    /// Adds a behaviour claim to the jobs of its scenarios.
+    fn add_jobs(
         &self,
+        case: &ClaimCase,
+        origin: ExpectationAtAge,
         grouping: &Grouping,
-        claim: &Claim,
-        scene: &[Group],
-        befell: &[AppliedFailure],
-        pending: &[Failure],
-        changes: u32,
-        asked: &mut Vec<(BehaviourClaim, Vec<Group>, Vec<AppliedFailure>, EventLimits)>,
-    ) -> bool {
-        match claim {
-            Claim::All(claims) => {
-                claims.iter().all(|c| self.ask(grouping, c, scene, befell, pending, changes, asked))
+        options: CheckOptions,
+        jobs: &mut Vec<Job>,
+        job_by_key: &mut BTreeMap<String, usize>,
+    ) {
+        let table_types = match case.claim.table_type {
+            Some(table_type) => table_type..table_type + 1,
+            None => 0..self.fleet.config().table_types.len(),
+        };
+        let halls_matter = matches!(case.claim.action, ObservedAction::Dispatch { hall: Some(_), .. });
+        let grouped = GroupsAndOrder { groups: &case.groups, order: &grouping.order };
+        for table_type in table_types {
+            let scenarios = Scenario::for_table_type(
+                &self.fleet,
+                grouped,
+                table_type,
+                case.limits,
+                halls_matter,
+                options.seed,
+            );
+            for scenario in scenarios {
+                let key = scenario_key(&scenario, halls_matter);
+                let job = *job_by_key.entry(key).or_insert_with(|| {
+                    let failures = case.failures.clone();
+                    jobs.push(Job { scenario, claims: Vec::new(), origins: Vec::new(), failures });
+                    jobs.len() - 1
+                });
+                if !jobs[job].origins.contains(&origin) {
+                    jobs[job].claims.push(case.claim.clone());
+                    jobs[job].origins.push(origin);
+                }
             }
+        }
+    }
+}
+
+/// Collects the behaviour claims of an expectation, each with all cases of the failures around it.
+struct ClaimCollector<'a> {
+    grouping: &'a Grouping,
+    max_unlisted_changes: u32,
+    cases: Vec<ClaimCase>,
+}
+
+impl ClaimCollector<'_> {
+    /// Collects the behaviour claims of `claim`. Returns `false` if there are too many cases.
+    fn collect(&mut self, claim: &Claim, pending: &[Failure]) -> bool {
+        match claim {
+            Claim::All(claims) => claims.iter().all(|c| self.collect(c, pending)),
             Claim::After(failure, claim) => {
                 let pending: Vec<Failure> = pending.iter().cloned().chain([failure.clone()]).collect();
-                self.ask(grouping, claim, scene, befell, &pending, changes, asked)
-            }
-            Claim::WhileListYounger { changes: most, claim, .. } => {
-                let unseen = most.unwrap_or(u32::MAX).min(changes);
-                let unseen = Failure {
-                    what: pewterwharf_fleet::Condition::Gone,
-                    whom: FailureTarget::MaybeStale(unseen),
-                };
-                let pending: Vec<Failure> = pending.iter().cloned().chain([unseen]).collect();
-                self.ask(grouping, claim, scene, befell, &pending, changes, asked)
+                self.collect(claim, &pending)
             }
-            Claim::Behaviour(watch) => {
-                let (unseen, befalls): (Vec<_>, Vec<_>) =
-                    pending.iter().cloned().partition(|h| matches!(h.whom, FailureTarget::MaybeStale(_)));
-                let unseen = unseen
-                    .iter()
-                    .map(|h| if let FailureTarget::MaybeStale(n) = h.whom { n } else { 0 })
-                    .sum();
-                let allow = EventLimits { told: 2, unseen, restarts: 1, leaves: 1 };
-                let mut scenes = vec![(scene.to_vec(), befell.to_vec())];
-                for failure in &befalls {
-                    let mut next = Vec::new();
-                    for (scene, befell) in &scenes {
-                        let _ = grouping.cases(scene, failure, &mut |after, one| {
-                            next.push((after, befell.iter().cloned().chain(one).collect()));
-                            if next.len() > MOST_SCENES {
-                                ControlFlow::Break(())
-                            } else {
-                                ControlFlow::Continue(())
-                            }
-                        });
-                    }
-                    scenes = next;
-                }
-                let fits = scenes.len() <= MOST_SCENES;
-                asked.extend(
-                    scenes
-                        .into_iter()
-                        .take(MOST_SCENES)
-                        .map(|(scene, befell)| (watch.clone(), scene, befell, allow)),
-                );
-                fits
+            Claim::WhileListYounger { max_changes, claim, .. } => {
+                let max = max_changes.unwrap_or(u32::MAX).min(self.max_unlisted_changes);
+                let unlisted = Failure { condition: Condition::Gone, target: FailureTarget::MaybeStale(max) };
+                let pending: Vec<Failure> = pending.iter().cloned().chain([unlisted]).collect();
+                self.collect(claim, &pending)
             }
+            Claim::Behaviour(claim) => self.add_cases(claim, pending),
             _ => true,
         }
     }
-}
 
-fn verdict(name: String, line: Option<usize>) -> Verdict {
-    let (outcome, coverage) = (Outcome::Holds, Coverage::default());
-    Verdict { name, line, outcome, fails_at_ms: None, required_ms: None, coverage }
-}
+    /// Adds a claim in all cases of the failures. Unlisted changes are not enumerated, but left to the exploration.
+    fn add_cases(&mut self, claim: &BehaviourClaim, pending: &[Failure]) -> bool {
+        let (unlisted, failures): (Vec<_>, Vec<_>) =
+            pending.iter().cloned().partition(|f| matches!(f.target, FailureTarget::MaybeStale(_)));
+        let unlisted_changes = unlisted
+            .iter()
+            .map(|f| if let FailureTarget::MaybeStale(max) = f.target { max } else { 0 })
+            .sum();
+        let limits = EventLimits { listed_changes: 2, unlisted_changes, restarts: 1, client_departures: 1 };
+        let mut cases = vec![(self.grouping.listed.clone(), Vec::new())];
+        for failure in &failures {
+            cases = self.cases_after(&cases, failure);
+        }
+        let fits = cases.len() <= MAX_EXPLORED_CASES;
+        let explored = cases.into_iter().take(MAX_EXPLORED_CASES);
+        self.cases.extend(explored.map(|(groups, failures)| ClaimCase {
+            claim: claim.clone(),
+            groups,
+            failures,
+            limits,
+        }));
+        fits
+    }
 
-fn add(coverage: &mut Coverage, found: &Exploration) {
-    coverage.states += found.reached;
-    coverage.departures = match coverage.explorations {
-        0 => found.departures,
-        _ => coverage.departures.zip(found.departures).map(|(one, other)| one.min(other)),
-    };
-    coverage.explorations += 1;
+    /// All cases of a failure after each of these cases, up to [`MAX_EXPLORED_CASES`].
+    fn cases_after(
+        &self,
+        cases: &[(GroupedFleet, Vec<AppliedFailure>)],
+        failure: &Failure,
+    ) -> Vec<(GroupedFleet, Vec<AppliedFailure>)> {
+        let mut next = Vec::new();
+        for (groups, applied) in cases {
+            let _ = self.grouping.for_each_case(groups, failure, &mut |after, failures| {
+                next.push((after, applied.iter().cloned().chain(failures).collect()));
+                if next.len() > MAX_EXPLORED_CASES {
+                    ControlFlow::Break(())
+                } else {
+                    ControlFlow::Continue(())
+                }
+            });
+        }
+        next
+    }
 }
 
-/// Arenas that the module can't tell apart have the same key.
-fn key(scenario: &Scenario, halls_count: bool) -> String {
-    let places = alike(&scenario.searchers, scenario.config.placement.zone, halls_count);
-    let types: Vec<_> = scenario.templates.iter().map(|p| (p.table_type, p.parts.len())).collect();
-    format!("{places:?} {types:?} {:?} {halls_count}", scenario.limits)
+/// Scenarios that the module can't distinguish have the same key.
+fn scenario_key(scenario: &Scenario, halls_matter: bool) -> String {
+    let searchers = signature(&scenario.searchers, scenario.config.placement.zone, halls_matter);
+    let scans: Vec<_> = scenario.templates.iter().map(|t| (t.table_type, t.parts.len())).collect();
+    format!("{searchers:?} {scans:?} {:?} {halls_matter}", scenario.limits)
 }
 
-/// Runs the explorations side by side; what each finds depends on it alone.
-fn run(
+/// Runs the explorations in parallel. The result of each does not depend on the others.
+fn run_all(
     jobs: &[Job],
-    terms: CheckOptions,
+    options: CheckOptions,
     open: &SubjectFactory,
-    done: &(dyn Fn(usize) + Sync),
+    progress: &(dyn Fn(usize) + Sync),
 ) -> Vec<Exploration> {
-    let (next, finished) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let found: Vec<Mutex<Option<Exploration>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
+    let next = AtomicUsize::new(0);
+    let finished = AtomicUsize::new(0);
+    let results: Vec<Mutex<Option<Exploration>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
     let work = || {
         loop {
-            let at = next.fetch_add(1, Ordering::Relaxed);
-            let Some(job) = jobs.get(at) else { return };
-            let one = explore(&job.scenario, &job.watches, open, terms.bounds);
-            *found[at].lock().unwrap_or_else(PoisonError::into_inner) = Some(one);
-            done(finished.fetch_add(1, Ordering::Relaxed) + 1);
+            let index = next.fetch_add(1, Ordering::Relaxed);
+            let Some(job) = jobs.get(index) else { return };
+            let exploration = explore(&job.scenario, &job.claims, open, options.bounds);
+            *results[index].lock().unwrap_or_else(PoisonError::into_inner) = Some(exploration);
+            progress(finished.fetch_add(1, Ordering::Relaxed) + 1);
         }
     };
     std::thread::scope(|scope| {
-        for _ in 1..terms.threads.min(jobs.len()).max(1) {
+        for _ in 1..options.threads.min(jobs.len()).max(1) {
             scope.spawn(work);
         }
         work();
     });
-    let empty = || Exploration { violations: BTreeMap::new(), reached: 0, merged: 0, departures: None };
-    found
+    results
         .into_iter()
-        .map(|f| f.into_inner().unwrap_or_else(PoisonError::into_inner).unwrap_or_else(empty))
+        .map(|result| result.into_inner().unwrap_or_else(PoisonError::into_inner).unwrap_or_default())
         .collect()
 }
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -1,9 +1,9 @@
-//! The module under exploration, and whether exploration finds what is wrong: each planted fault is a decision of
-//! the real module that a wrapper turns for the worse.
+//! Explorations of the decision module: it keeps the rules, and planted faults are found. A planted fault is a wrapper that
+//! changes the inputs or the actions of the real module.
 
 mod common;
 
-use common::{CHECK_OPTIONS, fleet, suite, told, verdicts};
+use common::{CHECK_OPTIONS, describe, fleet, suite, verdicts};
 use insta::assert_snapshot;
 use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, RetryBudget, SearcherStatus};
 use pewterwharf::logic::Mixer;
@@ -11,37 +11,40 @@
 use pewterwharf_expect::{Outcome, Verdict};
 use pewterwharf_fleet::Fleet;
 
-/// A decision that is wrong on purpose.
+/// A planted fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
+    /// Draining searchers count as ready.
     DrainIgnored,
+    /// Dispatches that failed count as never run, and are repeated.
     ResentThoughRun,
+    /// Cold searchers get the load of warm ones.
     AllowanceSkipped,
+    /// Failed dispatches count as answered.
     CountedEarly,
+    /// Throttled scans get no answer.
     AnswerKept,
     AnsweredTwice,
+    /// The module has a wider retry budget than configured.
     BudgetIgnored,
-    /// Only after a restart, and then only for a list that tells of a drain.
+    /// As `DrainIgnored`, but only after a restart.
     DrainIgnoredAfterRestart,
 }
 
 #[derive(Debug)]
-struct Faulty {
+struct FaultyModule {
     mixer: Mixer,
     fault: Fault,
     restarted: bool,
 }
 
-impl DecisionModule for Faulty {
+impl DecisionModule for FaultyModule {
     fn handle_events(&mut self, now: f64, mut events: Vec<Event>) -> Vec<Action> {
         for event in &mut events {
             match (self.fault, event) {
                 (Fault::DrainIgnoredAfterRestart, _) if !self.restarted => {}
-                (
-                    Fault::DrainIgnored | Fault::DrainIgnoredAfterRestart,
-                    Event::List { searchers: lines, .. },
-                ) => {
-                    lines
+                (Fault::DrainIgnored | Fault::DrainIgnoredAfterRestart, Event::List { searchers, .. }) => {
+                    searchers
                         .iter_mut()
                         .filter(|l| l.status == SearcherStatus::Draining)
                         .for_each(|l| l.status = SearcherStatus::Ready);
@@ -49,19 +52,19 @@
                 (
                     Fault::ResentThoughRun,
                     Event::DispatchEnded {
-                        outcome: ending @ (DispatchOutcome::Error | DispatchOutcome::Reset),
+                        outcome: outcome @ (DispatchOutcome::Error | DispatchOutcome::Reset),
                         ..
                     },
                 ) => {
-                    *ending = DispatchOutcome::ConnectFailed;
+                    *outcome = DispatchOutcome::ConnectFailed;
                 }
-                (Fault::AllowanceSkipped, Event::List { searchers: lines, .. }) => {
-                    lines.iter_mut().for_each(|l| l.started_at = 0.0);
+                (Fault::AllowanceSkipped, Event::List { searchers, .. }) => {
+                    searchers.iter_mut().for_each(|l| l.started_at = 0.0);
                 }
                 (
                     Fault::CountedEarly,
-                    Event::DispatchEnded { outcome: ending @ DispatchOutcome::Error, .. },
-                ) => *ending = DispatchOutcome::Ok,
+                    Event::DispatchEnded { outcome: outcome @ DispatchOutcome::Error, .. },
+                ) => *outcome = DispatchOutcome::Ok,
                 _ => {}
             }
         }
@@ -79,35 +82,39 @@
     }
 }
 
-fn rules(fault: Option<Fault>) -> Vec<Verdict> {
-    let mut stated = common::terms(2, 1, 4);
-    let real = stated.clone();
+/// Verdicts of a fleet without expectations, on the module with this fault.
+fn check_rules(fault: Option<Fault>) -> Vec<Verdict> {
+    let mut checked_config = common::config(2, 1, 4);
+    let module_config = checked_config.clone();
     if fault == Some(Fault::BudgetIgnored) {
-        // The module is opened on a budget that is wider than the one stated.
-        stated.safety_limits.retry_budget = Some(RetryBudget { free: 0.0, share: 0.1, window_ms: 1000.0 });
+        // The module runs with a wider budget than the one checked.
+        checked_config.safety_limits.retry_budget =
+            Some(RetryBudget { free: 0.0, share: 0.1, window_ms: 1000.0 });
     }
-    let fleet = Fleet::new(stated, &common::six()).expect("a fleet");
+    let fleet = Fleet::new(checked_config, &common::six_searchers()).expect("a fleet");
     let suite = suite(fleet, "").expect("no claims");
     let open = |seed: u64| -> Box<dyn Subject> {
         match fault {
-            Some(fault) => {
-                Box::new(Faulty { mixer: real.open(seed), fault, restarted: seed != CHECK_OPTIONS.seed })
-            }
-            None => Box::new(real.open(seed)),
+            Some(fault) => Box::new(FaultyModule {
+                mixer: module_config.open(seed),
+                fault,
+                restarted: seed != CHECK_OPTIONS.seed,
+            }),
+            None => Box::new(module_config.open(seed)),
         }
     };
     suite.check(CHECK_OPTIONS, &open, &|_, _| {})
 }
 
 #[test]
-fn the_module_keeps_the_six_rules_in_all_runs_in_which_two_things_go_wrong() {
-    let verdicts = rules(None);
-    assert_snapshot!(told(&verdicts));
+fn module_keeps_rules() {
+    let verdicts = check_rules(None);
+    assert_snapshot!(describe(&verdicts));
     assert!(verdicts.iter().all(|v| v.coverage.departures == Some(2)), "{verdicts:?}");
 }
 
 #[test]
-fn planted_faults_are_found_and_their_traces_are_short() {
+fn planted_faults_are_found() {
     let faults = [
         Fault::DrainIgnored,
         Fault::ResentThoughRun,
@@ -120,16 +127,16 @@
     ];
     let mut out = String::new();
     for fault in faults {
-        let broken: Vec<Verdict> = rules(Some(fault)).into_iter().filter(|v| !v.holds()).collect();
-        assert!(!broken.is_empty(), "{fault:?} is not found");
-        assert!(!broken.is_empty(), "{fault:?} is not found");
-        out += &format!("{fault:?}\n{}\n", told(&broken[..1]));
+        let failed: Vec<Verdict> = check_rules(Some(fault)).into_iter().filter(|v| !v.holds()).collect();
+        assert!(!failed.is_empty(), "{fault:?} is not found");
+        assert!(!failed.is_empty(), "{fault:?} is not found");
+        out += &format!("{fault:?}\n{}\n", describe(&failed[..1]));
     }
     assert_snapshot!(out);
 }
 
 #[test]
-fn behaviour_is_told_with_a_trace_and_up_to_which_age_of_the_list_it_holds() {
+fn behaviour_verdicts() {
     let claims = r#"
         (expect "drains" (never (sent (table-type "enter") (to draining))))
         (expect "fresh only" (while-list-younger 6s (never (sent (table-type "enter") (to gone)))))
@@ -137,22 +144,22 @@
         (expect "one copy" (never (sent (table-type "find") (beside))))
         (expect "whole" (never (answered (table-type "keyed") (not-whole))))
     "#;
-    assert_snapshot!(told(&verdicts(&suite(fleet(), claims).expect("it is well formed"))));
+    assert_snapshot!(describe(&verdicts(&suite(fleet(), claims).expect("well-formed claims"))));
 }
 
 #[test]
-fn a_counterexample_runs_again_and_the_verdict_does_not_depend_on_threads() {
+fn replay_and_thread_independence() {
     let claims = r#"(expect "fresh only" (while-list-younger 6s (never (sent (to gone)))))"#;
-    let suite = suite(fleet(), claims).expect("it is well formed");
+    let suite = suite(fleet(), claims).expect("well-formed claims");
     let open = |seed| Box::new(suite.fleet().config().open(seed)) as Box<dyn Subject>;
-    let alone =
+    let single_threaded =
         suite.check(pewterwharf_expect::CheckOptions { threads: 1, ..CHECK_OPTIONS }, &open, &|_, _| {});
-    assert_eq!(alone, suite.check(CHECK_OPTIONS, &open, &|_, _| {}));
-    let Outcome::Fails(case) = &alone[0].outcome else { panic!("it holds") };
+    assert_eq!(single_threaded, suite.check(CHECK_OPTIONS, &open, &|_, _| {}));
+    let Outcome::Fails(case) = &single_threaded[0].outcome else { panic!("it holds") };
     let moves: Vec<&str> = case.moves.iter().map(String::as_str).collect();
-    let again = suite.replay(case.scenario.expect("an arena"), &moves, CHECK_OPTIONS.seed, &open);
-    assert_eq!(again, Ok((case.trace.clone(), true)));
-    let other =
-        suite.replay(case.scenario.expect("an arena"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
-    assert_eq!(other, Err("no move is written \"jump\"".to_owned()));
+    let replayed = suite.replay(case.scenario.expect("a scenario"), &moves, CHECK_OPTIONS.seed, &open);
+    assert_eq!(replayed, Ok((case.trace.clone(), true)));
+    let invalid =
+        suite.replay(case.scenario.expect("a scenario"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
+    assert_eq!(invalid, Err("no move is written \"jump\"".to_owned()));
 }
--- a/crates/expect/tests/verdicts.rs
+++ b/crates/expect/tests/verdicts.rs
@@ -1,8 +1,8 @@
-//! What is read, what is said of what can't be, and what follows from who holds what.
+//! Parse errors, and structural verdicts.
 
 mod common;
 
-use common::{fleet, listed, suite, terms, told, verdicts};
+use common::{config, describe, fleet, searcher_list, suite, verdicts};
 use insta::assert_snapshot;
 use pewterwharf_expect::brute_force;
 use pewterwharf_expect::claim::{Claim, Failure, FailureTarget, Pace, Reachability, SliceClaim};
@@ -11,13 +11,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn said(claims: &str) -> String {
-    suite(fleet(), claims).map_or_else(|fault| fault, |suite| told(&verdicts(&suite)))
+/// Verdicts on these claims, or the parse error.
+fn check_text(claims: &str) -> String {
+    suite(fleet(), claims).map_or_else(|error| error, |suite| describe(&verdicts(&suite)))
 }
 
 #[test]
-fn what_can_t_be_read_is_told_with_its_place_and_what_was_expected() {
-    let faults = [
+fn parse_errors() {
+    let claims = [
         "(expect \"x\" (for-all-slice (reachable)))",
         "(expect \"x\" (for-all-slices (of \"onne\") (reachable)))",
         "(expect \"x\" (for-all-slices (reachable (hall 2))))",
@@ -35,13 +36,13 @@
         "(fleet)",
         "(expect \"x\" (for-all-slices (reachable))",
     ];
-    let told: String = faults.iter().map(|text| format!("{text}\n    {}\n", said(text))).collect();
-    assert_snapshot!(told);
+    let errors: String = claims.iter().map(|text| format!("{text}\n    {}\n", check_text(text))).collect();
+    assert_snapshot!(errors);
 }
 
 #[test]
-fn a_failure_names_the_smallest_case() {
-    assert_snapshot!(said(
+fn smallest_failing_case() {
+    assert_snapshot!(check_text(
         r#"
         (expect "two halls" (for-all-slices (of "one") (reachable (halls 2))))
         (expect "four holders" (for-all-slices (reachable (searchers 4))))
@@ -62,57 +63,66 @@
 }
 
 #[test]
-fn a_mixture_of_changes_is_the_worst_for_the_load() {
+fn worst_load_of_mixed_changes() {
     let pair = [("a", 0, "up", 0.0), ("b", 0, "up", 0.0), ("a", 1, "up", 0.0), ("b", 1, "up", 0.0)];
-    let fleet = Fleet::new(terms(2, 1, 4), &listed(&pair)).expect("a fleet");
-    let load = |most: f64| Claim::WhileListYounger {
-        ms: 9e9,
-        changes: Some(2),
-        claim: Box::new(Claim::LoadAtMost(most)),
+    let fleet = Fleet::new(config(2, 1, 4), &searcher_list(&pair)).expect("a fleet");
+    let load = |multiple: f64| Claim::WhileListYounger {
+        max_age_ms: 9e9,
+        max_changes: Some(2),
+        claim: Box::new(Claim::LoadAtMost(multiple)),
     };
-    let fails = |most: f64| {
-        StructuralChecker::new(&fleet, Pace::default(), 5000.0).fails(&load(most)).expect("few cases")
+    let fails = |multiple: f64| {
+        StructuralChecker::new(&fleet, Pace::default(), 5000.0)
+            .find_failure(&load(multiple))
+            .expect("few cases")
     };
-    // Two warm bear one each; one gone and one cold, at a fifth, leave ten.
+    // Two warm searchers carry a load of 1 each. With one gone and one cold, at a fifth of its capacity, the load is 10.
     assert!(fails(10.0).is_none());
     let case = fails(9.9).expect("it fails");
-    assert_eq!(case.failures.iter().map(|b| b.what).collect::<Vec<_>>(), [Condition::Gone, Condition::Cold]);
+    assert_eq!(
+        case.failures.iter().map(|f| f.condition).collect::<Vec<_>>(),
+        [Condition::Gone, Condition::Cold]
+    );
 }
 
 #[test]
-fn an_empty_list_and_a_slice_that_nobody_holds_fail_and_old_entries_are_doubted_first() {
+fn empty_list_unheld_slice_and_stale_entries() {
     let claims = r#"(expect "any" (for-all-slices (reachable)))
                     (expect "hall" (after (lose-hall any) (for-all-slices (reachable))))
                     (expect "fresh" (while-list-younger 1s (for-all-slices (reachable))))"#;
-    let on = |searchers: &[(&str, u32, &str, f64)]| {
-        let fleet = Fleet::new(terms(2, 1, 4), &listed(searchers)).expect("a fleet");
-        suite(fleet, claims).map_or_else(|fault| fault, |suite| told(&verdicts(&suite)))
+    let check_list = |searchers: &[(&str, u32, &str, f64)]| {
+        let fleet = Fleet::new(config(2, 1, 4), &searcher_list(searchers)).expect("a fleet");
+        suite(fleet, claims).map_or_else(|error| error, |suite| describe(&verdicts(&suite)))
     };
-    let empty = on(&[]);
-    let unheld = on(&[("a", 0, "up", 0.0), ("b", 0, "up", 0.0)]);
-    let old = on(&[("a", 0, "up", 5000.0), ("b", 1, "up", 0.0), ("a", 1, "up", 0.0)]);
-    let drains =
-        on(&[("a", 0, "draining", 0.0), ("b", 0, "up", 0.0), ("c", 1, "up", 0.0), ("d", 1, "up", 0.0)]);
+    let empty = check_list(&[]);
+    let unheld = check_list(&[("a", 0, "up", 0.0), ("b", 0, "up", 0.0)]);
+    let old = check_list(&[("a", 0, "up", 5000.0), ("b", 1, "up", 0.0), ("a", 1, "up", 0.0)]);
+    let drains = check_list(&[
+        ("a", 0, "draining", 0.0),
+        ("b", 0, "up", 0.0),
+        ("c", 1, "up", 0.0),
+        ("d", 1, "up", 0.0),
+    ]);
     assert_snapshot!(format!("empty\n{empty}unheld\n{unheld}old entry\n{old}one drains\n{drains}"));
 }
 
 #[test]
-fn a_searcher_listed_twice_is_refused_and_one_in_no_set_is_passed_over() {
-    let mut list = listed(&[("a", 0, "up", 0.0), ("a", 7, "up", 0.0)]);
-    let fleet = Fleet::new(terms(2, 1, 4), &list).expect("a fleet");
+fn duplicate_and_misplaced_searchers() {
+    let mut list = searcher_list(&[("a", 0, "up", 0.0), ("a", 7, "up", 0.0)]);
+    let fleet = Fleet::new(config(2, 1, 4), &list).expect("a fleet");
     assert_eq!(fleet.skipped_entries(), ["s1 stands in set 7 of 2"]);
     list.entries.push(list.entries[0].clone());
     assert_eq!(
-        Fleet::new(terms(2, 1, 4), &list).err().map(|e| e.to_string()),
+        Fleet::new(config(2, 1, 4), &list).err().map(|e| e.to_string()),
         Some("s0 is listed twice".into())
     );
 }
 
-fn reach() -> impl Strategy<Value = SliceClaim> {
-    let one = (1u32..4, 1u32..3, 1u32..3, proptest::option::of(0usize..3)).prop_map(
+fn slice_claim() -> impl Strategy<Value = SliceClaim> {
+    let reachable = (1u32..4, 1u32..3, 1u32..3, proptest::option::of(0usize..3)).prop_map(
         |(searchers, halls, sets, hall)| SliceClaim::Reachable(Reachability { searchers, halls, sets, hall }),
     );
-    one.prop_recursive(2, 4, 2, |inner| {
+    reachable.prop_recursive(2, 4, 2, |inner| {
         prop_oneof![
             proptest::collection::vec(inner.clone(), 1..3).prop_map(SliceClaim::All),
             proptest::collection::vec(inner.clone(), 1..3).prop_map(SliceClaim::Some),
@@ -122,20 +132,20 @@
 }
 
 fn failure() -> impl Strategy<Value = Failure> {
-    let what = prop_oneof![Just(Condition::Gone), Just(Condition::Draining), Just(Condition::Cold)];
-    let whom = prop_oneof![
+    let condition = prop_oneof![Just(Condition::Gone), Just(Condition::Draining), Just(Condition::Cold)];
+    let target = prop_oneof![
         proptest::option::of(0usize..3).prop_map(FailureTarget::Hall),
         proptest::option::of(0u32..3).prop_map(FailureTarget::Set),
         (1u32..4).prop_map(FailureTarget::Searchers),
         (0u32..4).prop_map(FailureTarget::Searcher),
     ];
-    (what, whom).prop_map(|(what, whom)| Failure { what, whom })
+    (condition, target).prop_map(|(condition, target)| Failure { condition, target })
 }
 
 fn claim() -> impl Strategy<Value = Claim> {
     let leaf = prop_oneof![
-        4 => (proptest::option::of(0usize..2), reach())
-            .prop_map(|(of, what)| Claim::ForAllSlices { of, only: None, what }),
+        4 => (proptest::option::of(0usize..2), slice_claim())
+            .prop_map(|(customer, claim)| Claim::ForAllSlices { customer, range: None, claim }),
         2 => (0.8f64..3.0).prop_map(Claim::LoadAtMost),
         1 => (1u32..4).prop_map(Claim::SlicesAtMost),
     ];
@@ -145,7 +155,7 @@
             1 => proptest::collection::vec(inner.clone(), 1..3).prop_map(Claim::All),
             1 => proptest::collection::vec(inner.clone(), 1..3).prop_map(Claim::Some),
             1 => inner.clone().prop_map(|c| Claim::Not(Box::new(c))),
-            1 => (0u32..3, inner).prop_map(|(n, c)| Claim::WhileListYounger { ms: 9e9, changes: Some(n), claim: Box::new(c) }),
+            1 => (0u32..3, inner).prop_map(|(n, c)| Claim::WhileListYounger { max_age_ms: 9e9, max_changes: Some(n), claim: Box::new(c) }),
         ]
     })
 }
@@ -153,26 +163,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, rng_seed: RngSeed::Fixed(16), ..ProptestConfig::default() })]
 
-    /// Every shortcut of the judge is exact: it agrees with going through everything.
+    /// The reductions of the structural checker are exact.
     #[test]
-    fn structural_verdicts_are_those_of_the_plain_evaluator(
+    fn structural_checks_match_brute_force(
         searchers in proptest::collection::vec((0usize..3, 0u32..3, 0usize..5, 0usize..2), 4..8),
-        reach in 1u32..3,
+        cells_per_shard in 1u32..3,
         claim in claim(),
-        list_ms in prop_oneof![Just(0.0), Just(2500.0), Just(4500.0)],
+        list_age_ms in prop_oneof![Just(0.0), Just(2500.0), Just(4500.0)],
     ) {
         let searchers: Vec<_> = searchers
             .into_iter()
-            .map(|(hall, set, life, age)| {
-                (["a", "b", "c"][hall], set, ["up", "up", "up", "draining", "removed"][life], [0.0, 2100.0][age])
+            .map(|(hall, set, status, age)| {
+                (["a", "b", "c"][hall], set, ["up", "up", "up", "draining", "removed"][status], [0.0, 2100.0][age])
             })
             .collect();
-        let mut fleet = Fleet::new(terms(3, reach, 5), &listed(&searchers)).expect("a fleet");
-        fleet.add_customer_slices("one", 0..=2).expect("they are there");
-        fleet.add_customer_slices("two", 2..=4).expect("they are there");
+        let mut fleet = Fleet::new(config(3, cells_per_shard, 5), &searcher_list(&searchers)).expect("a fleet");
+        fleet.add_customer_slices("one", 0..=2).expect("known customer and slices");
+        fleet.add_customer_slices("two", 2..=4).expect("known customer and slices");
         let pace = Pace::default();
-        let judged = StructuralChecker::new(&fleet, pace, list_ms).fails(&claim);
-        let judged = judged.map(|case| case.is_none()).expect("few cases");
-        prop_assert_eq!(judged, brute_force::holds(&fleet, &claim, pace, list_ms));
+        let result = StructuralChecker::new(&fleet, pace, list_age_ms).find_failure(&claim);
+        let holds = result.map(|case| case.is_none()).expect("few cases");
+        prop_assert_eq!(holds, brute_force::holds(&fleet, &claim, pace, list_age_ms));
     }
 }
