--- a/crates/expect/src/groups.rs
+++ b/crates/expect/src/groups.rs
@@ -98,7 +98,7 @@
         let group_key = |index: &u32| {
             let searcher = &fleet.searchers()[*index as usize];
             let maybe_stale = searcher.age_ms + list_age_ms >= stale_after_ms;
-            (searcher.set, searcher.hall as u32, Condition::listed(searcher.life), maybe_stale)
+            (searcher.set, searcher.hall as u32, Condition::listed(searcher.status), maybe_stale)
         };
         let mut order: Vec<u32> = (0..fleet.searchers().len() as u32).collect();
         order.sort_by_key(group_key);
