--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,202 +1,215 @@
-//! The decision module alone, in simulated time, through troubles that begin and end: how long is service gone once the cause
-//! is? Seconds of a day take milliseconds, and the same seed gives the same day.
+//! Simulation of mixers and searchers under faults that begin and end: how long does service take to recover once the
+//! cause is gone? Only the decision module is real. The time is simulated, so that seconds take milliseconds, and the same
+//! seed gives the same run.
 //!
-//! [`Fleet`] has searchers in sets, each with some cores and a queue, and mixers that share nothing or words; [`Trouble`] is what befalls
-//! them; [`play`] gives a [`Day`], by tenths of a second: scans asked, completed in time, refused at once. All that a host owns
-//! for the module (time-outs, connections, probes) is played as the sockets do it. It is a model, no measure of a real fleet: what
-//! it tells is whether a state of the module outlives its cause.
+//! A [`Fleet`] has searchers in sets, each with cores and a queue, and mixers that share no state or exchange reports. A
+//! [`Fault`] is injected for a time. [`simulate`] returns a [`RunResult`], with counts for each tenth of a second: scans that
+//! arrived, that completed in time, and that were refused at once. What the host process does for the module (timeouts,
+//! connections, probes) is modelled after the network code. The model does not predict the figures of a real fleet; it shows
+//! whether a state of the module outlives its cause.
 
+mod reports;
 mod searcher;
-mod words;
-mod world;
+mod simulation;
 
-pub use world::play;
+pub use simulation::simulate;
 
-/// What befalls the fleet.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// Of the answers of these searchers, so great a share never comes; connections live.
-    AnswersLost { who: Vec<usize>, share: f64 },
-    /// These take what comes and do nothing until it is over; probes are not answered.
-    Hang { who: Vec<usize> },
-    /// These work so many times as long.
-    Slow { who: Vec<usize>, times: f64 },
-    /// These are gone: connections are lost and refused. They come back cold, and the list says so.
-    Crash { who: Vec<usize> },
-    /// These answer every part at once with an error.
-    Errors { who: Vec<usize> },
-    /// Parts of this table type take so many times as long.
-    SlowType { table_type: usize, times: f64 },
-    /// So many times the scans; clients that are refused ask again, as always.
-    Load { times: f64 },
+pub enum Fault {
+    /// This share of the answers of these searchers is lost; connections stay up.
+    AnswersLost { searchers: Vec<usize>, share: f64 },
+    /// These searchers accept dispatches and do no work until the fault ends; probes are not answered.
+    Hang { searchers: Vec<usize> },
+    /// The work of these searchers takes this many times as long.
+    Slow { searchers: Vec<usize>, factor: f64 },
+    /// These searchers are down: connections are lost and refused. They come back cold, and the list reports it.
+    Crash { searchers: Vec<usize> },
+    /// These searchers answer every part at once with an error.
+    Errors { searchers: Vec<usize> },
+    /// Parts of this table type take this many times as long.
+    SlowType { table_type: usize, factor: f64 },
+    /// This many times the scans. Refused clients retry as usual.
+    Load { factor: f64 },
 }
 
-/// A trouble and when it holds, in milliseconds of the day.
+/// A fault and its period, in milliseconds of the run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spell {
-    pub from: f64,
-    pub to: f64,
-    pub trouble: Trouble,
+pub struct FaultPeriod {
+    pub from_ms: f64,
+    pub to_ms: f64,
+    pub fault: Fault,
 }
 
-/// What is played.
+/// Parameters of the simulated fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     pub mixers: usize,
-    /// Sets of searchers; a shard is held by one.
+    /// Sets of searchers; each shard is held by one set.
     pub sets: usize,
-    /// Searchers of a set; each half of them stands in a zone of its own.
-    pub in_set: usize,
-    /// Parts that a searcher works on at once.
+    /// Searchers of a set; half of them are in each of two zones.
+    pub searchers_per_set: usize,
+    /// Parts that a searcher works on at the same time.
     pub cores: usize,
-    /// Mean milliseconds of work of a part.
+    /// Mean work of a part, in milliseconds.
     pub part_ms: f64,
-    /// Scans in a second, of all mixers together.
+    /// Scans per second of all mixers together.
     pub scans_per_s: f64,
-    /// Times that a client asks again after a refusal or an abandonment.
+    /// Retries of a client after a refused or abandoned scan.
     pub retries: u32,
-    /// Target time of all table types, in milliseconds, and the share of the benefit that is left after it.
+    /// Target time of all table types, in milliseconds.
     pub target_ms: f64,
-    pub late_share: f64,
-    /// Whether the mixers tell each other what they know, and how well that goes.
-    pub words: Option<Words>,
+    /// Share of the benefit of an answer that remains after the target time.
+    pub late_benefit_share: f64,
+    /// Exchange of reports between the mixers, if they do so.
+    pub reports: Option<ReportExchange>,
 }
 
-/// Words between mixers.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Words {
-    /// Longest time that a word takes, in milliseconds, and the share that is lost.
-    pub delay_ms: f64,
-    pub loss: f64,
-    /// One that says once a second that every searcher is slow.
-    pub liar: Option<usize>,
+/// Quality of the report exchange between mixers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReportExchange {
+    /// Maximum delay of a message, in milliseconds.
+    pub max_delay_ms: f64,
+    /// Share of messages that are lost.
+    pub loss_share: f64,
+    /// A faulty mixer that reports every searcher as slow.
+    pub faulty_mixer: Option<usize>,
 }
 
 impl Fleet {
-    /// Small, loaded by half: four sets of four searchers, two mixers.
+    /// Four sets of four searchers and two mixers, at half load.
     pub fn small() -> Self {
         Self {
             mixers: 2,
             sets: 4,
-            in_set: 4,
+            searchers_per_set: 4,
             cores: 1,
             part_ms: 10.0,
             scans_per_s: 220.0,
             retries: 1,
             target_ms: 300.0,
-            late_share: 0.3,
-            words: None,
+            late_benefit_share: 0.3,
+            reports: None,
         }
     }
 
-    /// As the small one, with less time, nothing for late answers, and more asked of each searcher.
-    pub fn hasty() -> Self {
-        Self { sets: 3, cores: 2, scans_per_s: 320.0, target_ms: 200.0, late_share: 0.0, ..Self::small() }
+    /// As [`Fleet::small`], with a shorter target time, no benefit from late answers, and a higher load of each searcher.
+    pub fn short_target() -> Self {
+        Self {
+            sets: 3,
+            cores: 2,
+            scans_per_s: 320.0,
+            target_ms: 200.0,
+            late_benefit_share: 0.0,
+            ..Self::small()
+        }
     }
 
     pub fn searchers(&self) -> usize {
-        self.sets * self.in_set
+        self.sets * self.searchers_per_set
     }
 
-    /// The searchers of a set.
-    pub fn set(&self, set: usize) -> Vec<usize> {
-        (set * self.in_set..(set + 1) * self.in_set).collect()
+    pub fn searchers_of_set(&self, set: usize) -> Vec<usize> {
+        (set * self.searchers_per_set..(set + 1) * self.searchers_per_set).collect()
     }
 
-    /// The searchers of a zone.
-    pub fn zone(&self, zone: usize) -> Vec<usize> {
+    pub fn searchers_of_zone(&self, zone: usize) -> Vec<usize> {
         (0..self.searchers()).filter(|s| self.zone_of(*s) == zone).collect()
     }
 
     pub(crate) fn zone_of(&self, searcher: usize) -> usize {
-        usize::from(searcher % self.in_set >= self.in_set.div_ceil(2))
+        usize::from(searcher % self.searchers_per_set >= self.searchers_per_set.div_ceil(2))
     }
 }
 
-/// A tenth of a second, by when scans came.
+/// Counts of the scans that arrived in one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Moment {
-    pub asked: u32,
-    /// Completed before their target time.
+pub struct Interval {
+    pub arrived: u32,
+    /// Completed within their target time.
     pub in_time: u32,
-    /// Refused before a part went out.
+    /// Refused before any part was sent.
     pub refused: u32,
-    /// Dispatches.
-    pub sent: u32,
+    pub dispatches: u32,
 }
 
-/// Milliseconds of a [`Moment`].
-pub const MOMENT_MS: f64 = 100.0;
+/// Length of an [`Interval`], in milliseconds.
+pub const INTERVAL_MS: f64 = 100.0;
+const INTERVALS_PER_HALF_SECOND: usize = 5;
 
-/// What came of a day.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Day {
-    pub moments: Vec<Moment>,
-    /// Scans that had no answer by the end of their time: rule 1.
-    pub lost: u32,
-    /// Non-replayable parts that ran twice: rule 2.
-    pub twice: u32,
-    /// Dispatches to searchers that hung, of all mixers.
-    pub into_hang: u32,
-    /// Of the first searcher that hung: milliseconds from then until each mixer had marked it, in order.
-    pub marked_ms: Vec<f64>,
-    /// Bytes of words between mixers.
-    pub word_bytes: u64,
+pub struct RunResult {
+    pub intervals: Vec<Interval>,
+    /// Scans without an answer at their deadline (rule 1).
+    pub unanswered: u32,
+    /// Non-replayable parts that ran twice (rule 2).
+    pub ran_twice: u32,
+    /// Dispatches of all mixers to hanging searchers.
+    pub dispatches_to_hung: u32,
+    /// Milliseconds from the first hang until each mixer had marked the searcher, in order.
+    pub marked_after_ms: Vec<f64>,
+    /// Bytes of messages between mixers.
+    pub report_bytes: u64,
 }
 
-impl Day {
-    /// Share of the scans that came in this span, in milliseconds, and were completed in time.
-    pub fn served(&self, from: f64, to: f64) -> f64 {
-        let span =
-            &self.moments[(from / MOMENT_MS) as usize..((to / MOMENT_MS) as usize).min(self.moments.len())];
-        let asked: u32 = span.iter().map(|m| m.asked).sum();
-        let in_time: u32 = span.iter().map(|m| m.in_time).sum();
-        f64::from(in_time) / f64::from(asked.max(1))
+impl RunResult {
+    /// Share of the scans that arrived in this period, in milliseconds, and completed in time.
+    pub fn in_time_share(&self, from_ms: f64, to_ms: f64) -> f64 {
+        let period = self.intervals_between(from_ms, to_ms);
+        let arrived: u32 = period.iter().map(|i| i.arrived).sum();
+        let in_time: u32 = period.iter().map(|i| i.in_time).sum();
+        f64::from(in_time) / f64::from(arrived.max(1))
+    }
+
+    /// Share of the scans that arrived in this period, in milliseconds, and were refused at once.
+    pub fn refused_share(&self, from_ms: f64, to_ms: f64) -> f64 {
+        let period = self.intervals_between(from_ms, to_ms);
+        let arrived: u32 = period.iter().map(|i| i.arrived).sum();
+        f64::from(period.iter().map(|i| i.refused).sum::<u32>()) / f64::from(arrived.max(1))
     }
 
-    /// Share refused at once in this span.
-    pub fn refused(&self, from: f64, to: f64) -> f64 {
-        let span =
-            &self.moments[(from / MOMENT_MS) as usize..((to / MOMENT_MS) as usize).min(self.moments.len())];
-        let asked: u32 = span.iter().map(|m| m.asked).sum();
-        f64::from(span.iter().map(|m| m.refused).sum::<u32>()) / f64::from(asked.max(1))
+    fn intervals_between(&self, from_ms: f64, to_ms: f64) -> &[Interval] {
+        let end = ((to_ms / INTERVAL_MS) as usize).min(self.intervals.len());
+        &self.intervals[(from_ms / INTERVAL_MS) as usize..end]
     }
 
-    /// Milliseconds from `end` until service is full again and stays so to the end of the day: half seconds each of which serves
-    /// as much as `usual` of its scans, less what chance takes. None, if it never is.
-    pub fn back_after(&self, end: f64, usual: f64) -> Option<f64> {
-        const HALF: usize = 5;
-        let first = (end / MOMENT_MS) as usize;
-        let bad = |at: usize| {
-            let span = &self.moments[at..(at + HALF).min(self.moments.len())];
-            let asked: f64 = span.iter().map(|m| f64::from(m.asked)).sum();
-            let in_time: f64 = span.iter().map(|m| f64::from(m.in_time)).sum();
-            // Three deviations of that many scans, and a hundredth.
-            let slack = 3.0 * (asked * usual * (1.0 - usual)).max(1.0).sqrt() + 0.01 * asked;
-            in_time + slack < asked * usual
+    /// Milliseconds from `end_ms` until service has recovered and stays so until the end of the run. It has recovered when
+    /// the share completed in time of every half second is not significantly below `usual_share`. `None` if it never does.
+    pub fn recovery_ms(&self, end_ms: f64, usual_share: f64) -> Option<f64> {
+        const HALF: usize = INTERVALS_PER_HALF_SECOND;
+        let first = (end_ms / INTERVAL_MS) as usize;
+        let is_degraded = |index: usize| {
+            let half_second = &self.intervals[index..(index + HALF).min(self.intervals.len())];
+            let arrived: f64 = half_second.iter().map(|i| f64::from(i.arrived)).sum();
+            let in_time: f64 = half_second.iter().map(|i| f64::from(i.in_time)).sum();
+            // Three standard deviations of the binomial distribution, and 1%.
+            let tolerance =
+                3.0 * (arrived * usual_share * (1.0 - usual_share)).max(1.0).sqrt() + 0.01 * arrived;
+            in_time + tolerance < arrived * usual_share
         };
-        let last = self.moments.len().saturating_sub(HALF);
-        let last_bad = (first..=last).rev().find(|at| bad(*at));
-        match last_bad {
+        let last = self.intervals.len().saturating_sub(HALF);
+        let last_degraded = (first..=last).rev().find(|index| is_degraded(*index));
+        match last_degraded {
             None => Some(0.0),
-            Some(at) if at >= last.saturating_sub(HALF) => None,
-            Some(at) => Some((at + HALF) as f64 * MOMENT_MS - end),
+            Some(index) if index >= last.saturating_sub(HALF) => None,
+            Some(index) => Some((index + HALF) as f64 * INTERVAL_MS - end_ms),
         }
     }
 
-    /// The day by half seconds, for people.
-    pub fn told(&self) -> String {
+    /// Table with a line for each half second.
+    pub fn table(&self) -> String {
         let mut text = String::from("     s asked in time refused sent/scan\n");
-        for (nth, half) in self.moments.chunks(5).enumerate() {
-            let sum = |of: fn(&Moment) -> u32| f64::from(half.iter().map(of).sum::<u32>());
-            let asked = sum(|m| m.asked).max(1.0);
+        for (index, half_second) in self.intervals.chunks(INTERVALS_PER_HALF_SECOND).enumerate() {
+            let sum = |field: fn(&Interval) -> u32| f64::from(half_second.iter().map(field).sum::<u32>());
+            let arrived = sum(|i| i.arrived).max(1.0);
             text += &format!(
                 "{:>6.1} {:>5.0} {:>6.1}% {:>6.1}% {:>9.2}\n",
-                nth as f64 / 2.0,
-                asked,
-                100.0 * sum(|m| m.in_time) / asked,
-                100.0 * sum(|m| m.refused) / asked,
-                sum(|m| m.sent) / asked
+                index as f64 / 2.0,
+                arrived,
+                100.0 * sum(|i| i.in_time) / arrived,
+                100.0 * sum(|i| i.refused) / arrived,
+                sum(|i| i.dispatches) / arrived
             );
         }
         text
--- a/crates/rehearse/src/searcher.rs
+++ b/crates/rehearse/src/searcher.rs
@@ -1,20 +1,28 @@
-//! A searcher of the model: cores and a queue.
+//! Model of a searcher: cores and a queue.
 
 use std::collections::VecDeque;
 
-/// A dispatch at a searcher: the part, the dispatch's number and the mixer that sent it.
+/// A dispatch at a searcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Job {
+    /// The mixer that sent it.
     pub mixer: usize,
     pub part: u64,
+    /// Number of the dispatch within its part.
     pub dispatch: u8,
     pub table_type: usize,
 }
 
+#[derive(Debug)]
+struct QueuedJob {
+    job: Job,
+    work_ms: f64,
+}
+
 #[derive(Debug)]
 pub(crate) struct Searcher {
     cores: usize,
-    waiting: VecDeque<(Job, f64)>,
+    queue: VecDeque<QueuedJob>,
     running: Vec<Job>,
     pub hangs: bool,
     pub down: bool,
@@ -22,38 +30,37 @@
 
 impl Searcher {
     pub fn new(cores: usize) -> Self {
-        Self { cores, waiting: VecDeque::new(), running: Vec::new(), hangs: false, down: false }
+        Self { cores, queue: VecDeque::new(), running: Vec::new(), hangs: false, down: false }
     }
 
-    /// Takes one with its milliseconds of work.
-    pub fn take(&mut self, job: Job, work: f64) {
-        self.waiting.push_back((job, work));
+    pub fn enqueue(&mut self, job: Job, work_ms: f64) {
+        self.queue.push_back(QueuedJob { job, work_ms });
     }
 
-    /// The next that begins, and how long it takes.
-    pub fn begin(&mut self) -> Option<(Job, f64)> {
+    /// Starts the next job if a core is free. Returns it with its milliseconds of work.
+    pub fn start_next(&mut self) -> Option<(Job, f64)> {
         if self.hangs || self.down || self.running.len() >= self.cores {
             return None;
         }
-        let (job, work) = self.waiting.pop_front()?;
+        let QueuedJob { job, work_ms } = self.queue.pop_front()?;
         self.running.push(job);
-        Some((job, work))
+        Some((job, work_ms))
     }
 
-    /// Whether that was still running.
+    /// Ends a job. Returns whether it was still running.
     pub fn end(&mut self, job: Job) -> bool {
-        let place = self.running.iter().position(|j| *j == job);
-        place.map(|at| self.running.swap_remove(at)).is_some()
+        let index = self.running.iter().position(|j| *j == job);
+        index.map(|index| self.running.swap_remove(index)).is_some()
     }
 
-    /// Drops what has not begun.
+    /// Removes a job from the queue; a running job is not stopped.
     pub fn cancel(&mut self, job: Job) {
-        self.waiting.retain(|w| w.0 != job);
+        self.queue.retain(|queued| queued.job != job);
     }
 
-    /// All is lost.
+    /// Drops and returns all jobs.
     pub fn crash(&mut self) -> Vec<Job> {
-        let waiting = std::mem::take(&mut self.waiting).into_iter().map(|w| w.0);
-        std::mem::take(&mut self.running).into_iter().chain(waiting).collect()
+        let queued = std::mem::take(&mut self.queue).into_iter().map(|queued| queued.job);
+        std::mem::take(&mut self.running).into_iter().chain(queued).collect()
     }
 }
