--- a/crates/drill/src/checks.rs
+++ b/crates/drill/src/checks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::report::Broken;
+use crate::report::Violation;
 
 /// Of a drain, what a mixer may still send while it is told, on a machine that is busy: the rule's quarter of a second and
 /// what processes may wait for a core. One that does not keep it goes on for as long as it is asked.
@@ -23,18 +23,18 @@
     Refused,
     Abandoned,
     /// An answer that can't be.
-    Other(u16),
+    UnexpectedStatus(u16),
     /// The connection ended without one.
-    Lost,
+    ConnectionLost,
     /// None came for as long as was waited.
-    Silent,
+    TimedOut,
     /// Nobody took the connection.
-    Unreached,
+    ConnectFailed,
 }
 
 /// A scan that a client asked. All times are milliseconds from when the fleet had come up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct ScanRecord {
     pub id: String,
     pub mixer: usize,
     /// The process of that mixer that it went to.
@@ -48,14 +48,14 @@
 
 /// A part that reached a searcher.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrived {
+pub struct PartArrival {
     pub at_ms: f64,
     pub searcher: usize,
     /// Its name: the scan's id, which begins with its mixer's number, and the shard.
     pub part: String,
 }
 
-impl Arrived {
+impl PartArrival {
     fn mixer(&self) -> Option<usize> {
         let number: usize = self.part.split('-').next()?.strip_prefix('m')?.parse().ok()?;
         number.checked_sub(1)
@@ -78,13 +78,13 @@
 /// What the rig recorded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    pub asked: Vec<Asked>,
-    pub arrived: Vec<Arrived>,
+    pub scans: Vec<ScanRecord>,
+    pub arrivals: Vec<PartArrival>,
     /// Processes that the script ended, and when.
-    pub ended: BTreeMap<u64, f64>,
+    pub ended_processes: BTreeMap<u64, f64>,
     pub stalls: Vec<Span>,
     /// Without discovery.
-    pub blind: Vec<Span>,
+    pub without_discovery: Vec<Span>,
     /// Searchers, and when they were listed so.
     pub drains: Vec<(usize, f64)>,
     pub returned: Vec<(usize, f64)>,
@@ -93,14 +93,14 @@
     pub length_ms: f64,
 }
 
-/// Scans with this rest by five may not run twice.
+/// ScanSummary with this rest by five may not run twice.
 pub fn is_entry(scan: u64) -> bool {
     scan.is_multiple_of(5)
 }
 
 impl Record {
     /// All that did not hold, in order of time.
-    pub fn broken(&self) -> Vec<Broken> {
+    pub fn violations(&self) -> Vec<Violation> {
         let mut all = Vec::new();
         for found in [self.answers(), self.twice(), self.drains(), self.cold()] {
             all.extend(found.into_iter().take(OF_A_KIND));
@@ -109,49 +109,49 @@
         all
     }
 
-    fn answers(&self) -> Vec<Broken> {
-        let bad = self.asked.iter().filter_map(|one| {
+    fn answers(&self) -> Vec<Violation> {
+        let bad = self.scans.iter().filter_map(|one| {
             // A reset reaches the client when its mixer's process is gone, and a little before that is noted.
-            let ended = self.ended.get(&one.process).is_some_and(|at| *at <= one.ended_ms + 100.0);
+            let ended = self.ended_processes.get(&one.process).is_some_and(|at| *at <= one.ended_ms + 100.0);
             let what = match one.outcome {
-                Outcome::Lost | Outcome::Silent if !ended => format!("{} got no answer", one.id),
-                Outcome::Other(status) => format!("{} was answered {status}", one.id),
+                Outcome::ConnectionLost | Outcome::TimedOut if !ended => format!("{} got no answer", one.id),
+                Outcome::UnexpectedStatus(status) => format!("{} was answered {status}", one.id),
                 _ if one.twice => format!("{} was answered twice", one.id),
                 _ => return None,
             };
             let (rule, who) = ("each scan gets one final answer", format!("m{}", one.mixer + 1));
-            Some(Broken { rule, at_ms: one.ended_ms, who, what })
+            Some(Violation { rule, at_ms: one.ended_ms, who, what })
         });
         bad.collect()
     }
 
     /// An entry, of one part, may reach one searcher, once.
-    fn twice(&self) -> Vec<Broken> {
+    fn twice(&self) -> Vec<Violation> {
         let mut seen: BTreeMap<&str, usize> = BTreeMap::new();
         let mut bad = Vec::new();
-        for one in self.arrived.iter().filter(|a| a.scan().is_some_and(is_entry)) {
+        for one in self.arrivals.iter().filter(|a| a.scan().is_some_and(is_entry)) {
             if let Some(first) = seen.insert(&one.part, one.searcher) {
                 let what = format!("{} reached s{} after s{}", one.part, one.searcher + 1, first + 1);
                 let who = format!("m{}", one.mixer().map_or(0, |m| m + 1));
-                bad.push(Broken { rule: "nothing runs twice that may not", at_ms: one.at_ms, who, what });
+                bad.push(Violation { rule: "nothing runs twice that may not", at_ms: one.at_ms, who, what });
             }
         }
         bad
     }
 
-    fn drains(&self) -> Vec<Broken> {
+    fn drains(&self) -> Vec<Violation> {
         let mut bad = Vec::new();
         for (searcher, at) in &self.drains {
-            for one in self.arrived.iter().filter(|a| a.searcher == *searcher) {
+            for one in self.arrivals.iter().filter(|a| a.searcher == *searcher) {
                 let Some(mixer) = one.mixer() else { continue };
                 // Whoever could not be told, or stood still, is not held to it here.
                 let within = |s: &Span| s.mixer == mixer && s.from <= one.at_ms && s.to + DRAIN_MS >= *at;
-                let told = !self.blind.iter().chain(&self.stalls).any(within);
+                let told = !self.without_discovery.iter().chain(&self.stalls).any(within);
                 if one.at_ms > at + DRAIN_MS && one.at_ms < self.length_ms && told {
                     let what =
                         format!("{} reached s{}, which drains since {at:.0} ms", one.part, searcher + 1);
                     let who = format!("m{}", mixer + 1);
-                    bad.push(Broken { rule: "drains are kept", at_ms: one.at_ms, who, what });
+                    bad.push(Violation { rule: "drains are kept", at_ms: one.at_ms, who, what });
                 }
             }
         }
@@ -159,11 +159,11 @@
     }
 
     /// The parts that reach a cold searcher in any span in which it would fall.
-    fn cold(&self) -> Vec<Broken> {
+    fn cold(&self) -> Vec<Violation> {
         let mut bad = Vec::new();
         for (searcher, back) in &self.returned {
             let mut times: Vec<f64> = self
-                .arrived
+                .arrivals
                 .iter()
                 .filter(|a| a.searcher == *searcher && a.at_ms >= *back && a.at_ms - back < WARM_MS)
                 .map(|a| a.at_ms)
@@ -178,7 +178,7 @@
             if let Some((at_ms, within, bound)) = over {
                 let what = format!("{within} parts in a second, over {bound:.0} it falls");
                 let who = format!("s{}", searcher + 1);
-                bad.push(Broken { rule: "no cold searcher is pushed over", at_ms, who, what });
+                bad.push(Violation { rule: "no cold searcher is pushed over", at_ms, who, what });
             }
         }
         bad
@@ -190,7 +190,7 @@
     use super::*;
 
     fn sound() -> Record {
-        let ask = |nth: u64| Asked {
+        let ask = |nth: u64| ScanRecord {
             id: format!("m1-1-{nth}"),
             mixer: 0,
             process: 1,
@@ -199,17 +199,17 @@
             outcome: Outcome::Completed,
             twice: false,
         };
-        let arrive = |nth: u64| Arrived {
+        let arrive = |nth: u64| PartArrival {
             at_ms: nth as f64 * 10.0 + 1.0,
             searcher: nth as usize % 4,
             part: format!("m1-1-{nth}.7"),
         };
-        let (asked, arrived) = ((0..2000).map(ask).collect(), (0..2000).map(arrive).collect());
-        Record { asked, arrived, work_ms: 5.0, length_ms: 20_000.0, ..Record::default() }
+        let (scans, arrivals) = ((0..2000).map(ask).collect(), (0..2000).map(arrive).collect());
+        Record { scans, arrivals, work_ms: 5.0, length_ms: 20_000.0, ..Record::default() }
     }
 
     fn rules(record: &Record) -> Vec<(&'static str, String)> {
-        record.broken().into_iter().map(|b| (b.rule, b.who)).collect()
+        record.violations().into_iter().map(|b| (b.rule, b.who)).collect()
     }
 
     #[test]
@@ -219,27 +219,27 @@
 
     #[test]
     fn a_lost_answer_is_found_unless_its_process_was_ended() {
-        for outcome in [Outcome::Lost, Outcome::Silent, Outcome::Other(500)] {
+        for outcome in [Outcome::ConnectionLost, Outcome::TimedOut, Outcome::UnexpectedStatus(500)] {
             let mut record = sound();
-            record.asked[17].outcome = outcome;
+            record.scans[17].outcome = outcome;
             assert_eq!(rules(&record), [("each scan gets one final answer", "m1".to_owned())]);
         }
         let mut record = sound();
-        record.asked[17].outcome = Outcome::Lost;
-        record.ended.insert(1, 180.0);
+        record.scans[17].outcome = Outcome::ConnectionLost;
+        record.ended_processes.insert(1, 180.0);
         assert_eq!(rules(&record), []);
-        record.asked[18].twice = true;
+        record.scans[18].twice = true;
         assert_eq!(rules(&record).len(), 1, "one answered twice is none the less");
     }
 
     #[test]
     fn an_entry_that_reaches_two_searchers_is_found_and_a_copy_of_what_may_be_repeated_is_none() {
         let mut record = sound();
-        let copy = |record: &Record, nth: usize| Arrived { searcher: 2, ..record.arrived[nth].clone() };
+        let copy = |record: &Record, nth: usize| PartArrival { searcher: 2, ..record.arrivals[nth].clone() };
         let (may, may_not) = (copy(&record, 12), copy(&record, 15));
-        record.arrived.push(may);
+        record.arrivals.push(may);
         assert_eq!(rules(&record), []);
-        record.arrived.push(may_not);
+        record.arrivals.push(may_not);
         assert_eq!(rules(&record), [("nothing runs twice that may not", "m1".to_owned())]);
     }
 
@@ -250,10 +250,10 @@
         assert_eq!(rules(&record).len(), OF_A_KIND);
         assert!(rules(&record).iter().all(|b| b.0 == "drains are kept"));
         let mut blind = record.clone();
-        blind.blind.push(Span { mixer: 0, from: 4000.0, to: f64::INFINITY });
+        blind.without_discovery.push(Span { mixer: 0, from: 4000.0, to: f64::INFINITY });
         assert_eq!(rules(&blind), []);
         let mut kept = record.clone();
-        kept.arrived.retain(|a| a.searcher != 3 || a.at_ms < 5200.0);
+        kept.arrivals.retain(|a| a.searcher != 3 || a.at_ms < 5200.0);
         assert_eq!(rules(&kept), []);
     }
 
@@ -263,12 +263,12 @@
         record.returned.push((2, 5000.0));
         assert_eq!(rules(&record), [], "25 parts a second are no push");
         // 80 parts of 5 ms in a second are twice what a fifth of its rate does.
-        let push = |nth: u64| Arrived {
+        let push = |nth: u64| PartArrival {
             at_ms: 5100.0 + nth as f64,
             searcher: 2,
             part: format!("m{}-1-{nth}.1", nth % 3),
         };
-        record.arrived.extend((1..120).filter(|n| n % 5 != 0).map(push));
+        record.arrivals.extend((1..120).filter(|n| n % 5 != 0).map(push));
         assert_eq!(rules(&record), [("no cold searcher is pushed over", "s3".to_owned())]);
     }
 }
--- a/crates/drill/src/gate.rs
+++ b/crates/drill/src/gate.rs
@@ -21,9 +21,9 @@
     HalfOpen,
 }
 
-/// What a way does with what comes.
+/// What a path does with what comes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Manner {
+pub struct PathBehavior {
     pub mode: Mode,
     pub delay_ms: f64,
     /// Bytes a second; no bound where it is zero.
@@ -35,10 +35,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A directed way: how it does, and the connections that were opened along it.
+/// A directed path: how it does, and the connections that were opened along it.
 #[derive(Default)]
-pub struct Way {
-    manner: Mutex<Manner>,
+pub struct NetworkPath {
+    behavior: Mutex<PathBehavior>,
     conns: Mutex<Vec<Arc<Conn>>>,
 }
 
@@ -61,17 +61,17 @@
     }
 }
 
-impl Way {
-    pub fn manner(&self) -> Manner {
-        *locked(&self.manner)
+impl NetworkPath {
+    pub fn behavior(&self) -> PathBehavior {
+        *locked(&self.behavior)
     }
 
     /// Sets how it does from now on.
-    pub fn set(&self, manner: Manner) {
-        let before = std::mem::replace(&mut *locked(&self.manner), manner);
+    pub fn set(&self, behavior: PathBehavior) {
+        let before = std::mem::replace(&mut *locked(&self.behavior), behavior);
         let mut conns = locked(&self.conns);
         conns.retain(|c| !c.over.load(Ordering::SeqCst));
-        match manner.mode {
+        match behavior.mode {
             Mode::Cut => conns.iter().for_each(|c| c.end()),
             Mode::HalfOpen => {
                 for conn in conns.iter() {
@@ -92,16 +92,16 @@
 /// Where a gate leads: nowhere while nobody listens there.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
-/// Opens a gate; `way` is what goes through it, `back` what comes back on the same connections. It stands for as long as the
+/// Opens a gate; `path` is what goes through it, `back` what comes back on the same connections. It stands for as long as the
 /// program runs; connections end with those at their ends.
-pub fn open(target: Target, way: Arc<Way>, back: Arc<Way>) -> io::Result<SocketAddr> {
+pub fn open(target: Target, path: Arc<NetworkPath>, back: Arc<NetworkPath>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
     let run = move || {
         for near in listener.incoming().flatten() {
-            let (target, way, back) = (target.clone(), way.clone(), back.clone());
+            let (target, path, back) = (target.clone(), path.clone(), back.clone());
             // One that can't be served ends here.
-            let _ = spawn(move || pass(near, &target, &way, &back));
+            let _ = spawn(move || pass(near, &target, &path, &back));
         }
     };
     spawn(run)?;
@@ -112,8 +112,8 @@
     Builder::new().name("gate".to_owned()).stack_size(STACK).spawn(run).map(drop)
 }
 
-fn pass(near: TcpStream, target: &Target, way: &Arc<Way>, back: &Arc<Way>) {
-    let mode = way.manner().mode;
+fn pass(near: TcpStream, target: &Target, path: &Arc<NetworkPath>, back: &Arc<NetworkPath>) {
+    let mode = path.behavior().mode;
     if matches!(mode, Mode::Cut | Mode::Refuse) {
         return;
     }
@@ -129,7 +129,7 @@
     let _ = near.set_nodelay(true); // as above
     let conn = Arc::new(Conn { near, far, holed: AtomicBool::new(holds), over: AtomicBool::new(false) });
     {
-        let mut conns = locked(&way.conns);
+        let mut conns = locked(&path.conns);
         conns.retain(|c| !c.over.load(Ordering::SeqCst));
         conns.push(conn.clone());
     }
@@ -137,10 +137,10 @@
         let (conn, back) = (conn.clone(), back.clone());
         let _ = spawn(move || carry(&conn, conn.far.as_ref(), Some(&conn.near), &back)); // or nothing comes back
     }
-    carry(&conn, Some(&conn.near), conn.far.as_ref(), way);
+    carry(&conn, Some(&conn.near), conn.far.as_ref(), path);
 }
 
-fn carry(conn: &Conn, from: Option<&TcpStream>, to: Option<&TcpStream>, way: &Way) {
+fn carry(conn: &Conn, from: Option<&TcpStream>, to: Option<&TcpStream>, path: &NetworkPath) {
     let Some(mut from) = from else { return };
     let mut piece = [0; PIECE];
     loop {
@@ -148,20 +148,20 @@
             Ok(count) if count > 0 => count,
             _ => break,
         };
-        let manner = way.manner();
-        if manner.delay_ms > 0.0 {
-            thread::sleep(Duration::from_secs_f64(manner.delay_ms / 1000.0));
+        let behavior = path.behavior();
+        if behavior.delay_ms > 0.0 {
+            thread::sleep(Duration::from_secs_f64(behavior.delay_ms / 1000.0));
         }
-        if manner.rate > 0.0 {
-            thread::sleep(Duration::from_secs_f64(count as f64 / manner.rate));
+        if behavior.rate > 0.0 {
+            thread::sleep(Duration::from_secs_f64(count as f64 / behavior.rate));
         }
         // It may have changed meanwhile.
-        let manner = way.manner();
-        match manner.mode {
+        let behavior = path.behavior();
+        match behavior.mode {
             Mode::Drop | Mode::HalfOpen => conn.holed.store(true, Ordering::SeqCst),
             _ if conn.holed.load(Ordering::SeqCst) => {}
             _ => {
-                if manner.flip {
+                if behavior.flip {
                     piece[count / 2] ^= 0x15;
                 }
                 let Some(mut to) = to else { continue };
@@ -172,7 +172,7 @@
         }
     }
     // What is swallowed tells nobody of its end; a half-open connection is just that.
-    let silent = matches!(way.manner().mode, Mode::Drop | Mode::HalfOpen);
+    let silent = matches!(path.behavior().mode, Mode::Drop | Mode::HalfOpen);
     if !silent || conn.over.load(Ordering::SeqCst) {
         conn.end();
     }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,7 +1,7 @@
 //! Drills: several processes of `pewterwharf-mixer` on loopback, and faults between them.
 //!
 //! A [`Script`] says how many mixers and searchers there are, how many scans a second come, which fault comes when, and what is
-//! expected after the last of them. [`run`] starts the processes, each with files of its own; each directed way between two
+//! expected after the last of them. [`run`] starts the processes, each with files of its own; each directed path between two
 //! mixers runs through a gate of the rig, and each mixer has its own way to discovery. Searchers, discovery and clients are
 //! stand-ins; what was run, and what was answered, is counted by them and not asked of the program.
 //!
@@ -13,14 +13,14 @@
 
 mod checks;
 mod gate;
+mod harness;
 mod process;
 mod random;
 mod report;
-mod rig;
 mod script;
-mod stand;
+mod test_bed;
 
+pub use harness::{Options, run};
 pub use random::{draw, shrink};
-pub use report::{Broken, Met, Report, Scans};
-pub use rig::{Options, run};
-pub use script::{Deed, Expect, Kept, Script, Step, Ways};
+pub use report::{ExpectationResult, Report, ScanSummary, Violation};
+pub use script::{Action, Expect, Paths, Script, StateOnStart, Step};
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -13,13 +13,13 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-use crate::stand::{CELLS, SHARDS};
+use crate::test_bed::{CELLS, SHARDS};
 
 /// What a process has said of itself so far.
 #[derive(Default)]
-pub struct Told {
-    pub clients_at: Option<SocketAddr>,
-    pub mixers_at: Option<SocketAddr>,
+pub struct ProcessOutput {
+    pub client_address: Option<SocketAddr>,
+    pub mixer_address: Option<SocketAddr>,
     pub ready: bool,
     pub over: bool,
     /// Lines that operators would look at, with their times.
@@ -30,12 +30,12 @@
     pub number: u64,
     pub began: Instant,
     pub child: Child,
-    pub told: Arc<(Mutex<Told>, Condvar)>,
+    pub output: Arc<(Mutex<ProcessOutput>, Condvar)>,
     pub console: PathBuf,
 }
 
 /// What a process is started on.
-pub struct Files<'a> {
+pub struct ProcessConfig<'a> {
     pub program: &'a Path,
     pub dir: &'a Path,
     pub name: &'a str,
@@ -48,12 +48,12 @@
     pub number: u64,
     pub forget_ms: Option<f64>,
     /// How wrong the wall clock of its host is.
-    pub astray_ms: f64,
+    pub clock_offset_ms: f64,
     /// No section `fleet`: the mixers share nothing.
     pub alone: bool,
 }
 
-fn config(files: &Files) -> Value {
+fn config(files: &ProcessConfig) -> Value {
     let type_ = |name: &str, idempotency: &str| {
         json!({"name": name, "idempotency": idempotency, "points": 1.0, "slo_ms": 500.0, "hard_limit_ms": 2000.0,
                "late_worth": 0.3})
@@ -77,7 +77,7 @@
     })
 }
 
-fn settings(files: &Files, console: &Path) -> String {
+fn settings(files: &ProcessConfig, console: &Path) -> String {
     let mut text = format!("(console \"{}\")\n", console.display());
     if !files.alone {
         text += &format!("(fleet (name \"drill\") (me \"{}\" (listen \"127.0.0.1:0\"))", files.name);
@@ -94,7 +94,7 @@
 
 impl Process {
     /// Starts a mixer on files of its own; what it says goes to a log beside them.
-    pub fn start(files: &Files) -> Result<Self> {
+    pub fn start(files: &ProcessConfig) -> Result<Self> {
         fs::create_dir_all(files.dir).with_context(|| format!("making {}", files.dir.display()))?;
         let (json, lisp) = (files.dir.join("mixer.json"), files.dir.join("settings.lisp"));
         let console = files.dir.join(format!("c{}", files.number));
@@ -103,7 +103,7 @@
         let mut child = Command::new(files.program)
             .env("ROUTER_CONFIG", &json)
             .env("PEWTERWHARF_SETTINGS", &lisp)
-            .env("PEWTERWHARF_DRILL_CLOCK_MS", files.astray_ms.to_string())
+            .env("PEWTERWHARF_DRILL_CLOCK_MS", files.clock_offset_ms.to_string())
             .env_remove("ROUTER_NAME")
             .env_remove("ROUTER_LISTEN")
             .env_remove("ROUTER_DISCOVERY")
@@ -113,19 +113,19 @@
             .stderr(Stdio::piped())
             .spawn()
             .with_context(|| format!("starting {}", files.program.display()))?;
-        let told: Arc<(Mutex<Told>, Condvar)> = Arc::default();
+        let output: Arc<(Mutex<ProcessOutput>, Condvar)> = Arc::default();
         let mut log = File::create(files.dir.join(format!("log-{}", files.number)))?;
         let lines = BufReader::new(child.stderr.take().context("no pipe")?);
-        let says = told.clone();
+        let says = output.clone();
         Builder::new().name("log".to_owned()).spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
                 let _ = writeln!(log, "{line}"); // a full disk loses lines, and no verdict
                 let mut told = says.0.lock().unwrap_or_else(PoisonError::into_inner);
                 let last = || line.rsplit(' ').next().and_then(|a| a.parse().ok());
                 if line.contains(" listens on ") {
-                    told.clients_at = last();
+                    told.client_address = last();
                 } else if line.contains(" listens for mixers at ") {
-                    told.mixers_at = last();
+                    told.mixer_address = last();
                 }
                 told.ready |= line.ends_with(": ready");
                 let words = [" fleet:", " marked at ", " readmitted ", " ERROR ", " drains", "panicked"];
@@ -137,29 +137,29 @@
             says.0.lock().unwrap_or_else(PoisonError::into_inner).over = true;
             says.1.notify_all();
         })?;
-        Ok(Self { number: files.number, began: Instant::now(), child, told, console })
+        Ok(Self { number: files.number, began: Instant::now(), child, output, console })
     }
 
     /// Whether it has said that it is ready, and where clients reach it.
     pub fn ready(&self) -> Option<SocketAddr> {
-        let told = self.told.0.lock().unwrap_or_else(PoisonError::into_inner);
-        told.clients_at.filter(|_| told.ready)
+        let told = self.output.0.lock().unwrap_or_else(PoisonError::into_inner);
+        told.client_address.filter(|_| told.ready)
     }
 
     /// Waits until it has said where it listens for the others; nowhere, where it is alone.
     pub fn until_open(&self, alone: bool) -> Result<Option<SocketAddr>> {
         const CEILING: Duration = Duration::from_secs(60);
-        let told = self.told.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = |t: &Told| t.clients_at.is_some() && (alone || t.mixers_at.is_some());
+        let told = self.output.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let open = |t: &ProcessOutput| t.client_address.is_some() && (alone || t.mixer_address.is_some());
         let (told, _) = self
-            .told
+            .output
             .1
             .wait_timeout_while(told, CEILING, |t| !t.over && !open(t))
             .unwrap_or_else(PoisonError::into_inner);
         if !open(&told) {
             bail!("a process did not come up");
         }
-        Ok(told.mixers_at)
+        Ok(told.mixer_address)
     }
 
     /// Processor time so far in milliseconds, and memory in KiB, by the system's account.
--- a/crates/drill/src/random.rs
+++ b/crates/drill/src/random.rs
@@ -4,14 +4,14 @@
 
 use oorandom::Rand64;
 
-use crate::script::{Deed, Expect, Kept, Script, Step, Ways};
+use crate::script::{Action, Expect, Paths, Script, StateOnStart, Step};
 
 /// Deeds of a drawn script.
 const DEEDS: (u64, u64) = (4, 11);
 /// Longest time between two of them, in milliseconds.
 const APART_MS: u64 = 1500;
 
-/// The script of a seed: faults of all kinds, then all that is down is started, all ways are healed and all searchers are
+/// The script of a seed: faults of all kinds, then all that is down is started, all paths are healed and all searchers are
 /// back, and the fleet has to agree. The same seed gives the same script.
 pub fn draw(seed: u64) -> Script {
     let mut chance = Rand64::new(u128::from(seed) ^ 0xd411_1000);
@@ -23,66 +23,69 @@
         let m = chance.rand_range(0..mixers as u64) as usize;
         let other = (m + 1 + chance.rand_range(0..mixers as u64 - 1) as usize) % mixers;
         let s = chance.rand_range(0..searchers as u64) as usize;
-        let ways: Ways =
+        let paths: Paths =
             if chance.rand_float() < 0.5 { vec![(m, other)] } else { vec![(m, other), (other, m)] };
         let up = down.iter().filter(|d| !**d).count();
-        let deed = match chance.rand_range(0..17) {
-            0 => Deed::Cut(ways),
-            1 => Deed::Drop(ways),
-            2 => Deed::Refuse(ways),
-            3 => Deed::HalfOpen(ways),
-            4 => Deed::Delay(ways, 50.0 * (1 + chance.rand_range(0..6)) as f64),
-            5 => Deed::Flip(ways),
+        let action = match chance.rand_range(0..17) {
+            0 => Action::Cut(paths),
+            1 => Action::Drop(paths),
+            2 => Action::Refuse(paths),
+            3 => Action::HalfOpen(paths),
+            4 => Action::Delay(paths, 50.0 * (1 + chance.rand_range(0..6)) as f64),
+            5 => Action::Flip(paths),
             6 => {
                 let side = chance.rand_u64();
                 let (one, two): (Vec<usize>, Vec<usize>) = (0..mixers).partition(|m| side >> m & 1 == 0);
-                Deed::Partition([one, two].into_iter().filter(|g| !g.is_empty()).collect())
+                Action::Partition([one, two].into_iter().filter(|g| !g.is_empty()).collect())
             }
-            7 => Deed::Heal(None),
-            8 if !down[m] => Deed::Stall(m, 500.0 * (1 + chance.rand_range(0..8)) as f64),
+            7 => Action::Heal(None),
+            8 if !down[m] => Action::Stall(m, 500.0 * (1 + chance.rand_range(0..8)) as f64),
             // One at least serves on.
             9 if !down[m] && up > 1 => {
                 down[m] = true;
-                Deed::Kill(m)
+                Action::Kill(m)
             }
             10 if !down[m] && up > 1 => {
                 down[m] = true;
-                Deed::Term(m)
+                Action::Term(m)
             }
             11 if down[m] => {
                 down[m] = false;
-                Deed::Start(m, if chance.rand_float() < 0.5 { Kept::Kept } else { Kept::Fresh })
+                Action::Start(
+                    m,
+                    if chance.rand_float() < 0.5 { StateOnStart::Kept } else { StateOnStart::Fresh },
+                )
             }
             // Each shard keeps a searcher that stands.
             12 if !away.contains(&true) => {
                 away[s] = true;
-                if chance.rand_float() < 0.5 { Deed::Hang(s) } else { Deed::Die(s) }
+                if chance.rand_float() < 0.5 { Action::Hang(s) } else { Action::Die(s) }
             }
             13 => match away.iter().position(|a| *a) {
                 Some(s) => {
                     away[s] = false;
-                    Deed::Return(s)
+                    Action::Return(s)
                 }
                 None => continue,
             },
             14 if drained == 0 && !away[s] => {
                 drained += 1;
                 away[s] = true;
-                Deed::Drain(s)
+                Action::Drain(s)
             }
-            15 => Deed::LoseDiscovery(vec![m]),
-            16 => Deed::Clock(m, if chance.rand_float() < 0.5 { 3_600_000.0 } else { -3_600_000.0 }),
+            15 => Action::LoseDiscovery(vec![m]),
+            16 => Action::Clock(m, if chance.rand_float() < 0.5 { 3_600_000.0 } else { -3_600_000.0 }),
             _ => continue,
         };
-        steps.push(Step { at_ms: at, deed });
+        steps.push(Step { at_ms: at, action });
         at += 100.0 * (1 + chance.rand_range(0..APART_MS / 100)) as f64;
     }
-    steps.push(Step { at_ms: at, deed: Deed::Heal(None) });
+    steps.push(Step { at_ms: at, action: Action::Heal(None) });
     for m in (0..mixers).filter(|m| down[*m]) {
-        steps.push(Step { at_ms: at, deed: Deed::Start(m, Kept::Kept) });
+        steps.push(Step { at_ms: at, action: Action::Start(m, StateOnStart::Kept) });
     }
     for s in (0..searchers).filter(|s| away[*s]) {
-        steps.push(Step { at_ms: at, deed: Deed::Return(s) });
+        steps.push(Step { at_ms: at, action: Action::Return(s) });
     }
     let expects = vec![
         Expect::Agree { within_ms: 30_000.0 },
--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -6,7 +6,7 @@
 
 /// Something that always has to hold and did not.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub at_ms: f64,
     /// By which mixer or searcher.
@@ -16,7 +16,7 @@
 
 /// An expectation, and what came of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Met {
+pub struct ExpectationResult {
     pub expect: String,
     pub held: bool,
     /// Milliseconds until it held, or until it was given up.
@@ -27,7 +27,7 @@
 
 /// The scans, by what came of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Scans {
+pub struct ScanSummary {
     pub asked: usize,
     pub completed: usize,
     pub refused: usize,
@@ -42,7 +42,7 @@
 
 /// A searcher that hung: how soon mixers marked it, and what was sent there.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hung {
+pub struct HungSearcher {
     pub searcher: String,
     /// Milliseconds from the hang until each mixer marked it, in order.
     pub marked_ms: Vec<f64>,
@@ -52,7 +52,7 @@
 
 /// A line of the timeline.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct TimelineEntry {
     pub at_ms: f64,
     pub who: String,
     pub what: String,
@@ -63,29 +63,29 @@
     pub title: String,
     pub seed: u64,
     pub mixers: usize,
-    pub broken: Vec<Broken>,
-    pub met: Vec<Met>,
-    pub scans: Scans,
-    pub hung: Vec<Hung>,
+    pub violations: Vec<Violation>,
+    pub expectations: Vec<ExpectationResult>,
+    pub scans: ScanSummary,
+    pub hung: Vec<HungSearcher>,
     /// Of each process that ran to the end: mixer, processor time in milliseconds, memory in KiB.
     pub costs: Vec<(String, f64, u64)>,
-    pub timeline: Vec<Line>,
+    pub timeline: Vec<TimelineEntry>,
     pub length_ms: f64,
 }
 
 impl Report {
     /// Whether all held.
     pub fn held(&self) -> bool {
-        self.broken.is_empty() && self.met.iter().all(|m| m.held)
+        self.violations.is_empty() && self.expectations.iter().all(|m| m.held)
     }
 
     pub fn json(&self) -> Value {
         let s = &self.scans;
         json!({
             "title": self.title, "seed": self.seed, "held": self.held(), "length_ms": self.length_ms.round(),
-            "broken": self.broken.iter().map(|b| json!({"rule": b.rule, "at_ms": b.at_ms.round(), "who": b.who, "what": b.what}))
+            "broken": self.violations.iter().map(|b| json!({"rule": b.rule, "at_ms": b.at_ms.round(), "who": b.who, "what": b.what}))
                 .collect::<Vec<_>>(),
-            "expects": self.met.iter().map(|m| json!({"expect": m.expect, "held": m.held, "took_ms": m.took_ms.round(),
+            "expects": self.expectations.iter().map(|m| json!({"expect": m.expect, "held": m.held, "took_ms": m.took_ms.round(),
                 "seen": m.seen})).collect::<Vec<_>>(),
             "scans": {"asked": s.asked, "completed": s.completed, "refused": s.refused, "abandoned": s.abandoned,
                 "killed": s.killed, "unreached": s.unreached, "p50_ms": s.p50_ms, "p99_ms": s.p99_ms},
@@ -170,10 +170,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = if self.held() { "held" } else { "DID NOT HOLD" };
         writeln!(f, "{}: {verdict} ({:.1} s, seed {})", self.title, self.length_ms / 1000.0, self.seed)?;
-        for b in &self.broken {
+        for b in &self.violations {
             writeln!(f, "  broken: {} at {:.1} s by {}: {}", b.rule, b.at_ms / 1000.0, b.who, b.what)?;
         }
-        for m in &self.met {
+        for m in &self.expectations {
             let word = if m.held { "held after" } else { "not within" };
             writeln!(
                 f,
@@ -184,7 +184,8 @@
                 if m.held { "" } else { &m.seen }
             )?;
         }
-        let Scans { asked, completed, refused, abandoned, killed, unreached, p50_ms, p99_ms } = self.scans;
+        let ScanSummary { asked, completed, refused, abandoned, killed, unreached, p50_ms, p99_ms } =
+            self.scans;
         writeln!(
             f,
             "  scans {asked}: completed {completed}, refused {refused}, abandoned {abandoned}, with a killed mixer {killed}, \
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -7,63 +7,63 @@
 /// Mixers and searchers that one drill may have: each mixer is a process, each pair of mixers two gates.
 const MOST_MIXERS: u32 = 16;
 const MOST_SEARCHERS: u32 = 64;
-/// Scans in a second.
+/// ScanSummary in a second.
 const MOST_LOAD: u32 = 2000;
 /// What an expectation is given, where it does not say.
 const WITHIN_MS: f64 = 10_000.0;
 
-/// Directed ways: from each of the first to each of the second.
-pub type Ways = Vec<(usize, usize)>;
+/// Directed paths: from each of the first to each of the second.
+pub type Paths = Vec<(usize, usize)>;
 
-/// What of a mixer's files a start finds.
+/// What of a mixer's files a start restore_discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum StateOnStart {
     Kept,
     Fresh,
 }
 
 /// What is done at a time. Mixers and searchers are counted from zero.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum Action {
     /// Groups between which nothing passes; who is in none is a group of its own.
     Partition(Vec<Vec<usize>>),
     /// Connections are reset, and new ones end at once.
-    Cut(Ways),
+    Cut(Paths),
     /// Bytes are swallowed.
-    Drop(Ways),
+    Drop(Paths),
     /// Connections are taken and reset before anything passes; those that are there stay.
-    Refuse(Ways),
+    Refuse(Paths),
     /// Connections end on the far side, and nobody tells the near one.
-    HalfOpen(Ways),
-    Delay(Ways, f64),
+    HalfOpen(Paths),
+    Delay(Paths, f64),
     /// So many bytes a second.
-    Slow(Ways, f64),
+    Slow(Paths, f64),
     /// One byte of each piece is another.
-    Flip(Ways),
-    /// All ways, where none is named; those to discovery among them.
-    Heal(Option<Ways>),
+    Flip(Paths),
+    /// All paths, where none is named; those to discovery among them.
+    Heal(Option<Paths>),
     Stall(usize, f64),
     Kill(usize),
     Term(usize),
-    Start(usize, Kept),
-    /// A second process under the name of a mixer that runs; the others' ways lead to it from then on.
+    Start(usize, StateOnStart),
+    /// A second process under the name of a mixer that runs; the others' paths lead to it from then on.
     Twin(usize),
     Hang(usize),
     Die(usize),
     Return(usize),
     Drain(usize),
-    /// The wall clock of a mixer's host is wrong by so much, in milliseconds: what is started from then on finds it so. What
+    /// The wall clock of a mixer's host is wrong by so much, in milliseconds: what is started from then on restore_discovery it so. What
     /// runs reads none.
     Clock(usize, f64),
     LoseDiscovery(Vec<usize>),
     FindDiscovery(Vec<usize>),
 }
 
-/// A deed and its time, in milliseconds from when the fleet has come up.
+/// A action and its time, in milliseconds from when the fleet has come up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub at_ms: f64,
-    pub deed: Deed,
+    pub action: Action,
 }
 
 /// What is expected after the last step, with the time from then within which it has to come about.
@@ -87,7 +87,7 @@
     pub title: String,
     pub mixers: usize,
     pub searchers: usize,
-    /// Scans in a second, of all mixers together.
+    /// ScanSummary in a second, of all mixers together.
     pub load: u32,
     /// For so long mixers keep in mind that something was deleted, in milliseconds; as they do of themselves, where absent.
     pub forget_ms: Option<f64>,
@@ -153,7 +153,7 @@
         };
         // The numbers first, wherever they stand: names of mixers are held against them.
         for node in rest {
-            match node.head_and_args("(mixers N), (at TIME DEED) or (expect ...)")? {
+            match node.head_and_args("(mixers N), (at TIME ACTION) or (expect ...)")? {
                 ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MOST_MIXERS)? as usize,
                 ("searchers", [n]) => script.searchers = n.integer("searchers", 1, MOST_SEARCHERS)? as usize,
                 ("load", [n]) => script.load = n.integer("load", 0, MOST_LOAD)?,
@@ -173,11 +173,11 @@
         }
         for node in rest {
             match node.head_and_args("")? {
-                ("at", [time, deed]) => {
+                ("at", [time, action]) => {
                     let at_ms = time.duration_ms("a time")?;
-                    script.steps.push(Step { at_ms, deed: script.deed(deed)? });
+                    script.steps.push(Step { at_ms, action: script.parse_action(action)? });
                 }
-                ("at", _) => return Err(node.error("expected (at TIME DEED)")),
+                ("at", _) => return Err(node.error("expected (at TIME ACTION)")),
                 ("expect", [what]) => script.expects.push(script.expect(what)?),
                 ("expect", _) => return Err(node.error("expected (expect (WHAT ...))")),
                 _ => {}
@@ -205,8 +205,8 @@
         Self::named(node, 's', self.searchers, "a searcher")
     }
 
-    /// `A B`, which is both ways, or `(from A) (to B)`.
-    fn ways(&self, whole: &Node, nodes: &[Node]) -> Result<Ways, ParseError> {
+    /// `A B`, which is both paths, or `(from A) (to B)`.
+    fn paths(&self, whole: &Node, nodes: &[Node]) -> Result<Paths, ParseError> {
         let [a, b] = nodes else {
             return Err(whole.error("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
         };
@@ -221,8 +221,8 @@
         Ok(vec![(a, b), (b, a)])
     }
 
-    fn deed(&self, node: &Node) -> Result<Deed, ParseError> {
-        let (word, args) = node.head_and_args("a deed, as (kill m2)")?;
+    fn parse_action(&self, node: &Node) -> Result<Action, ParseError> {
+        let (word, args) = node.head_and_args("an action, as (kill m2)")?;
         let count = |n: usize| match args.len() {
             found if found == n => Ok(()),
             found => Err(node.error(format!("{word} has {found} values, expected {n}"))),
@@ -240,65 +240,65 @@
                 if groups.is_empty() {
                     return Err(node.error("partition has no group, expected as (partition (m1 m2) (m3))"));
                 }
-                Ok(Deed::Partition(groups))
+                Ok(Action::Partition(groups))
             }
-            "cut" => Ok(Deed::Cut(self.ways(node, args)?)),
-            "drop" => Ok(Deed::Drop(self.ways(node, args)?)),
-            "refuse" => Ok(Deed::Refuse(self.ways(node, args)?)),
-            "half-open" => Ok(Deed::HalfOpen(self.ways(node, args)?)),
-            "flip" => Ok(Deed::Flip(self.ways(node, args)?)),
+            "cut" => Ok(Action::Cut(self.paths(node, args)?)),
+            "drop" => Ok(Action::Drop(self.paths(node, args)?)),
+            "refuse" => Ok(Action::Refuse(self.paths(node, args)?)),
+            "half-open" => Ok(Action::HalfOpen(self.paths(node, args)?)),
+            "flip" => Ok(Action::Flip(self.paths(node, args)?)),
             "delay" => match args {
                 [a, b, time] => {
-                    let ways = self.ways(node, &[a.clone(), b.clone()])?;
-                    Ok(Deed::Delay(ways, time.duration_ms("a delay")?))
+                    let paths = self.paths(node, &[a.clone(), b.clone()])?;
+                    Ok(Action::Delay(paths, time.duration_ms("a delay")?))
                 }
                 _ => Err(node.error("expected two mixers and a time, as (delay m1 m2 200ms)")),
             },
             "slow" => match args {
-                [a, b, rate] => Ok(Deed::Slow(
-                    self.ways(node, &[a.clone(), b.clone()])?,
+                [a, b, rate] => Ok(Action::Slow(
+                    self.paths(node, &[a.clone(), b.clone()])?,
                     rate.positive_number("bytes a second")?,
                 )),
                 _ => Err(node.error("expected two mixers and bytes a second, as (slow m1 m2 10000)")),
             },
-            "heal" if args.is_empty() => Ok(Deed::Heal(None)),
-            "heal" => Ok(Deed::Heal(Some(self.ways(node, args)?))),
+            "heal" if args.is_empty() => Ok(Action::Heal(None)),
+            "heal" => Ok(Action::Heal(Some(self.paths(node, args)?))),
             "stall" => match args {
-                [mixer, time] => Ok(Deed::Stall(self.mixer(mixer)?, time.duration_ms("a time")?)),
+                [mixer, time] => Ok(Action::Stall(self.mixer(mixer)?, time.duration_ms("a time")?)),
                 _ => Err(node.error("expected a mixer and a time, as (stall m2 3s)")),
             },
             "start" => match args {
-                [mixer] => Ok(Deed::Start(self.mixer(mixer)?, Kept::Kept)),
+                [mixer] => Ok(Action::Start(self.mixer(mixer)?, StateOnStart::Kept)),
                 [mixer, how] => {
                     let kept = match how.symbol("fresh or kept")? {
-                        "fresh" => Kept::Fresh,
-                        "kept" => Kept::Kept,
+                        "fresh" => StateOnStart::Fresh,
+                        "kept" => StateOnStart::Kept,
                         other => return Err(unexpected_name(how, other, &["fresh", "kept"])),
                     };
-                    Ok(Deed::Start(self.mixer(mixer)?, kept))
+                    Ok(Action::Start(self.mixer(mixer)?, kept))
                 }
                 _ => Err(node.error("expected a mixer, as (start m4) or (start m4 fresh)")),
             },
-            "kill" => count(1).and_then(|()| Ok(Deed::Kill(self.mixer(&args[0])?))),
-            "term" => count(1).and_then(|()| Ok(Deed::Term(self.mixer(&args[0])?))),
-            "twin" => count(1).and_then(|()| Ok(Deed::Twin(self.mixer(&args[0])?))),
-            "hang" => count(1).and_then(|()| Ok(Deed::Hang(self.searcher(&args[0])?))),
-            "die" => count(1).and_then(|()| Ok(Deed::Die(self.searcher(&args[0])?))),
-            "return" => count(1).and_then(|()| Ok(Deed::Return(self.searcher(&args[0])?))),
-            "drain" => count(1).and_then(|()| Ok(Deed::Drain(self.searcher(&args[0])?))),
+            "kill" => count(1).and_then(|()| Ok(Action::Kill(self.mixer(&args[0])?))),
+            "term" => count(1).and_then(|()| Ok(Action::Term(self.mixer(&args[0])?))),
+            "twin" => count(1).and_then(|()| Ok(Action::Twin(self.mixer(&args[0])?))),
+            "hang" => count(1).and_then(|()| Ok(Action::Hang(self.searcher(&args[0])?))),
+            "die" => count(1).and_then(|()| Ok(Action::Die(self.searcher(&args[0])?))),
+            "return" => count(1).and_then(|()| Ok(Action::Return(self.searcher(&args[0])?))),
+            "drain" => count(1).and_then(|()| Ok(Action::Drain(self.searcher(&args[0])?))),
             "clock" => match args {
                 [mixer, how, time] => {
                     let by = time.duration_ms("a time")?;
                     match how.symbol("ahead or behind")? {
-                        "ahead" => Ok(Deed::Clock(self.mixer(mixer)?, by)),
-                        "behind" => Ok(Deed::Clock(self.mixer(mixer)?, -by)),
+                        "ahead" => Ok(Action::Clock(self.mixer(mixer)?, by)),
+                        "behind" => Ok(Action::Clock(self.mixer(mixer)?, -by)),
                         other => Err(unexpected_name(how, other, &["ahead", "behind"])),
                     }
                 }
                 _ => Err(node.error("expected a mixer, ahead or behind, and a time, as (clock m2 ahead 1h)")),
             },
-            "lose-discovery" => Ok(Deed::LoseDiscovery(mixers()?)),
-            "find-discovery" => Ok(Deed::FindDiscovery(mixers()?)),
+            "lose-discovery" => Ok(Action::LoseDiscovery(mixers()?)),
+            "find-discovery" => Ok(Action::FindDiscovery(mixers()?)),
             other => Err(unexpected_name(node, other, &DEEDS)),
         }
     }
@@ -346,36 +346,36 @@
     mixers.iter().map(|m| format!("m{}", m + 1)).collect::<Vec<_>>().join(" ")
 }
 
-/// Both ways between two, or one.
-fn between(ways: &Ways) -> String {
-    match ways.as_slice() {
-        [(a, b), ..] if ways.len() == 2 => format!("m{} m{}", a + 1, b + 1),
+/// Both paths between two, or one.
+fn between(paths: &Paths) -> String {
+    match paths.as_slice() {
+        [(a, b), ..] if paths.len() == 2 => format!("m{} m{}", a + 1, b + 1),
         [(a, b), ..] => format!("(from m{}) (to m{})", a + 1, b + 1),
         [] => String::new(),
     }
 }
 
-impl fmt::Display for Deed {
+impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Partition(groups) => {
                 let groups: Vec<String> = groups.iter().map(|g| format!("({})", names(g))).collect();
                 write!(f, "(partition {})", groups.join(" "))
             }
-            Self::Cut(ways) => write!(f, "(cut {})", between(ways)),
-            Self::Drop(ways) => write!(f, "(drop {})", between(ways)),
-            Self::Refuse(ways) => write!(f, "(refuse {})", between(ways)),
-            Self::HalfOpen(ways) => write!(f, "(half-open {})", between(ways)),
-            Self::Delay(ways, ms) => write!(f, "(delay {} {})", between(ways), time(*ms)),
-            Self::Slow(ways, rate) => write!(f, "(slow {} {rate})", between(ways)),
-            Self::Flip(ways) => write!(f, "(flip {})", between(ways)),
+            Self::Cut(paths) => write!(f, "(cut {})", between(paths)),
+            Self::Drop(paths) => write!(f, "(drop {})", between(paths)),
+            Self::Refuse(paths) => write!(f, "(refuse {})", between(paths)),
+            Self::HalfOpen(paths) => write!(f, "(half-open {})", between(paths)),
+            Self::Delay(paths, ms) => write!(f, "(delay {} {})", between(paths), time(*ms)),
+            Self::Slow(paths, rate) => write!(f, "(slow {} {rate})", between(paths)),
+            Self::Flip(paths) => write!(f, "(flip {})", between(paths)),
             Self::Heal(None) => f.write_str("(heal)"),
-            Self::Heal(Some(ways)) => write!(f, "(heal {})", between(ways)),
+            Self::Heal(Some(paths)) => write!(f, "(heal {})", between(paths)),
             Self::Stall(m, ms) => write!(f, "(stall m{} {})", m + 1, time(*ms)),
             Self::Kill(m) => write!(f, "(kill m{})", m + 1),
             Self::Term(m) => write!(f, "(term m{})", m + 1),
-            Self::Start(m, Kept::Kept) => write!(f, "(start m{})", m + 1),
-            Self::Start(m, Kept::Fresh) => write!(f, "(start m{} fresh)", m + 1),
+            Self::Start(m, StateOnStart::Kept) => write!(f, "(start m{})", m + 1),
+            Self::Start(m, StateOnStart::Fresh) => write!(f, "(start m{} fresh)", m + 1),
             Self::Twin(m) => write!(f, "(twin m{})", m + 1),
             Self::Hang(s) => write!(f, "(hang s{})", s + 1),
             Self::Die(s) => write!(f, "(die s{})", s + 1),
@@ -419,7 +419,7 @@
             write!(f, " (forget {})", time(*ms))?;
         }
         for step in steps {
-            write!(f, "\n  (at {} {})", time(step.at_ms), step.deed)?;
+            write!(f, "\n  (at {} {})", time(step.at_ms), step.action)?;
         }
         for expect in expects {
             write!(f, "\n  (expect {expect})")?;
--- a/crates/drill/src/stand.rs
+++ b/crates/drill/src/test_bed.rs
@@ -29,7 +29,7 @@
 
 /// A part that reached a searcher, and when.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct ReceivedPart {
     pub at: Instant,
     pub searcher: usize,
     pub part: String,
@@ -39,7 +39,7 @@
 pub struct Searchers {
     pub at: Vec<SocketAddr>,
     states: Vec<Arc<AtomicUsize>>,
-    arrived: Arc<Mutex<Vec<Reached>>>,
+    arrived: Arc<Mutex<Vec<ReceivedPart>>>,
     /// How each is listed, and since when, in milliseconds of the wall clock.
     listed: Mutex<Vec<(&'static str, f64)>>,
     pub lists: DiscoveryServer,
@@ -49,19 +49,19 @@
 impl Searchers {
     pub fn start(count: usize) -> io::Result<Self> {
         let (mut at, mut states) = (Vec::new(), Vec::new());
-        let arrived: Arc<Mutex<Vec<Reached>>> = Arc::default();
+        let arrived: Arc<Mutex<Vec<ReceivedPart>>> = Arc::default();
         for searcher in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             at.push(listener.local_addr()?);
             let state = Arc::new(AtomicUsize::new(0));
             states.push(state.clone());
-            let manner = move || match state.load(Ordering::SeqCst) {
+            let behavior = move || match state.load(Ordering::SeqCst) {
                 0 => SearcherBehavior::AnswersAfterMs(WORK_MS),
                 1 => SearcherBehavior::Hangs,
                 _ => SearcherBehavior::DisconnectsAlways,
             };
             let (says, heard) = mpsc::channel::<String>();
-            serve_searcher_with(listener, manner, says);
+            serve_searcher_with(listener, behavior, says);
             let arrived = arrived.clone();
             Builder::new().name("arrived".to_owned()).spawn(move || {
                 for frame in heard {
@@ -74,19 +74,19 @@
                         wait.starts_with("d=").then(|| part.to_owned())
                     });
                     let mut arrived = arrived.lock().unwrap_or_else(PoisonError::into_inner);
-                    arrived.extend(parts.map(|part| Reached { at: now, searcher, part }));
+                    arrived.extend(parts.map(|part| ReceivedPart { at: now, searcher, part }));
                 }
             })?;
         }
         let listed = Mutex::new(vec![("up", 0.0); count]);
         let searchers =
             Self { at, states, arrived, listed, lists: DiscoveryServer::default(), index: AtomicU64::new(0) };
-        searchers.tell(&(0..count).collect::<Vec<_>>(), true);
+        searchers.publish(&(0..count).collect::<Vec<_>>(), true);
         Ok(searchers)
     }
 
     /// Tells discovery how some are listed.
-    fn tell(&self, some: &[usize], whole: bool) {
+    fn publish(&self, some: &[usize], whole: bool) {
         let listed = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = |s: &usize| {
             let (status, since) = listed[*s];
@@ -104,7 +104,7 @@
             let held = &mut listed[searcher];
             *held = (status, since.unwrap_or(held.1));
         }
-        self.tell(&[searcher], false);
+        self.publish(&[searcher], false);
     }
 
     pub fn set(&self, searcher: usize, state: State) {
@@ -116,7 +116,7 @@
         self.states[searcher].store(state, Ordering::SeqCst);
     }
 
-    pub fn arrived(&self) -> Vec<Reached> {
+    pub fn arrived(&self) -> Vec<ReceivedPart> {
         self.arrived.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
@@ -132,7 +132,7 @@
 
 /// A scan, and when its client began and was done.
 #[derive(Clone, Debug)]
-pub struct Asking {
+pub struct ClientScan {
     pub id: String,
     pub mixer: usize,
     pub process: u64,
@@ -148,20 +148,20 @@
 pub const TIMEOUT_MS: u64 = 1500;
 
 /// Where a scan goes.
-pub type Front = Arc<Mutex<Vec<Option<(u64, SocketAddr)>>>>;
+pub type ReadyMixers = Arc<Mutex<Vec<Option<(u64, SocketAddr)>>>>;
 
 /// Clients that ask at a steady pace, each scan on a connection of its own, of mixers in turn.
 pub struct Clients {
     stop: Arc<AtomicUsize>,
     thread: JoinHandle<()>,
-    asked: Arc<Mutex<Vec<Asking>>>,
+    asked: Arc<Mutex<Vec<ClientScan>>>,
     open: Arc<AtomicUsize>,
 }
 
 impl Clients {
-    pub fn start(load: u32, front: Front, seed: u64) -> io::Result<Self> {
+    pub fn start(load: u32, ready_mixers: ReadyMixers, seed: u64) -> io::Result<Self> {
         let (stop, open) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-        let asked: Arc<Mutex<Vec<Asking>>> = Arc::default();
+        let asked: Arc<Mutex<Vec<ClientScan>>> = Arc::default();
         let (stops, opens, told) = (stop.clone(), open.clone(), asked.clone());
         let run = move || {
             let (mut nth, mut turn) = (0_u64, 0_usize);
@@ -175,9 +175,12 @@
                 }
                 nth += 1;
                 let to = {
-                    let front = front.lock().unwrap_or_else(PoisonError::into_inner);
-                    let live: Vec<_> =
-                        front.iter().enumerate().filter_map(|(m, f)| f.map(|(p, at)| (m, p, at))).collect();
+                    let ready_mixers = ready_mixers.lock().unwrap_or_else(PoisonError::into_inner);
+                    let live: Vec<_> = ready_mixers
+                        .iter()
+                        .enumerate()
+                        .filter_map(|(m, f)| f.map(|(p, at)| (m, p, at)))
+                        .collect();
                     turn = turn.wrapping_add(1);
                     live.get(turn % live.len().max(1)).copied()
                 };
@@ -187,9 +190,9 @@
                 let id = format!("m{}-{seed:x}-{nth}", mixer + 1);
                 let one = Builder::new().stack_size(64 * 1024).spawn(move || {
                     let began = Instant::now();
-                    let (outcome, twice) = ask(at, &id, nth).unwrap_or((Outcome::Lost, false));
+                    let (outcome, twice) = ask(at, &id, nth).unwrap_or((Outcome::ConnectionLost, false));
                     let ended = Instant::now();
-                    let asked = Asking { id, mixer, process, began, ended, outcome, twice };
+                    let asked = ClientScan { id, mixer, process, began, ended, outcome, twice };
                     told.lock().unwrap_or_else(PoisonError::into_inner).push(asked);
                     held.fetch_sub(1, Ordering::SeqCst);
                 });
@@ -203,7 +206,7 @@
     }
 
     /// Asks no more, and waits until all that was asked is over.
-    pub fn end(self) -> Vec<Asking> {
+    pub fn end(self) -> Vec<ClientScan> {
         self.stop.store(1, Ordering::SeqCst);
         let _ = self.thread.join(); // it told what it had
         while self.open.load(Ordering::SeqCst) > 0 {
@@ -215,7 +218,7 @@
 
 fn ask(at: SocketAddr, id: &str, nth: u64) -> io::Result<(Outcome, bool)> {
     let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(5)) else {
-        return Ok((Outcome::Unreached, false));
+        return Ok((Outcome::ConnectFailed, false));
     };
     stream.set_read_timeout(Some(SILENT))?;
     stream.set_nodelay(true)?;
@@ -233,12 +236,12 @@
     let mut input = BufReader::new(stream);
     let mut line = String::new();
     match input.read_line(&mut line) {
-        Ok(0) => return Ok((Outcome::Lost, false)),
+        Ok(0) => return Ok((Outcome::ConnectionLost, false)),
         Ok(_) => {}
         Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-            return Ok((Outcome::Silent, false));
+            return Ok((Outcome::TimedOut, false));
         }
-        Err(_) => return Ok((Outcome::Lost, false)),
+        Err(_) => return Ok((Outcome::ConnectionLost, false)),
     }
     let status: u16 = line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
     let mut length = 0;
@@ -261,7 +264,7 @@
         200 => Outcome::Completed,
         429 | 503 => Outcome::Refused,
         504 => Outcome::Abandoned,
-        other => Outcome::Other(other),
+        other => Outcome::UnexpectedStatus(other),
     };
     Ok((outcome, twice))
 }
--- a/crates/drill/tests/scripts.rs
+++ b/crates/drill/tests/scripts.rs
@@ -50,7 +50,7 @@
 #[test]
 fn what_can_t_be_read_is_told_with_its_place_and_what_was_expected() {
     let told = |text: &str| Script::read(text).expect_err("it can't be read").to_string();
-    let of = |deed: &str| told(&format!("(drill \"x\" (mixers 3)\n  (at 1s {deed}))"));
+    let of = |action: &str| told(&format!("(drill \"x\" (mixers 3)\n  (at 1s {action}))"));
     let faults = [
         told(""),
         told("(drill)"),
--- a/crates/mixer/tests/drills.rs
+++ b/crates/mixer/tests/drills.rs
@@ -65,14 +65,14 @@
     let script = Script::read(text).expect("the script can be parsed").remove(0);
     let report = run(&script, &options(1)).expect("the drill can be run");
     // The invariants hold despite the partition and the dead searchers.
-    assert_eq!(report.broken, [], "{report}");
+    assert_eq!(report.violations, [], "{report}");
     // m1 sees only itself and the others see two members: at no time do all see the same two.
     assert!(
-        !report.met.iter().find(|m| m.expect.starts_with("(members 2")).is_some_and(|m| m.held),
+        !report.expectations.iter().find(|m| m.expect.starts_with("(members 2")).is_some_and(|m| m.held),
         "{report}"
     );
     assert!(
-        !report.met.iter().find(|m| m.expect.starts_with("(answered")).is_some_and(|m| m.held),
+        !report.expectations.iter().find(|m| m.expect.starts_with("(answered")).is_some_and(|m| m.held),
         "{report}"
     );
     assert!(!report.held() && report.to_string().contains("DID NOT HOLD"));
