--- a/crates/drill/src/checks.rs
+++ b/crates/drill/src/checks.rs
@@ -1,57 +1,59 @@
-//! What always has to hold, looked at in what the rig recorded: no I/O, so that each check is shown to find what it is for.
+//! Checks of the invariants of a drill on what the harness recorded. They do no I/O, so that tests can show that each check
+//! finds the violation it is for.
 
 use std::collections::BTreeMap;
 
 use crate::report::Violation;
 
-/// Of a drain, what a mixer may still send while it is told, on a machine that is busy: the rule's quarter of a second and
-/// what processes may wait for a core. One that does not keep it goes on for as long as it is asked.
-pub const DRAIN_MS: f64 = 3000.0;
-/// A searcher that has come back is cold for so long, and bears this share of its full rate at the begin.
-const WARM_MS: f64 = 10_000.0;
-const COLD_FROM: f64 = 0.2;
-/// So many times what it bears, for so long, make it fall.
-const TIP: f64 = 2.0;
-const FALL_MS: f64 = 1000.0;
-/// One of a kind says enough; hundreds hide it.
-const OF_A_KIND: usize = 5;
+/// Time after a drain during which a mixer may still send to the searcher: the rule's 250 ms and the time that processes
+/// may wait for a core on a busy machine. A mixer that ignores the drain goes on sending after it.
+pub const DRAIN_GRACE_MS: f64 = 3000.0;
+/// Warm-up time of a searcher that has returned, and the share of its full rate that it bears at the start of it.
+const WARM_UP_MS: f64 = 10_000.0;
+const COLD_RATE_SHARE: f64 = 0.2;
+/// A cold searcher fails under this multiple of the rate that it bears, held for `OVERLOAD_WINDOW_MS`.
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+const OVERLOAD_WINDOW_MS: f64 = 1000.0;
+/// Time from a client's seeing the reset of its connection until the harness has recorded the end of the process.
+const EXIT_RECORD_DELAY_MS: f64 = 100.0;
+/// Maximum number of violations reported for one rule: more would hide the others.
+const MAX_VIOLATIONS_PER_RULE: usize = 5;
 
-/// What came of a scan.
+/// The result of a scan at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Completed,
     Refused,
     Abandoned,
-    /// An answer that can't be.
+    /// An answer with a status that mixers do not send.
     UnexpectedStatus(u16),
-    /// The connection ended without one.
+    /// The connection ended without an answer.
     ConnectionLost,
-    /// None came for as long as was waited.
+    /// No answer came within the client's timeout.
     TimedOut,
-    /// Nobody took the connection.
     ConnectFailed,
 }
 
-/// A scan that a client asked. All times are milliseconds from when the fleet had come up.
+/// A scan that a client sent. All times are milliseconds from the start of the drill.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScanRecord {
     pub id: String,
     pub mixer: usize,
-    /// The process of that mixer that it went to.
+    /// Number of the mixer's process that it was sent to.
     pub process: u64,
     pub began_ms: f64,
     pub ended_ms: f64,
     pub outcome: Outcome,
-    /// More bytes came after the answer.
-    pub twice: bool,
+    /// More bytes followed the answer.
+    pub extra_bytes: bool,
 }
 
-/// A part that reached a searcher.
+/// The arrival of a part at a searcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartArrival {
     pub at_ms: f64,
     pub searcher: usize,
-    /// Its name: the scan's id, which begins with its mixer's number, and the shard.
+    /// The scan's id, which starts with its mixer's name, and the shard.
     pub part: String,
 }
 
@@ -67,121 +69,161 @@
     }
 }
 
-/// From when to when something held for a mixer.
+/// An interval during which a condition held for a mixer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span {
+pub struct Interval {
     pub mixer: usize,
-    pub from: f64,
-    pub to: f64,
+    pub from_ms: f64,
+    pub to_ms: f64,
 }
 
-/// What the rig recorded.
+/// A change of a searcher's state.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SearcherEvent {
+    pub searcher: usize,
+    pub at_ms: f64,
+}
+
+/// What the harness recorded during a drill.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     pub scans: Vec<ScanRecord>,
     pub arrivals: Vec<PartArrival>,
-    /// Processes that the script ended, and when.
+    /// Processes that have ended, by number, and the times at which they did.
     pub ended_processes: BTreeMap<u64, f64>,
-    pub stalls: Vec<Span>,
-    /// Without discovery.
-    pub without_discovery: Vec<Span>,
-    /// Searchers, and when they were listed so.
-    pub drains: Vec<(usize, f64)>,
-    pub returned: Vec<(usize, f64)>,
+    pub stalls: Vec<Interval>,
+    pub without_discovery: Vec<Interval>,
+    /// Searchers listed as draining, and since when.
+    pub drains: Vec<SearcherEvent>,
+    /// Searchers listed as up again, and since when.
+    pub returned: Vec<SearcherEvent>,
     /// Milliseconds of work of a part.
     pub work_ms: f64,
     pub length_ms: f64,
 }
 
-/// ScanSummary with this rest by five may not run twice.
-pub fn is_entry(scan: u64) -> bool {
-    scan.is_multiple_of(5)
+/// Whether a scan is an entry, which must not run twice: each fifth is.
+pub fn is_entry(scan_number: u64) -> bool {
+    scan_number.is_multiple_of(5)
 }
 
 impl Record {
-    /// All that did not hold, in order of time.
+    /// All violations of the invariants, in order of time.
     pub fn violations(&self) -> Vec<Violation> {
         let mut all = Vec::new();
-        for found in [self.answers(), self.twice(), self.drains(), self.cold()] {
-            all.extend(found.into_iter().take(OF_A_KIND));
+        for found in [
+            self.answer_violations(),
+            self.duplicate_entries(),
+            self.drain_violations(),
+            self.overloaded_cold_searchers(),
+        ] {
+            all.extend(found.into_iter().take(MAX_VIOLATIONS_PER_RULE));
         }
         all.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         all
     }
 
-    fn answers(&self) -> Vec<Violation> {
-        let bad = self.scans.iter().filter_map(|one| {
-            // A reset reaches the client when its mixer's process is gone, and a little before that is noted.
-            let ended = self.ended_processes.get(&one.process).is_some_and(|at| *at <= one.ended_ms + 100.0);
-            let what = match one.outcome {
-                Outcome::ConnectionLost | Outcome::TimedOut if !ended => format!("{} got no answer", one.id),
-                Outcome::UnexpectedStatus(status) => format!("{} was answered {status}", one.id),
-                _ if one.twice => format!("{} was answered twice", one.id),
+    /// Scans that did not get exactly one valid answer, though their process ran on.
+    fn answer_violations(&self) -> Vec<Violation> {
+        let violations = self.scans.iter().filter_map(|scan| {
+            let process_ended = self
+                .ended_processes
+                .get(&scan.process)
+                .is_some_and(|at| *at <= scan.ended_ms + EXIT_RECORD_DELAY_MS);
+            let what = match scan.outcome {
+                Outcome::ConnectionLost | Outcome::TimedOut if !process_ended => {
+                    format!("{} got no answer", scan.id)
+                }
+                Outcome::UnexpectedStatus(status) => format!("{} was answered {status}", scan.id),
+                _ if scan.extra_bytes => format!("{} was answered twice", scan.id),
                 _ => return None,
             };
-            let (rule, who) = ("each scan gets one final answer", format!("m{}", one.mixer + 1));
-            Some(Violation { rule, at_ms: one.ended_ms, who, what })
+            Some(Violation {
+                rule: "each scan gets one final answer",
+                at_ms: scan.ended_ms,
+                who: format!("m{}", scan.mixer + 1),
+                what,
+            })
         });
-        bad.collect()
+        violations.collect()
     }
 
-    /// An entry, of one part, may reach one searcher, once.
-    fn twice(&self) -> Vec<Violation> {
-        let mut seen: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut bad = Vec::new();
-        for one in self.arrivals.iter().filter(|a| a.scan().is_some_and(is_entry)) {
-            if let Some(first) = seen.insert(&one.part, one.searcher) {
-                let what = format!("{} reached s{} after s{}", one.part, one.searcher + 1, first + 1);
-                let who = format!("m{}", one.mixer().map_or(0, |m| m + 1));
-                bad.push(Violation { rule: "nothing runs twice that may not", at_ms: one.at_ms, who, what });
+    /// Entries that reached searchers more than once. An entry has one part.
+    fn duplicate_entries(&self) -> Vec<Violation> {
+        let mut first_searchers: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut violations = Vec::new();
+        for arrival in self.arrivals.iter().filter(|a| a.scan().is_some_and(is_entry)) {
+            if let Some(first) = first_searchers.insert(&arrival.part, arrival.searcher) {
+                violations.push(Violation {
+                    rule: "nothing runs twice that may not",
+                    at_ms: arrival.at_ms,
+                    who: format!("m{}", arrival.mixer().map_or(0, |m| m + 1)),
+                    what: format!("{} reached s{} after s{}", arrival.part, arrival.searcher + 1, first + 1),
+                });
             }
         }
-        bad
+        violations
     }
 
-    fn drains(&self) -> Vec<Violation> {
-        let mut bad = Vec::new();
-        for (searcher, at) in &self.drains {
-            for one in self.arrivals.iter().filter(|a| a.searcher == *searcher) {
-                let Some(mixer) = one.mixer() else { continue };
-                // Whoever could not be told, or stood still, is not held to it here.
-                let within = |s: &Span| s.mixer == mixer && s.from <= one.at_ms && s.to + DRAIN_MS >= *at;
-                let told = !self.without_discovery.iter().chain(&self.stalls).any(within);
-                if one.at_ms > at + DRAIN_MS && one.at_ms < self.length_ms && told {
-                    let what =
-                        format!("{} reached s{}, which drains since {at:.0} ms", one.part, searcher + 1);
-                    let who = format!("m{}", mixer + 1);
-                    bad.push(Violation { rule: "drains are kept", at_ms: one.at_ms, who, what });
+    /// Parts that reached a draining searcher after the grace period.
+    fn drain_violations(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for drain in &self.drains {
+            let grace_end_ms = drain.at_ms + DRAIN_GRACE_MS;
+            for arrival in self.arrivals.iter().filter(|a| a.searcher == drain.searcher) {
+                let Some(mixer) = arrival.mixer() else { continue };
+                // A mixer that was without discovery or stalled could not know of the drain.
+                let overlaps = |i: &Interval| {
+                    i.mixer == mixer && i.from_ms <= arrival.at_ms && i.to_ms + DRAIN_GRACE_MS >= drain.at_ms
+                };
+                let informed = !self.without_discovery.iter().chain(&self.stalls).any(overlaps);
+                if arrival.at_ms > grace_end_ms && arrival.at_ms < self.length_ms && informed {
+                    violations.push(Violation {
+                        rule: "drains are kept",
+                        at_ms: arrival.at_ms,
+                        who: format!("m{}", mixer + 1),
+                        what: format!(
+                            "{} reached s{}, which drains since {:.0} ms",
+                            arrival.part,
+                            drain.searcher + 1,
+                            drain.at_ms
+                        ),
+                    });
                 }
             }
         }
-        bad
+        violations
     }
 
-    /// The parts that reach a cold searcher in any span in which it would fall.
-    fn cold(&self) -> Vec<Violation> {
-        let mut bad = Vec::new();
-        for (searcher, back) in &self.returned {
+    /// Cold searchers that received so many parts within a window that they would fail.
+    fn overloaded_cold_searchers(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for SearcherEvent { searcher, at_ms: returned_ms } in &self.returned {
             let mut times: Vec<f64> = self
                 .arrivals
                 .iter()
-                .filter(|a| a.searcher == *searcher && a.at_ms >= *back && a.at_ms - back < WARM_MS)
+                .filter(|a| {
+                    a.searcher == *searcher && a.at_ms >= *returned_ms && a.at_ms - returned_ms < WARM_UP_MS
+                })
                 .map(|a| a.at_ms)
                 .collect();
             times.sort_by(f64::total_cmp);
-            let over = times.iter().enumerate().find_map(|(nth, at)| {
-                let able = COLD_FROM + (1.0 - COLD_FROM) * (at - back) / WARM_MS;
-                let bound = TIP * able * FALL_MS / self.work_ms.max(0.1);
-                let within = times[nth..].iter().take_while(|t| **t < at + FALL_MS).count();
-                (within as f64 > bound).then_some((*at, within, bound))
+            let overload = times.iter().enumerate().find_map(|(index, at)| {
+                let rate_share = COLD_RATE_SHARE + (1.0 - COLD_RATE_SHARE) * (at - returned_ms) / WARM_UP_MS;
+                let max_parts = OVERLOAD_MULTIPLE * rate_share * OVERLOAD_WINDOW_MS / self.work_ms.max(0.1);
+                let parts = times[index..].iter().take_while(|t| **t < at + OVERLOAD_WINDOW_MS).count();
+                (parts as f64 > max_parts).then_some((*at, parts, max_parts))
             });
-            if let Some((at_ms, within, bound)) = over {
-                let what = format!("{within} parts in a second, over {bound:.0} it falls");
-                let who = format!("s{}", searcher + 1);
-                bad.push(Violation { rule: "no cold searcher is pushed over", at_ms, who, what });
+            if let Some((at_ms, parts, max_parts)) = overload {
+                violations.push(Violation {
+                    rule: "no cold searcher is pushed over",
+                    at_ms,
+                    who: format!("s{}", searcher + 1),
+                    what: format!("{parts} parts in a second, over {max_parts:.0} it falls"),
+                });
             }
         }
-        bad
+        violations
     }
 }
 
@@ -189,22 +231,22 @@
 mod tests {
     use super::*;
 
-    fn sound() -> Record {
-        let ask = |nth: u64| ScanRecord {
+    fn valid_record() -> Record {
+        let scan = |nth: u64| ScanRecord {
             id: format!("m1-1-{nth}"),
             mixer: 0,
             process: 1,
             began_ms: nth as f64 * 10.0,
             ended_ms: nth as f64 * 10.0 + 6.0,
             outcome: Outcome::Completed,
-            twice: false,
+            extra_bytes: false,
         };
-        let arrive = |nth: u64| PartArrival {
+        let arrival = |nth: u64| PartArrival {
             at_ms: nth as f64 * 10.0 + 1.0,
             searcher: nth as usize % 4,
             part: format!("m1-1-{nth}.7"),
         };
-        let (scans, arrivals) = ((0..2000).map(ask).collect(), (0..2000).map(arrive).collect());
+        let (scans, arrivals) = ((0..2000).map(scan).collect(), (0..2000).map(arrival).collect());
         Record { scans, arrivals, work_ms: 5.0, length_ms: 20_000.0, ..Record::default() }
     }
 
@@ -213,62 +255,62 @@
     }
 
     #[test]
-    fn what_is_sound_breaks_nothing() {
-        assert_eq!(rules(&sound()), []);
+    fn valid_record_has_no_violations() {
+        assert_eq!(rules(&valid_record()), []);
     }
 
     #[test]
-    fn a_lost_answer_is_found_unless_its_process_was_ended() {
+    fn lost_answer() {
         for outcome in [Outcome::ConnectionLost, Outcome::TimedOut, Outcome::UnexpectedStatus(500)] {
-            let mut record = sound();
+            let mut record = valid_record();
             record.scans[17].outcome = outcome;
             assert_eq!(rules(&record), [("each scan gets one final answer", "m1".to_owned())]);
         }
-        let mut record = sound();
+        let mut record = valid_record();
         record.scans[17].outcome = Outcome::ConnectionLost;
         record.ended_processes.insert(1, 180.0);
         assert_eq!(rules(&record), []);
-        record.scans[18].twice = true;
-        assert_eq!(rules(&record).len(), 1, "one answered twice is none the less");
+        record.scans[18].extra_bytes = true;
+        assert_eq!(rules(&record).len(), 1, "a second answer counts even if the process ended");
     }
 
     #[test]
-    fn an_entry_that_reaches_two_searchers_is_found_and_a_copy_of_what_may_be_repeated_is_none() {
-        let mut record = sound();
+    fn duplicate_entry() {
+        let mut record = valid_record();
         let copy = |record: &Record, nth: usize| PartArrival { searcher: 2, ..record.arrivals[nth].clone() };
-        let (may, may_not) = (copy(&record, 12), copy(&record, 15));
-        record.arrivals.push(may);
+        let (repeatable, entry) = (copy(&record, 12), copy(&record, 15));
+        record.arrivals.push(repeatable);
         assert_eq!(rules(&record), []);
-        record.arrivals.push(may_not);
+        record.arrivals.push(entry);
         assert_eq!(rules(&record), [("nothing runs twice that may not", "m1".to_owned())]);
     }
 
     #[test]
-    fn a_drain_that_is_not_kept_is_found_unless_nobody_could_tell() {
-        let mut record = sound();
-        record.drains.push((3, 5000.0));
-        assert_eq!(rules(&record).len(), OF_A_KIND);
+    fn ignored_drain() {
+        let mut record = valid_record();
+        record.drains.push(SearcherEvent { searcher: 3, at_ms: 5000.0 });
+        assert_eq!(rules(&record).len(), MAX_VIOLATIONS_PER_RULE);
         assert!(rules(&record).iter().all(|b| b.0 == "drains are kept"));
-        let mut blind = record.clone();
-        blind.without_discovery.push(Span { mixer: 0, from: 4000.0, to: f64::INFINITY });
-        assert_eq!(rules(&blind), []);
+        let mut uninformed = record.clone();
+        uninformed.without_discovery.push(Interval { mixer: 0, from_ms: 4000.0, to_ms: f64::INFINITY });
+        assert_eq!(rules(&uninformed), []);
         let mut kept = record.clone();
         kept.arrivals.retain(|a| a.searcher != 3 || a.at_ms < 5200.0);
         assert_eq!(rules(&kept), []);
     }
 
     #[test]
-    fn a_cold_searcher_that_is_pushed_over_by_the_sum_is_found() {
-        let mut record = sound();
-        record.returned.push((2, 5000.0));
-        assert_eq!(rules(&record), [], "25 parts a second are no push");
-        // 80 parts of 5 ms in a second are twice what a fifth of its rate does.
-        let push = |nth: u64| PartArrival {
+    fn overloaded_cold_searcher() {
+        let mut record = valid_record();
+        record.returned.push(SearcherEvent { searcher: 2, at_ms: 5000.0 });
+        assert_eq!(rules(&record), [], "25 parts a second are no overload");
+        // At a fifth of its full rate it bears 40 parts of 5 ms a second and fails above twice as many.
+        let extra_arrival = |nth: u64| PartArrival {
             at_ms: 5100.0 + nth as f64,
             searcher: 2,
             part: format!("m{}-1-{nth}.1", nth % 3),
         };
-        record.arrivals.extend((1..120).filter(|n| n % 5 != 0).map(push));
+        record.arrivals.extend((1..120).filter(|n| n % 5 != 0).map(extra_arrival));
         assert_eq!(rules(&record), [("no cold searcher is pushed over", "s3".to_owned())]);
     }
 }
--- a/crates/drill/src/gate.rs
+++ b/crates/drill/src/gate.rs
@@ -1,4 +1,4 @@
-//! A gate: what one process says to another passes through it, or does not.
+//! Gates: TCP proxies on the paths between processes, which forward connections or inject faults into them.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,54 +7,66 @@
 use std::thread::{self, Builder};
 use std::time::Duration;
 
-const STACK: usize = 128 * 1024;
-/// Bytes that pass in one piece.
-const PIECE: usize = 16 * 1024;
+/// Stack of a gate's thread.
+const STACK_BYTES: usize = 128 * 1024;
+/// Size of the buffer of one forwarding step.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Bits that a corrupted byte has flipped.
+const CORRUPTION_MASK: u8 = 0x15;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// What a path does with connections and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
     Pass,
+    /// Closes open connections, and new ones at once.
     Cut,
+    /// Closes new connections at once; open ones stay.
     Refuse,
+    /// Accepts connections and discards their bytes.
     Drop,
+    /// As `Drop`, and closes the far side of open connections; the near side sees nothing of it.
     HalfOpen,
 }
 
-/// What a path does with what comes.
+/// The faults of a path.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathBehavior {
     pub mode: Mode,
     pub delay_ms: f64,
-    /// Bytes a second; no bound where it is zero.
-    pub rate: f64,
-    pub flip: bool,
+    /// Maximum rate; unlimited if zero.
+    pub bytes_per_s: f64,
+    /// Corrupts one byte of each forwarded buffer.
+    pub flip_bits: bool,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A directed path: how it does, and the connections that were opened along it.
+/// A directed path between two processes: its behavior, and the connections that were opened along it.
 #[derive(Default)]
 pub struct NetworkPath {
     behavior: Mutex<PathBehavior>,
-    conns: Mutex<Vec<Arc<Conn>>>,
+    connections: Mutex<Vec<Arc<Connection>>>,
 }
 
 /// A connection through a gate.
-struct Conn {
+struct Connection {
+    /// To the process that opened the connection.
     near: TcpStream,
+    /// To the process that it was opened to; `None` if the path swallowed it from the start.
     far: Option<TcpStream>,
-    /// Bytes of it were swallowed: it can't go on, as no stream has holes.
-    holed: AtomicBool,
-    over: AtomicBool,
+    /// Bytes of the stream were discarded, so it must not carry any further ones.
+    lost_bytes: AtomicBool,
+    closed: AtomicBool,
 }
 
-impl Conn {
-    fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
-        let _ = self.near.shutdown(Shutdown::Both); // it may be over already
+impl Connection {
+    fn close(&self) {
+        self.closed.store(true, Ordering::SeqCst);
+        let _ = self.near.shutdown(Shutdown::Both); // fails only if it is closed already
         if let Some(far) = &self.far {
             let _ = far.shutdown(Shutdown::Both);
         }
@@ -66,85 +78,95 @@
         *locked(&self.behavior)
     }
 
-    /// Sets how it does from now on.
+    /// Sets the behavior, for open connections too.
     pub fn set(&self, behavior: PathBehavior) {
-        let before = std::mem::replace(&mut *locked(&self.behavior), behavior);
-        let mut conns = locked(&self.conns);
-        conns.retain(|c| !c.over.load(Ordering::SeqCst));
+        let previous = std::mem::replace(&mut *locked(&self.behavior), behavior);
+        let mut connections = locked(&self.connections);
+        connections.retain(|c| !c.closed.load(Ordering::SeqCst));
         match behavior.mode {
-            Mode::Cut => conns.iter().for_each(|c| c.end()),
+            Mode::Cut => connections.iter().for_each(|c| c.close()),
             Mode::HalfOpen => {
-                for conn in conns.iter() {
-                    conn.holed.store(true, Ordering::SeqCst);
-                    if let Some(far) = &conn.far {
-                        let _ = far.shutdown(Shutdown::Both); // it may be over already
+                for connection in connections.iter() {
+                    connection.lost_bytes.store(true, Ordering::SeqCst);
+                    if let Some(far) = &connection.far {
+                        let _ = far.shutdown(Shutdown::Both); // fails only if it is closed already
                     }
                 }
             }
-            Mode::Pass if before.mode != Mode::Pass => {
-                conns.iter().filter(|c| c.holed.load(Ordering::SeqCst)).for_each(|c| c.end());
+            Mode::Pass if previous.mode != Mode::Pass => {
+                connections.iter().filter(|c| c.lost_bytes.load(Ordering::SeqCst)).for_each(|c| c.close());
             }
             Mode::Pass | Mode::Refuse | Mode::Drop => {}
         }
     }
 }
 
-/// Where a gate leads: nowhere while nobody listens there.
+/// The address that a gate forwards to; `None` while nobody listens there.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
-/// Opens a gate; `path` is what goes through it, `back` what comes back on the same connections. It stands for as long as the
-/// program runs; connections end with those at their ends.
-pub fn open(target: Target, path: Arc<NetworkPath>, back: Arc<NetworkPath>) -> io::Result<SocketAddr> {
+/// Opens a gate and returns its address. Bytes from the process that opens a connection follow `path`, those in the other
+/// direction `return_path`. The gate stays for the life of the program; its connections end with those on either side.
+pub fn open(target: Target, path: Arc<NetworkPath>, return_path: Arc<NetworkPath>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let at = listener.local_addr()?;
-    let run = move || {
+    let address = listener.local_addr()?;
+    let accept_all = move || {
         for near in listener.incoming().flatten() {
-            let (target, path, back) = (target.clone(), path.clone(), back.clone());
-            // One that can't be served ends here.
-            let _ = spawn(move || pass(near, &target, &path, &back));
+            let (target, path, return_path) = (target.clone(), path.clone(), return_path.clone());
+            // If no thread can be started, the connection closes.
+            let _ = spawn(move || serve(near, &target, &path, &return_path));
         }
     };
-    spawn(run)?;
-    Ok(at)
+    spawn(accept_all)?;
+    Ok(address)
 }
 
 fn spawn(run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    Builder::new().name("gate".to_owned()).stack_size(STACK).spawn(run).map(drop)
+    Builder::new().name("gate".to_owned()).stack_size(STACK_BYTES).spawn(run).map(drop)
 }
 
-fn pass(near: TcpStream, target: &Target, path: &Arc<NetworkPath>, back: &Arc<NetworkPath>) {
+/// Serves one connection until it ends.
+fn serve(near: TcpStream, target: &Target, path: &Arc<NetworkPath>, return_path: &Arc<NetworkPath>) {
     let mode = path.behavior().mode;
     if matches!(mode, Mode::Cut | Mode::Refuse) {
         return;
     }
-    let holds = matches!(mode, Mode::Drop | Mode::HalfOpen);
-    let far = if holds {
+    let swallows = matches!(mode, Mode::Drop | Mode::HalfOpen);
+    let far = if swallows {
         None
     } else {
-        let Some(at) = *locked(target) else { return };
-        let Ok(far) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else { return };
-        let _ = far.set_nodelay(true); // it only makes bytes later
+        let Some(address) = *locked(target) else { return };
+        let Ok(far) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else { return };
+        let _ = far.set_nodelay(true); // a failure only delays bytes
         Some(far)
     };
-    let _ = near.set_nodelay(true); // as above
-    let conn = Arc::new(Conn { near, far, holed: AtomicBool::new(holds), over: AtomicBool::new(false) });
+    let _ = near.set_nodelay(true); // a failure only delays bytes
+    let connection = Arc::new(Connection {
+        near,
+        far,
+        lost_bytes: AtomicBool::new(swallows),
+        closed: AtomicBool::new(false),
+    });
     {
-        let mut conns = locked(&path.conns);
-        conns.retain(|c| !c.over.load(Ordering::SeqCst));
-        conns.push(conn.clone());
+        let mut connections = locked(&path.connections);
+        connections.retain(|c| !c.closed.load(Ordering::SeqCst));
+        connections.push(connection.clone());
     }
-    if conn.far.is_some() {
-        let (conn, back) = (conn.clone(), back.clone());
-        let _ = spawn(move || carry(&conn, conn.far.as_ref(), Some(&conn.near), &back)); // or nothing comes back
+    if connection.far.is_some() {
+        let (connection, return_path) = (connection.clone(), return_path.clone());
+        // If no thread can be started, nothing is sent back.
+        let _ = spawn(move || {
+            forward(&connection, connection.far.as_ref(), Some(&connection.near), &return_path);
+        });
     }
-    carry(&conn, Some(&conn.near), conn.far.as_ref(), path);
+    forward(&connection, Some(&connection.near), connection.far.as_ref(), path);
 }
 
-fn carry(conn: &Conn, from: Option<&TcpStream>, to: Option<&TcpStream>, path: &NetworkPath) {
+/// Forwards one direction of a connection until it ends.
+fn forward(connection: &Connection, from: Option<&TcpStream>, to: Option<&TcpStream>, path: &NetworkPath) {
     let Some(mut from) = from else { return };
-    let mut piece = [0; PIECE];
+    let mut buffer = [0; BUFFER_BYTES];
     loop {
-        let count = match from.read(&mut piece) {
+        let count = match from.read(&mut buffer) {
             Ok(count) if count > 0 => count,
             _ => break,
         };
@@ -152,29 +174,29 @@
         if behavior.delay_ms > 0.0 {
             thread::sleep(Duration::from_secs_f64(behavior.delay_ms / 1000.0));
         }
-        if behavior.rate > 0.0 {
-            thread::sleep(Duration::from_secs_f64(count as f64 / behavior.rate));
+        if behavior.bytes_per_s > 0.0 {
+            thread::sleep(Duration::from_secs_f64(count as f64 / behavior.bytes_per_s));
         }
-        // It may have changed meanwhile.
+        // The behavior may have changed during the delay.
         let behavior = path.behavior();
         match behavior.mode {
-            Mode::Drop | Mode::HalfOpen => conn.holed.store(true, Ordering::SeqCst),
-            _ if conn.holed.load(Ordering::SeqCst) => {}
+            Mode::Drop | Mode::HalfOpen => connection.lost_bytes.store(true, Ordering::SeqCst),
+            _ if connection.lost_bytes.load(Ordering::SeqCst) => {}
             _ => {
-                if behavior.flip {
-                    piece[count / 2] ^= 0x15;
+                if behavior.flip_bits {
+                    buffer[count / 2] ^= CORRUPTION_MASK;
                 }
                 let Some(mut to) = to else { continue };
-                if to.write_all(&piece[..count]).is_err() {
+                if to.write_all(&buffer[..count]).is_err() {
                     break;
                 }
             }
         }
     }
-    // What is swallowed tells nobody of its end; a half-open connection is just that.
-    let silent = matches!(path.behavior().mode, Mode::Drop | Mode::HalfOpen);
-    if !silent || conn.over.load(Ordering::SeqCst) {
-        conn.end();
+    // On a path that discards bytes, the end of one side is not shown to the other.
+    let discards = matches!(path.behavior().mode, Mode::Drop | Mode::HalfOpen);
+    if !discards || connection.closed.load(Ordering::SeqCst) {
+        connection.close();
     }
-    conn.holed.store(true, Ordering::SeqCst);
+    connection.lost_bytes.store(true, Ordering::SeqCst);
 }
--- a/crates/drill/src/harness.rs
+++ b/crates/drill/src/harness.rs
@@ -1,4 +1,4 @@
-//! The rig: starts what a script names, does what it says, and looks at what comes of it.
+//! The harness of a drill: starts the processes of a script, carries out its actions and checks its expectations.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,107 +13,145 @@
 use rustix::process::Signal;
 use serde_json::Value;
 
-use crate::checks::{DRAIN_MS, Outcome, PartArrival, Record, ScanRecord, Span};
+use crate::checks::{DRAIN_GRACE_MS, Interval, Outcome, PartArrival, Record, ScanRecord, SearcherEvent};
 use crate::gate::{self, Mode, NetworkPath, PathBehavior, Target};
 use crate::process::{Process, ProcessConfig};
-use crate::report::{ExpectationResult, HungSearcher, Report, ScanSummary, TimelineEntry, Violation};
-use crate::script::{Action, Expect, Paths, Script, StateOnStart};
+use crate::report::{
+    ExpectationResult, HungSearcher, ProcessCost, Report, ScanSummary, TimelineEntry, Violation,
+};
+use crate::script::{Action, Expect, PathEnds, Paths, Script, StateOnStart};
 use crate::test_bed::{
-    self, ClientScan, Clients, ReadyMixers, Searchers, State, TIMEOUT_MS, WORK_MS, wall_ms,
+    self, ClientScan, Clients, MixerEndpoint, PART_WORK_MS, QUERY_TIMEOUT_MS, ReadyMixers, SearcherState,
+    Searchers, unix_time_ms,
 };
 
-/// How a drill is run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the mixer.
+    /// Path of the mixer's executable.
     pub program: PathBuf,
     pub seed: u64,
-    /// Where the files of the processes stay; else they go with the drill.
+    /// Directory that keeps the files of the processes; a temporary one is used and removed if absent.
     pub keep: Option<PathBuf>,
     /// The mixers share nothing, for comparison.
     pub alone: bool,
 }
 
-/// The fleet has so long to come up before the first step.
-const UP: Duration = Duration::from_secs(60);
-/// How often it is looked whether something expected has come about.
+/// Time for the whole fleet to come up before the first step.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two checks of an expected condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A process that is asked to end has so long: past the longest query timeout and what draining takes.
-const END: Duration = Duration::from_secs(30);
-/// A searcher that died is taken from the list after so long.
+/// Time for a process to exit after SIGTERM: longer than the longest query timeout and a drain together.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay until discovery removes a searcher that died.
 const REMOVAL_DELAY_MS: f64 = 1000.0;
-/// Something that is to be done at a time.
+/// Maximum number of violations reported for one rule: more would hide the others.
+const MAX_VIOLATIONS_PER_RULE: usize = 5;
+/// Maximum number of log lines of one process in the timeline.
+const MAX_TIMELINE_LINES: usize = 400;
+
+/// An entry of the schedule: a step of the script, or the later part of one.
 #[derive(Clone, Debug)]
 enum ScheduledAction {
-    Action(Action),
-    Continue(usize, u64),
+    Step(Action),
+    /// Continues a stalled process.
+    Continue {
+        mixer: usize,
+        process: u64,
+    },
+    /// Removes a dead searcher from discovery.
     RemoveFromDiscovery(usize),
 }
 
+/// A scheduled action and its time, in milliseconds from the start of the drill.
+struct Scheduled {
+    at_ms: f64,
+    action: ScheduledAction,
+}
+
+/// The gate between one mixer and its discovery server.
+struct DiscoveryGate {
+    path: Arc<NetworkPath>,
+    address: SocketAddr,
+}
+
+/// Whether an expectation holds at the moment, and a description of the state that was observed.
+struct Observation {
+    holds: bool,
+    seen: String,
+}
+
 struct Harness<'a> {
     script: &'a Script,
     options: &'a Options,
     dir: PathBuf,
     searchers: Searchers,
+    /// The network path from each mixer (first index) to each other one.
     paths: Vec<Vec<Arc<NetworkPath>>>,
+    /// Addresses of the gates, indexed as `paths`; `None` on the diagonal.
     gates: Vec<Vec<Option<SocketAddr>>>,
+    /// Where each mixer listens for the others.
     targets: Vec<Target>,
-    discovery_paths: Vec<(Arc<NetworkPath>, SocketAddr)>,
+    discovery_gates: Vec<DiscoveryGate>,
+    /// The current process of each mixer.
     processes: Vec<Option<Process>>,
-    /// Processes whose name another has taken.
+    /// Processes that the script ended, and those replaced by a later one of the same name, each with its mixer.
     former_processes: Vec<(usize, Process)>,
     ready_mixers: ReadyMixers,
     began: Instant,
+    /// Number of processes started so far.
     starts: u64,
     timeline: Vec<TimelineEntry>,
     violations: Vec<Violation>,
     record: Record,
-    /// Of the processes that the script ended, those that were killed.
+    /// Numbers of the processes that the script killed.
     killed: BTreeSet<u64>,
-    hung: Vec<(usize, f64)>,
-    /// How wrong the wall clock of each mixer's host is, in milliseconds.
+    hung: Vec<SearcherEvent>,
+    /// Error of the wall clock of each mixer's host.
     clock_offset_ms: Vec<f64>,
 }
 
 /// Runs one drill.
 ///
 /// # Errors
-/// If the rig itself can't be set up: a port, a file, the program. What the drill shows is in the report.
+/// If the harness itself can't be set up, as for want of a port, a file or the executable. Failures that the drill
+/// finds are in the report.
 pub fn run(script: &Script, options: &Options) -> Result<Report> {
     static DRILLS: AtomicU64 = AtomicU64::new(0);
-    let nth = DRILLS.fetch_add(1, Ordering::SeqCst);
+    let drill_number = DRILLS.fetch_add(1, Ordering::SeqCst);
     let dir = options.keep.clone().unwrap_or_else(std::env::temp_dir);
-    let dir = dir.join(format!("drill-{}-{nth}", std::process::id()));
-    let rig = Harness::open(script, options, dir.clone());
-    let report = rig.and_then(Harness::run);
+    let dir = dir.join(format!("drill-{}-{drill_number}", std::process::id()));
+    let harness = Harness::open(script, options, dir.clone());
+    let report = harness.and_then(Harness::run);
     if options.keep.is_none() {
-        let _ = fs::remove_dir_all(&dir); // what can't be removed stays behind
+        let _ = fs::remove_dir_all(&dir); // a leftover directory does not affect the result
     }
     report
 }
 
 impl<'a> Harness<'a> {
     fn open(script: &'a Script, options: &'a Options, dir: PathBuf) -> Result<Self> {
-        let n = script.mixers;
+        let mixers = script.mixers;
         let searchers = Searchers::start(script.searchers).context("searchers")?;
         let paths: Vec<Vec<Arc<NetworkPath>>> =
-            (0..n).map(|_| (0..n).map(|_| Arc::default()).collect()).collect();
-        let targets: Vec<Target> = (0..n).map(|_| Target::default()).collect();
-        let mut gates = vec![vec![None; n]; n];
-        for (a, row) in gates.iter_mut().enumerate() {
-            for (b, place) in row.iter_mut().enumerate().filter(|(b, _)| *b != a) {
-                let at = gate::open(targets[b].clone(), paths[a][b].clone(), paths[b][a].clone())
-                    .context("a gate")?;
-                *place = Some(at);
+            (0..mixers).map(|_| (0..mixers).map(|_| Arc::default()).collect()).collect();
+        let targets: Vec<Target> = (0..mixers).map(|_| Target::default()).collect();
+        let mut gates = vec![vec![None; mixers]; mixers];
+        for (from, row) in gates.iter_mut().enumerate() {
+            for (to, gate) in row.iter_mut().enumerate().filter(|(to, _)| *to != from) {
+                let address =
+                    gate::open(targets[to].clone(), paths[from][to].clone(), paths[to][from].clone())
+                        .context("a gate")?;
+                *gate = Some(address);
             }
         }
-        let mut discovery_paths = Vec::new();
-        for _ in 0..n {
-            let at = test_bed::discovery(&searchers.lists).context("discovery")?;
+        let mut discovery_gates = Vec::new();
+        for _ in 0..mixers {
+            let server = test_bed::serve_discovery(&searchers.discovery).context("discovery")?;
             let path: Arc<NetworkPath> = Arc::default();
-            let gate =
-                gate::open(Arc::new(Mutex::new(Some(at))), path.clone(), Arc::default()).context("a gate")?;
-            discovery_paths.push((path, gate));
+            let address = gate::open(Arc::new(Mutex::new(Some(server))), path.clone(), Arc::default())
+                .context("a gate")?;
+            discovery_gates.push(DiscoveryGate { path, address });
         }
         Ok(Self {
             script,
@@ -123,157 +161,130 @@
             paths,
             gates,
             targets,
-            discovery_paths,
-            processes: (0..n).map(|_| None).collect(),
+            discovery_gates,
+            processes: (0..mixers).map(|_| None).collect(),
             former_processes: Vec::new(),
-            ready_mixers: Arc::new(Mutex::new(vec![None; n])),
+            ready_mixers: Arc::new(Mutex::new(vec![None; mixers])),
             began: Instant::now(),
             starts: 0,
             timeline: Vec::new(),
             violations: Vec::new(),
             killed: BTreeSet::new(),
-            record: Record { work_ms: WORK_MS as f64, ..Record::default() },
+            record: Record { work_ms: PART_WORK_MS as f64, ..Record::default() },
             hung: Vec::new(),
-            clock_offset_ms: vec![0.0; n],
+            clock_offset_ms: vec![0.0; mixers],
         })
     }
 
-    fn ms(&self, at: Instant) -> f64 {
+    /// Milliseconds from the start of the drill; negative for an earlier instant.
+    fn elapsed_ms(&self, at: Instant) -> f64 {
         match at.checked_duration_since(self.began) {
             Some(after) => after.as_secs_f64() * 1000.0,
             None => -(self.began - at).as_secs_f64() * 1000.0,
         }
     }
 
-    fn now(&self) -> f64 {
-        self.ms(Instant::now())
+    fn now_ms(&self) -> f64 {
+        self.elapsed_ms(Instant::now())
     }
 
     fn add_to_timeline(&mut self, who: &str, what: impl Into<String>) {
-        let at_ms = self.now();
+        let at_ms = self.now_ms();
         self.timeline.push(TimelineEntry { at_ms, who: who.to_owned(), what: what.into() });
     }
 
     fn add_violation(&mut self, rule: &'static str, at_ms: f64, who: String, what: String) {
-        // One of a kind says enough; hundreds hide it.
-        if self.violations.iter().filter(|b| b.rule == rule).count() < 5 {
+        if self.violations.iter().filter(|v| v.rule == rule).count() < MAX_VIOLATIONS_PER_RULE {
             self.violations.push(Violation { rule, at_ms, who, what });
         }
     }
 
-    fn start_process(&mut self, m: usize) -> Result<Process> {
+    fn start_process(&mut self, mixer: usize) -> Result<Process> {
         self.starts += 1;
-        let name = format!("m{}", m + 1);
-        let peers: Vec<(String, SocketAddr)> = self.gates[m]
+        let name = mixer_name(mixer);
+        let peers: Vec<(String, SocketAddr)> = self.gates[mixer]
             .iter()
             .enumerate()
-            .filter_map(|(b, at)| Some((format!("m{}", b + 1), (*at)?)))
+            .filter_map(|(peer, gate)| Some((mixer_name(peer), (*gate)?)))
             .collect();
-        let files = ProcessConfig {
+        let config = ProcessConfig {
             program: &self.options.program,
             dir: &self.dir.join(&name),
             name: &name,
             mixers: self.script.mixers,
-            discovery: self.discovery_paths[m].1,
+            discovery: self.discovery_gates[mixer].address,
             peers: &peers,
             seed: self
                 .options
                 .seed
                 .wrapping_mul(0x9e37_79b9_7f4a_7c15)
-                .wrapping_add((m as u64) << 32 | self.starts),
+                .wrapping_add((mixer as u64) << 32 | self.starts),
             number: self.starts,
             forget_ms: self.script.forget_ms,
-            clock_offset_ms: self.clock_offset_ms[m],
+            clock_offset_ms: self.clock_offset_ms[mixer],
             alone: self.options.alone || peers.is_empty(),
         };
-        Process::start(&files)
+        Process::start(&config)
     }
 
-    /// Waits until it can be reached, and leads the others there; clients come once it is ready, which one without discovery
-    /// is not.
-    fn wait_until_reachable(&mut self, m: usize, process: &Process) -> Result<()> {
+    /// Waits until the process listens and directs the other mixers' connections to it. Clients are directed to it only
+    /// once it is ready, which a mixer without discovery is not.
+    fn wait_until_reachable(&mut self, mixer: usize, process: &Process) -> Result<()> {
         let alone = self.options.alone || self.script.mixers == 1;
-        let mixers = process.until_open(alone).with_context(|| format!("m{}", m + 1))?;
-        *self.targets[m].lock().unwrap_or_else(PoisonError::into_inner) = mixers;
+        let address = process.wait_until_listening(alone).with_context(|| mixer_name(mixer))?;
+        *self.targets[mixer].lock().unwrap_or_else(PoisonError::into_inner) = address;
         Ok(())
     }
 
-    /// Leads clients to those that have become ready; whether all that run are.
+    /// Directs clients to the processes that have become ready. Returns whether all running ones are.
     fn update_ready_mixers(&self) -> bool {
         let mut ready_mixers = self.ready_mixers.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut all = true;
-        for (place, process) in ready_mixers.iter_mut().zip(&self.processes) {
-            *place = process.as_ref().and_then(|p| Some((p.number, p.ready()?)));
-            all &= place.is_some() || process.is_none();
+        let mut all_ready = true;
+        for (endpoint, process) in ready_mixers.iter_mut().zip(&self.processes) {
+            *endpoint = process
+                .as_ref()
+                .and_then(|p| Some(MixerEndpoint { process: p.number, address: p.ready_address()? }));
+            all_ready &= endpoint.is_some() || process.is_none();
         }
-        all
+        all_ready
     }
 
     fn run(mut self) -> Result<Report> {
-        for m in 0..self.script.mixers {
-            let process = self.start_process(m)?;
-            self.processes[m] = Some(process);
-        }
-        for m in 0..self.script.mixers {
-            let Some(process) = self.processes[m].take() else { continue };
-            let admitted = self.wait_until_reachable(m, &process);
-            self.processes[m] = Some(process);
-            admitted?;
-        }
-        let until = Instant::now() + UP;
-        while !(self.update_ready_mixers() && (self.options.alone || self.agreed().0)) {
-            if Instant::now() > until {
-                bail!("the fleet did not come up: {}", self.agreed().1);
-            }
-            thread::sleep(POLL_INTERVAL);
-        }
+        self.start_fleet()?;
         self.began = Instant::now();
         let clients = Clients::start(self.script.load, self.ready_mixers.clone(), self.options.seed)
             .context("clients")?;
-        let mut agenda: Vec<(f64, ScheduledAction)> =
-            self.script.steps.iter().map(|s| (s.at_ms, ScheduledAction::Action(s.action.clone()))).collect();
-        while !agenda.is_empty() {
-            let (at, what) = agenda.remove(0);
-            self.wait_until(at);
-            for later in self.execute(what)? {
-                let place = agenda.partition_point(|(other, _)| *other <= later.0);
-                agenda.insert(place, later);
-            }
-        }
+        self.run_steps()?;
         let mut expectations = Vec::new();
         for expect in self.script.expects.iter().filter(|e| !matches!(e, Expect::Answered { .. })) {
             expectations.push(self.check_expectation(expect));
         }
-        // Whoever was told of a drain has had its time to show that it keeps it.
-        let drained = self.record.drains.iter().map(|d| d.1 + DRAIN_MS + 500.0).fold(0.0, f64::max);
-        self.wait_until(drained);
-        let length_ms = self.now();
+        // Waits until the grace period of each drain is over, so that a mixer that ignores a drain is seen.
+        let drained_ms =
+            self.record.drains.iter().map(|d| d.at_ms + DRAIN_GRACE_MS + 500.0).fold(0.0, f64::max);
+        self.wait_until(drained_ms);
+        let length_ms = self.now_ms();
         self.record.length_ms = length_ms;
-        let asked = clients.end();
-        let cost = |(m, p): (usize, &Option<Process>)| {
-            let (cpu, kib) = p.as_ref()?.cost()?;
-            Some((format!("m{}", m + 1), cpu, kib))
-        };
+        let client_scans = clients.finish();
         self.check_processor_use();
-        let costs = self.processes.iter().enumerate().filter_map(cost).collect();
-        self.end();
-        let (mut asked, arrived) = (asked, self.searchers.arrived());
-        self.record.scans = asked.drain(..).map(|a| self.asked(a)).collect();
-        let arrived = arrived.into_iter();
-        self.record.arrivals = arrived
-            .map(|a| PartArrival { at_ms: self.ms(a.at), searcher: a.searcher, part: a.part })
+        let costs = self.process_costs();
+        self.stop_all();
+        let received = self.searchers.received_parts();
+        self.record.scans = client_scans.into_iter().map(|scan| self.scan_record(scan)).collect();
+        self.record.arrivals = received
+            .into_iter()
+            .map(|r| PartArrival { at_ms: self.elapsed_ms(r.at), searcher: r.searcher, part: r.part })
             .collect();
         self.violations.extend(self.record.violations());
-        let scans = self.scans();
+        let scans = self.scan_summary();
         for expect in &self.script.expects {
             if let Expect::Answered { share } = expect {
-                let got = scans.completed as f64 / scans.asked.max(1) as f64;
-                let seen = format!("{got:.3}");
+                let completed_share = scans.completed as f64 / scans.asked.max(1) as f64;
                 expectations.push(ExpectationResult {
                     expect: expect.to_string(),
-                    held: got >= *share,
+                    held: completed_share >= *share,
                     took_ms: 0.0,
-                    seen,
+                    seen: format!("{completed_share:.3}"),
                 });
             }
         }
@@ -295,42 +306,81 @@
         })
     }
 
-    /// Lets time go by, and sees that no process ends meanwhile.
+    /// Starts all mixers and waits until they are ready and, unless they share nothing, agree.
+    fn start_fleet(&mut self) -> Result<()> {
+        for mixer in 0..self.script.mixers {
+            let process = self.start_process(mixer)?;
+            self.processes[mixer] = Some(process);
+        }
+        for mixer in 0..self.script.mixers {
+            let Some(process) = self.processes[mixer].take() else { continue };
+            let reachable = self.wait_until_reachable(mixer, &process);
+            self.processes[mixer] = Some(process);
+            reachable?;
+        }
+        let deadline = Instant::now() + START_TIMEOUT;
+        while !(self.update_ready_mixers() && (self.options.alone || self.observe_agreement().holds)) {
+            if Instant::now() > deadline {
+                bail!("the fleet did not come up: {}", self.observe_agreement().seen);
+            }
+            thread::sleep(POLL_INTERVAL);
+        }
+        Ok(())
+    }
+
+    /// Executes the steps of the script, each at its time.
+    fn run_steps(&mut self) -> Result<()> {
+        let steps = self.script.steps.iter();
+        let mut schedule: Vec<Scheduled> = steps
+            .map(|s| Scheduled { at_ms: s.at_ms, action: ScheduledAction::Step(s.action.clone()) })
+            .collect();
+        while !schedule.is_empty() {
+            let next = schedule.remove(0);
+            self.wait_until(next.at_ms);
+            if let Some(follow_up) = self.execute(next.action)? {
+                let index = schedule.partition_point(|other| other.at_ms <= follow_up.at_ms);
+                schedule.insert(index, follow_up);
+            }
+        }
+        Ok(())
+    }
+
+    /// Waits until a time of the drill; meanwhile records processes that end.
     fn wait_until(&mut self, at_ms: f64) {
         loop {
             self.check_processes();
-            let left = at_ms - self.now();
-            if left <= 0.0 {
+            let left_ms = at_ms - self.now_ms();
+            if left_ms <= 0.0 {
                 return;
             }
-            thread::sleep(POLL_INTERVAL.min(Duration::from_secs_f64(left / 1000.0)));
+            thread::sleep(POLL_INTERVAL.min(Duration::from_secs_f64(left_ms / 1000.0)));
         }
     }
 
-    /// Processes that have become ready, and those that have ended though nobody asked.
+    /// Directs clients to processes that have become ready, and records those that ended without the script's doing.
     fn check_processes(&mut self) {
         self.update_ready_mixers();
-        let now = self.now();
-        let mut over = Vec::new();
-        let held = self.processes.iter_mut().enumerate().filter_map(|(m, p)| Some((m, p.as_mut()?)));
-        for (m, process) in held.chain(self.former_processes.iter_mut().map(|(m, p)| (*m, p))) {
+        let now = self.now_ms();
+        let mut exited = Vec::new();
+        let current = self.processes.iter_mut().enumerate().filter_map(|(m, p)| Some((m, p.as_mut()?)));
+        for (mixer, process) in current.chain(self.former_processes.iter_mut().map(|(m, p)| (*m, p))) {
             if !self.record.ended_processes.contains_key(&process.number)
                 && let Ok(Some(status)) = process.child.try_wait()
             {
-                over.push((m, process.number, status));
+                exited.push((mixer, process.number, status));
             }
         }
-        for (m, number, status) in over {
+        for (mixer, number, status) in exited {
             self.record.ended_processes.insert(number, now);
-            self.add_violation("no process ends unasked", now, format!("m{}", m + 1), status.to_string());
+            self.add_violation("no process ends unasked", now, mixer_name(mixer), status.to_string());
         }
     }
 
     fn paths(&self, paths: &Paths) -> Vec<Arc<NetworkPath>> {
-        paths.iter().map(|(a, b)| self.paths[*a][*b].clone()).collect()
+        paths.iter().map(|path| self.paths[path.from][path.to].clone()).collect()
     }
 
-    fn set(&self, paths: &Paths, change: impl Fn(&mut PathBehavior)) {
+    fn change_paths(&self, paths: &Paths, change: impl Fn(&mut PathBehavior)) {
         for path in self.paths(paths) {
             let mut behavior = path.behavior();
             change(&mut behavior);
@@ -338,118 +388,104 @@
         }
     }
 
-    fn execute(&mut self, what: ScheduledAction) -> Result<Vec<(f64, ScheduledAction)>> {
-        let now = self.now();
-        let mut later = Vec::new();
-        let action = match what {
-            ScheduledAction::Action(action) => action,
-            ScheduledAction::Continue(m, number) => {
-                // It may have been asked to end meanwhile, which it hears when it goes on.
-                let held = self.processes[m].iter().chain(self.former_processes.iter().map(|o| &o.1));
-                if let Some(process) = held.into_iter().find(|p| p.number == number) {
-                    process.signal(Signal::CONT);
-                    self.add_to_timeline("rig", format!("m{} goes on", m + 1));
-                }
-                return Ok(later);
+    /// Executes a scheduled action. Returns the later part of it, if it has one.
+    fn execute(&mut self, action: ScheduledAction) -> Result<Option<Scheduled>> {
+        let now = self.now_ms();
+        match action {
+            ScheduledAction::Step(action) => {
+                self.add_to_timeline("rig", action.to_string());
+                self.apply(action, now)
             }
-            ScheduledAction::RemoveFromDiscovery(s) => {
-                self.searchers.list(s, "removed", None);
-                return Ok(later);
+            ScheduledAction::Continue { mixer, process } => {
+                self.continue_process(mixer, process);
+                Ok(None)
             }
-        };
-        self.add_to_timeline("rig", action.to_string());
-        match action {
-            Action::Partition(groups) => {
-                let n = self.script.mixers;
-                let group = |m: usize| groups.iter().position(|g| g.contains(&m)).unwrap_or(n + m);
-                let between = |a: usize| (0..n).filter(move |b| *b != a).map(move |b| (a, b));
-                let paths: Paths = (0..n).flat_map(between).filter(|(a, b)| group(*a) != group(*b)).collect();
-                self.set(&paths, |m| m.mode = Mode::Drop);
+            ScheduledAction::RemoveFromDiscovery(searcher) => {
+                self.searchers.set_discovery_status(searcher, "removed", None);
+                Ok(None)
             }
-            Action::Cut(paths) => self.set(&paths, |m| m.mode = Mode::Cut),
-            Action::Drop(paths) => self.set(&paths, |m| m.mode = Mode::Drop),
-            Action::Refuse(paths) => self.set(&paths, |m| m.mode = Mode::Refuse),
-            Action::HalfOpen(paths) => self.set(&paths, |m| m.mode = Mode::HalfOpen),
-            Action::Delay(paths, ms) => self.set(&paths, |m| m.delay_ms = ms),
-            Action::Slow(paths, rate) => self.set(&paths, |m| m.rate = rate),
-            Action::Flip(paths) => self.set(&paths, |m| m.flip = true),
-            Action::Heal(Some(paths)) => self.set(&paths, |m| *m = PathBehavior::default()),
+        }
+    }
+
+    /// Continues a stalled process. If it received SIGTERM meanwhile, it handles that now.
+    fn continue_process(&mut self, mixer: usize, number: u64) {
+        let mut processes =
+            self.processes[mixer].iter().chain(self.former_processes.iter().map(|former| &former.1));
+        if let Some(process) = processes.find(|p| p.number == number) {
+            process.signal(Signal::CONT);
+            self.add_to_timeline("rig", format!("m{} goes on", mixer + 1));
+        }
+    }
+
+    /// Applies an action of the script. Returns the later part of it, if it has one.
+    fn apply(&mut self, action: Action, now: f64) -> Result<Option<Scheduled>> {
+        match action {
+            Action::Partition(groups) => self.partition(&groups),
+            Action::Cut(paths) => self.change_paths(&paths, |b| b.mode = Mode::Cut),
+            Action::Drop(paths) => self.change_paths(&paths, |b| b.mode = Mode::Drop),
+            Action::Refuse(paths) => self.change_paths(&paths, |b| b.mode = Mode::Refuse),
+            Action::HalfOpen(paths) => self.change_paths(&paths, |b| b.mode = Mode::HalfOpen),
+            Action::Delay(paths, ms) => self.change_paths(&paths, |b| b.delay_ms = ms),
+            Action::Slow(paths, rate) => self.change_paths(&paths, |b| b.bytes_per_s = rate),
+            Action::Flip(paths) => self.change_paths(&paths, |b| b.flip_bits = true),
+            Action::Heal(Some(paths)) => self.change_paths(&paths, |b| *b = PathBehavior::default()),
             Action::Heal(None) => {
                 self.paths.iter().flatten().for_each(|path| path.set(PathBehavior::default()));
                 let all: Vec<usize> = (0..self.script.mixers).collect();
                 self.restore_discovery(&all, now);
             }
-            Action::Stall(m, ms) => {
-                if let Some(process) = &self.processes[m] {
+            Action::Stall(mixer, ms) => {
+                if let Some(process) = &self.processes[mixer] {
                     process.signal(Signal::STOP);
-                    later.push((now + ms, ScheduledAction::Continue(m, process.number)));
-                    self.record.stalls.push(Span { mixer: m, from: now, to: now + ms });
+                    let action = ScheduledAction::Continue { mixer, process: process.number };
+                    self.record.stalls.push(Interval { mixer, from_ms: now, to_ms: now + ms });
+                    return Ok(Some(Scheduled { at_ms: now + ms, action }));
                 }
             }
-            Action::Kill(m) => {
-                if let Some(mut process) = self.detach_process(m, now) {
+            Action::Kill(mixer) => {
+                if let Some(mut process) = self.detach_process(mixer, now) {
                     self.killed.insert(process.number);
-                    let _ = process.child.kill(); // it may have ended
+                    let _ = process.child.kill(); // fails only if it has ended
                     let _ = process.child.wait();
-                    self.former_processes.push((m, process));
+                    self.former_processes.push((mixer, process));
                 }
             }
-            Action::Term(m) => {
-                if let Some(process) = self.detach_process(m, now) {
+            Action::Term(mixer) => {
+                if let Some(process) = self.detach_process(mixer, now) {
                     process.signal(Signal::TERM);
-                    self.former_processes.push((m, process));
-                }
-            }
-            Action::Clock(m, by) => self.clock_offset_ms[m] = by,
-            Action::Start(m, kept) => {
-                if self.processes[m].is_none() {
-                    if kept == StateOnStart::Fresh {
-                        let _ = fs::remove_dir_all(self.dir.join(format!("m{}", m + 1))); // or there is none
-                    }
-                    let process = self.start_process(m)?;
-                    self.wait_until_reachable(m, &process)?;
-                    self.processes[m] = Some(process);
-                }
-            }
-            Action::Twin(m) => {
-                let process = self.start_process(m)?;
-                self.wait_until_reachable(m, &process)?;
-                // The others' connections to the earlier end, as where an address goes over to another host.
-                let paths: Paths = (0..self.script.mixers).filter(|a| *a != m).map(|a| (a, m)).collect();
-                for path in self.paths(&paths) {
-                    let behavior = path.behavior();
-                    path.set(PathBehavior { mode: Mode::Cut, ..behavior });
-                    path.set(behavior);
-                }
-                if let Some(earlier) = self.processes[m].replace(process) {
-                    self.former_processes.push((m, earlier));
+                    self.former_processes.push((mixer, process));
                 }
             }
-            Action::Hang(s) => {
-                self.searchers.set(s, State::Hangs);
-                self.hung.push((s, now));
+            Action::Clock(mixer, offset_ms) => self.clock_offset_ms[mixer] = offset_ms,
+            Action::Start(mixer, state) => self.restart(mixer, state)?,
+            Action::Twin(mixer) => self.start_twin(mixer)?,
+            Action::Hang(searcher) => {
+                self.searchers.set_state(searcher, SearcherState::Hangs);
+                self.hung.push(SearcherEvent { searcher, at_ms: now });
             }
-            Action::Die(s) => {
-                self.searchers.set(s, State::Dead);
-                later.push((now + REMOVAL_DELAY_MS, ScheduledAction::RemoveFromDiscovery(s)));
+            Action::Die(searcher) => {
+                self.searchers.set_state(searcher, SearcherState::Dead);
+                let action = ScheduledAction::RemoveFromDiscovery(searcher);
+                return Ok(Some(Scheduled { at_ms: now + REMOVAL_DELAY_MS, action }));
             }
-            Action::Return(s) => {
-                self.searchers.set(s, State::Up);
-                self.searchers.list(s, "up", Some(wall_ms()));
-                self.record.returned.push((s, now));
-                self.record.drains.retain(|d| d.0 != s);
+            Action::Return(searcher) => {
+                self.searchers.set_state(searcher, SearcherState::Up);
+                self.searchers.set_discovery_status(searcher, "up", Some(unix_time_ms()));
+                self.record.returned.push(SearcherEvent { searcher, at_ms: now });
+                self.record.drains.retain(|d| d.searcher != searcher);
             }
-            Action::Drain(s) => {
-                self.searchers.list(s, "draining", None);
-                self.record.drains.push((s, now));
+            Action::Drain(searcher) => {
+                self.searchers.set_discovery_status(searcher, "draining", None);
+                self.record.drains.push(SearcherEvent { searcher, at_ms: now });
             }
             Action::LoseDiscovery(mixers) => {
                 let all: Vec<usize> = (0..self.script.mixers).collect();
-                for m in if mixers.is_empty() { all } else { mixers } {
-                    self.discovery_paths[m]
-                        .0
+                for mixer in if mixers.is_empty() { all } else { mixers } {
+                    self.discovery_gates[mixer]
+                        .path
                         .set(PathBehavior { mode: Mode::Cut, ..PathBehavior::default() });
-                    self.record.without_discovery.push(Span { mixer: m, from: now, to: f64::INFINITY });
+                    let without = Interval { mixer, from_ms: now, to_ms: f64::INFINITY };
+                    self.record.without_discovery.push(without);
                 }
             }
             Action::FindDiscovery(mixers) => {
@@ -457,231 +493,308 @@
                 self.restore_discovery(if mixers.is_empty() { &all } else { &mixers }, now);
             }
         }
-        Ok(later)
+        Ok(None)
+    }
+
+    /// Drops all bytes between mixers of different groups; a mixer in no group is a group of its own.
+    fn partition(&self, groups: &[Vec<usize>]) {
+        let mixers = self.script.mixers;
+        let group = |m: usize| groups.iter().position(|g| g.contains(&m)).unwrap_or(mixers + m);
+        let paths_from =
+            |from: usize| (0..mixers).filter(move |to| *to != from).map(move |to| PathEnds { from, to });
+        let paths: Paths =
+            (0..mixers).flat_map(paths_from).filter(|path| group(path.from) != group(path.to)).collect();
+        self.change_paths(&paths, |b| b.mode = Mode::Drop);
+    }
+
+    /// Starts a mixer that does not run.
+    fn restart(&mut self, mixer: usize, state: StateOnStart) -> Result<()> {
+        if self.processes[mixer].is_some() {
+            return Ok(());
+        }
+        if state == StateOnStart::Fresh {
+            let _ = fs::remove_dir_all(self.dir.join(mixer_name(mixer))); // fails if it was never started
+        }
+        let process = self.start_process(mixer)?;
+        self.wait_until_reachable(mixer, &process)?;
+        self.processes[mixer] = Some(process);
+        Ok(())
+    }
+
+    /// Starts a second process under the name of a mixer.
+    fn start_twin(&mut self, mixer: usize) -> Result<()> {
+        let process = self.start_process(mixer)?;
+        self.wait_until_reachable(mixer, &process)?;
+        // Closes the other mixers' connections to the earlier process, as when an address moves to another host.
+        let paths: Paths = (0..self.script.mixers)
+            .filter(|from| *from != mixer)
+            .map(|from| PathEnds { from, to: mixer })
+            .collect();
+        for path in self.paths(&paths) {
+            let behavior = path.behavior();
+            path.set(PathBehavior { mode: Mode::Cut, ..behavior });
+            path.set(behavior);
+        }
+        if let Some(earlier) = self.processes[mixer].replace(process) {
+            self.former_processes.push((mixer, earlier));
+        }
+        Ok(())
     }
 
     fn restore_discovery(&mut self, mixers: &[usize], now: f64) {
-        for m in mixers {
-            self.discovery_paths[*m].0.set(PathBehavior::default());
-            self.record
-                .without_discovery
-                .iter_mut()
-                .filter(|b| b.mixer == *m && b.to > now)
-                .for_each(|b| b.to = now);
+        for mixer in mixers {
+            self.discovery_gates[*mixer].path.set(PathBehavior::default());
+            let intervals = self.record.without_discovery.iter_mut();
+            intervals.filter(|i| i.mixer == *mixer && i.to_ms > now).for_each(|i| i.to_ms = now);
         }
     }
 
-    /// A mixer's process ends by the script: clients and the others find it no more.
-    fn detach_process(&mut self, m: usize, now: f64) -> Option<Process> {
-        let process = self.processes[m].take()?;
-        self.ready_mixers.lock().unwrap_or_else(PoisonError::into_inner)[m] = None;
+    /// Takes the process of a mixer that the script is about to end: clients and the other mixers no longer reach it.
+    fn detach_process(&mut self, mixer: usize, now: f64) -> Option<Process> {
+        let process = self.processes[mixer].take()?;
+        self.ready_mixers.lock().unwrap_or_else(PoisonError::into_inner)[mixer] = None;
         self.record.ended_processes.insert(process.number, now);
-        *self.targets[m].lock().unwrap_or_else(PoisonError::into_inner) = None;
+        *self.targets[mixer].lock().unwrap_or_else(PoisonError::into_inner) = None;
         Some(process)
     }
 
-    /// What each that runs sees, by its number.
+    /// The fleet view of each running mixer; `None` where the console does not answer.
     fn fleet_views(&self) -> Vec<(usize, Option<Value>)> {
-        self.processes.iter().enumerate().filter_map(|(m, p)| Some((m, p.as_ref()?.fleet()))).collect()
+        let processes = self.processes.iter().enumerate();
+        processes.filter_map(|(m, p)| Some((m, p.as_ref()?.fleet_view()))).collect()
     }
 
-    /// Whether all that run have the same, have caught up and see each other; what is seen.
-    fn agreed(&self) -> (bool, String) {
+    fn observe(&self, expect: &Expect) -> Observation {
+        match expect {
+            Expect::Agree { .. } => self.observe_agreement(),
+            Expect::Members { count, .. } => self.observe_members(*count),
+            Expect::NoMarks { .. } => self.observe_marks(),
+            Expect::Aside { mixer, .. } => self.observe_standing(*mixer),
+            Expect::Answered { .. } => Observation { holds: true, seen: String::new() },
+        }
+    }
+
+    /// Whether all running mixers hold the same records, have caught up and see each other.
+    fn observe_agreement(&self) -> Observation {
         let views = self.fleet_views();
-        let sums: BTreeSet<&str> = views
+        let checksums: BTreeSet<&str> = views
             .iter()
             .map(|(_, v)| v.as_ref().and_then(|v| v["sum"].as_str()).unwrap_or("silent"))
             .collect();
-        let alive = |v: &Value| members(v) == views.len();
-        let caught = |v: &Value| v["progress"] == "caught up" || views.len() == 1 && v["progress"] == "alone";
-        let all = views.iter().all(|(_, v)| v.as_ref().is_some_and(|v| alive(v) && caught(v)));
+        let all_alive = |v: &Value| members(v) == views.len();
+        let caught_up =
+            |v: &Value| v["progress"] == "caught up" || views.len() == 1 && v["progress"] == "alone";
+        let all = views.iter().all(|(_, v)| v.as_ref().is_some_and(|v| all_alive(v) && caught_up(v)));
         let seen = views.iter().map(|(m, v)| match v {
             Some(v) => format!("m{}: {} members, {}, sum {}", m + 1, members(v), v["progress"], v["sum"]),
             None => format!("m{}: silent", m + 1),
         });
-        (all && sums.len() <= 1, seen.collect::<Vec<_>>().join("; "))
+        Observation { holds: all && checksums.len() <= 1, seen: seen.collect::<Vec<_>>().join("; ") }
+    }
+
+    /// Whether each running mixer sees this many members.
+    fn observe_members(&self, count: usize) -> Observation {
+        let views = self.fleet_views();
+        let holds = views.iter().all(|(_, v)| v.as_ref().is_some_and(|v| members(v) == count));
+        let seen = views.iter().map(|(m, v)| format!("m{} sees {}", m + 1, v.as_ref().map_or(0, members)));
+        Observation { holds, seen: seen.collect::<Vec<_>>().join(", ") }
+    }
+
+    /// Whether no running mixer holds a mark.
+    fn observe_marks(&self) -> Observation {
+        let marks = |v: &Option<Value>| v.as_ref().map(|v| v["kinds"]["mark"].as_u64().unwrap_or(0));
+        let views = self.fleet_views();
+        let holds = views.iter().all(|(_, v)| marks(v) == Some(0));
+        let seen = views.iter().map(|(m, v)| match marks(v) {
+            Some(count) => format!("m{} holds {count}", m + 1),
+            None => format!("m{}: silent", m + 1),
+        });
+        Observation { holds, seen: seen.collect::<Vec<_>>().join(", ") }
     }
 
+    /// Whether a replaced process of the mixer stands aside from the fleet.
+    fn observe_standing(&self, mixer: usize) -> Observation {
+        let replaced = self
+            .former_processes
+            .iter()
+            .filter(|(m, p)| *m == mixer && !self.record.ended_processes.contains_key(&p.number));
+        let standing =
+            |p: &Process| p.fleet_view().map_or("silent".to_owned(), |v| v["standing"].to_string());
+        let seen: Vec<String> = replaced.map(|(_, p)| standing(p)).collect();
+        Observation { holds: seen.iter().any(|s| s.contains("aside")), seen: seen.join(", ") }
+    }
+
+    /// Waits until an expectation holds or its time is over.
     fn check_expectation(&mut self, expect: &Expect) -> ExpectationResult {
-        let within = match expect {
+        let within_ms = match expect {
             Expect::Agree { within_ms }
             | Expect::Members { within_ms, .. }
             | Expect::NoMarks { within_ms }
             | Expect::Aside { within_ms, .. } => *within_ms,
             Expect::Answered { .. } => 0.0,
         };
-        let began = self.now();
+        let began_ms = self.now_ms();
         loop {
-            let (held, seen) = match expect {
-                Expect::Agree { .. } => self.agreed(),
-                Expect::Members { count, .. } => {
-                    let views = self.fleet_views();
-                    let held = views.iter().all(|(_, v)| v.as_ref().is_some_and(|v| members(v) == *count));
-                    let seen = views
-                        .iter()
-                        .map(|(m, v)| format!("m{} sees {}", m + 1, v.as_ref().map_or(0, members)));
-                    (held, seen.collect::<Vec<_>>().join(", "))
-                }
-                Expect::NoMarks { .. } => {
-                    let marks =
-                        |v: &Option<Value>| v.as_ref().map(|v| v["kinds"]["mark"].as_u64().unwrap_or(0));
-                    let views = self.fleet_views();
-                    let held = views.iter().all(|(_, v)| marks(v) == Some(0));
-                    let seen = views.iter().map(|(m, v)| match marks(v) {
-                        Some(count) => format!("m{} holds {count}", m + 1),
-                        None => format!("m{}: silent", m + 1),
-                    });
-                    (held, seen.collect::<Vec<_>>().join(", "))
-                }
-                Expect::Aside { mixer, .. } => {
-                    let others = self
-                        .former_processes
-                        .iter()
-                        .filter(|(m, p)| m == mixer && !self.record.ended_processes.contains_key(&p.number));
-                    let standing =
-                        |p: &Process| p.fleet().map_or("silent".to_owned(), |v| v["standing"].to_string());
-                    let seen: Vec<String> = others.map(|(_, p)| standing(p)).collect();
-                    (seen.iter().any(|s| s.contains("aside")), seen.join(", "))
-                }
-                Expect::Answered { .. } => (true, String::new()),
-            };
-            let took_ms = self.now() - began;
-            if held || took_ms >= within {
-                return ExpectationResult { expect: expect.to_string(), held, took_ms, seen };
+            let Observation { holds, seen } = self.observe(expect);
+            let took_ms = self.now_ms() - began_ms;
+            if holds || took_ms >= within_ms {
+                return ExpectationResult { expect: expect.to_string(), held: holds, took_ms, seen };
             }
             self.check_processes();
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Finds processes that work where there is nothing to do: the loads of drills take a tenth of a core.
+    /// Reports processes that use half a core or more: the loads of drills take a tenth of one.
     fn check_processor_use(&mut self) {
-        const LEAST_MS: f64 = 3000.0;
-        const SHARE: f64 = 0.5;
-        let held = self.processes.iter().enumerate().filter_map(|(m, p)| Some((m, p.as_ref()?)));
-        let spins = held.chain(self.former_processes.iter().map(|(m, p)| (*m, p))).filter_map(|(m, p)| {
-            let (cpu, lived) = (p.cost()?.0, p.began.elapsed().as_secs_f64() * 1000.0);
-            (lived >= LEAST_MS && cpu > SHARE * lived).then(|| (m, format!("{cpu:.0} ms of {lived:.0}")))
+        const MIN_LIFETIME_MS: f64 = 3000.0;
+        const MAX_SHARE: f64 = 0.5;
+        let current = self.processes.iter().enumerate().filter_map(|(m, p)| Some((m, p.as_ref()?)));
+        let former = self.former_processes.iter().map(|(m, p)| (*m, p));
+        let spinning = current.chain(former).filter_map(|(mixer, process)| {
+            let cpu_ms = process.usage()?.cpu_ms;
+            let lifetime_ms = process.began.elapsed().as_secs_f64() * 1000.0;
+            (lifetime_ms >= MIN_LIFETIME_MS && cpu_ms > MAX_SHARE * lifetime_ms)
+                .then(|| (mixer, format!("{cpu_ms:.0} ms of {lifetime_ms:.0}")))
         });
-        let (now, spins) = (self.now(), spins.collect::<Vec<_>>());
-        for (m, what) in spins {
-            self.add_violation("no process spins", now, format!("m{}", m + 1), what);
+        let now = self.now_ms();
+        let spinning: Vec<_> = spinning.collect();
+        for (mixer, what) in spinning {
+            self.add_violation("no process spins", now, mixer_name(mixer), what);
         }
     }
 
-    /// Asks all that run to end, and sees that they do.
-    fn end(&mut self) {
-        let now = self.now();
+    /// The resources used by each process that still runs.
+    fn process_costs(&self) -> Vec<ProcessCost> {
+        let cost = |(mixer, process): (usize, &Option<Process>)| {
+            let usage = process.as_ref()?.usage()?;
+            Some(ProcessCost { mixer: mixer_name(mixer), cpu_ms: usage.cpu_ms, rss_kib: usage.rss_kib })
+        };
+        self.processes.iter().enumerate().filter_map(cost).collect()
+    }
+
+    /// Terminates all running processes and checks that each exits with success.
+    fn stop_all(&mut self) {
+        let now = self.now_ms();
         let running: Vec<(usize, Process)> =
             self.processes.iter_mut().enumerate().filter_map(|(m, p)| Some((m, p.take()?))).collect();
-        for (m, process) in running {
+        for (mixer, process) in running {
             process.signal(Signal::CONT);
             process.signal(Signal::TERM);
-            self.former_processes.push((m, process));
+            self.former_processes.push((mixer, process));
         }
-        let mut bad = Vec::new();
-        for (m, process) in &mut self.former_processes {
+        let mut failures = Vec::new();
+        for (mixer, process) in &mut self.former_processes {
             if !self.record.ended_processes.contains_key(&process.number) {
                 process.signal(Signal::TERM);
             }
-            match process.ends(END) {
+            match process.wait_for_exit(EXIT_TIMEOUT) {
                 Some(status) if status.success() || self.killed.contains(&process.number) => {}
-                Some(status) => bad.push((*m, format!("it was asked to end, and ended with {status}"))),
-                None => bad.push((*m, "it was asked to end, and did not".to_owned())),
+                Some(status) => {
+                    failures.push((*mixer, format!("it was asked to end, and ended with {status}")));
+                }
+                None => failures.push((*mixer, "it was asked to end, and did not".to_owned())),
             }
         }
-        for (m, what) in bad {
-            self.add_violation("no process ends unasked", now, format!("m{}", m + 1), what);
+        for (mixer, what) in failures {
+            self.add_violation("no process ends unasked", now, mixer_name(mixer), what);
         }
     }
 
-    fn asked(&self, a: ClientScan) -> ScanRecord {
-        let (began_ms, ended_ms) = (self.ms(a.began), self.ms(a.ended));
-        let ClientScan { id, mixer, process, outcome, twice, .. } = a;
-        ScanRecord { id, mixer, process, began_ms, ended_ms, outcome, twice }
+    fn scan_record(&self, scan: ClientScan) -> ScanRecord {
+        let began_ms = self.elapsed_ms(scan.began);
+        let ended_ms = self.elapsed_ms(scan.ended);
+        let ClientScan { id, mixer, process, outcome, extra_bytes, .. } = scan;
+        ScanRecord { id, mixer, process, began_ms, ended_ms, outcome, extra_bytes }
     }
 
-    fn scans(&self) -> ScanSummary {
-        let mut scans = ScanSummary::default();
-        let mut took = Vec::new();
-        for one in &self.record.scans {
-            let ms = one.ended_ms - one.began_ms;
-            match one.outcome {
-                Outcome::Completed if ms <= TIMEOUT_MS as f64 => {
-                    scans.completed += 1;
-                    took.push(ms);
+    fn scan_summary(&self) -> ScanSummary {
+        let mut summary = ScanSummary::default();
+        let mut completed_ms = Vec::new();
+        for scan in &self.record.scans {
+            let took_ms = scan.ended_ms - scan.began_ms;
+            match scan.outcome {
+                Outcome::Completed if took_ms <= QUERY_TIMEOUT_MS as f64 => {
+                    summary.completed += 1;
+                    completed_ms.push(took_ms);
                 }
                 Outcome::Completed | Outcome::Abandoned | Outcome::UnexpectedStatus(_) => {
-                    scans.abandoned += 1
+                    summary.abandoned += 1
                 }
-                Outcome::Refused => scans.refused += 1,
-                Outcome::ConnectionLost | Outcome::TimedOut => scans.killed += 1,
-                Outcome::ConnectFailed => scans.unreached += 1,
+                Outcome::Refused => summary.refused += 1,
+                Outcome::ConnectionLost | Outcome::TimedOut => summary.killed += 1,
+                Outcome::ConnectFailed => summary.unreached += 1,
             }
-            scans.asked += usize::from(one.outcome != Outcome::ConnectFailed);
+            summary.asked += usize::from(scan.outcome != Outcome::ConnectFailed);
         }
-        took.sort_by(f64::total_cmp);
-        let at = |share: f64| {
-            took.get(((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1))).copied()
+        completed_ms.sort_by(f64::total_cmp);
+        let quantile = |share: f64| {
+            let index = (completed_ms.len() as f64 * share) as usize;
+            completed_ms.get(index.min(completed_ms.len().saturating_sub(1))).copied()
         };
-        (scans.p50_ms, scans.p99_ms) = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
-        scans
+        summary.p50_ms = quantile(0.5).unwrap_or(0.0);
+        summary.p99_ms = quantile(0.99).unwrap_or(0.0);
+        summary
     }
 
     fn hung_searchers(&self) -> Vec<HungSearcher> {
-        let hung = self.hung.iter().map(|(s, from)| {
-            let back = self
-                .record
-                .returned
-                .iter()
-                .filter(|r| r.0 == *s && r.1 > *from)
-                .map(|r| r.1)
-                .fold(f64::INFINITY, f64::min);
-            let address = self.searchers.at[*s].to_string();
-            let processes = self.former_processes.iter().map(|o| &o.1);
-            let marked = processes.filter_map(|p| {
-                let told = p.output.0.lock().unwrap_or_else(PoisonError::into_inner);
-                let line = told.lines.iter().find(|(at, line)| {
-                    line.contains(&address)
-                        && line.contains(" marked at ")
-                        && self.ms(*at) >= *from
-                        && self.ms(*at) < back
-                });
-                line.map(|(at, _)| (self.ms(*at) - from).round())
+        self.hung.iter().map(|hang| self.hung_searcher(hang)).collect()
+    }
+
+    /// When each mixer marked the searcher, and the parts that reached it, between its hang and its return.
+    fn hung_searcher(&self, hang: &SearcherEvent) -> HungSearcher {
+        let returned_ms = self
+            .record
+            .returned
+            .iter()
+            .filter(|r| r.searcher == hang.searcher && r.at_ms > hang.at_ms)
+            .map(|r| r.at_ms)
+            .fold(f64::INFINITY, f64::min);
+        let during = |at_ms: f64| at_ms >= hang.at_ms && at_ms < returned_ms;
+        let address = self.searchers.addresses[hang.searcher].to_string();
+        let marked = self.former_processes.iter().filter_map(|(_, process)| {
+            let output = process.output.lock();
+            let line = output.lines.iter().find(|(at, line)| {
+                line.contains(&address) && line.contains(" marked at ") && during(self.elapsed_ms(*at))
             });
-            let mut marked_ms: Vec<f64> = marked.collect();
-            marked_ms.sort_by(f64::total_cmp);
-            let within = |a: &&PartArrival| a.searcher == *s && a.at_ms >= *from && a.at_ms < back;
-            HungSearcher {
-                searcher: format!("s{}", s + 1),
-                marked_ms,
-                parts: self.record.arrivals.iter().filter(within).count(),
-            }
+            line.map(|(at, _)| (self.elapsed_ms(*at) - hang.at_ms).round())
         });
-        hung.collect()
+        let mut marked_ms: Vec<f64> = marked.collect();
+        marked_ms.sort_by(f64::total_cmp);
+        let arrived = |a: &&PartArrival| a.searcher == hang.searcher && during(a.at_ms);
+        HungSearcher {
+            searcher: format!("s{}", hang.searcher + 1),
+            marked_ms,
+            parts: self.record.arrivals.iter().filter(arrived).count(),
+        }
     }
 
-    /// What the processes said goes into the timeline.
+    /// Adds the log lines of the processes to the timeline.
     fn add_log_lines(&mut self) {
-        let mut lines = Vec::new();
-        for (m, process) in &self.former_processes {
-            let told = process.output.0.lock().unwrap_or_else(PoisonError::into_inner);
-            for (at, line) in told.lines.iter().take(400) {
-                // Time, level and target stand first.
-                let what = line.splitn(4, ' ').last().unwrap_or(line).trim_start();
-                let what = what.split_once(": ").map_or(what, |w| w.1);
-                lines.push(TimelineEntry {
-                    at_ms: self.ms(*at),
-                    who: format!("m{}", m + 1),
-                    what: what.to_owned(),
+        let mut entries = Vec::new();
+        for (mixer, process) in &self.former_processes {
+            let output = process.output.lock();
+            for (at, line) in output.lines.iter().take(MAX_TIMELINE_LINES) {
+                // A line starts with its time, level and target, which are left out.
+                let message = line.splitn(4, ' ').last().unwrap_or(line).trim_start();
+                let message = message.split_once(": ").map_or(message, |split| split.1);
+                entries.push(TimelineEntry {
+                    at_ms: self.elapsed_ms(*at),
+                    who: mixer_name(*mixer),
+                    what: message.to_owned(),
                 });
             }
         }
-        self.timeline.extend(lines);
+        self.timeline.extend(entries);
     }
 }
 
-/// Mixers that one sees alive, itself among them.
+/// The name of a mixer, which is counted from zero.
+fn mixer_name(mixer: usize) -> String {
+    format!("m{}", mixer + 1)
+}
+
+/// Number of members that a fleet view shows alive or suspected, its own mixer included.
 fn members(view: &Value) -> usize {
     let alive = |m: &&Value| m["life"] == "alive" || m["life"] == "suspect";
     1 + view["members"].as_array().map_or(0, |all| all.iter().filter(alive).count())
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,15 +1,17 @@
-//! Drills: several processes of `pewterwharf-mixer` on loopback, and faults between them.
+//! Fault-injection tests ("drills") of several `pewterwharf-mixer` processes on loopback.
 //!
-//! A [`Script`] says how many mixers and searchers there are, how many scans a second come, which fault comes when, and what is
-//! expected after the last of them. [`run`] starts the processes, each with files of its own; each directed path between two
-//! mixers runs through a gate of the rig, and each mixer has its own way to discovery. Searchers, discovery and clients are
-//! stand-ins; what was run, and what was answered, is counted by them and not asked of the program.
+//! A [`Script`] defines the number of mixers and searchers, the load in scans a second, the faults with their times, and what
+//! is expected after the last of them. [`run`] starts the processes, each with its own files. Each directed path between two
+//! mixers, and that from each mixer to its discovery server, goes through a gate that can inject faults. Searchers,
+//! discovery and clients are simulated; they count what ran and what was answered, so that no figure depends on the program
+//! under test.
 //!
-//! What always has to hold, unasked: each scan gets one final answer unless its mixer was killed; nothing that may not runs
-//! twice; a drain that a mixer's list told is kept; no cold searcher is pushed over by the sum of all; no process ends unasked.
+//! Every drill checks these invariants: each scan gets one final answer unless its mixer was killed; no entry runs twice;
+//! mixers stop sending to a draining searcher that discovery has reported to them; the mixers together do not overload a
+//! cold searcher; no process ends by itself; no process spins.
 //!
-//! A verdict waits for what is observed, with a ceiling, never for a time to be enough. The figures beside it (shares, times)
-//! depend on the machine; the verdicts must not.
+//! A check polls for an observable condition up to a time limit; it never relies on a fixed sleep. The figures in the report
+//! (shares, times) depend on the machine; whether a drill passes must not.
 
 mod checks;
 mod gate;
@@ -23,4 +25,4 @@
 pub use harness::{Options, run};
 pub use random::{draw, shrink};
 pub use report::{ExpectationResult, Report, ScanSummary, Violation};
-pub use script::{Action, Expect, Paths, Script, StateOnStart, Step};
+pub use script::{Action, Expect, PathEnds, Paths, Script, StateOnStart, Step};
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -1,11 +1,11 @@
-//! A process of the mixer, and its files.
+//! A mixer process and its configuration files.
 
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
-use std::sync::{Arc, Condvar, Mutex, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::Builder;
 use std::time::{Duration, Instant};
 
@@ -15,26 +15,74 @@
 
 use crate::test_bed::{CELLS, SHARDS};
 
-/// What a process has said of itself so far.
+/// Maximum number of log lines that are kept of one process.
+const MAX_KEPT_LINES: usize = 10_000;
+
+/// What the log of a process has shown so far.
 #[derive(Default)]
 pub struct ProcessOutput {
+    /// Where it listens for clients.
     pub client_address: Option<SocketAddr>,
+    /// Where it listens for other mixers.
     pub mixer_address: Option<SocketAddr>,
     pub ready: bool,
-    pub over: bool,
-    /// Lines that operators would look at, with their times.
+    /// The log has ended, as the process has.
+    pub ended: bool,
+    /// Lines about events that matter to operators, with the times at which they were read.
     pub lines: Vec<(Instant, String)>,
 }
 
+/// The output of a process, shared with the thread that reads its log.
+#[derive(Default)]
+pub struct SharedOutput {
+    state: Mutex<ProcessOutput>,
+    changed: Condvar,
+}
+
+impl SharedOutput {
+    pub fn lock(&self) -> MutexGuard<'_, ProcessOutput> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn add_line(&self, line: String) {
+        let mut output = self.lock();
+        let last_word = || line.rsplit(' ').next().and_then(|a| a.parse().ok());
+        if line.contains(" listens on ") {
+            output.client_address = last_word();
+        } else if line.contains(" listens for mixers at ") {
+            output.mixer_address = last_word();
+        }
+        output.ready |= line.ends_with(": ready");
+        let kept = [" fleet:", " marked at ", " readmitted ", " ERROR ", " drains", "panicked"];
+        if kept.iter().any(|text| line.contains(text)) && output.lines.len() < MAX_KEPT_LINES {
+            output.lines.push((Instant::now(), line));
+        }
+        self.changed.notify_all();
+    }
+
+    fn set_ended(&self) {
+        self.lock().ended = true;
+        self.changed.notify_all();
+    }
+}
+
+/// Resources that a process has used.
+pub struct ProcessUsage {
+    pub cpu_ms: f64,
+    pub rss_kib: u64,
+}
+
 pub struct Process {
+    /// Number of the start, unique in a drill.
     pub number: u64,
     pub began: Instant,
     pub child: Child,
-    pub output: Arc<(Mutex<ProcessOutput>, Condvar)>,
+    pub output: Arc<SharedOutput>,
+    /// Socket of its console.
     pub console: PathBuf,
 }
 
-/// What a process is started on.
+/// Parameters of a start.
 pub struct ProcessConfig<'a> {
     pub program: &'a Path,
     pub dir: &'a Path,
@@ -47,24 +95,24 @@
     pub seed: u64,
     pub number: u64,
     pub forget_ms: Option<f64>,
-    /// How wrong the wall clock of its host is.
+    /// Error of the wall clock of its host.
     pub clock_offset_ms: f64,
-    /// No section `fleet`: the mixers share nothing.
+    /// Leaves out the section `fleet`, so that the mixers share nothing.
     pub alone: bool,
 }
 
-fn config(files: &ProcessConfig) -> Value {
-    let type_ = |name: &str, idempotency: &str| {
+fn service_config(config: &ProcessConfig) -> Value {
+    let service = |name: &str, idempotency: &str| {
         json!({"name": name, "idempotency": idempotency, "points": 1.0, "slo_ms": 500.0, "hard_limit_ms": 2000.0,
                "late_worth": 0.3})
     };
     json!({
-        "name": files.name, "listen": "127.0.0.1:0", "discovery": files.discovery.to_string(),
-        "seed": format!("{:016x}", files.seed),
+        "name": config.name, "listen": "127.0.0.1:0", "discovery": config.discovery.to_string(),
+        "seed": format!("{:016x}", config.seed),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
         "settings": {
-            "peers_total": files.mixers, "zone": 0, "zones": ["hall"], "discovery": "push",
-            "services": [type_("lookup", "pure"), type_("entry", "side_effect")],
+            "peers_total": config.mixers, "zone": 0, "zones": ["hall"], "discovery": "push",
+            "services": [service("lookup", "pure"), service("entry", "side_effect")],
             "customers": [{"name": "acme", "quota_per_s": 1000.0, "share": 1.0}],
             "over_share_worth": 0.2,
             "family_info": {"positions": CELLS, "in_a_row": 2, "ranges": SHARDS, "bundle_max": 1, "overhead_ms": 0.0,
@@ -77,14 +125,14 @@
     })
 }
 
-fn settings(files: &ProcessConfig, console: &Path) -> String {
+fn fleet_settings(config: &ProcessConfig, console: &Path) -> String {
     let mut text = format!("(console \"{}\")\n", console.display());
-    if !files.alone {
-        text += &format!("(fleet (name \"drill\") (me \"{}\" (listen \"127.0.0.1:0\"))", files.name);
-        for (name, at) in files.peers {
-            text += &format!("\n  (peer \"{name}\" \"{at}\")");
+    if !config.alone {
+        text += &format!("(fleet (name \"drill\") (me \"{}\" (listen \"127.0.0.1:0\"))", config.name);
+        for (name, address) in config.peers {
+            text += &format!("\n  (peer \"{name}\" \"{address}\")");
         }
-        if let Some(ms) = files.forget_ms {
+        if let Some(ms) = config.forget_ms {
             text += &format!("\n  (forget {ms}ms)");
         }
         text += ")\n";
@@ -93,17 +141,20 @@
 }
 
 impl Process {
-    /// Starts a mixer on files of its own; what it says goes to a log beside them.
-    pub fn start(files: &ProcessConfig) -> Result<Self> {
-        fs::create_dir_all(files.dir).with_context(|| format!("making {}", files.dir.display()))?;
-        let (json, lisp) = (files.dir.join("mixer.json"), files.dir.join("settings.lisp"));
-        let console = files.dir.join(format!("c{}", files.number));
-        fs::write(&json, config(files).to_string()).with_context(|| format!("writing {}", json.display()))?;
-        fs::write(&lisp, settings(files, &console)).with_context(|| format!("writing {}", lisp.display()))?;
-        let mut child = Command::new(files.program)
+    /// Writes the configuration files of a mixer and starts it; its log is written beside them.
+    pub fn start(config: &ProcessConfig) -> Result<Self> {
+        fs::create_dir_all(config.dir).with_context(|| format!("making {}", config.dir.display()))?;
+        let json = config.dir.join("mixer.json");
+        let lisp = config.dir.join("settings.lisp");
+        let console = config.dir.join(format!("c{}", config.number));
+        fs::write(&json, service_config(config).to_string())
+            .with_context(|| format!("writing {}", json.display()))?;
+        fs::write(&lisp, fleet_settings(config, &console))
+            .with_context(|| format!("writing {}", lisp.display()))?;
+        let mut child = Command::new(config.program)
             .env("ROUTER_CONFIG", &json)
             .env("PEWTERWHARF_SETTINGS", &lisp)
-            .env("PEWTERWHARF_DRILL_CLOCK_MS", files.clock_offset_ms.to_string())
+            .env("PEWTERWHARF_DRILL_CLOCK_MS", config.clock_offset_ms.to_string())
             .env_remove("ROUTER_NAME")
             .env_remove("ROUTER_LISTEN")
             .env_remove("ROUTER_DISCOVERY")
@@ -112,87 +163,76 @@
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .with_context(|| format!("starting {}", files.program.display()))?;
-        let output: Arc<(Mutex<ProcessOutput>, Condvar)> = Arc::default();
-        let mut log = File::create(files.dir.join(format!("log-{}", files.number)))?;
+            .with_context(|| format!("starting {}", config.program.display()))?;
+        let output: Arc<SharedOutput> = Arc::default();
+        let mut log = File::create(config.dir.join(format!("log-{}", config.number)))?;
         let lines = BufReader::new(child.stderr.take().context("no pipe")?);
-        let says = output.clone();
+        let reader_output = output.clone();
         Builder::new().name("log".to_owned()).spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                let _ = writeln!(log, "{line}"); // a full disk loses lines, and no verdict
-                let mut told = says.0.lock().unwrap_or_else(PoisonError::into_inner);
-                let last = || line.rsplit(' ').next().and_then(|a| a.parse().ok());
-                if line.contains(" listens on ") {
-                    told.client_address = last();
-                } else if line.contains(" listens for mixers at ") {
-                    told.mixer_address = last();
-                }
-                told.ready |= line.ends_with(": ready");
-                let words = [" fleet:", " marked at ", " readmitted ", " ERROR ", " drains", "panicked"];
-                if words.iter().any(|w| line.contains(w)) && told.lines.len() < 10_000 {
-                    told.lines.push((Instant::now(), line));
-                }
-                says.1.notify_all();
+                let _ = writeln!(log, "{line}"); // a full disk loses log lines, but affects no verdict
+                reader_output.add_line(line);
             }
-            says.0.lock().unwrap_or_else(PoisonError::into_inner).over = true;
-            says.1.notify_all();
+            reader_output.set_ended();
         })?;
-        Ok(Self { number: files.number, began: Instant::now(), child, output, console })
+        Ok(Self { number: config.number, began: Instant::now(), child, output, console })
     }
 
-    /// Whether it has said that it is ready, and where clients reach it.
-    pub fn ready(&self) -> Option<SocketAddr> {
-        let told = self.output.0.lock().unwrap_or_else(PoisonError::into_inner);
-        told.client_address.filter(|_| told.ready)
+    /// The address for clients, once the process has logged that it is ready.
+    pub fn ready_address(&self) -> Option<SocketAddr> {
+        let output = self.output.lock();
+        output.client_address.filter(|_| output.ready)
     }
 
-    /// Waits until it has said where it listens for the others; nowhere, where it is alone.
-    pub fn until_open(&self, alone: bool) -> Result<Option<SocketAddr>> {
-        const CEILING: Duration = Duration::from_secs(60);
-        let told = self.output.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = |t: &ProcessOutput| t.client_address.is_some() && (alone || t.mixer_address.is_some());
-        let (told, _) = self
+    /// Waits until the process listens. Returns its address for other mixers, which one without a fleet has not.
+    pub fn wait_until_listening(&self, alone: bool) -> Result<Option<SocketAddr>> {
+        const TIMEOUT: Duration = Duration::from_secs(60);
+        let output = self.output.lock();
+        let listening =
+            |o: &ProcessOutput| o.client_address.is_some() && (alone || o.mixer_address.is_some());
+        let (output, _) = self
             .output
-            .1
-            .wait_timeout_while(told, CEILING, |t| !t.over && !open(t))
+            .changed
+            .wait_timeout_while(output, TIMEOUT, |o| !o.ended && !listening(o))
             .unwrap_or_else(PoisonError::into_inner);
-        if !open(&told) {
-            bail!("a process did not come up");
+        if !listening(&output) {
+            bail!("the process did not start to listen");
         }
-        Ok(told.mixer_address)
+        Ok(output.mixer_address)
     }
 
-    /// Processor time so far in milliseconds, and memory in KiB, by the system's account.
-    pub fn cost(&self) -> Option<(f64, u64)> {
-        // The system counts in hundredths of a second.
+    /// Processor time so far and resident memory, as /proc has them.
+    pub fn usage(&self) -> Option<ProcessUsage> {
+        // Linux counts processor time in ticks of 10 ms.
         const TICK_MS: f64 = 10.0;
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
-        let words: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let ticks: f64 = words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?;
+        let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
+        let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-        Some((ticks * TICK_MS, rss.split_whitespace().next()?.parse().ok()?))
+        let rss_kib = rss.split_whitespace().next()?.parse().ok()?;
+        Some(ProcessUsage { cpu_ms: ticks * TICK_MS, rss_kib })
     }
 
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            let _ = kill_process(pid, signal); // or it has ended
+            let _ = kill_process(pid, signal); // fails only if it has ended
         }
     }
 
-    /// What it sees of its fleet.
-    pub fn fleet(&self) -> Option<Value> {
-        let said = pewterwharf_console::query(&self.console, "fleet show --json").ok()?.ok()?;
-        serde_json::from_str(&said).ok()
+    /// Its view of the fleet, from its console; `None` if the console does not answer.
+    pub fn fleet_view(&self) -> Option<Value> {
+        let answer = pewterwharf_console::query(&self.console, "fleet show --json").ok()?.ok()?;
+        serde_json::from_str(&answer).ok()
     }
 
-    /// Waits for its end, so long at most.
-    pub fn ends(&mut self, most: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + most;
+    /// Waits for the process to exit; `None` after the timeout.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                _ if Instant::now() >= until => return None,
+                _ if Instant::now() >= deadline => return None,
                 _ => std::thread::sleep(Duration::from_millis(5)),
             }
         }
@@ -202,7 +242,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         self.signal(Signal::CONT);
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // fails only if it has ended
         let _ = self.child.wait();
     }
 }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -1,83 +1,98 @@
-//! The language of drills.
+//! The script language of drills: its types, its parser and the printing of scripts.
 
 use std::fmt;
 
 use pewterwharf_settings::sexpr::{Node, NodeKind, ParseError, Position, parse, unexpected_name};
 
-/// Mixers and searchers that one drill may have: each mixer is a process, each pair of mixers two gates.
-const MOST_MIXERS: u32 = 16;
-const MOST_SEARCHERS: u32 = 64;
-/// ScanSummary in a second.
-const MOST_LOAD: u32 = 2000;
-/// What an expectation is given, where it does not say.
-const WITHIN_MS: f64 = 10_000.0;
+/// Maximum numbers of mixers and searchers of one drill: each mixer is a process, each pair of mixers needs two gates.
+const MAX_MIXERS: u32 = 16;
+const MAX_SEARCHERS: u32 = 64;
+const MAX_SCANS_PER_S: u32 = 2000;
+/// Time limit of an expectation that names none.
+const DEFAULT_WITHIN_MS: f64 = 10_000.0;
 
-/// Directed paths: from each of the first to each of the second.
-pub type Paths = Vec<(usize, usize)>;
+/// The ends of a directed path between two mixers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PathEnds {
+    pub from: usize,
+    pub to: usize,
+}
+
+pub type Paths = Vec<PathEnds>;
 
-/// What of a mixer's files a start restore_discovery.
+/// Whether a mixer that is started finds its earlier files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateOnStart {
     Kept,
     Fresh,
 }
 
-/// What is done at a time. Mixers and searchers are counted from zero.
+/// An action of a step: a fault, or the end of one. Mixers and searchers are counted from zero.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Groups between which nothing passes; who is in none is a group of its own.
+    /// Drops all bytes between the groups; a mixer in none of them is a group of its own.
     Partition(Vec<Vec<usize>>),
-    /// Connections are reset, and new ones end at once.
+    /// Closes open connections, and new ones at once.
     Cut(Paths),
-    /// Bytes are swallowed.
+    /// Discards all bytes.
     Drop(Paths),
-    /// Connections are taken and reset before anything passes; those that are there stay.
+    /// Closes new connections before any byte passes; open ones stay.
     Refuse(Paths),
-    /// Connections end on the far side, and nobody tells the near one.
+    /// Closes the far side of connections without the near side's noticing.
     HalfOpen(Paths),
+    /// Delays bytes by a time in milliseconds.
     Delay(Paths, f64),
-    /// So many bytes a second.
+    /// Limits the rate to a number of bytes a second.
     Slow(Paths, f64),
-    /// One byte of each piece is another.
+    /// Corrupts one byte of each forwarded buffer.
     Flip(Paths),
-    /// All paths, where none is named; those to discovery among them.
+    /// Ends the faults of these paths; `None` stands for all paths, those to discovery included.
     Heal(Option<Paths>),
+    /// Stops a mixer's process for a time in milliseconds.
     Stall(usize, f64),
+    /// Ends a mixer's process with SIGKILL.
     Kill(usize),
+    /// Ends a mixer's process with SIGTERM.
     Term(usize),
     Start(usize, StateOnStart),
-    /// A second process under the name of a mixer that runs; the others' paths lead to it from then on.
+    /// Starts a second process under the name of a running mixer; the other mixers' paths lead to it from then on.
     Twin(usize),
+    /// A searcher no longer answers.
     Hang(usize),
+    /// A searcher closes all connections; discovery removes it later.
     Die(usize),
+    /// A searcher that hung, died or drained is up again.
     Return(usize),
+    /// Discovery lists a searcher as draining.
     Drain(usize),
-    /// The wall clock of a mixer's host is wrong by so much, in milliseconds: what is started from then on restore_discovery it so. What
-    /// runs reads none.
+    /// Sets the error of the wall clock of a mixer's host, in milliseconds. It affects processes started from then on; a
+    /// running one does not read the wall clock.
     Clock(usize, f64),
+    /// Cuts mixers off from discovery; all mixers if none is named.
     LoseDiscovery(Vec<usize>),
+    /// Ends `LoseDiscovery`.
     FindDiscovery(Vec<usize>),
 }
 
-/// A action and its time, in milliseconds from when the fleet has come up.
+/// An action and its time, in milliseconds from the start of the drill.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub at_ms: f64,
     pub action: Action,
 }
 
-/// What is expected after the last step, with the time from then within which it has to come about.
+/// A condition expected after the last step, with the time from then within which it has to hold.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expect {
-    /// All that run hold the same copies and have caught up.
+    /// All running mixers hold the same records, have caught up and see each other.
     Agree { within_ms: f64 },
-    /// Each that runs sees so many mixers alive, itself among them.
+    /// Each running mixer sees this many mixers alive, itself included.
     Members { count: usize, within_ms: f64 },
-    /// So great a share of all scans was completed.
+    /// At least this share of all scans was completed.
     Answered { share: f64 },
-    /// Nobody holds a mark of anybody.
+    /// No running mixer holds a mark.
     NoMarks { within_ms: f64 },
-    /// A mixer stands aside from the fleet, as a later process has its name.
+    /// The earlier process of a mixer stands aside from the fleet, as a later process has its name.
     Aside { mixer: usize, within_ms: f64 },
 }
 
@@ -87,15 +102,15 @@
     pub title: String,
     pub mixers: usize,
     pub searchers: usize,
-    /// ScanSummary in a second, of all mixers together.
+    /// Scans a second, over all mixers.
     pub load: u32,
-    /// For so long mixers keep in mind that something was deleted, in milliseconds; as they do of themselves, where absent.
+    /// Time for which mixers remember deletions; the mixers' default if absent.
     pub forget_ms: Option<f64>,
     pub steps: Vec<Step>,
     pub expects: Vec<Expect>,
 }
 
-const DEEDS: [&str; 21] = [
+const ACTION_NAMES: [&str; 21] = [
     "partition",
     "cut",
     "drop",
@@ -118,23 +133,23 @@
     "lose-discovery",
     "find-discovery",
 ];
-const EXPECTS: [&str; 5] = ["agree", "members", "answered", "aside", "no-marks"];
+const EXPECT_NAMES: [&str; 5] = ["agree", "members", "answered", "aside", "no-marks"];
 
 impl Script {
-    /// Reads all drills of a text.
+    /// Parses all drills of a text.
     ///
     /// # Errors
-    /// The place of the first word that can't be read, and what was expected there.
+    /// The position of the first form that can't be parsed, and what was expected there.
     pub fn read(text: &str) -> Result<Vec<Self>, ParseError> {
         let nodes = parse(text)?;
         if nodes.is_empty() {
             let what = "found nothing, expected (drill \"TITLE\" (mixers N) ...)".to_owned();
             return Err(ParseError { position: Position { line: 1, column: 1 }, message: what });
         }
-        nodes.iter().map(Self::one).collect()
+        nodes.iter().map(Self::parse_drill).collect()
     }
 
-    fn one(node: &Node) -> Result<Self, ParseError> {
+    fn parse_drill(node: &Node) -> Result<Self, ParseError> {
         let (word, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
         if word != "drill" {
             return Err(unexpected_name(node, word, &["drill"]));
@@ -151,12 +166,12 @@
             steps: Vec::new(),
             expects: Vec::new(),
         };
-        // The numbers first, wherever they stand: names of mixers are held against them.
+        // Numbers first, wherever they stand: the names of mixers and searchers are checked against them.
         for node in rest {
             match node.head_and_args("(mixers N), (at TIME ACTION) or (expect ...)")? {
-                ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MOST_MIXERS)? as usize,
-                ("searchers", [n]) => script.searchers = n.integer("searchers", 1, MOST_SEARCHERS)? as usize,
-                ("load", [n]) => script.load = n.integer("load", 0, MOST_LOAD)?,
+                ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MAX_MIXERS)? as usize,
+                ("searchers", [n]) => script.searchers = n.integer("searchers", 1, MAX_SEARCHERS)? as usize,
+                ("load", [n]) => script.load = n.integer("load", 0, MAX_SCANS_PER_S)?,
                 ("forget", [time]) => script.forget_ms = Some(time.duration_ms("a time")?),
                 ("at" | "expect", _) => {}
                 (key @ ("mixers" | "searchers" | "load" | "forget"), values) => {
@@ -178,17 +193,18 @@
                     script.steps.push(Step { at_ms, action: script.parse_action(action)? });
                 }
                 ("at", _) => return Err(node.error("expected (at TIME ACTION)")),
-                ("expect", [what]) => script.expects.push(script.expect(what)?),
+                ("expect", [what]) => script.expects.push(script.parse_expect(what)?),
                 ("expect", _) => return Err(node.error("expected (expect (WHAT ...))")),
                 _ => {}
             }
         }
-        // Of one time, in the order in which they stand.
+        // The sort is stable: steps of the same time keep their order in the text.
         script.steps.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         Ok(script)
     }
 
-    fn named(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, ParseError> {
+    /// Parses a name made of a letter and a number from 1 to `count`. Returns the number, counted from zero.
+    fn numbered_name(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, ParseError> {
         let word = node.symbol(what)?;
         let number = word.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
         match number {
@@ -198,15 +214,15 @@
     }
 
     fn mixer(&self, node: &Node) -> Result<usize, ParseError> {
-        Self::named(node, 'm', self.mixers, "a mixer")
+        Self::numbered_name(node, 'm', self.mixers, "a mixer")
     }
 
     fn searcher(&self, node: &Node) -> Result<usize, ParseError> {
-        Self::named(node, 's', self.searchers, "a searcher")
+        Self::numbered_name(node, 's', self.searchers, "a searcher")
     }
 
-    /// `A B`, which is both paths, or `(from A) (to B)`.
-    fn paths(&self, whole: &Node, nodes: &[Node]) -> Result<Paths, ParseError> {
+    /// Parses `A B`, which is both directions, or `(from A) (to B)`.
+    fn parse_paths(&self, whole: &Node, nodes: &[Node]) -> Result<Paths, ParseError> {
         let [a, b] = nodes else {
             return Err(whole.error("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
         };
@@ -215,15 +231,15 @@
                 (found, [mixer]) if found == word => self.mixer(mixer),
                 (other, _) => Err(unexpected_name(node, other, &[word])),
             };
-            return Ok(vec![(end(a, "from")?, end(b, "to")?)]);
+            return Ok(vec![PathEnds { from: end(a, "from")?, to: end(b, "to")? }]);
         }
         let (a, b) = (self.mixer(a)?, self.mixer(b)?);
-        Ok(vec![(a, b), (b, a)])
+        Ok(vec![PathEnds { from: a, to: b }, PathEnds { from: b, to: a }])
     }
 
     fn parse_action(&self, node: &Node) -> Result<Action, ParseError> {
         let (word, args) = node.head_and_args("an action, as (kill m2)")?;
-        let count = |n: usize| match args.len() {
+        let expect_count = |n: usize| match args.len() {
             found if found == n => Ok(()),
             found => Err(node.error(format!("{word} has {found} values, expected {n}"))),
         };
@@ -242,27 +258,27 @@
                 }
                 Ok(Action::Partition(groups))
             }
-            "cut" => Ok(Action::Cut(self.paths(node, args)?)),
-            "drop" => Ok(Action::Drop(self.paths(node, args)?)),
-            "refuse" => Ok(Action::Refuse(self.paths(node, args)?)),
-            "half-open" => Ok(Action::HalfOpen(self.paths(node, args)?)),
-            "flip" => Ok(Action::Flip(self.paths(node, args)?)),
+            "cut" => Ok(Action::Cut(self.parse_paths(node, args)?)),
+            "drop" => Ok(Action::Drop(self.parse_paths(node, args)?)),
+            "refuse" => Ok(Action::Refuse(self.parse_paths(node, args)?)),
+            "half-open" => Ok(Action::HalfOpen(self.parse_paths(node, args)?)),
+            "flip" => Ok(Action::Flip(self.parse_paths(node, args)?)),
             "delay" => match args {
                 [a, b, time] => {
-                    let paths = self.paths(node, &[a.clone(), b.clone()])?;
+                    let paths = self.parse_paths(node, &[a.clone(), b.clone()])?;
                     Ok(Action::Delay(paths, time.duration_ms("a delay")?))
                 }
                 _ => Err(node.error("expected two mixers and a time, as (delay m1 m2 200ms)")),
             },
             "slow" => match args {
                 [a, b, rate] => Ok(Action::Slow(
-                    self.paths(node, &[a.clone(), b.clone()])?,
+                    self.parse_paths(node, &[a.clone(), b.clone()])?,
                     rate.positive_number("bytes a second")?,
                 )),
                 _ => Err(node.error("expected two mixers and bytes a second, as (slow m1 m2 10000)")),
             },
             "heal" if args.is_empty() => Ok(Action::Heal(None)),
-            "heal" => Ok(Action::Heal(Some(self.paths(node, args)?))),
+            "heal" => Ok(Action::Heal(Some(self.parse_paths(node, args)?))),
             "stall" => match args {
                 [mixer, time] => Ok(Action::Stall(self.mixer(mixer)?, time.duration_ms("a time")?)),
                 _ => Err(node.error("expected a mixer and a time, as (stall m2 3s)")),
@@ -270,22 +286,22 @@
             "start" => match args {
                 [mixer] => Ok(Action::Start(self.mixer(mixer)?, StateOnStart::Kept)),
                 [mixer, how] => {
-                    let kept = match how.symbol("fresh or kept")? {
+                    let state = match how.symbol("fresh or kept")? {
                         "fresh" => StateOnStart::Fresh,
                         "kept" => StateOnStart::Kept,
                         other => return Err(unexpected_name(how, other, &["fresh", "kept"])),
                     };
-                    Ok(Action::Start(self.mixer(mixer)?, kept))
+                    Ok(Action::Start(self.mixer(mixer)?, state))
                 }
                 _ => Err(node.error("expected a mixer, as (start m4) or (start m4 fresh)")),
             },
-            "kill" => count(1).and_then(|()| Ok(Action::Kill(self.mixer(&args[0])?))),
-            "term" => count(1).and_then(|()| Ok(Action::Term(self.mixer(&args[0])?))),
-            "twin" => count(1).and_then(|()| Ok(Action::Twin(self.mixer(&args[0])?))),
-            "hang" => count(1).and_then(|()| Ok(Action::Hang(self.searcher(&args[0])?))),
-            "die" => count(1).and_then(|()| Ok(Action::Die(self.searcher(&args[0])?))),
-            "return" => count(1).and_then(|()| Ok(Action::Return(self.searcher(&args[0])?))),
-            "drain" => count(1).and_then(|()| Ok(Action::Drain(self.searcher(&args[0])?))),
+            "kill" => expect_count(1).and_then(|()| Ok(Action::Kill(self.mixer(&args[0])?))),
+            "term" => expect_count(1).and_then(|()| Ok(Action::Term(self.mixer(&args[0])?))),
+            "twin" => expect_count(1).and_then(|()| Ok(Action::Twin(self.mixer(&args[0])?))),
+            "hang" => expect_count(1).and_then(|()| Ok(Action::Hang(self.searcher(&args[0])?))),
+            "die" => expect_count(1).and_then(|()| Ok(Action::Die(self.searcher(&args[0])?))),
+            "return" => expect_count(1).and_then(|()| Ok(Action::Return(self.searcher(&args[0])?))),
+            "drain" => expect_count(1).and_then(|()| Ok(Action::Drain(self.searcher(&args[0])?))),
             "clock" => match args {
                 [mixer, how, time] => {
                     let by = time.duration_ms("a time")?;
@@ -299,14 +315,14 @@
             },
             "lose-discovery" => Ok(Action::LoseDiscovery(mixers()?)),
             "find-discovery" => Ok(Action::FindDiscovery(mixers()?)),
-            other => Err(unexpected_name(node, other, &DEEDS)),
+            other => Err(unexpected_name(node, other, &ACTION_NAMES)),
         }
     }
 
-    fn expect(&self, node: &Node) -> Result<Expect, ParseError> {
+    fn parse_expect(&self, node: &Node) -> Result<Expect, ParseError> {
         let (word, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
         let within = |rest: &[Node]| match rest {
-            [] => Ok(WITHIN_MS),
+            [] => Ok(DEFAULT_WITHIN_MS),
             [one] => match one.head_and_args("(within TIME)")? {
                 ("within", [time]) => time.duration_ms("a time"),
                 (other, _) => Err(unexpected_name(one, other, &["within"])),
@@ -330,27 +346,27 @@
             ("aside", [mixer, rest @ ..]) => {
                 Ok(Expect::Aside { mixer: self.mixer(mixer)?, within_ms: within(rest)? })
             }
-            (word, _) if EXPECTS.contains(&word) => {
+            (word, _) if EXPECT_NAMES.contains(&word) => {
                 Err(node.error(format!("{word} has {} values, which do not fit it", args.len())))
             }
-            (other, _) => Err(unexpected_name(node, other, &EXPECTS)),
+            (other, _) => Err(unexpected_name(node, other, &EXPECT_NAMES)),
         }
     }
 }
 
-fn time(ms: f64) -> String {
+fn format_time(ms: f64) -> String {
     if ms >= 1000.0 && ms % 100.0 == 0.0 { format!("{}s", ms / 1000.0) } else { format!("{ms}ms") }
 }
 
-fn names(mixers: &[usize]) -> String {
+fn format_mixers(mixers: &[usize]) -> String {
     mixers.iter().map(|m| format!("m{}", m + 1)).collect::<Vec<_>>().join(" ")
 }
 
-/// Both paths between two, or one.
-fn between(paths: &Paths) -> String {
+/// Prints both directions between two mixers, or one.
+fn format_paths(paths: &Paths) -> String {
     match paths.as_slice() {
-        [(a, b), ..] if paths.len() == 2 => format!("m{} m{}", a + 1, b + 1),
-        [(a, b), ..] => format!("(from m{}) (to m{})", a + 1, b + 1),
+        [PathEnds { from, to }, ..] if paths.len() == 2 => format!("m{} m{}", from + 1, to + 1),
+        [PathEnds { from, to }, ..] => format!("(from m{}) (to m{})", from + 1, to + 1),
         [] => String::new(),
     }
 }
@@ -359,19 +375,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Partition(groups) => {
-                let groups: Vec<String> = groups.iter().map(|g| format!("({})", names(g))).collect();
+                let groups: Vec<String> = groups.iter().map(|g| format!("({})", format_mixers(g))).collect();
                 write!(f, "(partition {})", groups.join(" "))
             }
-            Self::Cut(paths) => write!(f, "(cut {})", between(paths)),
-            Self::Drop(paths) => write!(f, "(drop {})", between(paths)),
-            Self::Refuse(paths) => write!(f, "(refuse {})", between(paths)),
-            Self::HalfOpen(paths) => write!(f, "(half-open {})", between(paths)),
-            Self::Delay(paths, ms) => write!(f, "(delay {} {})", between(paths), time(*ms)),
-            Self::Slow(paths, rate) => write!(f, "(slow {} {rate})", between(paths)),
-            Self::Flip(paths) => write!(f, "(flip {})", between(paths)),
+            Self::Cut(paths) => write!(f, "(cut {})", format_paths(paths)),
+            Self::Drop(paths) => write!(f, "(drop {})", format_paths(paths)),
+            Self::Refuse(paths) => write!(f, "(refuse {})", format_paths(paths)),
+            Self::HalfOpen(paths) => write!(f, "(half-open {})", format_paths(paths)),
+            Self::Delay(paths, ms) => write!(f, "(delay {} {})", format_paths(paths), format_time(*ms)),
+            Self::Slow(paths, rate) => write!(f, "(slow {} {rate})", format_paths(paths)),
+            Self::Flip(paths) => write!(f, "(flip {})", format_paths(paths)),
             Self::Heal(None) => f.write_str("(heal)"),
-            Self::Heal(Some(paths)) => write!(f, "(heal {})", between(paths)),
-            Self::Stall(m, ms) => write!(f, "(stall m{} {})", m + 1, time(*ms)),
+            Self::Heal(Some(paths)) => write!(f, "(heal {})", format_paths(paths)),
+            Self::Stall(m, ms) => write!(f, "(stall m{} {})", m + 1, format_time(*ms)),
             Self::Kill(m) => write!(f, "(kill m{})", m + 1),
             Self::Term(m) => write!(f, "(term m{})", m + 1),
             Self::Start(m, StateOnStart::Kept) => write!(f, "(start m{})", m + 1),
@@ -383,10 +399,10 @@
             Self::Drain(s) => write!(f, "(drain s{})", s + 1),
             Self::Clock(m, by) => {
                 let how = if *by < 0.0 { "behind" } else { "ahead" };
-                write!(f, "(clock m{} {how} {})", m + 1, time(by.abs()))
+                write!(f, "(clock m{} {how} {})", m + 1, format_time(by.abs()))
             }
-            Self::LoseDiscovery(mixers) => write!(f, "(lose-discovery {})", names(mixers)),
-            Self::FindDiscovery(mixers) => write!(f, "(find-discovery {})", names(mixers)),
+            Self::LoseDiscovery(mixers) => write!(f, "(lose-discovery {})", format_mixers(mixers)),
+            Self::FindDiscovery(mixers) => write!(f, "(find-discovery {})", format_mixers(mixers)),
         }
     }
 }
@@ -394,14 +410,14 @@
 impl fmt::Display for Expect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Agree { within_ms } => write!(f, "(agree (within {}))", time(*within_ms)),
+            Self::Agree { within_ms } => write!(f, "(agree (within {}))", format_time(*within_ms)),
             Self::Members { count, within_ms } => {
-                write!(f, "(members {count} (within {}))", time(*within_ms))
+                write!(f, "(members {count} (within {}))", format_time(*within_ms))
             }
-            Self::NoMarks { within_ms } => write!(f, "(no-marks (within {}))", time(*within_ms)),
+            Self::NoMarks { within_ms } => write!(f, "(no-marks (within {}))", format_time(*within_ms)),
             Self::Answered { share } => write!(f, "(answered {share})"),
             Self::Aside { mixer, within_ms } => {
-                write!(f, "(aside m{} (within {}))", mixer + 1, time(*within_ms))
+                write!(f, "(aside m{} (within {}))", mixer + 1, format_time(*within_ms))
             }
         }
     }
@@ -416,10 +432,10 @@
             title.replace('"', "'")
         )?;
         if let Some(ms) = forget_ms {
-            write!(f, " (forget {})", time(*ms))?;
+            write!(f, " (forget {})", format_time(*ms))?;
         }
         for step in steps {
-            write!(f, "\n  (at {} {})", time(step.at_ms), step.action)?;
+            write!(f, "\n  (at {} {})", format_time(step.at_ms), step.action)?;
         }
         for expect in expects {
             write!(f, "\n  (expect {expect})")?;
--- a/crates/drill/tests/scripts.rs
+++ b/crates/drill/tests/scripts.rs
@@ -1,9 +1,9 @@
-//! The language of drills: what is read, what is said where it can't be, and scripts by lot.
+//! Tests of the script language: parsing, printing, error messages, random scripts and shrinking.
 
 use insta::assert_snapshot;
 use pewterwharf_drill::{Script, draw, shrink};
 
-/// The example of the page for developers, to the letter.
+/// The example in the developers' documentation, unchanged.
 const EXAMPLE: &str = r#"(drill "half the fleet is cut off" (mixers 5) (searchers 8) (load 40)
   (at 1s (partition (m1 m2) (m3 m4 m5)))
   (at 2s (hang s3))
@@ -14,10 +14,10 @@
   (expect (answered 0.9)))"#;
 
 #[test]
-fn the_example_reads_and_is_printed_as_a_script_that_reads_the_same() {
-    let read = Script::read(EXAMPLE).expect("it reads");
-    let printed = read[0].to_string();
-    assert_eq!(Script::read(&printed), Ok(read));
+fn example_round_trip() {
+    let scripts = Script::read(EXAMPLE).expect("it can be parsed");
+    let printed = scripts[0].to_string();
+    assert_eq!(Script::read(&printed), Ok(scripts));
     assert_snapshot!(printed, @r#"
     (drill "half the fleet is cut off" (mixers 5) (searchers 8) (load 40)
       (at 1s (partition (m1 m2) (m3 m4 m5)))
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_form_reads_and_prints() {
+fn all_forms_round_trip() {
     let text = r#"(drill "all" (mixers 3) (searchers 2) (load 5)
       (at 1ms (cut m1 m2)) (at 2ms (cut (from m1) (to m2))) (at 3ms (delay m1 m2 200ms)) (at 4ms (delay (from m2) (to m3) 1s))
       (at 5ms (flip m1 m2)) (at 6ms (slow m1 m2 1000)) (at 7ms (refuse m1 m3)) (at 8ms (half-open (from m3) (to m1)))
@@ -42,42 +42,42 @@
       (at 18ms (lose-discovery)) (at 19ms (lose-discovery m1 m2)) (at 20ms (find-discovery m1))
       (at 21ms (clock m1 ahead 1h)) (at 22ms (clock m2 behind 90s)) (forget 3s) (expect (no-marks (within 4s)))
       (expect (members 3)) (expect (agree)) (expect (aside m2 (within 2s))))"#;
-    let read = Script::read(text).expect("it reads");
-    assert_eq!(read[0].steps.len(), 22);
-    assert_eq!(Script::read(&read[0].to_string()), Ok(read));
+    let scripts = Script::read(text).expect("it can be parsed");
+    assert_eq!(scripts[0].steps.len(), 22);
+    assert_eq!(Script::read(&scripts[0].to_string()), Ok(scripts));
 }
 
 #[test]
-fn what_can_t_be_read_is_told_with_its_place_and_what_was_expected() {
-    let told = |text: &str| Script::read(text).expect_err("it can't be read").to_string();
-    let of = |action: &str| told(&format!("(drill \"x\" (mixers 3)\n  (at 1s {action}))"));
-    let faults = [
-        told(""),
-        told("(drill)"),
-        told("(dril \"x\")"),
-        told("(drill \"x\" (mixers 30))"),
-        told("(drill \"x\" (at soon (kill m1)))"),
-        of("(kil m1)"),
-        of("(kill m4)"),
-        of("(kill s1)"),
-        of("(kill m1 m2)"),
-        of("(partition)"),
-        of("(partition m1 m2)"),
-        of("(drop m1)"),
-        of("(drop (from m1) (two m2))"),
-        of("(delay m1 m2)"),
-        of("(start m1 old)"),
-        of("(clock m1 1h)"),
-        of("(clock m1 off 1h)"),
-        told("(drill \"x\" (expect (agreed)))"),
-        told("(drill \"x\" (expect (answered 2)))"),
-        told("(drill \"x\" (expect (agree (with 2s))))"),
+fn parse_errors() {
+    let error = |text: &str| Script::read(text).expect_err("it is invalid").to_string();
+    let action_error = |action: &str| error(&format!("(drill \"x\" (mixers 3)\n  (at 1s {action}))"));
+    let errors = [
+        error(""),
+        error("(drill)"),
+        error("(dril \"x\")"),
+        error("(drill \"x\" (mixers 30))"),
+        error("(drill \"x\" (at soon (kill m1)))"),
+        action_error("(kil m1)"),
+        action_error("(kill m4)"),
+        action_error("(kill s1)"),
+        action_error("(kill m1 m2)"),
+        action_error("(partition)"),
+        action_error("(partition m1 m2)"),
+        action_error("(drop m1)"),
+        action_error("(drop (from m1) (two m2))"),
+        action_error("(delay m1 m2)"),
+        action_error("(start m1 old)"),
+        action_error("(clock m1 1h)"),
+        action_error("(clock m1 off 1h)"),
+        error("(drill \"x\" (expect (agreed)))"),
+        error("(drill \"x\" (expect (answered 2)))"),
+        error("(drill \"x\" (expect (agree (with 2s))))"),
     ];
-    assert_snapshot!(faults.join("\n"));
+    assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
-fn a_seed_draws_the_same_script_each_time_and_each_reads() {
+fn random_scripts_are_reproducible_and_valid() {
     for seed in 0..500 {
         let script = draw(seed);
         assert_eq!(script, draw(seed));
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn what_a_failure_does_not_need_is_left_out() {
-    let script = Script::read(EXAMPLE).expect("it reads").remove(0);
+fn shrink_removes_unneeded_steps() {
+    let script = Script::read(EXAMPLE).expect("it can be parsed").remove(0);
     let smallest = shrink(&script, 100, |s| {
         let text = s.to_string();
         text.contains("kill m4") && text.contains("hang s3")
