--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,71 +1,76 @@
-//! The interface of the decision module: events in, actions out. It contains types and one trait, no protocol
-//! and no decisions.
+//! The interface of the decision module: events in, actions out. It contains types and one trait, but no
+//! network protocol and no decisions.
 //!
 //! A host (the benchmark's adapter, the mixer on sockets, later a client library) translates its own protocol
-//! into [`Event`]s, and carries out the [`Action`]s that the module returns. It also provides clock and seed.
+//! into [`Event`]s, and carries out the [`Action`]s that the module returns. It also provides the clock and
+//! the seed of the random choices.
 //!
-//! All times are in milliseconds: `_at` names a point of the host's clock, `_ms` a duration. Work is in
-//! milliseconds of one core. Weights, shares and rates without a unit are fractions of one.
+//! All times are in milliseconds: `now` and names that end in `_at` are points of the host's clock, names
+//! that end in `_ms` are durations, or work in milliseconds of one core. Weights and shares are fractions
+//! of one.
 
 use std::net::SocketAddrV4;
 
 /// Whether a part may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Executing it again has no further effect.
+    /// Executing it again has no further effect, so that it may be retried at any time.
     Replayable,
-    /// It carries a key by which searchers drop repetitions for `window_ms` after the first dispatch that may
-    /// have run.
+    /// It has an idempotency key: searchers ignore repetitions of it for `window_ms` after the first dispatch
+    /// that may have run.
     Keyed { window_ms: f64 },
-    /// It takes effect with each execution.
+    /// Each execution takes effect, so that it may only be repeated if it is proved that it never ran.
     NonReplayable,
 }
 
-/// A table type, as agreed with the customers.
+/// The terms of service for scans of one table type, as agreed with the customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableType {
-    /// Latency target of a scan.
+    /// Latency target of a scan. Its end is called the scan's target time.
     pub target_ms: f64,
+    /// Longest time that a scan may take.
     pub query_timeout_ms: f64,
-    /// What a whole answer within the target time is worth.
+    /// What a whole answer until the target time is worth, in any unit that is the same for all table types.
     pub benefit: f64,
-    /// Share of the benefit that an answer after the target time has.
+    /// An answer after the target time is worth this share of `benefit`.
     pub late_benefit_share: f64,
-    /// The target time grows by this factor times the scan's own work.
+    /// The latency target is longer by this factor times the work that the client states for the scan.
     pub target_ms_per_work_ms: f64,
     pub idempotency: Idempotency,
-    /// Weight of parts that makes a whole answer.
+    /// Sum of the weights of the answered parts from which on an answer is whole.
     pub required_weight: f64,
-    /// Least weight of parts for any answer.
+    /// Sum of the weights of the answered parts below which no answer can be given.
     pub minimum_weight: f64,
     /// An answer that is not whole is worth its share of `required_weight`, times this factor.
     pub partial_benefit_share: f64,
-    /// Whether the first answer opens a second step with parts of its own.
+    /// Whether scans have two steps: the answer to the first step opens a second one with parts of its own.
     pub has_second_step: bool,
 }
 
 /// A customer and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Quota; compared with the other customers' quotas.
+    /// Quota. Only its ratio to the other customers' quotas matters.
     pub scans_per_s: f64,
-    /// What a scan over the quota is worth, as a share of its benefit.
+    /// A scan over the quota is worth this share of its benefit.
     pub over_quota_benefit_share: f64,
 }
 
 /// Which searchers hold which shards, and how parts are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
+    /// Count of the cells, which are groups of searchers that hold the same shards.
     pub cells: u32,
-    /// A shard is held by this many consecutive cells.
+    /// Each shard is held by this many consecutive cells.
     pub cells_per_shard: u32,
+    /// A call to a searcher carries at most this many parts.
     pub parts_per_call: u32,
-    /// Work of a call itself, whatever its parts.
+    /// Work that each call costs in addition to its parts.
     pub call_work_ms: f64,
 }
 
-/// A budget of extra dispatches, which are retries and hedges: at most `free`, plus `share` of the accepted
-/// scans and parts, in any window.
+/// A budget of extra dispatches, which are retries and hedges. In any window, there may be at most `free` of
+/// them, plus `share` times the number of the scans and parts that were accepted in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     pub free: f64,
@@ -78,12 +83,12 @@
 pub struct SafetyLimits {
     /// Capacity of a searcher that has just started, as a share of its capacity when it is warm.
     pub cold_capacity_share: f64,
-    /// Time after its start in which a searcher warms up.
+    /// Time after its start within which a searcher warms up.
     pub warm_up_ms: f64,
     /// A cold searcher fails if it gets more than this multiple of its capacity within `overload_window_ms`.
     pub overload_multiple: f64,
     pub overload_window_ms: f64,
-    /// Budget of extra dispatches; none where the deployment states none.
+    /// Budget of extra dispatches, if the deployment states one.
     pub retry_budget: Option<RetryBudget>,
 }
 
@@ -96,20 +101,21 @@
     pub probe: bool,
     /// A part may be sent to a second searcher while the first dispatch is in flight.
     pub hedge: bool,
-    /// Dispatches of one part, at most.
+    /// A part may be dispatched at most this many times.
     pub max_dispatches: u32,
-    /// Longest retry delay that clients respect; none where clients may not be given any.
+    /// Longest retry delay that clients respect; none if clients may not be given a delay.
     pub retry_after_ms: Option<f64>,
-    /// Without a subscription, the searcher list must be requested at least this often; none where it comes
-    /// by itself.
+    /// A mixer must request the searcher list again within this time unless it is subscribed to it; none if
+    /// the host receives the list without requesting it.
     pub resubscribe_within_ms: Option<f64>,
 }
 
-/// This mixer among the others.
+/// How many mixers there are, and in which zone this one runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// Count of mixers that the settings state.
     pub mixers: u32,
+    /// Zone of this mixer.
     pub zone: u16,
 }
 
@@ -118,8 +124,9 @@
 pub enum SearcherStatus {
     /// Removed from the list.
     Gone,
+    /// Accepts parts.
     Ready,
-    /// Accepts no new parts.
+    /// About to stop; accepts no new parts.
     Draining,
 }
 
@@ -129,7 +136,7 @@
     pub searcher: SocketAddrV4,
     pub cell: u32,
     pub zone: u16,
-    /// When its process started; zero means long ago.
+    /// When its process started; zero means that it started long ago.
     pub started_at: f64,
     pub status: SearcherStatus,
 }
@@ -150,27 +157,32 @@
 /// How a dispatch or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
+    /// The searcher answered it.
     Ok,
+    /// The searcher reported an error.
     Error,
-    /// The searcher rejected it without executing it.
+    /// The searcher had no capacity, and rejected it without executing it.
     Full,
+    /// No answer came within the timeout.
     TimedOut,
+    /// No connection to the searcher could be opened.
     ConnectFailed,
     /// The connection was lost while it was in flight.
     Reset,
+    /// It was cancelled.
     Cancelled,
     /// It was never sent.
     Moot,
 }
 
 impl DispatchOutcome {
-    /// Whether it is proved that the dispatch never ran.
+    /// Whether the outcome proves that the dispatch was never executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
     }
 }
 
-/// What other mixers report of a searcher, as far as the host trusts them.
+/// What other mixers report of a searcher. The host only passes reports on that it trusts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerReport {
     /// One mixer has marked it.
@@ -179,49 +191,47 @@
     MarkedBySeveral,
     /// Whether it is draining or gone.
     Leaving { leaving: bool },
-    /// Its process was restarted later than the list says, by the list's own clock; zero withdraws the
-    /// report.
+    /// Its process was restarted at this time, which is later than the start time in the list and on the same
+    /// clock. Zero withdraws the report.
     Restarted { started_at: f64 },
 }
 
 /// Something that happened. Events are passed in the order in which they happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    PeerReport {
-        searcher: SocketAddrV4,
-        report: PeerReport,
-    },
-    /// Other mixers lose connections while they are idle.
+    /// Another mixer, or several, reported something of a searcher.
+    PeerReport { searcher: SocketAddrV4, report: PeerReport },
+    /// Other mixers report that they lose connections while these are idle.
     IdleConnectionsLost,
-    /// Count of the mixers that are seen, this one included.
-    MixerCount {
-        mixers: u32,
-    },
-    /// The searcher list, or changes of it.
-    List {
-        kind: ListKind,
-        searchers: Vec<ListedSearcher>,
-    },
-    /// A client's request. Its parts follow.
+    /// Count of the mixers that are seen at present, this one included.
+    MixerCount { mixers: u32 },
+    /// The searcher list, changes of it, or a failed subscription to it.
+    List { kind: ListKind, searchers: Vec<ListedSearcher> },
+    /// A client's request. Its parts follow as events of their own.
     Scan {
+        /// Identifies the scan; no other scan or part has it.
         id: u64,
-        /// The number that its parts carry.
+        /// The number by which its parts refer to it.
         number: u32,
         table_type: usize,
         customer: usize,
         /// When its client gives up.
         deadline_at: f64,
-        /// Work of all its parts, where the client states it.
+        /// Work of all its parts, if the client states it.
         work_ms: Option<f64>,
+        /// Whether the client has sent the request before.
         retry: bool,
     },
+    /// One part of a scan, which reads one shard.
     Part {
+        /// Identifies the part; no other part or scan has it.
         id: u64,
         /// Number of its scan.
         number: u32,
         shard: u32,
         weight: f64,
     },
+    /// A dispatch has ended.
     DispatchEnded {
         part: u64,
         /// Number of the dispatch, counted from zero for each part.
@@ -229,18 +239,13 @@
         searcher: SocketAddrV4,
         outcome: DispatchOutcome,
         took_ms: f64,
-        /// Busy share of the searcher's cores, from 0 to 1 or a little over, where searchers report it.
+        /// Busy share of the searcher's cores, from 0 to 1 or a little over, if the searcher reports it.
         busy: Option<f64>,
     },
-    /// The client has left.
-    ClientGone {
-        scan: u64,
-    },
-    ProbeEnded {
-        searcher: SocketAddrV4,
-        outcome: DispatchOutcome,
-        took_ms: f64,
-    },
+    /// The client of a scan has disconnected.
+    ClientGone { scan: u64 },
+    /// A probe has ended.
+    ProbeEnded { searcher: SocketAddrV4, outcome: DispatchOutcome, took_ms: f64 },
     /// The time of the last [`Action::WakeAt`] has come.
     Wake,
 }
@@ -248,48 +253,34 @@
 /// What the host has to do. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Dispatch {
-        part: u64,
-        searcher: SocketAddrV4,
-        timeout_ms: f64,
-    },
-    Cancel {
-        part: u64,
-        dispatch: u8,
-    },
-    /// Answers a scan from the parts that are answered.
+    /// Sends a part to a searcher. The dispatches of a part are numbered in the order of these actions.
+    Dispatch { part: u64, searcher: SocketAddrV4, timeout_ms: f64 },
+    /// Cancels a dispatch in flight.
+    Cancel { part: u64, dispatch: u8 },
+    /// Answers a scan with the answers of its parts.
     Complete {
         scan: u64,
+        /// Whether the answered parts have the required weight.
         whole: bool,
     },
-    /// Rejects a scan; a retry does no harm.
-    Throttle {
-        scan: u64,
-        retry_after_ms: Option<f64>,
-    },
-    /// Fails a scan; parts of it may have run.
-    Abandon {
-        scan: u64,
-    },
-    Probe {
-        searcher: SocketAddrV4,
-    },
+    /// Rejects a scan whose client may safely retry it.
+    Throttle { scan: u64, retry_after_ms: Option<f64> },
+    /// Fails a scan whose parts may have run, so that a retry may not be safe.
+    Abandon { scan: u64 },
+    /// Sends a probe to a searcher, whose latency shows whether the searcher is still slow.
+    Probe { searcher: SocketAddrV4 },
     /// Closes the idle connections to a searcher.
-    CloseIdleConnections {
-        searcher: SocketAddrV4,
-    },
-    WakeAt {
-        at: f64,
-    },
+    CloseIdleConnections { searcher: SocketAddrV4 },
+    /// Requests an [`Event::Wake`] at this time.
+    WakeAt { at: f64 },
     /// Subscribes to the searcher list.
     Subscribe,
-    Log {
-        line: String,
-    },
+    /// Writes a line to the log.
+    Log { line: String },
 }
 
 /// The decisions of one mixer.
 pub trait DecisionModule {
-    /// Handles all events of the time `now`, and returns the actions to carry out.
+    /// Handles all events of the time `now`, in their order, and returns the actions to carry out.
     fn handle_events(&mut self, now: f64, events: Vec<Event>) -> Vec<Action>;
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -56,7 +56,8 @@
     /// The wait stops doubling after this many failures in a row.
     const MAX_BACKOFF_FAILURES: u32 = 8;
     /// A failed subscription is retried at least about this many times within
-    /// [`Permissions::resubscribe_within_ms`], after which the deployment counts changes of the list as missed.
+    /// [`Permissions::resubscribe_within_ms`], after which the deployment counts changes of the list as
+    /// missed.
     const MIN_SUBSCRIPTIONS_PER_PERIOD: f64 = 4.0;
 
     /// Creates the decision module of one mixer. The seed determines its random choices.
@@ -271,8 +272,8 @@
     /// Length of a time slice: half a second, as in the design. The ShortTail paper asks for the shortest
     /// slice that holds enough parts.
     const SLICE_MS: f64 = 500.0;
-    /// A slice stays open until it has this many parts, and is judged only then. With fewer, a single part with a latency ratio
-    /// under 7 could raise the slice's average over the threshold.
+    /// A slice stays open until it has this many parts, and is judged only then. With fewer, a single part
+    /// with a latency ratio under 7 could raise the slice's average over the threshold.
     const MIN_SLICE_PARTS: u32 = 3;
     /// Weight of a new part in the smoothed latency of a searcher, which covers about the last five parts.
     const LATENCY_WEIGHT: f64 = 0.2;
@@ -349,11 +350,11 @@
         let now = turn.now;
         let decayed = Self::decayed_latency(&self.health, &self.baseline, self.zone, now);
         // A part without an answer only proves that its latency is over the threshold, so that its ratio is
-        // limited. With its full time, one lost answer would outweigh some twenty good answers, and would raise
-        // the average that the next parts are compared with.
-        let is_silent = matches!(outcome, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
+        // limited. With its full time, one lost answer would outweigh some twenty good answers, and would
+        // raise the average that the next parts are compared with.
+        let is_unanswered = matches!(outcome, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
         let counted_ratio =
-            if is_silent { ratio.min(self.baseline.mark_ratio + decayed.ratio) } else { ratio };
+            if is_unanswered { ratio.min(self.baseline.mark_ratio + decayed.ratio) } else { ratio };
         let counted =
             RelativeLatency { ratio: counted_ratio, excess_ms: (counted_ratio - 1.0) * baseline_ms };
         turn.send(Address::BASELINE_TRACKER, Message::ZoneSample { zone: self.zone, latency: counted });
@@ -913,8 +914,8 @@
         }
         let baseline_ms = self.baseline.latency_ms[dispatch.table_type];
         let searcher = &self.searchers[dispatch.searcher];
-        let is_silent = matches!(outcome, DispatchOutcome::Cancelled | DispatchOutcome::TimedOut);
-        let is_lost = is_silent
+        let is_unanswered = matches!(outcome, DispatchOutcome::Cancelled | DispatchOutcome::TimedOut);
+        let is_lost = is_unanswered
             && self.baseline.is_overtaken(
                 dispatch.table_type,
                 dispatch.sent_at,
@@ -930,8 +931,8 @@
         }
         // If the only call in flight got no answer, the answer may be lost or the searcher may be congested.
         // The parts that follow will show which it is, so that this one does not change the limit.
-        let is_single = is_silent && self.searchers[dispatch.searcher].active_calls() == 0;
-        if !(is_lost || is_single) {
+        let is_only_call = is_unanswered && self.searchers[dispatch.searcher].active_calls() == 0;
+        if !(is_lost || is_only_call) {
             self.adapt_concurrency_limit(&dispatch, latency_ms, turn.now);
         }
         let message = Message::DispatchEnded {
@@ -1359,8 +1360,9 @@
     /// the square root of N, and two parts. All parts of a scan have the same sampling number, so that a scan
     /// of many parts finds capacity for all of them or for none.
     ///
-    /// A hedge is not sampled, as it is not a scan of its own. It is admitted only if the limit leaves room for a hedge of every part. Otherwise the hedges could fill a
-    /// window when parts are late at many searchers at once.
+    /// A hedge is not sampled, as it is not a scan of its own. It is admitted only if the limit leaves room
+    /// for a hedge of every part. Otherwise the hedges could fill a window when parts are late at many
+    /// searchers at once.
     fn is_sampled(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
         let scan_work_ms = scan.parts_per_searcher * work_ms;
         let least_work_ms = self.baseline.work_ms.iter().copied().fold(f64::INFINITY, f64::min);
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,5 +1,5 @@
 //! Status of a mixer for operators and for other mixers: figures of its state, its rejections, and what it
-//! has observed of each searcher. This module only reads; it decides nothing.
+//! has observed of each searcher. This module only reads the state.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -7,11 +7,11 @@
 use crate::interface::SearcherStatus;
 use crate::state::{Mixer, Scheduler, SearcherIndex, SearcherState};
 
-/// Count of the reasons for which admission control rejects scans.
+/// Count of the reasons for which admission control rejects scans; see [`MixerStatus::rejected`].
 pub const REJECTION_REASONS: usize = 5;
 
 impl Mixer {
-    /// Share of the slices for which a searcher is usable.
+    /// Share of the shards that at least one usable searcher holds, which is one that is up and not marked.
     pub fn usable_share(&self) -> f64 {
         self.scheduler.usable_share()
     }
@@ -26,12 +26,12 @@
         self.scheduler.observed_searchers(self.turn.now)
     }
 
-    /// Scans of each customer in the last seconds.
+    /// Count of the scans of each customer in the last seconds.
     pub fn recent_scans_by_customer(&self) -> &[usize] {
         &self.scheduler.customers.counts
     }
 
-    /// Whether connections were lost while they were idle.
+    /// Whether connections were lately lost while they were idle, so that idle ones are not used at present.
     pub fn idle_connections_lost(&self) -> bool {
         self.turn.now < self.scheduler.connection_losses.distrusted_until
     }
@@ -40,7 +40,8 @@
 /// Status of a mixer for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MixerStatus {
-    /// Searchers that are listed as ready. The next five counts are of these.
+    /// Searchers that are listed as ready. The next five fields count those of them that are in the named
+    /// state; a searcher may be in several.
     pub ready: usize,
     pub marked: usize,
     pub disconnected: usize,
@@ -48,21 +49,23 @@
     pub cold: usize,
     /// Searchers whose concurrency limit is under three calls.
     pub limited: usize,
-    /// Calls in flight, and those of them that were overtaken.
+    /// Calls in flight at ready searchers.
     pub calls: u32,
+    /// Calls in flight at ready searchers that were overtaken.
     pub overtaken_calls: u32,
-    /// Longest time since a ready searcher was last sent a part; searchers that never were do not count.
+    /// Longest time since a ready searcher was last sent a part. Searchers that were never sent one do not
+    /// count.
     pub longest_unused_ms: f64,
-    /// Highest smoothed latency of a ready searcher as it was last confirmed, divided by the baseline.
+    /// Highest smoothed latency of a ready searcher when it was last confirmed, divided by the baseline.
     pub highest_latency: f64,
-    /// Scans that admission control has rejected since the start, by table type. The reasons: no searcher was
-    /// up, those that were up are cold and have no capacity, the searcher's latency, its oldest part, its
-    /// concurrency limit.
+    /// Count of the scans that admission control has rejected since the start, by table type and reason. The
+    /// reasons, in this order: no searcher was up; those that were up were cold and had no capacity; the
+    /// searcher's latency was too high; its oldest part was too old; its concurrency limit was reached.
     pub rejected: Vec<[u64; REJECTION_REASONS]>,
 }
 
 impl MixerStatus {
-    /// Scans that admission control has rejected, over all table types, by reason.
+    /// Count of the scans that admission control has rejected, summed over all table types, by reason.
     pub fn rejections_by_reason(&self) -> [u64; REJECTION_REASONS] {
         std::array::from_fn(|reason| self.rejected.iter().map(|counts| counts[reason]).sum())
     }
@@ -102,17 +105,19 @@
     /// Whether it is still warming up since that start.
     pub cold: bool,
     pub marked: bool,
-    /// Age of the oldest part of this mixer in flight there, divided by the baseline latency, if that is over
-    /// the threshold and the searcher is not marked; else zero.
+    /// Age of the oldest part of this mixer in flight there, divided by the baseline latency. It is zero if
+    /// that is within the threshold for marking, or if the searcher is marked.
     pub overdue: f64,
+    /// What the searcher was last marked for.
     pub evidence: MarkEvidence,
 }
 
-/// What a searcher was last marked for.
+/// The parts for whose latency a searcher was marked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarkEvidence {
     /// Average latency of the parts, divided by the baseline.
     pub relative_latency: f64,
+    /// Count of the parts.
     pub parts: u32,
 }
 
@@ -158,13 +163,15 @@
         }
     }
 
-    /// Share of the cells' slices that a searcher holds which is up and not marked.
+    /// Share of the shards that at least one usable searcher holds. All shards with the same first cell have
+    /// the same holders, so that one shard of each first cell is checked.
     fn usable_share(&self) -> f64 {
         let is_usable = |searcher: SearcherIndex| {
             let state = &self.searchers[searcher];
             state.is_up() && !state.health.marked
         };
-        let usable = (0..self.layout.cells).filter(|slice| self.shard_map.holders(*slice).any(is_usable));
-        usable.count() as f64 / f64::from(self.layout.cells.max(1))
+        let usable_shards =
+            (0..self.layout.cells).filter(|shard| self.shard_map.holders(*shard).any(is_usable));
+        usable_shards.count() as f64 / f64::from(self.layout.cells.max(1))
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! State of the decision module's actors, and the messages that they send each other. Nothing is decided
-//! here.
+//! State of the decision module's actors, and the messages that they send each other. The decisions are in
+//! `src/logic.rs`, which also says what the terms and units mean.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -43,7 +43,8 @@
     /// The latency that is normal for its table type.
     pub const NORMAL: Self = Self { ratio: 1.0, excess_ms: 0.0 };
 
-    /// Moves by the share `weight` of the distance towards `target`.
+    /// Moves by the share `weight` of the distance towards `target`, as an exponentially weighted moving
+    /// average does.
     pub fn toward(self, target: Self, weight: f64) -> Self {
         Self {
             ratio: self.ratio + weight * (target.ratio - self.ratio),
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Moves towards `target` as far as an exponential decay with the time constant `decay_ms` does in a
-    /// short time.
+    /// Moves towards `target` by an exponential decay with the time constant `decay_ms`. The step is linear,
+    /// so that `elapsed_ms` must be much shorter than `decay_ms`.
     pub fn decayed(self, target: Self, elapsed_ms: f64, decay_ms: f64) -> Self {
         Self {
             ratio: self.ratio + (target.ratio - self.ratio) * elapsed_ms / decay_ms,
@@ -64,22 +65,22 @@
 /// What is normal at present. The [`BaselineTracker`] computes it; the other actors hold shared copies.
 #[derive(Debug)]
 pub(crate) struct Baseline {
-    /// Normal latency of a part, by table type.
+    /// Average latency of a part, by table type.
     pub latency_ms: Vec<f64>,
-    /// Work of a part itself, without queueing, by table type.
+    /// Estimated work of a part, without queueing, by table type.
     pub work_ms: Vec<f64>,
     /// A searcher is marked when the latency ratio of its parts exceeds this.
     pub mark_ratio: f64,
-    /// Average of each zone's parts.
+    /// Average relative latency of each zone's parts.
     pub zones: BTreeMap<Zone, RelativeLatency>,
-    /// Time constant by which a latency that no new part confirms decays to its zone's average.
+    /// Time constant by which a searcher's latency decays to its zone's average while no part confirms it.
     pub decay_ms: f64,
 }
 
 impl Baseline {
-    /// Whether a part in flight was overtaken: a part that was sent later, by more than the normal latency,
-    /// has come back. An overtaken part does not wait for anything that its searcher works on; its answer is
-    /// lost, or it is a heavy part.
+    /// Whether a part in flight was overtaken: another part, which was sent later by more than the baseline
+    /// latency, has come back from the same searcher. An overtaken part no longer waits in its searcher's
+    /// queue: its answer is lost, or its own work is heavy.
     pub fn is_overtaken(&self, table_type: TypeIndex, sent_at: f64, newest_success_sent_at: f64) -> bool {
         newest_success_sent_at > sent_at + self.latency_ms[table_type]
     }
@@ -88,8 +89,9 @@
 /// What a [`SearcherMonitor`] reports to the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SearcherHealth {
-    /// Smoothed latency (EWMA), and when a part last confirmed it.
+    /// Smoothed latency of its parts (EWMA).
     pub latency: RelativeLatency,
+    /// When a part last confirmed `latency`.
     pub latency_at: f64,
     /// Highest age of a part of this mixer in flight there, beyond the baseline latency of its table type.
     pub oldest_excess_ms: f64,
@@ -101,13 +103,13 @@
     pub marked: bool,
     /// Readmitted, but no part has come back in time yet.
     pub on_trial: bool,
-    /// Its last part found no connection, or lost it.
+    /// The last part sent to it was refused a connection, or lost it.
     pub disconnected: bool,
     pub mark_evidence: MarkEvidence,
 }
 
 impl SearcherHealth {
-    /// A searcher without any answer yet counts as average.
+    /// Health of a searcher that has not answered yet. Its latency counts as normal.
     pub const NEW: Self = Self {
         latency: RelativeLatency::NORMAL,
         latency_at: 0.0,
@@ -127,6 +129,7 @@
     // To a searcher monitor.
     /// The searcher's process was restarted.
     SearcherRestarted,
+    /// A part was sent to the searcher.
     DispatchSent {
         dispatch: DispatchId,
         table_type: TypeIndex,
@@ -149,14 +152,17 @@
         several: bool,
     },
     // To the baseline tracker.
+    /// A part was answered.
     LatencySample {
         table_type: TypeIndex,
         latency_ms: f64,
     },
+    /// A slice without failures is over.
     SliceEnded {
         searcher: SearcherIndex,
         mean_ratio: f64,
     },
+    /// A part that was sent to this zone has ended.
     ZoneSample {
         zone: Zone,
         latency: RelativeLatency,
@@ -170,6 +176,7 @@
     SearcherRecovered {
         searcher: SearcherIndex,
     },
+    /// An event of the host that concerns scans.
     Host(Event),
     /// All events of the turn were handled.
     EndTurn,
@@ -197,7 +204,8 @@
     }
 }
 
-/// What the actors share in one turn: its time, the mailboxes, and the actions for the host.
+/// What the actors share while one call of `handle_events` (a turn) is handled: its time, the mailboxes, and
+/// the actions for the host.
 #[derive(Debug, Default)]
 pub(crate) struct Turn {
     pub now: f64,
@@ -237,13 +245,14 @@
         }
     }
 
-    /// Cancels dispatches, where the deployment allows that.
+    /// Cancels dispatches if cancelling is allowed.
     pub fn cancel(&mut self, dispatches: Vec<DispatchId>, allowed: bool) {
         let dispatches = dispatches.into_iter().filter(|_| allowed);
         self.actions.extend(dispatches.map(|id| Action::Cancel { part: id.part, dispatch: id.number }));
     }
 
-    /// Takes the next message of the highest address that has one.
+    /// Takes the next message of the highest address that has one: monitors come before the baseline tracker,
+    /// and this before the scheduler.
     pub fn receive(&mut self) -> Option<(Address, Message)> {
         let recipient = *self.nonempty.last()?;
         let message = self.mailboxes[recipient.0].pop_front()?;
@@ -290,11 +299,11 @@
     pub health: SearcherHealth,
     pub slices: Vec<Slice>,
     pub probe_at: f64,
-    /// When the newest part that came back well was sent.
+    /// When the newest part that was answered was sent.
     pub newest_success_sent_at: f64,
-    /// It refused a connection since it last answered.
+    /// It has refused a connection since it was last readmitted or restarted.
     pub refused_connection: bool,
-    /// A probe is out because other mixers have marked it.
+    /// A probe is in flight because other mixers have marked the searcher.
     pub peer_probe_pending: bool,
 }
 
@@ -318,8 +327,11 @@
 /// Estimates for the parts of one table type.
 #[derive(Debug)]
 pub(crate) struct TypeEstimate {
+    /// Average latency.
     pub latency_ms: f64,
+    /// Count of the latencies that the estimates are based on, the initial guess included.
     pub samples: f64,
+    /// Work of a part, without queueing.
     pub work_ms: f64,
 }
 
@@ -350,21 +362,21 @@
     }
 }
 
-/// A scan in the span in which customers' traffic is compared.
+/// A scan in the time span in which customers' traffic is compared.
 #[derive(Debug)]
 pub(crate) struct RecentScan {
     pub at: f64,
     pub customer: usize,
 }
 
-/// Recent traffic of each customer, and whose scans are sent with caution.
+/// Recent traffic of each customer, and the customers whose scans may crash searchers.
 #[derive(Debug)]
 pub(crate) struct CustomerTraffic {
     pub customers: Vec<Customer>,
     /// Recent scans by customer.
     pub counts: Vec<usize>,
     pub recent: VecDeque<RecentScan>,
-    /// Until when a customer's scans send one part first, before all others.
+    /// Until when a customer's scans send one part at a time until a part is answered.
     pub cautious_until: BTreeMap<usize, f64>,
 }
 
@@ -399,11 +411,11 @@
 /// Loss rates of parts by the connection that they were sent on.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionLosses {
-    /// Of parts sent on connections in use.
+    /// Loss rate of parts sent on connections that were recently used.
     pub fresh_rate: f64,
-    /// Of parts sent on connections that had long been idle.
+    /// Loss rate of parts sent on connections that had long been idle.
     pub idle_rate: f64,
-    /// Until then, idle connections are closed instead of used.
+    /// Until this time, idle connections are closed instead of used.
     pub distrusted_until: f64,
 }
 
@@ -434,7 +446,7 @@
         }
     }
 
-    /// Distance of a cell from the first cell of a shard, as a share of all cells.
+    /// How many cells after the first cell of a shard a cell comes, as a share of all cells.
     pub fn distance(&self, shard: u32, cell: u32) -> f64 {
         let cells = self.searchers_by_cell.len();
         ((cell as usize + cells - shard as usize % cells) % cells) as f64 / cells as f64
@@ -453,7 +465,7 @@
 pub(crate) struct SearcherDirectory {
     by_address: BTreeMap<SocketAddrV4, SearcherIndex>,
     free: Vec<SearcherIndex>,
-    /// Indices below this have been in use.
+    /// The lowest index that was never used.
     end: SearcherIndex,
 }
 
@@ -488,7 +500,7 @@
     }
 }
 
-/// Where a scan or a part that the host names by its number is found.
+/// Where a scan or a part is stored that the host identifies by its id.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Location {
     Scan { scan: ScanIndex },
@@ -498,7 +510,7 @@
 /// A call that leaves in this turn and carries one or more parts to one searcher.
 #[derive(Debug)]
 pub(crate) struct OpenCall {
-    /// Shared by the call's dispatches: the last one that ends finds no other owner.
+    /// Shared by the call's dispatches. The call has ended when its last dispatch drops this.
     pub call: Rc<()>,
     pub parts: u32,
 }
@@ -510,6 +522,7 @@
     pub layout: Layout,
     pub limits: SafetyLimits,
     pub permissions: Permissions,
+    /// Count of the mixers: the stated one, or a higher one that is seen.
     pub mixer_count: f64,
     pub baseline: Rc<Baseline>,
     pub searchers: Vec<SearcherState>,
@@ -520,28 +533,31 @@
     /// Budget of hedges for parts that are late while their searcher is not marked.
     pub hedge_budget: BudgetWindow,
     pub connection_losses: ConnectionLosses,
-    /// Average busy share of the searchers' cores, by the reports in the newest answers; none until one came.
+    /// Average busy share of the searchers' cores, as their newest answers report it; none before the first
+    /// report.
     pub busy_share: Option<f64>,
-    /// Work in a millisecond that scans of each table type ask for.
+    /// Average work per millisecond that this mixer's scans require, by table type.
     pub demanded_work_rates: Vec<f64>,
-    /// When the first list came.
+    /// When the first searcher list arrived.
     pub first_list_at: f64,
-    /// The scans' lottery numbers start from this one.
+    /// Sampling number of the first scan, random for each mixer; see [`Scan::sampling_number`].
     pub sampling_offset: f64,
-    /// Work in a millisecond that this mixer sends.
+    /// Average work per millisecond that this mixer sends.
     pub sent_work_rate: f64,
     /// Count of the searchers that are ready.
     pub ready_searcher_count: f64,
+    /// Key of the newest scan.
     pub last_scan: ScanIndex,
     pub scans: BTreeMap<ScanIndex, Scan>,
     pub in_flight: BTreeMap<DispatchId, InFlightDispatch>,
     pub timers: Timers,
+    /// Where scans and parts are stored, by the host's ids.
     pub locations: BTreeMap<u64, Location>,
     /// The calls that leave in this turn.
     pub open_calls: BTreeMap<SearcherIndex, OpenCall>,
     /// Scans to advance at the end of this turn.
     pub changed_scans: BTreeSet<ScanIndex>,
-    /// Scans that lack parts and wait for capacity.
+    /// Scans that lack parts and wait for capacity or budget. They are advanced again at the next tick.
     pub waiting_scans: BTreeSet<ScanIndex>,
     /// Scans that admission control rejected, by table type and [`RejectionReason`].
     pub rejections: Vec<[u64; REJECTION_REASONS]>,
@@ -563,7 +579,7 @@
 }
 
 impl Scheduler {
-    #[allow(clippy::too_many_arguments)] // each field takes its own few settings
+    #[allow(clippy::too_many_arguments)] // each argument initializes one field
     pub fn new(
         table_types: Vec<TableType>,
         layout: Layout,
@@ -607,19 +623,19 @@
         }
     }
 
-    /// Counts one more scan or part for the budgets.
+    /// Counts an accepted scan or part, which raises the budgets of extra dispatches.
     pub fn count_accepted(&mut self, now: f64) {
         self.retry_budget.accepted_at.push_back(now);
         self.hedge_budget.accepted_at.push_back(now);
     }
 
-    /// Whether a call leaves for this searcher in this turn that can carry one more part.
+    /// Whether a call with room for one more part leaves for this searcher in this turn.
     pub fn has_open_call(&self, searcher: SearcherIndex) -> bool {
         self.open_calls.get(&searcher).is_some_and(|open| open.parts < self.layout.parts_per_call)
     }
 
-    /// Computes how many parts of a scan come to one searcher if all searchers that hold its shards get as
-    /// many.
+    /// Computes how many parts of a scan each searcher gets if they are spread evenly over all searchers that
+    /// hold its shards.
     pub fn set_parts_per_searcher(&mut self, scan: ScanIndex) {
         let Some(scan) = self.scans.get_mut(&scan) else { return };
         let holders: BTreeSet<SearcherIndex> =
@@ -666,30 +682,31 @@
     pub zone: Zone,
     /// When its process started, as the list says.
     pub listed_start_at: f64,
-    /// The same, or when this mixer found that it had been restarted.
+    /// When its process started: as the list says, or later if this mixer found that it was restarted.
     pub found_start_at: f64,
-    /// The same, as other mixers report it; zero where none does.
+    /// When its process started, as other mixers report it; zero if none does.
     pub reported_start_at: f64,
     pub status: SearcherStatus,
-    /// Other mixers report that it drains or goes.
+    /// Other mixers report that it is draining or gone.
     pub leaving: bool,
     pub health: SearcherHealth,
-    /// Decides between searchers of equal cost: the lower one is preferred.
+    /// Decides between searchers of equal cost: the lower value is preferred.
     pub tie_breaker: f64,
     /// Calls of this mixer in flight there.
     pub calls: u32,
-    /// When a part last came back well.
+    /// When a part was last answered.
     pub last_success_at: f64,
-    /// When the newest part that came back well was sent.
+    /// When the newest part that was answered was sent.
     pub newest_success_sent_at: f64,
     /// When a part was last sent there.
     pub last_sent_at: f64,
     /// Limit on the calls of this mixer in flight there.
     pub concurrency_limit: f64,
+    /// When `concurrency_limit` was last cut.
     pub limit_cut_at: f64,
     /// When this mixer learned of its latest start.
     pub start_known_at: f64,
-    /// Work sent to it lately since a start was known.
+    /// Work that was sent to it lately, recorded only if a start of it is known.
     pub recent_work: VecDeque<SentWork>,
 }
 
@@ -725,12 +742,12 @@
         }
     }
 
-    /// Calls of this mixer that it may be at work on.
+    /// Calls of this mixer in flight there that were not overtaken: those that it may still be working on.
     pub fn active_calls(&self) -> u32 {
         self.calls.saturating_sub(self.health.overtaken_calls)
     }
 
-    /// The latest start that is known, from any source.
+    /// The latest start of its process that is known from any source; zero if none is known.
     pub fn latest_start_at(&self) -> f64 {
         self.found_start_at.max(self.reported_start_at)
     }
@@ -766,7 +783,7 @@
     pub shard: u32,
     pub weight: f64,
     pub state: PartState,
-    /// It is late, or in flight at a searcher that was marked, and may be hedged.
+    /// It may be hedged: it is late, or in flight at a searcher that was marked.
     pub hedge_due: bool,
     pub dispatches: Vec<PartDispatch>,
     pub accepted_at: f64,
@@ -799,15 +816,15 @@
     }
 }
 
-/// A dispatch that may be made next. Candidates are made in the order of these fields.
+/// A dispatch that may be made next. Candidates are dispatched in the order of these fields.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Candidate {
     /// 0 for a searcher without known trouble, else 1.
     pub tier: u8,
     /// The part was sent before.
     pub is_retry: bool,
-    /// Cost for the weight that the part adds, as the bits of a number that is not negative: they are ordered
-    /// as it is.
+    /// Cost divided by the part's weight, as the bits of the number. Bits of numbers that are not negative are
+    /// ordered like the numbers.
     pub cost_bits: u64,
     /// The part's index in its scan.
     pub part: usize,
@@ -824,17 +841,19 @@
     pub target_at: f64,
     pub deadline_at: f64,
     pub parts: Vec<Part>,
-    /// Weight of parts that makes a whole answer, and the least weight for any answer.
+    /// Weight of parts that makes a whole answer.
     pub required_weight: f64,
+    /// Least weight of parts for any answer.
     pub minimum_weight: f64,
     /// Whether the first step's answer was whole.
     pub first_step_whole: bool,
     pub in_second_step: bool,
     /// Parts in flight that lost their connection.
     pub connections_lost: u32,
-    /// From 0 to 1: with a low number it is admitted where cold searchers have capacity for few scans.
+    /// Number from 0 to 1 that decides whether the scan is admitted where cold searchers have capacity for a
+    /// fraction of the scans only: the scans whose number is below the fraction are.
     pub sampling_number: f64,
-    /// Parts that come to one searcher if all searchers that hold its shards get as many.
+    /// Parts that each searcher gets if they are spread evenly over all searchers that hold the scan's shards.
     pub parts_per_searcher: f64,
 }
 
@@ -848,7 +867,7 @@
         self.weight_of(|part| part.state == PartState::Answered)
     }
 
-    /// Weight of the parts that are answered, or in flight and not to be hedged.
+    /// Weight of the parts that are answered, or in flight without a hedge being due.
     pub fn expected_weight(&self) -> f64 {
         self.weight_of(|part| match part.state {
             PartState::Answered => true,
@@ -870,12 +889,12 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerEntry {
-    /// The bits of a time that is not negative: they are ordered as it is.
+    /// The bits of a time that is not negative. They are ordered like the times.
     at_bits: u64,
     timer: Timer,
 }
 
-/// All timers but the periodic tick, in order.
+/// All timers except the periodic tick, in the order of their times.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     entries: BTreeSet<TimerEntry>,
@@ -905,7 +924,8 @@
     pub call: Rc<()>,
     pub sent_at: f64,
     pub timeout_ms: f64,
-    /// Whether its connection had long been idle; none once it was counted in [`ConnectionLosses`].
+    /// Whether its connection had long been idle. None if a new connection was opened for it, or once it was
+    /// counted in [`ConnectionLosses`].
     pub on_idle_connection: Option<bool>,
 }
 
@@ -916,7 +936,7 @@
     }
 }
 
-/// The middle value, if there are at least `min_count`.
+/// The middle value, if there are at least `min_count` values; of an even count, the upper one.
 pub(crate) fn median(values: impl Iterator<Item = f64>, min_count: usize) -> Option<f64> {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
@@ -929,11 +949,12 @@
 pub struct Mixer {
     pub(crate) random: Rand64,
     pub(crate) zone: u16,
-    /// The count of mixers that the settings state.
+    /// Count of mixers that the settings state.
     pub(crate) stated_mixer_count: f64,
     pub(crate) directory: SearcherDirectory,
-    /// When to subscribe to the list again, and how many subscriptions in a row have failed.
+    /// When to subscribe to the searcher list again.
     pub(crate) subscribe_at: f64,
+    /// How many subscriptions in a row have failed, up to a limit.
     pub(crate) failed_subscriptions: u32,
     pub(crate) next_tick_at: f64,
     pub(crate) monitors: Vec<SearcherMonitor>,
