--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -1,6 +1,6 @@
 //! All state of a mixer and every change to it: inputs in, effects out, no I/O. The reducer owns the scans,
-//! their attempts, the links to searchers and the decision module. It takes none of the decisions that are
-//! the module's.
+//! their attempts, the links to searchers and the decision module. It carries out the decisions of that module
+//! and makes none in its place.
 //!
 //! All times are by the service's [clock](crate::clock).
 
@@ -32,11 +32,11 @@
 
 /// After a warning, further ones are logged at the debug level for this long.
 const WARNING_INTERVAL_MS: f64 = 1000.0;
-/// A new process waits this long for the watch's first list before it uses the list held before its start. A
-/// change that the agent knows counts as known to the mixer from its first moment, and an agent that is up
-/// answers at once.
+/// A new process waits this long for the watch's first list before it uses the cached list from before its
+/// start. Every change that discovery knows of counts as known to the mixer from its start on, so nothing
+/// should be sent by the cached list if discovery has a newer one. If discovery is up, it answers at once.
 const CACHED_LIST_DELAY_MS: f64 = 1500.0;
-/// Connections of clients that may be accepted while others are being closed.
+/// Number of client connections above the limit that may be accepted while others are being closed.
 const CLIENTS_IN_TRANSITION: usize = 8;
 /// File descriptors for everything but clients and searchers: twelve once started, three more for each of two
 /// watches while they connect again, and two for a watch that ends.
@@ -244,11 +244,11 @@
         self.add_timer(now + CACHED_LIST_DELAY_MS, Timer::CachedList);
     }
 
-    /// Applies inputs, each with its time, and fires the timers that are due; the effects to carry out.
+    /// Applies inputs, each with its time, and fires the timers that are due. Returns the effects to carry out.
     ///
-    /// Changes to the list are applied first, as a drain counts from the time it was reported. Ends of
-    /// clients and links are next: nothing is sent for a client that has disconnected or on a link that has
-    /// closed, even if that stands behind other inputs.
+    /// Lists are applied first, as a searcher's drain counts from the time it was reported. Disconnected
+    /// clients and closed links are next: nothing is sent for such a client or on such a link, even if the
+    /// input that reports it comes after others.
     pub fn step(&mut self, now: UnixMs, inputs: Vec<(UnixMs, Input)>) -> Vec<Effect> {
         let rank = |(at, input): (UnixMs, Input)| RankedInput { rank: self.rank(&input), at, input };
         let mut ranked: Vec<RankedInput> = inputs.into_iter().map(rank).collect();
@@ -274,12 +274,12 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Abandons scans whose deadline has passed. The decision module ends its scans before that, which after
-    /// a pause of the machine is only now.
+    /// Abandons scans that are still open after their deadline. The decision module ends scans before that;
+    /// after a pause of the machine it has done so earlier in this step.
     fn abandon_overdue(&mut self, now: UnixMs, scans: Vec<u64>) {
         let still_open: Vec<u64> = scans.into_iter().filter(|scan| self.scans.contains_key(scan)).collect();
         for scan in still_open {
-            self.warn(now, "a scan was still open at its time");
+            self.warn(now, "a scan was still open at its deadline");
             self.counters.scans_overdue += 1;
             self.counters.scans_abandoned += 1;
             self.count_for_type(scan, |counts| &mut counts.abandoned);
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Logs a warning. Further ones within a while are logged at the debug level, so that no flood from
-    /// outside floods the log.
+    /// Logs a warning. Further warnings within [`WARNING_INTERVAL_MS`] are logged at the debug level, so that
+    /// clients, searchers or discovery can't flood the log.
     fn warn(&mut self, now: UnixMs, line: &str) {
         if now < self.warns_again_at {
             return debug!("{line}");
@@ -417,13 +417,13 @@
             Timer::ClientLinger(connection_id) => self.close_finished_client(now, connection_id),
             Timer::ClientIdle(connection_id) => self.check_idle_client(now, connection_id),
             Timer::CachedList => self.use_cached_list(now),
-            // Handled by every step.
+            // Every step handles overdue scans, runs the decision module and continues a drain.
             Timer::ScanDeadline(_) | Timer::DrainStep | Timer::UnsentAttempts => {}
         }
     }
 
-    /// Tells the decision module what has happened and carries out its actions, until those cause no new
-    /// events.
+    /// Passes the events to the decision module and performs the actions that it returns, until those cause no
+    /// new events.
     fn run_module(&mut self, now: UnixMs) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -15,7 +15,7 @@
 use crate::inputs::LinkId;
 
 impl Reducer {
-    /// Starts an attempt of a part; `None` if it is not to be sent.
+    /// Starts an attempt of a part; `None` if it must not be sent.
     pub(super) fn dispatch(
         &mut self,
         now: UnixMs,
@@ -24,7 +24,7 @@
         timeout_ms: f64,
     ) -> Option<AttemptId> {
         let Some(part) = self.parts.get_mut(&part_id) else {
-            self.warn(now, "a part that is over was dispatched");
+            self.warn(now, "the decision module dispatched a part whose scan is over");
             return None;
         };
         let attempt_id = AttemptId { part: part_id, number: part.attempts };
@@ -110,7 +110,8 @@
         self.check_silent(link_id, dispatched_at);
     }
 
-    /// Ends an attempt that is no longer waited for, and tells its searcher where the deployment allows that.
+    /// Ends an attempt whose answer is no longer awaited, and sends its searcher a cancellation if the
+    /// deployment permits that.
     pub(super) fn cancel_attempt(&mut self, now: UnixMs, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.config.permissions.cancel {
@@ -125,7 +126,8 @@
         self.end_attempt_with_load(now, attempt_id, outcome, None);
     }
 
-    /// Records and reports the one outcome of an attempt, with the busy share that its searcher reported.
+    /// Records the outcome of an attempt and reports it to the decision module, with the busy share that its
+    /// searcher reported.
     fn end_attempt_with_load(
         &mut self,
         now: UnixMs,
@@ -161,7 +163,7 @@
                 *unfinished -= 1;
                 if *unfinished == 0 {
                     link.open_calls.remove(&attempt.call);
-                    // If the call was never sent, it need not be any more.
+                    // If the call is still queued, it is not sent any more.
                     link.queue.retain(
                         |queued| !matches!(queued, QueuedFrame::Call { call, .. } if *call == attempt.call),
                     );
@@ -180,7 +182,7 @@
         match frame {
             Frame::Part { id: part_name, verdict, value, busy } => {
                 let Some(expected) = link.expected.get_mut(part_name.as_str()) else {
-                    let reason = format!("an answer for {part_name}, which never went out on it");
+                    let reason = format!("an answer for {part_name}, which was never sent on it");
                     return self.reject_frame(now, link_id, &reason);
                 };
                 let Some(attempt_id) = expected.attempt_id() else {
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -43,7 +43,8 @@
         if self.clients.values().filter(|c| !c.closing).count() > self.max_clients {
             self.make_room(now);
         }
-        // It waited to be accepted when listening ended: it is served if it has sent a request by now.
+        // The client still waited to be accepted when listening ended. It is served only if it has already sent
+        // a request.
         if matches!(self.phase, Phase::Draining { listening: false, .. }) {
             self.close_client(now, connection_id, ClientCloseReason::Draining);
         }
@@ -77,8 +78,7 @@
         let crowded = 2 * self.clients.len() > self.max_clients;
         let Some(client) = self.clients.get_mut(&connection_id) else { return };
         client.idle_timer_set = false;
-        // A client that had begun a request when its connection began to close still has its time to complete
-        // it.
+        // A client that was sending a request when its connection began to close still has time to complete it.
         let is_closing = client.closing && client.state != ClientState::AwaitingRequest;
         if client.scan.is_some() || client.state == ClientState::Finished || is_closing {
             return;
@@ -232,7 +232,8 @@
         if let Some(part) = scan.parts.iter().find(|p| p.shard >= self.config.shard_count) {
             return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
         }
-        // Answers of searchers carry nothing but the part's name, which is made of the request's id.
+        // A searcher's answer identifies its part by name alone, and that name is made from the request's id.
+        // Two open requests with one id could not be told apart.
         if self.open_request_ids.contains(&scan.id) {
             return Err(Rejection { status: 409, reason: format!("the request {} is still open", scan.id) });
         }
@@ -249,7 +250,7 @@
         self.answer(now, connection_id, *status, None, format!("{reason}\n").as_bytes());
     }
 
-    /// Takes a scan, or answers it at once if it can't be taken now.
+    /// Starts a scan, or rejects it at once if it can't be served now.
     fn receive_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         self.counters.scans_taken += 1;
         self.counters.by_type[ids.table_type].taken += 1;
@@ -419,7 +420,8 @@
         }
     }
 
-    /// An answer is still being written: its client's time to close begins once that is done.
+    /// Records that an answer is still being written. The client's time to close its connection begins once
+    /// that is done.
     pub(super) fn answer_delayed(&mut self, connection_id: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&connection_id) {
             client.answer_delayed = true;
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -1,6 +1,6 @@
-//! Frames: what is written next on a link. A frame is produced right before its first byte is written and not
-//! earlier. Until then whatever is queued can be withdrawn, and the time left that a frame states is that at
-//! the write.
+//! Frames: what is written next on a link. A frame is encoded right before its first byte is written and not
+//! earlier. Until then anything in the queue can still be withdrawn, and the remaining time that a frame states
+//! is exact when it is written.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,9 @@
 use crate::frame::{self, CallPart};
 use crate::inputs::{ConnectionId, Effect, LinkId};
 
-/// The first delay after which a write on a blocked link is tried again. It doubles each time. The reading
-/// thread reports that a link is writable again, but not that a write failed for a moment.
+/// The delay before a write on a blocked link is first retried. It doubles with each retry. Retries are needed
+/// because the reading thread reports when a link that was full becomes writable, but reports nothing after a
+/// write that failed only for a moment.
 const FIRST_WRITE_RETRY_MS: f64 = 10.0;
 
 /// A frame whose first byte is to be written now.
@@ -46,12 +47,12 @@
         }
     }
 
-    /// The next frame to write on a link, with only what may be sent now; `None` if nothing is queued. A
-    /// closing link still sends cancellations, and nothing else. `disconnected`: clients whose connections
+    /// The next frame to write on a link, with only those attempts that may be sent now; `None` if nothing is
+    /// queued. On a closing link only cancellations are still sent. `disconnected`: clients whose connections
     /// have ended, whether or not an input has reported that.
     ///
-    /// The first byte has to be written at once, as the frame states the time left at `now`, and only while
-    /// none of its clients has disconnected. Otherwise the frame has to be [returned](Self::return_frame).
+    /// The first byte has to be written at once, as the frame states the time that is left at `now`, and only
+    /// if none of its clients has disconnected. Otherwise the frame has to be [returned](Self::return_frame).
     pub fn next_frame(
         &mut self,
         now: UnixMs,
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -1,10 +1,10 @@
-//! The one place that decides whether something may be sent, repeated, closed, answered as the last answer,
-//! or ended *now*.
+//! The rules that decide whether the mixer may now send or repeat an attempt, close a connection, give a client
+//! its last answer, or end.
 //!
 //! All functions are pure functions of the reducer's state. The other modules of the reducer call them right
-//! before they act, carry out what is allowed, and count each refusal by its reason. What must never be
-//! requested at all is a [`Violation`]: it is counted and logged as an error in every build, and tests check
-//! that its counters stay at zero.
+//! before they act, do only what is allowed, and count each refusal by its reason. An action that must never
+//! even be attempted is a [`Violation`]: it is counted and logged as an error in every build, and tests check
+//! that the counters of violations stay at zero.
 
 use std::fmt;
 
@@ -14,17 +14,18 @@
 
 use crate::clock::UnixMs;
 
-/// A draining mixer serves new connections for this long. Clients may still open some for 0.4 s.
+/// A draining mixer accepts new connections for this long. Clients may keep opening some for 0.4 s.
 pub(super) const LISTEN_MS: f64 = 600.0;
 /// Time that a client has to close its connection after its last answer.
 pub(super) const LINGER_MS: f64 = 300.0;
-/// The platform ends a mixer at the earliest this long, or its longest query timeout if that is shorter, plus
-/// 0.7 s after it asked the mixer to end.
+/// The longest query timeout that the platform allows for in a drain. After it has asked a mixer to end, the
+/// platform waits for the mixer's longest query timeout, or for this time if that is shorter, and 0.7 s more,
+/// before it kills the process. [`drain_times`] uses 0.6 s of these 0.7 s.
 const MAX_DRAIN_QUERY_MS: f64 = 3000.0;
-/// All queries are answered this long before the latest end, as the process may have been paused when it was
-/// asked to end.
+/// All queries are answered this long before the latest time to end. The process may have been paused when it
+/// was asked to end, and its schedule then begins too late.
 const ANSWERED_BEFORE_END_MS: f64 = 150.0;
-/// The time that a searcher is given may exceed what its client has left by this much.
+/// A searcher's timeout may end this long after its client's deadline.
 const DEADLINE_SLACK_MS: f64 = 150.0;
 
 /// Why an attempt is not sent.
@@ -67,8 +68,8 @@
 }
 
 impl SendRefusal {
-    /// Whether the decision module should not have requested the attempt, whatever happened while it waited
-    /// for its link.
+    /// Whether the decision module was wrong to request the attempt: nothing that may happen while an attempt
+    /// waits for its link explains this refusal.
     pub(super) fn is_violation(self) -> bool {
         matches!(self, Self::MayHaveRun)
     }
@@ -164,34 +165,35 @@
     }
 }
 
-/// Requests that were buffered when their client's connection began to close are served for this long. That
-/// is enough for several slow ones, and a client that floods is not served for ever.
+/// How long requests are served that were buffered when their client's connection began to close. It is enough
+/// for several slow requests, and keeps a client that sends without end from being served for ever.
 const SERVE_BUFFERED_MS: f64 = 1000.0;
 
-/// Until when the buffered requests of a client are served whose connection begins to close at `now`.
+/// The time until which a client's buffered requests are served if its connection begins to close at `now`.
 pub(super) fn serves_buffered_until(now: UnixMs) -> UnixMs {
     now + SERVE_BUFFERED_MS
 }
 
-/// The same for all clients of a draining mixer: half of the time up to its end. The other half is for
-/// reading the answers.
+/// The time until which a draining mixer serves buffered requests: half of the drain. The other half is left to
+/// the clients for reading the answers.
 pub(super) fn drain_serves_buffered_until(listen_until: UnixMs, until: UnixMs) -> UnixMs {
     let began_at = listen_until - LISTEN_MS;
     began_at + (until - began_at) / 2.0
 }
 
-/// Buffered requests of a client that are refused after that time. More would keep a client that floods
-/// connected.
+/// After that time, this many buffered requests of a client are refused before its connection ends. Without a
+/// limit, a client that sends without end would stay connected.
 const MAX_BUFFERED_REFUSED: u32 = 16;
 
-/// Until when the buffered requests of a client are served, if the mixer drains or the connection is closing.
+/// The time until which a client's buffered requests are served; `None` unless the mixer drains or the
+/// connection is closing.
 pub(super) fn serves_until(client: &Client, drain_serves_until: Option<UnixMs>) -> Option<UnixMs> {
     drain_serves_until.into_iter().chain(client.serves_buffered_until).reduce(f64::min)
 }
 
-/// Whether an answer to a client ends its connection. While the mixer drains (`drain_serves_until` is given)
-/// or the connection is closing, requests that were read already are answered first: served for a while, then
-/// some of them refused.
+/// Whether an answer to a client is the last on its connection. While the mixer drains (`drain_serves_until` is
+/// given) or the connection is closing, requests that have already been read are answered first: they are
+/// served up to a time, and after that a limited number is refused.
 pub(super) fn is_last_answer(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     let Some(until) = serves_until(client, drain_serves_until) else { return client.close_after_answer };
     let is_flooding = now >= until && client.buffered_refused >= MAX_BUFFERED_REFUSED;
@@ -220,18 +222,19 @@
     }
 }
 
-/// When all queries of a draining mixer are answered that ends at `until` at the latest. The remaining time
-/// is for slow clients.
+/// The time by which a draining mixer has answered all queries if it ends at `until` at the latest. The time in
+/// between is for clients that read slowly.
 pub(super) fn drain_answers_until(until: UnixMs) -> UnixMs {
     until - ANSWERED_BEFORE_END_MS
 }
 
-/// Until when a client delays the end of a draining mixer that no longer listens. `until`: when the platform
-/// ends the process.
+/// The time until which a client delays the end of a draining mixer that no longer listens. `until` is the
+/// latest time to end.
 ///
-/// Every client without a last answer is being closed by then. The reading thread reports its end, unless a
-/// request has begun to arrive, which may not be known here yet. An answer that is not written yet, and a
-/// client that still sends, delay the end as well.
+/// A client that has had its last answer delays the end only for its time to close, unless that answer is not
+/// written completely or the client still sends. Any other client is being closed by now, and the reading
+/// thread reports when that is done. It may instead have a request that has begun to arrive and is not reported
+/// yet, so it delays the end up to `until`.
 pub(super) fn client_delays_end_until(client: &Client, until: UnixMs) -> UnixMs {
     let is_finished = client.state == ClientState::Finished;
     if is_finished && !client.answer_delayed && !client.still_sends {
@@ -241,8 +244,8 @@
     }
 }
 
-/// When a query has to be answered: after the time that its client waits, at most the agreed query timeout,
-/// and before the end of a draining mixer.
+/// The deadline of a query: the time until which its client waits, limited by the query timeout of its table
+/// type and by the end of a draining mixer.
 pub(super) fn query_deadline(
     now: UnixMs,
     wait_ms: f64,
@@ -294,7 +297,8 @@
     }
 }
 
-/// Whether a link may be closed now for that reason. Attempts that are open on it would end as reset.
+/// Whether a link may be closed now for that reason. A link with open attempts is closed only if it can't be
+/// used any more, as closing it ends them as reset.
 pub(super) fn may_close_link(link: &Link, reason: LinkCloseReason) -> bool {
     let reason_allows = match reason {
         LinkCloseReason::Stuck | LinkCloseReason::Unusable | LinkCloseReason::Ended => true,
@@ -307,7 +311,7 @@
 /// What must never happen, whatever clients, searchers and discovery do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// The decision module requested a send that no race between events explains.
+    /// The decision module requested a send that no race between events can explain.
     Send,
     /// An answer to a client that awaits none.
     Answer,
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -41,7 +41,7 @@
     pub(super) shard: u32,
     /// Number of attempts so far, including those that were never sent.
     pub(super) attempts: u8,
-    /// Attempts that were sent and are not proved never to have run.
+    /// Number of attempts that were sent, except those known never to have run.
     pub(super) may_have_run: u8,
     /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be
     /// repeated, minus infinity for parts that must not be.
@@ -54,7 +54,7 @@
 /// What the reducer has to do at a set time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decision module asked to be called.
+    /// The decision module asked to be called at this time.
     ModuleWakeup,
     AttemptTimeout(AttemptId),
     ProbeTimeout {
@@ -68,15 +68,15 @@
     LinkStuck(LinkId),
     /// Retries a write on a blocked link.
     LinkWriteRetry(LinkId),
-    /// The time to close that a client has after its last answer is over.
+    /// The time that a client has to close its connection after its last answer is over.
     ClientLinger(ConnectionId),
     /// A client may have sent no request for too long.
     ClientIdle(ConnectionId),
-    /// The list held before the start is used if the watch has sent none.
+    /// The cached list from before the start is used if the watch has sent none.
     CachedList,
     /// The next step of draining may be due.
     DrainStep,
-    /// The decision module has not handled yet that attempts were refused at the time of the write.
+    /// Attempts were refused at the time of the write, and the decision module has yet to be told so.
     UnsentAttempts,
 }
 
@@ -122,7 +122,7 @@
     pub(super) closing: bool,
     /// While closing: until when buffered requests are served.
     pub(super) serves_buffered_until: Option<UnixMs>,
-    /// Number of buffered requests answered after that time, or after the drain's.
+    /// Number of buffered requests refused after that time, or after the corresponding time of a drain.
     pub(super) buffered_refused: u32,
     /// Its last answer is not written completely yet.
     pub(super) answer_delayed: bool,
@@ -166,7 +166,7 @@
 }
 
 impl Searcher {
-    /// Logs that a searcher which was ready is no longer.
+    /// Logs that a searcher that was ready drains or is gone.
     pub(super) fn log_if_left(&self) {
         match self.status {
             SearcherStatus::Ready => {}
@@ -206,7 +206,7 @@
     pub(super) open_calls: BTreeMap<CallId, usize>,
     /// Part names that were sent on it, and which answer may still arrive for each.
     pub(super) expected: HashMap<Rc<str>, ExpectedAnswer>,
-    /// Those names whose attempts have ended, oldest first.
+    /// The names in `expected` whose attempts have ended, oldest first.
     pub(super) finished_names: VecDeque<Rc<str>>,
     pub(super) probes: VecDeque<Probe>,
     /// When anything last arrived on it.
@@ -262,8 +262,8 @@
     pub(super) frame: Option<u64>,
 }
 
-/// Names of ended attempts that a link remembers. They cover some seconds of a link in full use, and the
-/// whole life of others.
+/// Number of ended attempts whose names a link remembers. They cover some seconds of a link in full use, and
+/// the whole lifetime of other links.
 const MAX_FINISHED_NAMES: usize = 512;
 
 impl Link {
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -197,7 +197,7 @@
     // Both searchers receive a part. A part that must not run twice is abandoned, another is sent to the other searcher.
     ask("entry", 2);
     ask("lookup", 2);
-    wait_for_log(&mut mixer.log, "never went out on it");
+    wait_for_log(&mut mixer.log, "never sent on it");
     mixer.signal("TERM");
     let exit = mixer.wait_for_exit();
     insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
