--- a/crates/mixer/src/reducer/drain.rs
+++ b/crates/mixer/src/reducer/drain.rs
@@ -10,7 +10,7 @@
 use crate::inputs::{ConnectionId, Effect, Phase};
 
 impl Reducer {
-    /// Until when buffered requests are served, if the mixer drains.
+    /// The time until which buffered requests are served; `None` unless the mixer drains.
     pub(super) fn drain_serves_until(&self, now: UnixMs) -> Option<UnixMs> {
         match self.phase {
             Phase::Starting | Phase::Ready => None,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// When everything has to be answered, if the mixer drains.
+    /// The time by which everything has to be answered; `None` unless the mixer drains.
     pub(super) fn drain_answers_until(&self) -> Option<UnixMs> {
         match self.phase {
             Phase::Draining { until, .. } => Some(rules::drain_answers_until(until)),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// When the process may end if nothing more happens.
+    /// The time at which the process ends if nothing more arrives.
     fn drain_ends_at(&self, listen_until: UnixMs, until: UnixMs) -> UnixMs {
         if !self.listener_closed {
             return until; // clients may still wait to be accepted
@@ -114,7 +114,7 @@
         delays.fold(listen_until + rules::LINGER_MS, f64::max)
     }
 
-    /// Answers clients whose requests are incomplete, as the platform waits no longer.
+    /// Answers clients whose requests are still incomplete, as the platform ends the process soon.
     fn answer_incomplete_requests(&mut self, now: UnixMs) {
         let is_incomplete =
             |client: &Client| client.state == ClientState::AwaitingRequest && client.scan.is_none();
--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -13,8 +13,8 @@
 use crate::frame;
 use crate::inputs::{Effect, LinkId};
 
-/// A link is closed here after this share of the time after which searchers close idle connections, so that
-/// no call meets a close.
+/// An idle link is closed after this share of the time after which searchers close idle connections, so that no
+/// call is sent while its searcher closes the connection.
 const IDLE_SHARE: f64 = 0.8;
 
 impl Reducer {
@@ -55,9 +55,9 @@
         self.check_silent(link_id, sent_at);
     }
 
-    /// Marks a link as silent if nothing has arrived since something was sent that timed out. It may have
-    /// been cut off without a close, and the system would keep it for as long as it retransmits. Other links
-    /// are opened, and this one closes once nothing is open on it.
+    /// Marks a link as silent if something sent on it has timed out and nothing has arrived since. The network
+    /// may have cut the connection without a close, and the operating system keeps such a connection for as
+    /// long as it retransmits. New calls use other links, and this one is closed once no call is open on it.
     pub(super) fn check_silent(&mut self, link_id: LinkId, sent_at: UnixMs) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         link.silent |= link.state == LinkState::Up && link.last_received_at < sent_at;
@@ -81,8 +81,8 @@
         searcher.links.iter().copied().filter(|id| self.links.get(id).is_some_and(is_usable)).collect()
     }
 
-    /// Opens a link to a searcher. At the limit on links it closes an idle one first; `None` if there is
-    /// none.
+    /// Opens a link to a searcher. If the number of links is at its limit, an idle one is closed first; `None`
+    /// if none is idle.
     pub(super) fn connect(&mut self, now: UnixMs, searcher: SocketAddrV4) -> Option<LinkId> {
         let address = self.searchers.get(&searcher)?.address;
         if self.links.len() >= self.max_links {
@@ -180,7 +180,8 @@
         self.effects.push(Effect::CloseLink { link: link_id });
     }
 
-    /// The frame of the probe that has waited longest on a link; `None` if no probe is waited for any more.
+    /// The frame of the oldest probe that is not sent yet on a link; `None` if there is none. Probes that timed
+    /// out unsent are dropped.
     pub(super) fn probe_frame(&mut self, link_id: LinkId) -> Option<Vec<u8>> {
         let link = self.links.get_mut(&link_id)?;
         link.probes.retain(|p| p.frame.is_some() || !p.reported);
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -1,5 +1,5 @@
-//! The searcher list: which list is used and what it changes, and the configuration that names the place of
-//! discovery.
+//! The searcher list: which of the received lists is used, and what it changes. Also new configurations, as
+//! they may change the address of discovery.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -43,7 +43,7 @@
         let mut age = ListAge::Newer;
         if watch > self.active_watch {
             self.active_watch = watch;
-            info!("watch {watch} has spoken");
+            info!("watch {watch} has sent its first list");
             self.effects.push(Effect::WatchActivated { watch });
             age = ListAge::OtherService;
         } else if list.index < self.list_index {
@@ -59,14 +59,15 @@
         self.apply_list(now, list, if whole { ListKind::Full } else { ListKind::Changes }, age);
     }
 
-    /// Applies the list held before the start, unless a newer one has arrived.
+    /// Applies the cached list from before the start, unless a newer one has arrived.
     pub(super) fn use_cached_list(&mut self, now: UnixMs) {
         if let Some(list) = self.cached_list.take() {
             self.apply_list(now, list, ListKind::Cached, ListAge::Newer);
         }
     }
 
-    /// Applies a new configuration: a new place of discovery at once, anything else at the next start.
+    /// Applies a new configuration. A new address of discovery takes effect at once, any other change at the
+    /// next start.
     pub(super) fn reload_config(&mut self, now: UnixMs, change: Result<ConfigChange, String>) {
         let change = match change {
             Ok(change) => change,
@@ -79,7 +80,10 @@
         info!("the configuration was read anew, discovery is at {}", change.discovery);
         if !change.needs_restart.is_empty() {
             let keys = change.needs_restart.join(", ");
-            self.warn(now, &format!("{keys} changed in the configuration: they count from the next start"));
+            self.warn(
+                now,
+                &format!("{keys} changed in the configuration: they take effect at the next start"),
+            );
         }
         if self.discovery.replace(change.discovery) != Some(change.discovery) {
             self.newest_watch += 1;
@@ -97,9 +101,10 @@
         let departures = self.departures_unknown_to(age);
         let mut were_ready = Vec::new();
         if kind != ListKind::Changes {
-            were_ready
-                .extend(self.searchers.iter().filter(|s| s.1.status == SearcherStatus::Ready).map(|s| *s.0));
-            self.searchers.values_mut().for_each(|s| s.status = SearcherStatus::Gone);
+            let ready =
+                self.searchers.iter().filter(|(_, searcher)| searcher.status == SearcherStatus::Ready);
+            were_ready.extend(ready.map(|(key, _)| *key));
+            self.searchers.values_mut().for_each(|searcher| searcher.status = SearcherStatus::Gone);
         }
         let mut listed = Vec::with_capacity(list.entries.len());
         for mut entry in list.entries {
@@ -123,8 +128,8 @@
         }
     }
 
-    /// The departures, by name, that a list of this age may not know of. A drain that was reported is not
-    /// undone by a list that was made before it, or by another discovery service that has not learned of it.
+    /// The departures, by searcher name, that a list of this age may not contain yet. A reported drain is not
+    /// undone by an older list, or by the list of another discovery service that has not learned of the drain.
     fn departures_unknown_to(&self, age: ListAge) -> HashMap<String, Departure> {
         let is_unknown = |searcher: &&Searcher| match age {
             ListAge::Newer => false,
@@ -135,7 +140,7 @@
         unknown.map(|s| (s.name.clone(), Departure { started_at: s.started_at, status: s.status })).collect()
     }
 
-    /// Ends the attempts that still wait for a connection to a searcher that takes no new calls.
+    /// Ends the unsent attempts at searchers that accept no new calls any more.
     fn end_unsent_to_departed(&mut self, now: UnixMs) {
         let unsent = self.attempts.iter().filter(|(_, attempt)| attempt.frame.is_none());
         let to_departed = unsent.filter(|(_, attempt)| {
@@ -148,8 +153,8 @@
         }
     }
 
-    /// Updates a searcher from its entry in a list. It is identified by its name here, and by the first
-    /// address under which it was listed in the decision module.
+    /// Updates a searcher from its entry in a list, which identifies it by name. The decision module identifies
+    /// it by the address under which it was first listed.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
         let Entry { name, addr: address, zone, cell, since: started_at, life: status, .. } = entry;
         let key = match self.keys_by_name.get(&name) {
@@ -177,7 +182,8 @@
         Some(ListedSearcher { searcher: key, cell, zone, started_at, status })
     }
 
-    /// Adds a searcher under the first free address from its own on, by which the decision module knows it.
+    /// Adds a searcher, and returns the address by which the decision module identifies it: its own, or if
+    /// another searcher has that one, the same with the next free port.
     fn add_searcher(&mut self, searcher: Searcher) -> SocketAddrV4 {
         let mut key = searcher.address;
         while self.searchers.contains_key(&key) {
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -34,17 +34,17 @@
 use crate::searcher::{LinkOpener, Searchers};
 use crate::signals::{Reloaders, SignalThread};
 
-/// Messages that may wait to be received. A thread that sends more, faster than they are received, waits. The
-/// service's own thread, which receives them, sends none.
+/// Capacity of the channel to the service's thread. A sender waits while the channel is full. The service's own
+/// thread sends nothing on it, so it never waits for itself.
 const MAX_WAITING_MESSAGES: usize = 128;
 /// The buffers of clients, the buffers of searchers, and the partly written frames may each take the
 /// configured memory divided by this.
 const MEMORY_DIVISOR: usize = 8;
-/// Messages that are received in one turn at most, so that no burst delays what is due.
+/// Maximum number of inputs received in one turn, so that a burst does not delay timers.
 const MAX_INPUTS_PER_TURN: usize = 256;
 
-/// After a pause of the process, inputs are received for this long before anything is sent by the current
-/// time, as the reading threads were paused too and still have to report what happened.
+/// After a pause of the process, inputs are received for this long before anything is sent: the reading threads
+/// were paused too, and still have to report what happened meanwhile.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
 /// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, then `Ready`, `Draining`,
@@ -82,9 +82,9 @@
     log::print(&format!("{counters}log_texts_dropped {}\n{other_counters}", log::dropped()));
 }
 
-/// Sets the list held before the start, if there is one. Returns the version that the first watch begins
-/// with: zero without a held list, as the first list that a watch sends is a whole one. With a held list it
-/// is `None`, and the whole list is requested.
+/// Sets the cached list from before the start, if there is one. Returns the list version after which the first
+/// watch requests changes: zero without a cached list, as the first list on a watch is then a whole one. With a
+/// cached list it is `None`, and the watch requests the whole list first.
 fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: UnixMs) -> Option<u64> {
     match discovery::parse_list(cached_list) {
         Ok(list) if list.entries.is_empty() => Some(list.index),
@@ -184,7 +184,8 @@
             let effects = self.reducer.step(received_at, inputs);
             effects.into_iter().for_each(|effect| self.carry_out(effect));
             let paused = self.pauses.check(self.clock.now(), 0.0);
-            // Not twice in a row: a machine on which every step takes this long still has to send.
+            // Writing is not put off twice in a row: on a machine where every step takes this long, nothing
+            // would ever be sent.
             if paused && !caught_up {
                 self.was_paused = true;
             } else {
@@ -226,7 +227,8 @@
         {
             self.receive(message, &mut inputs);
         }
-        // A thread reports a pause before everything that it finds after it.
+        // A thread that notices a pause reports it before anything that it reads afterwards. `was_paused` is
+        // thus set before any of these inputs is used.
         let caught_up = std::mem::take(&mut self.was_paused) || paused;
         if caught_up {
             self.catch_up(&mut inputs);
@@ -242,7 +244,7 @@
         while let Ok(message) = self.inbox.recv_deadline(until) {
             self.receive(message, inputs);
         }
-        // The clients' thread has reported the same pause, or one that is over as well.
+        // A pause that was reported meanwhile is the same one, or a later one that is over too.
         self.was_paused = false;
     }
 
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -1,4 +1,5 @@
-//! Writes to searchers. A frame is produced, checked and begun in one go, and no write waits.
+//! Writes to searchers. Encoding a frame, checking it and starting its write follow each other directly, and no
+//! write blocks.
 
 use super::Service;
 use crate::client_handle::ClientHandle;
@@ -6,11 +7,11 @@
 use crate::link::WriteOutcome;
 use crate::outbox::{self, WriteSlice};
 
-/// What is to be written next on a link.
-enum Next {
+/// The result of [`Service::next_frame`].
+enum NextFrame {
     Frame(Vec<u8>),
     Nothing,
-    /// The process was held up while the frame was produced. The frame is queued again.
+    /// The process was paused while the frame was encoded. The frame is queued again.
     Stale,
 }
 
@@ -41,9 +42,9 @@
             link.write_rest()
         } else {
             match self.next_frame(link_id) {
-                Next::Nothing => return false,
-                Next::Stale => return true,
-                Next::Frame(frame) => match self.links.get_mut(&link_id) {
+                NextFrame::Nothing => return false,
+                NextFrame::Stale => return true,
+                NextFrame::Frame(frame) => match self.links.get_mut(&link_id) {
                     Some(link) => link.write(frame, &self.partial_frames),
                     None => return false,
                 },
@@ -59,27 +60,27 @@
         outcome == WriteOutcome::Complete
     }
 
-    /// The next frame of a link. Its write has to begin at once: nothing may come between the last look at
-    /// its clients and the write, not even a look at the clock.
-    fn next_frame(&mut self, link_id: LinkId) -> Next {
+    /// The next frame of a link. Its write has to begin at once: nothing may come between the last check of its
+    /// clients and the write, not even reading the clock.
+    fn next_frame(&mut self, link_id: LinkId) -> NextFrame {
         let mut disconnected = Vec::new();
         loop {
             let now = self.clock.now();
             let Some(frame) = self.reducer.next_frame(now, link_id, &disconnected) else {
-                return Next::Nothing;
+                return NextFrame::Nothing;
             };
             if !outbox::may_begin(now, self.clock.now()) {
                 self.reducer.return_frame(link_id);
-                return Next::Stale;
+                return NextFrame::Stale;
             }
             let clients = &self.clients;
-            let has_left = |connection_id: &ConnectionId| {
+            let is_disconnected = |connection_id: &ConnectionId| {
                 clients.get(connection_id).is_none_or(ClientHandle::has_disconnected)
             };
             let newly_disconnected: Vec<ConnectionId> =
-                frame.clients.iter().copied().filter(has_left).collect();
+                frame.clients.iter().copied().filter(is_disconnected).collect();
             if newly_disconnected.is_empty() {
-                return Next::Frame(frame.bytes);
+                return NextFrame::Frame(frame.bytes);
             }
             self.reducer.return_frame(link_id);
             disconnected.extend(newly_disconnected);
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -170,7 +170,7 @@
     reload(&mut mixer, "{", "stays as it is");
     let moved = text.replace("127.0.0.1:8500", &new_address);
     reload(&mut mixer, &moved.replace("1024", "512"), "read anew");
-    wait_for_log(&mut mixer.log, "watch 1 has spoken");
+    wait_for_log(&mut mixer.log, "watch 1 has sent its first list");
     let mut client = mixer.connect();
     client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
     output.push(read_answer(&client));
