--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -1,6 +1,6 @@
 //! Announces this mixer's service addresses by BGP. The operator's file becomes the speaker's configuration,
-//! the speaker is told what the mixer can serve, and a drain is delayed until no route leads here any more.
-//! Off unless the operator's file enables it. The console is opened here too.
+//! the mixer's health is reported to the speaker, and a drain is delayed until no route leads here any more.
+//! Nothing is announced unless the operator's file enables it. The console is opened here too.
 
 use std::fmt::Write;
 use std::net::{IpAddr, SocketAddr};
@@ -26,10 +26,10 @@
 use crate::messages::{MessageSender, STACK_BYTES, spawn};
 use crate::reducer::Reducer;
 
-/// How often the mixer's health is reported. It is well under the time that a worse health has to last before
-/// it counts.
+/// How often the mixer's health is reported to the speaker. It is well under the time for which a worse health
+/// has to last before the speaker acts on it.
 const REPORT_INTERVAL_MS: f64 = 250.0;
-/// The number of scans from which on the share of throttled ones is meaningful.
+/// The share of throttled scans is computed over at least this many scans, as it means little over fewer.
 const MIN_SCANS: u64 = 20;
 
 /// The announcements of this mixer, if it makes any, and the console that shows them.
@@ -47,10 +47,10 @@
     speaker: Speaker,
     listen: Option<SocketAddr>,
     next_report_at: UnixMs,
-    /// Counters when the share of throttled scans was last computed.
+    /// The counters when the share of throttled scans was last computed.
     scans_taken: u64,
     scans_throttled: u64,
-    /// The share of scans throttled between the last two times.
+    /// The share of throttled scans between the last two computations.
     throttled_share: f64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// The indices of table types among those that the platform names.
+/// The indices of the named table types among those of this mixer.
 fn type_indices(named: &[String], type_names: &[String]) -> Result<Vec<usize>, String> {
     let index_of = |name: &String| {
         let index = type_names.iter().position(|t| t == name);
@@ -139,8 +139,8 @@
 }
 
 impl ConsoleSources {
-    fn answer(&self, question: &str) -> Reply {
-        match (question, &self.announcements) {
+    fn answer(&self, command: &str) -> Reply {
+        match (command, &self.announcements) {
             ("fleet show", _) => Ok(self.fleet_status()?.to_string()),
             ("fleet show --json", _) => Ok(self.fleet_status()?.to_json() + "\n"),
             ("bgp show", Some(announcements)) => {
@@ -258,7 +258,7 @@
                 messages: messages.clone(),
                 fleet: self.fleet.clone(),
             };
-            let console = Console::open(path, move |question: &str| sources.answer(question));
+            let console = Console::open(path, move |command: &str| sources.answer(command));
             self.console = Some(console.with_context(|| format!("console {}", path.display()))?);
         }
         Ok(())
@@ -277,7 +277,7 @@
         match (&mut self.active, settings.bgp.as_ref().zip(new)) {
             (Some(active), Some((bgp, config))) => {
                 if bgp.listen != active.listen {
-                    warn!("bgp listen has changed: it counts from the next start");
+                    warn!("bgp listen has changed: it takes effect at the next start");
                 }
                 active.speaker.configure(config);
             }
@@ -315,8 +315,8 @@
         }
     }
 
-    /// The mixer is asked to end: whether it may begin to drain at once. If not,
-    /// [`Announcer::routes_withdrawn`] is called when it may.
+    /// Handles a request to end, and returns whether the mixer may begin to drain at once. If not, it may once
+    /// [`Announcer::routes_withdrawn`] returns true.
     pub fn stop(&mut self) -> bool {
         match (self.stop, &self.active) {
             (_, None) => self.stop = StopProgress::Draining,
@@ -330,7 +330,7 @@
         self.stop == StopProgress::Draining
     }
 
-    /// No route leads here any more. Returns whether a stop waited for that.
+    /// Records that no route leads here any more. Returns whether a request to end waited for that.
     pub fn routes_withdrawn(&mut self) -> bool {
         match self.stop {
             StopProgress::WithdrawingRoutes => {
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a client, as the reading thread holds it: what has arrived on it, and what is reported
-//! of it when.
+//! One connection of a client, as the reading thread holds it: what has arrived on it, and when that is
+//! reported to the service.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
@@ -37,15 +37,15 @@
     pub(super) buffer: Buffer,
     /// When the bytes in the buffer arrived.
     pub(super) arrival_times: ArrivalTimes,
-    /// The poll reports its events. If not, it is read in every turn.
+    /// The poll reports its events. Otherwise it is read in every turn.
     pub(super) is_polled: bool,
     /// Bytes may wait to be read, none of which arrived earlier than this.
     pub(super) unread_since: Option<UnixMs>,
     pub(super) parser: RequestParser,
     /// The beginning of a request was reported.
     pub(super) start_reported: bool,
-    /// Set after the last request: how many more bytes are discarded. There is no limit where the mixer ends
-    /// the connection, as its client then has a limited time.
+    /// Set after the last request: the number of further bytes that are discarded. It is unlimited where the
+    /// mixer ends the connection, as the client's time is limited then.
     pub(super) discard_limit: Option<usize>,
     /// It was reported that more arrived after the last answer.
     pub(super) late_data_reported: bool,
@@ -105,8 +105,9 @@
         }
     }
 
-    /// Whether it was to be closed and nothing of it is left: no request, no answer, and no beginning of a
-    /// request. Once the last answer is given, the client first has its time to read it and to close.
+    /// Whether the connection is being closed and nothing is left to do on it: no request, no answer, and no
+    /// beginning of a request. A client that has had its last answer first has its time to read it and to
+    /// close.
     pub(super) fn is_done_closing(&self) -> bool {
         if self.is_finished() {
             return self.closing_finished && self.unsent.is_empty();
@@ -134,12 +135,13 @@
         !self.buffer.bytes().iter().all(u8::is_ascii_whitespace)
     }
 
-    /// Reads everything that has arrived, also ahead of the answer to the open request, and reports a request
-    /// whose turn it is; false at the connection's end. A request is reported only once nothing more is there
-    /// to read. Otherwise parts would be sent for a client that had disconnected while it waited to be
-    /// accepted, or for its turn.
+    /// Reads everything that has arrived, even while a request is open, and reports the next request once it
+    /// may be. Returns false at the end of the connection. A request is reported only once nothing more is
+    /// there to read, or the limit on reading ahead is reached, as the connection's end may be behind it:
+    /// otherwise parts would be sent for a client that disconnected while it waited to be accepted, or for its
+    /// turn.
     ///
-    /// `since`: whatever the poll has found in this turn arrived no earlier.
+    /// `since`: the earliest time at which the data that the poll has found in this turn may have arrived.
     pub(super) fn read(
         &mut self,
         connection_id: ConnectionId,
@@ -152,8 +154,8 @@
             if self.awaits_answer() {
                 return false;
             }
-            // What the client sent is still read: a close over unread bytes would reset answers that it may
-            // still read.
+            // What the client sent is still read: closing a connection with unread bytes resets it, and the
+            // client could lose an answer that it has not read yet.
             self.pending = None;
             self.begin_discarding(usize::MAX);
         }
@@ -167,19 +169,19 @@
             if self.pending.is_none() {
                 self.parse_next();
             }
-            let is_waiting = self.pending.is_some() || self.awaits_answer();
+            let has_request = self.pending.is_some() || self.awaits_answer();
             if self.discard_limit.is_some() {
-                continue;
+                continue; // the request was the last one
             }
-            if is_waiting && self.buffer.bytes().len() >= MAX_READ_AHEAD_BYTES {
+            if has_request && self.buffer.bytes().len() >= MAX_READ_AHEAD_BYTES {
                 if just_accepted {
-                    self.may_have_more = true;
+                    self.may_have_more = true; // whether it has ended is known in the next turn
                     return true;
                 }
                 if !self.report_request(connection_id, messages) {
                     return true;
                 }
-                continue; // the service has to know that more is buffered
+                continue; // waits for the answer, or parses on if that is already given
             }
             match self.fill(since) {
                 Ok(1..) => self.report_buffered_data(connection_id, messages),
@@ -187,9 +189,8 @@
                     if self.report_request(connection_id, messages) {
                         continue;
                     }
-                    if !is_waiting && self.has_buffered_request() && !self.start_reported {
-                        self.start_reported = true;
-                        messages.send(Input::RequestStarted { connection_id });
+                    if !has_request {
+                        self.report_request_start(connection_id, messages);
                     }
                     return true;
                 }
@@ -197,18 +198,31 @@
                     if self.report_request(connection_id, messages) {
                         continue;
                     }
-                    if is_waiting {
+                    if has_request {
                         return true;
                     }
-                    let kind = RequestKind::Unusable(503, "no room for so long a request".to_owned());
-                    self.discard_limit = Some(MAX_DISCARDED_BYTES);
-                    self.pending = Some(PendingRequest { kind, close: true, since });
+                    self.reject_long_request(since);
                 }
                 _ => return false,
             }
         }
     }
 
+    /// Reports once that the beginning of a request has arrived.
+    fn report_request_start(&mut self, connection_id: ConnectionId, messages: &MessageSender) {
+        if self.has_buffered_request() && !self.start_reported {
+            self.start_reported = true;
+            messages.send(Input::RequestStarted { connection_id });
+        }
+    }
+
+    /// Replaces a request for which the memory budget has no room by one that is answered with an error.
+    fn reject_long_request(&mut self, since: UnixMs) {
+        let kind = RequestKind::Unusable(503, "no room for so long a request".to_owned());
+        self.discard_limit = Some(MAX_DISCARDED_BYTES);
+        self.pending = Some(PendingRequest { kind, close: true, since });
+    }
+
     /// Reads once, and records when the bytes may have arrived.
     fn fill(&mut self, since: UnixMs) -> io::Result<usize> {
         let read = self.buffer.fill(&mut &self.shared.stream);
@@ -265,11 +279,12 @@
         }
     }
 
-    /// Parses the next request from the buffer, unless it has to wait for the answer to the open one.
+    /// Parses the next request from the buffer, unless the request before it still awaits its answer.
     fn parse_next(&mut self) {
         if self.awaits_answer() && !self.buffer.bytes().is_empty() {
-            // The answering thread clears `awaits_answer` before it looks at `reader_waits`: checked again
-            // after setting that.
+            // The answering thread first clears `awaits_answer` and then checks `reader_waits`. So
+            // `awaits_answer` is read again after `reader_waits` is set: either this thread sees that the
+            // answer is given, or the answering thread sees that this one waits.
             self.shared.reader_waits.store(true, Ordering::SeqCst);
             if self.awaits_answer() {
                 return;
@@ -277,7 +292,7 @@
             self.shared.reader_waits.store(false, Ordering::SeqCst);
         }
         if self.is_finished() {
-            return self.begin_discarding(usize::MAX); // that answer was the last
+            return self.begin_discarding(usize::MAX); // the last answer has just been given
         }
         let Some(Request { kind, close, used }) = self.parser.parse(self.buffer.bytes()) else { return };
         self.buffer.consume(used);
@@ -297,14 +312,13 @@
         }
         self.shared.awaits_answer.store(true, Ordering::SeqCst);
         self.buffered_data_reported = false;
-        // Before the request, as that may be answered at once.
+        // Reported before the request, which may be answered at once.
         self.report_buffered_data(connection_id, messages);
         messages.send(Input::Request { connection_id, kind, close });
         true
     }
 
-    /// Reports once that more was read behind the open request, whose answer then must not end the
-    /// connection.
+    /// Reports once that more was read behind the open request. Its answer must not end the connection then.
     fn report_buffered_data(&mut self, connection_id: ConnectionId, messages: &MessageSender) {
         let is_open = self.pending.is_none() && self.awaits_answer();
         let is_new =
--- a/crates/mixer/src/counters.rs
+++ b/crates/mixer/src/counters.rs
@@ -37,19 +37,23 @@
     /// Of the throttled scans, those that were buffered behind other requests on a connection that was
     /// closing.
     scans_refused_at_end,
-    /// Of the throttled scans, those rejected by the decision module's admission control, by what their first
-    /// part met: no searcher that is up; only cold searchers without room; the estimated cost at its
-    /// searcher; an old part of this mixer that waits at it; the limit on open calls to it.
+    /// Of the throttled scans, those rejected by the decision module's admission control, by the reason that
+    /// applied to the first of the scan's parts that no searcher could answer in time (the `door_*` counters).
+    /// Here: no searcher that holds the part's shard is up.
     door_nobody_up,
+    /// Searchers of the shard are up, but all of them are cold and have no capacity left.
     door_cold,
+    /// The searcher's smoothed latency, which is its estimated cost, is too high.
     door_cost,
+    /// The oldest part in flight at the searcher has waited for too long.
     door_old_part,
+    /// The limit on concurrent calls to the searcher is reached.
     door_limit,
     scans_abandoned,
-    /// Their client disconnected before the answer.
+    /// Scans whose client disconnected before the answer.
     scans_gone,
     scans_open,
-    /// Of the abandoned scans, those that were still open at their deadline: none, if all is well.
+    /// Of the abandoned scans, those that were still open after their deadline: zero in normal operation.
     scans_overdue,
     /// Unusable requests, answered with a 4xx or 5xx status.
     requests_unusable,
@@ -85,6 +89,7 @@
     sends_refused_attempts_used_up,
     sends_refused_searcher_not_ready,
     sends_refused_searcher_moved,
+    /// Attempts that ended, by outcome.
     ended_ok,
     ended_error,
     ended_full,
@@ -93,7 +98,7 @@
     ended_reset,
     ended_cancelled,
     ended_moot,
-    /// Answers for parts that were over or never sent there.
+    /// Answers for attempts that had already ended, and probe answers without an open probe.
     answers_stale,
     frames_bad,
     probes,
@@ -117,16 +122,17 @@
     watches_lost,
     /// Lists of a watch that a newer watch has replaced.
     lists_late,
-    /// Lists older than the one held. They do not undo a drain.
+    /// Lists with an older version than the one in use. They do not undo a drain.
     lists_older,
-    /// What must never happen: none, if all is well. See `src/reducer/rules.rs`.
+    /// Violations of rules that must hold in any case: always zero without a fault in the mixer. See
+    /// `src/reducer/rules.rs`.
     violations_send,
     violations_answer,
     violations_deadline,
     violations_unanswered,
-    /// Pauses of the process itself, noticed by turns that came late.
+    /// Pauses of the whole process, which are detected by turns that come late.
     pauses,
-    /// New configurations that were applied, and files that were unusable.
+    /// Reloads of the configuration that were applied, and those that failed as the file is unusable.
     reloads,
     reloads_failed,
 }
@@ -138,7 +144,8 @@
     pub taken: u64,
     pub completed: u64,
     pub throttled: u64,
-    /// Of the throttled scans, those rejected by admission control, in the order of its counters above.
+    /// Of the throttled scans, those rejected by admission control, in the order of the `door_*` counters
+    /// above.
     pub rejected: [u64; REJECTION_REASONS],
     pub abandoned: u64,
     pub gone: u64,
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Watches the searcher list and forwards what discovery sends. Each watch is one thread, which never depends
-//! on a single connection: while none can be trusted, it opens others beside it and uses the first that sends
-//! something.
+//! Watches the searcher list and forwards what discovery sends. Each watch is one thread. It does not depend on
+//! a single connection: while its connection can't be trusted, it opens others as well and uses the first that
+//! sends a list.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Write};
@@ -21,20 +21,22 @@
 use crate::messages::MessageSender;
 
 /// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no
-/// longer trusted, and others are opened beside it. What it misses counts as known 6 s after its last line,
-/// so a slow one of the others still has over 3 s to send it.
+/// longer trusted, and others are opened beside it. Changes that it misses count as known to the mixer 6 s
+/// after its last line, so another connection still has over 3 s to deliver them.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A connection that stops in the middle of a line is no longer trusted after this time.
 const LINE_TIMEOUT: Duration = Duration::from_millis(100);
-/// A list that is not whole after this time is no longer waited for alone: one that arrives byte by byte
-/// would renew its time with each byte. What it holds back counts as known 6 s after discovery had it.
+/// A connection whose list is not complete after this time is no longer trusted. [`LINE_TIMEOUT`] alone would
+/// not do, as a list that arrives byte by byte renews it with each byte. The changes in such a list count as
+/// known to the mixer 6 s after discovery had them.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
-/// While no connection can be trusted, another is opened this often. Once discovery is back, its list then
-/// arrives well within the 250 ms of grace for a drain, whether it answers earlier requests or only new ones.
+/// While no connection can be trusted, another is opened this often. When discovery is back after an outage,
+/// its list thus arrives well within the 250 ms of grace for a drain, whether discovery answers earlier
+/// requests or only new ones.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
-/// Connections that have sent nothing yet. The oldest is kept for up to [`SILENCE_TIMEOUT`], in case
-/// discovery is slow to start, and the youngest is replaced by the next, in case discovery answers no request
-/// that was sent while it was down.
+/// Maximum number of connections that have sent no list yet. The oldest is kept for up to [`SILENCE_TIMEOUT`],
+/// in case discovery is slow to start, and the youngest is replaced by the next, in case discovery answers no
+/// request that was sent while it was down.
 const MAX_ATTEMPTS: usize = 2;
 /// How often a watch checks whether it is still needed.
 const STATUS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -75,7 +77,7 @@
             match Poll::new() {
                 Ok(poll) => break poll,
                 // No descriptor is left for now.
-                Err(error) => warn!("no way to watch discovery: {error}"),
+                Err(error) => warn!("no poll for a watch of discovery: {error}"),
             }
             std::thread::sleep(STATUS_CHECK_INTERVAL);
         };
@@ -140,7 +142,7 @@
 
     /// Opens one more connection, in place of another if there are too many.
     fn attempt(&mut self, now: Instant) {
-        // A watch that a newer one is to replace leaves the descriptors to that.
+        // A watch that is being replaced leaves the file descriptors to the newer one.
         let is_newest = self.status.newest.load(Ordering::Acquire) == self.number;
         let max_attempts = if is_newest { MAX_ATTEMPTS } else { 1 };
         self.connections.retain(|_, c| c.has_list || now.duration_since(c.opened_at) < SILENCE_TIMEOUT);
@@ -182,7 +184,7 @@
         let had_list = connection.has_list;
         let outcome = connection.handle_event(self);
         if connection.has_list && !had_list {
-            // What it sends is newer than everything that the others have sent.
+            // Its list is newer than anything that the other connections have sent.
             self.connections.clear();
         }
         match outcome {
@@ -232,7 +234,8 @@
 }
 
 impl Connection {
-    /// Until when this connection is relied on alone.
+    /// The time until which this connection is trusted, so that no other is opened; `None` if it is not trusted
+    /// now.
     fn trusted_until(&self, now: Instant) -> Option<Instant> {
         let until = match self.partial_since {
             Some(since) => (self.received_at + LINE_TIMEOUT).min(since + LIST_TIMEOUT),
@@ -266,8 +269,8 @@
             }
             self.stream.set_nodelay(true)?;
             match watch.index {
-                // A held list is numbered by another discovery service: the whole list is requested, whatever
-                // its version.
+                // A list that is held is from another discovery service, which numbers its versions
+                // independently: the whole list is requested.
                 None => self.request("/api/targets", watch.address, Stage::ListHead)?,
                 Some(_) => self.request_watch(watch)?,
             }
@@ -292,7 +295,7 @@
         let lists_before = watch.lists_received;
         self.parse_buffer(watch)?;
         let has_partial = !self.buffer.bytes().is_empty() || self.text.has_begun();
-        // The time of a list ends with it; a further one that has arrived in part has its own.
+        // If this read completed a list, a partial one behind it began to arrive just now.
         let since =
             self.partial_since.filter(|_| watch.lists_received == lists_before).unwrap_or(self.received_at);
         self.partial_since = has_partial.then_some(since);
@@ -300,55 +303,70 @@
         Ok(())
     }
 
-    /// Parses what has arrived completely.
+    /// Parses everything in the buffer that is complete.
     fn parse_buffer(&mut self, watch: &mut RunningWatch) -> Result<()> {
-        loop {
-            match self.stage {
-                Stage::Connecting => return Ok(()),
-                Stage::ListHead | Stage::WatchHead => {
-                    let head = http::parse_response_head(self.buffer.bytes()).map_err(Error::msg)?;
-                    let Some(head) = head else { return Ok(()) };
-                    self.buffer.consume(head.used);
-                    ensure!(head.status == 200, "status {}", head.status);
-                    if matches!(self.stage, Stage::ListHead) {
-                        self.stage = Stage::ListBody(head.framing);
-                    } else {
-                        self.stage = Stage::WatchLines;
-                        ensure!(head.framing == BodyFraming::Chunked, "the watch is not chunked");
-                    }
-                }
-                Stage::ListBody(BodyFraming::Length(length)) => {
-                    ensure!(length <= MAX_LIST_BYTES, "a list over {MAX_LIST_BYTES} bytes");
-                    let Some(body) = self.buffer.bytes().get(..length) else { return Ok(()) };
-                    watch.receive_list(body)?;
-                    self.buffer.consume(length);
-                    self.has_list = true;
-                    self.request_watch(watch)?;
-                }
-                Stage::ListBody(BodyFraming::Chunked) => {
-                    let Some(data) = self.next_chunk()? else { return Ok(()) };
-                    let is_last = data.is_empty();
-                    if is_last {
-                        watch.receive_list(&self.text.take())?;
-                        self.has_list = true;
-                        self.request_watch(watch)?;
-                    } else {
-                        self.text.bytes.extend(data);
-                        ensure!(
-                            self.text.bytes.len() <= MAX_LIST_BYTES,
-                            "a list over {MAX_LIST_BYTES} bytes"
-                        );
-                    }
-                }
-                Stage::WatchLines => {
-                    let Some(data) = self.next_chunk()? else { return Ok(()) };
-                    ensure!(!data.is_empty(), "it has ended the watch");
-                    // An empty line counts too: it states that the list has not changed.
-                    watch.status.last_received_ms.store(watch.messages.now() as u64, Ordering::Release);
-                    self.parse_lines(&data, watch)?;
-                }
-            }
+        while self.parse_next(watch)? {}
+        Ok(())
+    }
+
+    /// Parses the next piece that the stage expects; false while it is incomplete.
+    fn parse_next(&mut self, watch: &mut RunningWatch) -> Result<bool> {
+        match self.stage {
+            Stage::Connecting => Ok(false),
+            Stage::ListHead | Stage::WatchHead => self.parse_head(),
+            Stage::ListBody(BodyFraming::Length(length)) => self.parse_list_body(length, watch),
+            Stage::ListBody(BodyFraming::Chunked) => self.parse_list_chunk(watch),
+            Stage::WatchLines => self.parse_watch_chunk(watch),
+        }
+    }
+
+    fn parse_head(&mut self) -> Result<bool> {
+        let head = http::parse_response_head(self.buffer.bytes()).map_err(Error::msg)?;
+        let Some(head) = head else { return Ok(false) };
+        self.buffer.consume(head.used);
+        ensure!(head.status == 200, "status {}", head.status);
+        if matches!(self.stage, Stage::ListHead) {
+            self.stage = Stage::ListBody(head.framing);
+        } else {
+            self.stage = Stage::WatchLines;
+            ensure!(head.framing == BodyFraming::Chunked, "the watch is not chunked");
+        }
+        Ok(true)
+    }
+
+    /// Parses the whole list from a body of this length.
+    fn parse_list_body(&mut self, length: usize, watch: &mut RunningWatch) -> Result<bool> {
+        ensure!(length <= MAX_LIST_BYTES, "a list over {MAX_LIST_BYTES} bytes");
+        let Some(body) = self.buffer.bytes().get(..length) else { return Ok(false) };
+        watch.receive_list(body)?;
+        self.buffer.consume(length);
+        self.has_list = true;
+        self.request_watch(watch)?;
+        Ok(true)
+    }
+
+    /// Parses one chunk of the whole list. The last chunk is empty.
+    fn parse_list_chunk(&mut self, watch: &mut RunningWatch) -> Result<bool> {
+        let Some(data) = self.next_chunk()? else { return Ok(false) };
+        if data.is_empty() {
+            watch.receive_list(&self.text.take())?;
+            self.has_list = true;
+            self.request_watch(watch)?;
+        } else {
+            self.text.bytes.extend(data);
+            ensure!(self.text.bytes.len() <= MAX_LIST_BYTES, "a list over {MAX_LIST_BYTES} bytes");
         }
+        Ok(true)
+    }
+
+    /// Parses one chunk of the watch, which may hold several lines, or a part of one.
+    fn parse_watch_chunk(&mut self, watch: &mut RunningWatch) -> Result<bool> {
+        let Some(data) = self.next_chunk()? else { return Ok(false) };
+        ensure!(!data.is_empty(), "it has ended the watch");
+        // An empty line counts too: it states that the list has not changed.
+        watch.status.last_received_ms.store(watch.messages.now() as u64, Ordering::Release);
+        self.parse_lines(&data, watch)?;
+        Ok(true)
     }
 
     /// The data of the next chunk; `None` while it is incomplete.
@@ -387,7 +405,7 @@
 }
 
 impl ListText {
-    /// Adds a byte. Returns the text of a value, or of an empty line, once that is complete.
+    /// Adds a byte. Returns the text at the end of a line if it is a complete value, empty, or invalid.
     fn push(&mut self, byte: u8) -> Option<Vec<u8>> {
         self.bytes.push(byte);
         match byte {
@@ -402,8 +420,8 @@
         None
     }
 
-    /// Whether no further line can complete the text to a value. As lists are long, the text is parsed again
-    /// only once its length has doubled.
+    /// Whether the text is invalid, whatever follows. As lists are long, the text is parsed again only once its
+    /// length has doubled.
     fn is_invalid(&mut self) -> bool {
         if self.bytes.len() < 2 * self.parsed_length {
             return false;
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -1,6 +1,6 @@
-//! This mixer's membership in a fleet. What the mixer knows by itself is shared with the other mixers, and
-//! what is accepted of theirs becomes events of the decision module. Off unless the operator's file enables
-//! it: then there is no thread and no listener.
+//! This mixer's membership in a fleet. The mixer shares what it has observed itself with the other mixers, and
+//! accepted reports of theirs become events of the decision module. Unless the operator's file enables it,
+//! there is no thread and no listener for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -17,16 +17,15 @@
 use crate::messages::MessageSender;
 use crate::reducer::{ListStatus, RecentUsage, Reducer};
 
-/// How often changes are looked for that the other mixers do not know yet. It is well under the time of a
-/// probe.
+/// How often the mixer checks for changes to share with the other mixers. It is well under the time of a probe.
 const SHARE_INTERVAL_MS: f64 = 50.0;
-/// A mark that persists is repeated this often, so that the others do not discard it as too old.
+/// A mark that persists is shared again this often, so that the other mixers do not discard it as too old.
 const REPEAT_INTERVAL_MS: f64 = 700.0;
 /// How often the usage of customers is shared.
 const USAGE_INTERVAL_MS: f64 = 2000.0;
 /// The span over which the decision module counts the usage of customers.
 const USAGE_SPAN_MS: u32 = 5000;
-/// Fewer descriptors than this leave no room for clients, searchers and discovery.
+/// File descriptors that have to be left for clients, searchers and discovery.
 const MIN_DESCRIPTORS: usize = 32;
 
 /// What was shared of a searcher, and when.
@@ -39,7 +38,8 @@
 /// This mixer's membership in its fleet, if it has one.
 pub struct FleetMember {
     active: Option<ActiveMember>,
-    section: Option<FleetSettings>,
+    /// The fleet section of the operator's file at the start.
+    settings: Option<FleetSettings>,
 }
 
 struct ActiveMember {
@@ -70,7 +70,7 @@
     /// # Errors
     /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
     pub fn open(settings: &Settings, startup: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
-        let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, section: None }) };
+        let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, settings: None }) };
         let config = mesh_config(fleet, startup.seed);
         let left = startup.sockets.saturating_sub(config.max_descriptors());
         ensure!(
@@ -102,7 +102,7 @@
             next_usage_at: 0.0,
             shared_usage: Vec::new(),
         };
-        Ok(Self { active: Some(active), section: Some(fleet.clone()) })
+        Ok(Self { active: Some(active), settings: Some(fleet.clone()) })
     }
 
     /// A handle for queries about what this mixer sees of its fleet.
@@ -113,8 +113,8 @@
     /// Warns if the fleet section of the operator's file has changed, as that takes effect only at the next
     /// start.
     pub fn settings_reloaded(&self, settings: &Settings) {
-        if settings.fleet != self.section {
-            warn!(target: "fleet", "fleet has changed in the operator's file: it counts from the next start");
+        if settings.fleet != self.settings {
+            warn!(target: "fleet", "fleet has changed in the operator's file: it takes effect at the next start");
         }
     }
 
@@ -169,7 +169,8 @@
                 span_ms: USAGE_SPAN_MS,
             }));
         }
-        // What can't be sent now is found to be new again the next time.
+        // If the reports can't be sent now, nothing is recorded as shared, and the next call creates them
+        // again.
         if reports.is_empty() || self.mesh.publish(reports) {
             self.shared = shared;
             self.shared_list = Some(list);
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Adds reports on the searchers whose state is new or has to be repeated; what is shared of all
-    /// searchers once they are sent.
+    /// Adds reports on the searchers whose status has changed or has to be repeated. Returns what is shared of
+    /// each searcher once these reports are sent.
     fn collect_searchers(
         &self,
         now: UnixMs,
@@ -190,29 +191,29 @@
         reports: &mut Vec<LocalReport>,
     ) -> BTreeMap<SocketAddrV4, SharedReport> {
         let mut shared = BTreeMap::new();
-        for known in reducer.observed_searchers() {
-            let status = LocalStatus::from_report(&known);
-            let before = self.shared.get(&known.searcher).copied();
+        for observed in reducer.observed_searchers() {
+            let status = LocalStatus::from_report(&observed);
+            let before = self.shared.get(&observed.searcher).copied();
             let is_unhealthy = status.marked || status.late;
             let is_due = |before: SharedReport| {
                 before.status != status || is_unhealthy && now - before.at >= REPEAT_INTERVAL_MS
             };
             if before.is_none_or(is_due) {
-                let (latency_ratio, parts) = if known.marked {
-                    (known.evidence.relative_latency, known.evidence.parts)
+                let (latency_ratio, parts) = if observed.marked {
+                    (observed.evidence.relative_latency, observed.evidence.parts)
                 } else {
-                    (known.overdue, 1)
+                    (observed.overdue, 1)
                 };
                 reports.push(LocalReport::Searcher {
-                    address: known.searcher,
+                    address: observed.searcher,
                     status: Some(status),
-                    cold: known.cold,
+                    cold: observed.cold,
                     latency_ratio,
                     parts,
                 });
-                shared.insert(known.searcher, SharedReport { status, at: now });
+                shared.insert(observed.searcher, SharedReport { status, at: now });
             } else {
-                shared.extend(before.map(|before| (known.searcher, before)));
+                shared.extend(before.map(|before| (observed.searcher, before)));
             }
         }
         for removed in self.shared.keys().filter(|address| !shared.contains_key(address)) {
--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -29,18 +29,20 @@
     pub work_ms: Option<f64>,
 }
 
-/// What a client requests.
+/// What a client requests: a scan, or one of the mixer's own pages.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestKind {
     Scan(ScanRequest),
+    /// Whether the mixer serves scans.
     Ready,
+    /// Whether the process runs.
     Healthy,
     Counters,
     /// The request is invalid: the status of its answer and the reason.
     Unusable(u16, String),
 }
 
-/// A request that has been read whole.
+/// A request that has been read completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     pub kind: RequestKind,
@@ -97,7 +99,7 @@
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-fn framing(headers: &[httparse::Header]) -> Result<Option<Framing>, RequestError> {
+fn parse_framing(headers: &[httparse::Header]) -> Result<Option<Framing>, RequestError> {
     let length = single_header(headers, "Content-Length").map_err(RequestError::bad_request)?;
     let coding = single_header(headers, "Transfer-Encoding").map_err(RequestError::bad_request)?;
     match (coding, length) {
@@ -119,17 +121,17 @@
     }
 }
 
-/// Parses a request that arrives in pieces. It remembers its progress, so that a piece is not parsed again
-/// with each that follows.
+/// Parses requests that arrive in pieces. It remembers its progress, so that bytes are not parsed again with
+/// each further piece.
 #[derive(Default)]
 pub struct RequestParser {
-    /// This many bytes have been looked at and do not form a whole request.
+    /// Number of bytes that were passed in and do not form a whole request.
     seen: usize,
     /// A whole request takes at least this many bytes.
     min_bytes: usize,
-    /// The body's data from the chunks parsed so far.
+    /// The data of the chunks parsed so far.
     chunked_body: Vec<u8>,
-    /// Where the next chunk begins in the body.
+    /// The offset of the next chunk in the body.
     next_chunk_at: usize,
 }
 
@@ -143,7 +145,8 @@
     /// Parses the first request of these bytes; `None` while it is incomplete. The next call must pass the
     /// same bytes and those that have arrived since; after a whole request, the bytes behind it.
     pub fn parse(&mut self, bytes: &[u8]) -> Option<Request> {
-        // Heads and chunk sizes end with a line feed; a body with a stated length ends there.
+        // An incomplete head can be complete only after a further line feed. A body is complete only with
+        // `min_bytes`.
         let no_new_line =
             bytes.len() <= MAX_HEAD_BYTES && !bytes.get(self.seen..).is_some_and(|new| new.contains(&b'\n'));
         let is_incomplete_head = self.min_bytes == 0 && self.seen > 0 && no_new_line;
@@ -159,19 +162,19 @@
         request
     }
 
-    /// Parses the body that begins at `from`; `None` while it is incomplete.
-    fn body(
+    /// Parses the body that begins at `body_start`; `None` while it is incomplete.
+    fn parse_body(
         &mut self,
         bytes: &[u8],
-        from: usize,
+        body_start: usize,
         framing: Framing,
     ) -> Result<Option<ParsedBody>, RequestError> {
-        let bytes = &bytes[from..];
+        let bytes = &bytes[body_start..];
         if let Framing::Length(length) = framing {
-            self.min_bytes = from + length;
+            self.min_bytes = body_start + length;
             return Ok(bytes.get(..length).map(|body| ParsedBody { data: body.to_vec(), used: length }));
         }
-        self.min_bytes = from + self.next_chunk_at + 1;
+        self.min_bytes = body_start + self.next_chunk_at + 1;
         loop {
             match parse_chunk(&bytes[self.next_chunk_at..]).map_err(RequestError::bad_request)? {
                 _ if self.next_chunk_at > MAX_HEAD_BYTES + MAX_BODY_BYTES => {
@@ -204,11 +207,11 @@
         };
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let from = match head.parse(bytes) {
-            Ok(httparse::Status::Complete(from)) if from > MAX_HEAD_BYTES => {
+        let body_start = match head.parse(bytes) {
+            Ok(httparse::Status::Complete(head_bytes)) if head_bytes > MAX_HEAD_BYTES => {
                 return framing_error(431, "a head too long".into());
             }
-            Ok(httparse::Status::Complete(from)) => from,
+            Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
             Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
                 return framing_error(431, "a head without end".into());
             }
@@ -220,13 +223,13 @@
             return framing_error(400, "HTTP/1.0 knows no Transfer-Encoding".into());
         }
         let headers = &*head.headers;
-        let (body, used) = match framing(headers) {
+        let (body, used) = match parse_framing(headers) {
             Err(error) => return framing_error(error.status, error.reason),
-            Ok(None) => (Vec::new(), from),
-            Ok(Some(framing)) => match self.body(bytes, from, framing) {
+            Ok(None) => (Vec::new(), body_start),
+            Ok(Some(framing)) => match self.parse_body(bytes, body_start, framing) {
                 Err(error) => return framing_error(error.status, error.reason),
                 Ok(None) => return None,
-                Ok(Some(body)) => (body.data, from + body.used),
+                Ok(Some(body)) => (body.data, body_start + body.used),
             },
         };
         let close = closes_connection(&head);
@@ -268,8 +271,10 @@
 
 /// Parses the first chunk of these bytes; `None` while it is incomplete.
 pub fn parse_chunk(bytes: &[u8]) -> Result<Option<Chunk<'_>>, String> {
-    let (from, size) = match httparse::parse_chunk_size(bytes) {
-        Ok(httparse::Status::Complete((from, size))) => (from, usize::try_from(size).unwrap_or(usize::MAX)),
+    let (data_start, size) = match httparse::parse_chunk_size(bytes) {
+        Ok(httparse::Status::Complete((data_start, size))) => {
+            (data_start, usize::try_from(size).unwrap_or(usize::MAX))
+        }
         Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
             return Err("a chunk's head is too long".into());
         }
@@ -277,21 +282,23 @@
         Err(_) => return Err("the size of a chunk can't be read".into()),
     };
     if size == 0 {
-        return parse_last_chunk(bytes, from);
+        return parse_last_chunk(bytes, data_start);
     }
-    let end = from.checked_add(size).ok_or("a chunk is too long")?;
+    let end = data_start.checked_add(size).ok_or("a chunk is too long")?;
     match bytes.get(end..) {
-        Some([b'\r', b'\n', ..]) => Ok(Some(Chunk { data: &bytes[from..end], used: end + 2 })),
+        Some([b'\r', b'\n', ..]) => Ok(Some(Chunk { data: &bytes[data_start..end], used: end + 2 })),
         Some([] | [b'\r']) | None => Ok(None),
         Some(_) => Err("a chunk is longer than told".into()),
     }
 }
 
-/// Parses the trailers that begin at `from`, behind the last chunk's size.
-fn parse_last_chunk(bytes: &[u8], from: usize) -> Result<Option<Chunk<'_>>, String> {
+/// Parses the trailers, which begin at `trailers_start` behind the last chunk's size.
+fn parse_last_chunk(bytes: &[u8], trailers_start: usize) -> Result<Option<Chunk<'_>>, String> {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    match httparse::parse_headers(&bytes[from..], &mut trailers) {
-        Ok(httparse::Status::Complete((used, _))) => Ok(Some(Chunk { data: &[], used: from + used })),
+    match httparse::parse_headers(&bytes[trailers_start..], &mut trailers) {
+        Ok(httparse::Status::Complete((used, _))) => {
+            Ok(Some(Chunk { data: &[], used: trailers_start + used }))
+        }
         Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => Err("trailers without end".into()),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(error) => Err(format!("trailers: {error}")),
@@ -344,7 +351,7 @@
 }
 
 /// Scales the weights to a sum of one. Clients round them, and the error of the sum grows with the number of
-/// parts: without this, a query that needs all of its parts would never count as whole, even with all of them
+/// parts. Without this, a query that needs all of its parts would never count as whole, even if all of them are
 /// answered.
 fn normalize_weights(parts: &mut [PartRequest]) -> Result<(), String> {
     let sum: f64 = parts.iter().map(|p| p.weight).sum();
