--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -32,13 +32,13 @@
 const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often stuck clients are looked for while an answer waits to be written.
 const STUCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest wait for events. The thread looks at the clock this often, so that a pause of the process is
-/// noticed.
+/// The longest wait for events. The thread reads the clock at least this often, so that a pause of the process
+/// is detected.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(40);
-/// Events that are taken from one poll.
+/// Maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 256;
-/// The delay after a failed accept (because no descriptor is left, say), and between reads of connections
-/// that can't be polled.
+/// The delay after a failed accept, for example because no file descriptor is left, and between reads of
+/// connections that can't be polled.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const INTEREST: Interest = Interest::READABLE.add(Interest::WRITABLE);
 const LISTENER: Token = Token(0);
@@ -54,7 +54,7 @@
 pub struct Clients {
     poll: Poll,
     listener: Option<TcpListener>,
-    /// The listener is closed once the connections that wait to be accepted are.
+    /// The listener is closed once all waiting connections are accepted.
     stopping: bool,
     /// The number of connections that may be open, so that accepting never exceeds the limit on descriptors.
     max_connections: usize,
@@ -62,11 +62,11 @@
     last_id: ConnectionId,
     /// A connection has ended since connections were last accepted.
     has_new_room: bool,
-    /// Nothing is accepted until then.
+    /// After a failed accept: nothing is accepted until then.
     accept_paused_until: Option<Instant>,
     /// Connections may wait to be accepted, none of which arrived earlier than this.
     waiting_since: Option<UnixMs>,
-    /// Connections that could not be registered with the poll. They are read after each delay.
+    /// Connections that could not be registered with the poll. They are read every [`RETRY_DELAY`].
     not_polled: Vec<ConnectionId>,
     budget: MemoryBudget,
     commands: CommandSender,
@@ -135,8 +135,8 @@
             }
             let has_commands = self.handle_events(&events);
             self.read_not_polled();
-            // After the events on connections: a command to read on must not report a request whose client
-            // has disconnected.
+            // After the events on connections: [`Command::Resume`] must not report a request whose client is
+            // known to have disconnected.
             if has_commands {
                 self.run_commands();
             }
@@ -162,7 +162,7 @@
         waits.fold(MAX_POLL_WAIT, Duration::min)
     }
 
-    /// Handles the events of one poll; whether commands have arrived.
+    /// Handles the events of one poll, and returns whether commands have arrived.
     fn handle_events(&mut self, events: &Events) -> bool {
         let mut has_commands = false;
         for event in events {
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Accepts the connections that wait. Those left waiting, or that arrive until all are accepted, may have
-    /// arrived at any time from this turn on.
+    /// Accepts the waiting connections. If some are left, those accepted later may have arrived at any time
+    /// since this turn.
     fn accept(&mut self) {
         let since = *self.waiting_since.get_or_insert(self.arrivals.earliest_arrival());
         if self.accept_all(since) {
@@ -316,8 +316,7 @@
         }
     }
 
-    /// Goes on with all answers that wait to be written, as no event follows a write that failed for a
-    /// moment.
+    /// Continues all unwritten answers, as no event follows a write that failed only for a moment.
     fn flush_all(&mut self) {
         let waiting = self
             .connections
--- a/crates/mixer/src/client/arrival_times.rs
+++ b/crates/mixer/src/client/arrival_times.rs
@@ -4,14 +4,14 @@
 
 use crate::clock::UnixMs;
 
-/// Reads that are kept apart. If there are more, the oldest ones are merged.
+/// Maximum number of reads that are recorded separately. If there are more, the oldest two are merged.
 const MAX_READS: usize = 32;
 
 /// The bytes of one read.
 struct Read {
     /// The connection's bytes up to this count came with this read or an earlier one.
     up_to: u64,
-    /// They arrived no earlier than this.
+    /// The earliest time at which they may have arrived.
     since: UnixMs,
 }
 
@@ -42,7 +42,7 @@
         self.reads.push_back(Read { up_to: self.bytes_read, since });
     }
 
-    /// Consumes bytes, at least one; the time before which the last of them did not arrive.
+    /// Consumes bytes, at least one. Returns the earliest time at which the last of them may have arrived.
     pub(super) fn consume(&mut self, count: usize) -> Option<UnixMs> {
         self.bytes_consumed = self.bytes_consumed.saturating_add(count as u64).min(self.bytes_read);
         while self.reads.front().is_some_and(|read| read.up_to < self.bytes_consumed) {
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -1,4 +1,4 @@
-//! A client's connection as the service holds it, and what it shares with the thread that reads it.
+//! A client's connection as the service holds it, and the state that it shares with the reading thread.
 
 use std::net::Shutdown;
 use std::sync::Arc;
@@ -60,7 +60,8 @@
         /// The connection ends with the answer.
         last: bool,
     },
-    /// Reads again, as the answer that the connection waited for is written.
+    /// Reads a connection again, as the answer that it waited for is written, or as there was more to read in
+    /// its last turn.
     Resume(ConnectionId),
     /// Ends a connection once everything is written.
     Release(ConnectionId),
@@ -106,8 +107,8 @@
 }
 
 impl ClientHandle {
-    /// Whether the system knows that the client has closed its side, whether or not the reading thread has
-    /// noticed.
+    /// Whether the client has closed its side as far as the operating system knows, even if the reading thread
+    /// has not noticed yet.
     pub fn has_disconnected(&self) -> bool {
         self.shared.has_ended()
     }
--- a/crates/mixer/src/frame.rs
+++ b/crates/mixer/src/frame.rs
@@ -68,14 +68,14 @@
     Ok(Some((frame, 4 + length)))
 }
 
-/// Decodes a part's answer: a line of four words, and the value. The last word, the load report, may be
-/// anything, as a good answer may come with an unreadable report.
+/// Decodes a part's answer: a line of four fields (id, status, score, load report), and the value. An
+/// unreadable load report is accepted, as the answer itself may be good.
 fn decode_part(body: &[u8]) -> Result<Frame, String> {
     let line_length = body.iter().position(|b| *b == b'\n').ok_or("an answer without a line")?;
     let line = &body[..line_length];
-    let mut words = line.split(|b| *b == b' ').filter(|word| !word.is_empty());
+    let mut fields = line.split(|b| *b == b' ').filter(|field| !field.is_empty());
     let (Some(id), Some(status), Some(score), Some(report)) =
-        (words.next(), words.next(), words.next(), words.next())
+        (fields.next(), fields.next(), fields.next(), fields.next())
     else {
         return Err(format!("an answer's line is {:?}", String::from_utf8_lossy(line)));
     };
--- a/crates/mixer/src/link.rs
+++ b/crates/mixer/src/link.rs
@@ -1,5 +1,5 @@
-//! A connection to a searcher as the service holds it. Frames are written as far as the searcher accepts
-//! them, and no write waits.
+//! A connection to a searcher as the service holds it. Frames are written as far as the searcher accepts them,
+//! and no write blocks.
 
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
@@ -24,14 +24,14 @@
         Self { stream, is_blocked: AtomicBool::new(false) }
     }
 
-    /// Whether the service is to be told that the link is writable. The caller has to tell it, as this
-    /// returns true once.
+    /// Clears the blocked state. Returns true if the link was blocked: the caller then has to report that it is
+    /// writable.
     pub fn take_blocked(&self) -> bool {
         self.is_blocked.swap(false, Ordering::SeqCst)
     }
 
-    /// Writes what the searcher accepts now; the number of bytes. If that is not all, the reading thread
-    /// reports when there is room.
+    /// Writes what the searcher accepts now, and returns the number of bytes. If that is not all, the reading
+    /// thread reports when the link is writable.
     fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         let mut written = 0;
         loop {
@@ -40,7 +40,8 @@
                 self.is_blocked.store(false, Ordering::SeqCst);
                 return Ok(written);
             }
-            // Room that came before this was set has not been reported: the write is tried once more.
+            // The link may have become writable before `is_blocked` was set, which is not reported: the write
+            // is tried once more.
             if self.is_blocked.swap(true, Ordering::SeqCst) {
                 return Ok(written);
             }
@@ -95,7 +96,7 @@
         self.shared.as_ref().is_some_and(|shared| shared.is_blocked.load(Ordering::SeqCst))
     }
 
-    /// Lets the next write be tried although no room was reported.
+    /// Allows another write although the link was not reported as writable.
     pub fn retry(&self) {
         if let Some(shared) = &self.shared {
             shared.is_blocked.store(false, Ordering::SeqCst);
@@ -106,8 +107,8 @@
         !self.rest.is_empty()
     }
 
-    /// Writes a frame; no partly written one may be left. `budget` is what the partly written frames of all
-    /// links may take. If it is exhausted, the link ends.
+    /// Writes a frame. No partly written frame may be left. `budget` is the memory that the partly written
+    /// frames of all links may take; if it is exhausted, the link ends.
     pub fn write(&mut self, frame: Vec<u8>, budget: &MemoryBudget) -> WriteOutcome {
         match self.try_write(&frame) {
             Ok(count) if count == frame.len() => {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Goes on with the partly written frame.
+    /// Continues the partly written frame.
     pub fn write_rest(&mut self) -> WriteOutcome {
         let rest = std::mem::take(&mut self.rest);
         match self.try_write(&rest) {
--- a/crates/mixer/src/outbox.rs
+++ b/crates/mixer/src/outbox.rs
@@ -6,15 +6,15 @@
 use crate::clock::UnixMs;
 use crate::inputs::LinkId;
 
-/// Writing goes on for this long before inputs are received again, so that what is sent is decided on recent
-/// knowledge.
+/// Writing goes on for this long before inputs are received again, so that what is sent depends on recent
+/// inputs.
 const WRITE_SLICE_MS: f64 = 5.0;
-/// The write of a frame has to begin this soon after the frame was produced. After that it is produced again.
+/// The write of a frame has to begin this soon after the frame was encoded. After that it is encoded again.
 const MAX_FRAME_AGE_MS: f64 = 5.0;
 
-/// Whether a frame that was produced at `produced_at` may still begin now.
-pub fn may_begin(produced_at: UnixMs, now: UnixMs) -> bool {
-    now - produced_at <= MAX_FRAME_AGE_MS
+/// Whether the write of a frame that was encoded at `encoded_at` may begin now.
+pub fn may_begin(encoded_at: UnixMs, now: UnixMs) -> bool {
+    now - encoded_at <= MAX_FRAME_AGE_MS
 }
 
 /// Links that have something to write, each once, in the order in which they were added.
--- a/crates/mixer/src/pauses.rs
+++ b/crates/mixer/src/pauses.rs
@@ -1,16 +1,16 @@
-//! Detection of pauses of the whole process, and bounds on when input arrived that is read after one. A
-//! thread that looks at the clock regularly notices a pause by a check that comes far too late.
+//! Detection of pauses of the whole process, and lower bounds on the arrival times of input that is read after
+//! one. A thread that checks the clock regularly detects a pause when a check comes far too late.
 
-/// A check that is this late means that the process was paused. This is below the 100 ms for which attempts
-/// may still begin after their client has disconnected, and below the 150 ms by which the time that they
-/// state may exceed what it has left.
+/// A check that is this late means that the process was paused. This is below the 100 ms during which attempts
+/// may still begin after their client has disconnected, and below the 150 ms by which the timeout of an attempt
+/// may exceed the time that its client still waits.
 const PAUSE_MS: f64 = 80.0;
 
-/// After a check that is this late, it is unknown when the input found then arrived. Pauses too short to be
-/// reported add up.
+/// If a check is this late, the input that is found then may have arrived at any time since the check before.
+/// This is far below [`PAUSE_MS`], as shorter pauses add up.
 const UNSURE_MS: f64 = 20.0;
 
-/// Detects pauses by the looks at the clock of one thread. Times are milliseconds of one clock.
+/// Detects pauses by the clock checks of one thread. Times are milliseconds of one clock.
 pub struct PauseDetector {
     last_check_at: f64,
 }
@@ -38,15 +38,15 @@
     }
 }
 
-/// Tracks since when the input may have been there that a polling thread finds in a turn. Times are
+/// Tracks the earliest time at which input that a polling thread finds in a turn may have arrived. Times are
 /// milliseconds of one clock.
 ///
-/// Input that a poll finds arrived after the previous poll had returned. That was right before that turn's
-/// check, or, if the check was late, at any time since the check before it.
+/// The input that a poll finds arrived after the previous poll returned. That poll returned right before the
+/// check of its turn, or, if that check was late, at any time since the check before it.
 pub struct ArrivalTracker {
     pauses: PauseDetector,
     since: f64,
-    /// The bound for the input of the next turn, if it is not known from that turn's own check.
+    /// The bound for the input of the next turn, if that turn's own check does not give it.
     next_since: Option<f64>,
 }
 
@@ -55,8 +55,8 @@
         Self { pauses: PauseDetector::new(now), since: now, next_since: Some(now) }
     }
 
-    /// Begins the turn after a poll that has just returned and was to wait `wait_ms` at most; whether the
-    /// process was paused. `all_found`: the poll returned everything that was there.
+    /// Begins the turn after a poll that has just returned and was to wait `wait_ms` at most. Returns whether
+    /// the process was paused. `all_found`: the poll returned all events that were there.
     pub fn record_poll(&mut self, now: f64, wait_ms: f64, all_found: bool) -> bool {
         let Check { previous_at, late_ms } = self.pauses.record(now, wait_ms);
         let unsure_since = (late_ms > UNSURE_MS).then_some(previous_at);
@@ -65,7 +65,7 @@
         late_ms > PAUSE_MS
     }
 
-    /// Input that is found in this turn arrived no earlier.
+    /// The earliest time at which input that is found in this turn may have arrived.
     pub fn earliest_arrival(&self) -> f64 {
         self.since
     }
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -1,6 +1,6 @@
-//! Connections to searchers. One thread connects and reads them all: a thread for each connection made about
-//! a hundred threads in each of the hundreds of mixers of a large fleet. The service writes to searchers
-//! itself, and is told here when a blocked connection is writable again.
+//! Connections to searchers. One thread opens and reads them all: with a thread for each connection, each of
+//! the hundreds of mixers of a large fleet had about a hundred threads. The service writes to searchers itself,
+//! and this thread reports when a blocked connection is writable again.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -31,14 +31,14 @@
     address: SocketAddrV4,
 }
 
-/// Has the thread that connects and reads open links.
+/// Sends commands to open links to the thread of the connections.
 pub struct LinkOpener {
     sender: Sender<OpenLink>,
     waker: Arc<Waker>,
 }
 
 impl LinkOpener {
-    /// Opens a link, whose end is reported once. False if the thread has ended and will not report it.
+    /// Opens a link; its end will be reported once. Returns false if the thread has ended, and reports nothing.
     pub fn open(&self, link: LinkId, address: SocketAddrV4) -> bool {
         let was_sent = self.sender.send(OpenLink { link, address }).is_ok();
         let _ = self.waker.wake();
@@ -52,7 +52,8 @@
     shared: Arc<SharedLink>,
     up: bool,
     buffer: Buffer,
-    /// When it has to be up, or when a frame that has begun to arrive has to go on.
+    /// The time by which the connection has to be up, or by which the next bytes of a partly received frame
+    /// have to arrive.
     deadline: Option<Instant>,
 }
 
@@ -204,7 +205,8 @@
 }
 
 impl Connection {
-    /// Handles an event: whether there may be more to read, or why the connection ends.
+    /// Handles an event. Returns whether there may be more to read; the error is the reason why the connection
+    /// ends.
     fn handle_event(
         &mut self,
         link: LinkId,
--- a/crates/mixer/src/stream.rs
+++ b/crates/mixer/src/stream.rs
@@ -1,10 +1,10 @@
-//! Writing to a connection without waiting.
+//! Non-blocking writes to a connection.
 
 use std::io::{self, ErrorKind, Write};
 
 use mio::net::TcpStream;
 
-/// Writes what the other side accepts now, which may be nothing; the number of bytes.
+/// Writes what the other side accepts now, which may be nothing, and returns the number of bytes.
 ///
 /// # Errors
 /// If the connection can't be written to any more.
