--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -25,7 +25,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartRequest {
     pub shard: u32,
+    /// The share of the scan's result that the part contributes.
     pub weight: f64,
+    /// The client's estimate of the work, if it gives one.
     pub work_ms: Option<f64>,
 }
 
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -102,9 +102,10 @@
 }
 
 impl Reducer {
-    /// `sockets`: the limit on open file descriptors.
+    /// `sockets`: the limit on open file descriptors. Clients and searchers get half each of what is left of
+    /// it.
     pub fn new(config: MixerConfig, seed: u64, sockets: usize) -> Self {
-        let half = sockets.saturating_sub(OTHER_DESCRIPTORS + CLIENTS_IN_TRANSITION) / 2;
+        let max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS + CLIENTS_IN_TRANSITION) / 2;
         let mut config = config;
         for table_type in &mut config.table_types {
             // The protocol does not state how a second step is sent, so none is started.
@@ -116,8 +117,8 @@
             module: config.open(seed),
             config,
             phase: Phase::Starting,
-            max_clients: half,
-            max_links: half,
+            max_clients: max_connections,
+            max_links: max_connections,
             clients: BTreeMap::new(),
             scans: BTreeMap::new(),
             open_request_ids: HashSet::new(),
@@ -256,7 +257,7 @@
         for RankedInput { at, input, .. } in ranked {
             // Frames that wait for a link are sent now, however long ago the link came up.
             let at = if matches!(input, Input::LinkUp { .. }) { now } else { at.min(now) };
-            self.apply(at, input);
+            self.apply_input(at, input);
         }
         let mut overdue_scans = Vec::new();
         while self.timers.first().is_some_and(|scheduled| scheduled.at() <= now)
@@ -264,7 +265,7 @@
         {
             match scheduled.timer {
                 Timer::ScanDeadline(scan) => overdue_scans.push(scan),
-                timer => self.fire(now, timer),
+                timer => self.fire_timer(now, timer),
             }
         }
         self.run_module(now);
@@ -362,7 +363,7 @@
         self.last_id
     }
 
-    fn apply(&mut self, now: UnixMs, input: Input) {
+    fn apply_input(&mut self, now: UnixMs, input: Input) {
         match input {
             Input::ClientConnected { connection_id } => self.client_connected(now, connection_id),
             Input::Request { connection_id, kind, close } => {
@@ -406,7 +407,7 @@
         }
     }
 
-    fn fire(&mut self, now: UnixMs, timer: Timer) {
+    fn fire_timer(&mut self, now: UnixMs, timer: Timer) {
         match timer {
             Timer::ModuleWakeup => self.events.push(Event::Wake),
             Timer::AttemptTimeout(attempt_id) => self.time_out(now, attempt_id),
@@ -429,7 +430,7 @@
             let events = std::mem::take(&mut self.events);
             let mut dispatched: BTreeMap<SocketAddrV4, Vec<AttemptId>> = BTreeMap::new();
             for action in self.module.handle_events(now, events) {
-                self.perform(now, action, &mut dispatched);
+                self.perform_action(now, action, &mut dispatched);
             }
             let parts_per_call = self.config.layout.parts_per_call.max(1) as usize;
             for (searcher, attempt_ids) in dispatched {
@@ -442,7 +443,7 @@
 
     /// Performs an action of the decision module. Dispatches are collected by searcher, as several may be
     /// sent in one call.
-    fn perform(
+    fn perform_action(
         &mut self,
         now: UnixMs,
         action: Action,
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -1,5 +1,5 @@
-//! The searcher list: which of the received lists is used, and what it changes. Also new configurations, as
-//! they may change the address of discovery.
+//! The searcher list: which of the received lists is used, and what it changes. New configurations are handled
+//! here as well, as they may change the address of discovery.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
