--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -170,7 +170,7 @@
     reload(&mut mixer, "{", "stays as it is");
     let moved = text.replace("127.0.0.1:8500", &new_address);
     reload(&mut mixer, &moved.replace("1024", "512"), "read anew");
-    wait_for_log(&mut mixer.log, "watch 1 has spoken");
+    wait_for_log(&mut mixer.log, "watch 1 has sent its first list");
     let mut client = mixer.connect();
     client.write_all(scan_request("entry", 1).as_bytes()).expect("the connection accepts bytes");
     output.push(read_answer(&client));
@@ -197,7 +197,7 @@
     // Both searchers receive a part. A part that must not run twice is abandoned, another is sent to the other searcher.
     ask("entry", 2);
     ask("lookup", 2);
-    wait_for_log(&mut mixer.log, "never went out on it");
+    wait_for_log(&mut mixer.log, "never sent on it");
     mixer.signal("TERM");
     let exit = mixer.wait_for_exit();
     insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
