--- a/crates/drill/src/harness.rs
+++ b/crates/drill/src/harness.rs
@@ -17,7 +17,7 @@
 use crate::gate::{self, Mode, NetworkPath, PathBehavior, Target};
 use crate::process::{Process, ProcessConfig};
 use crate::report::{
-    ExpectationResult, HungSearcher, ProcessCost, Report, ScanSummary, TimelineEntry, Violation,
+    ExpectationResult, HARNESS_LANE, HungSearcher, ProcessCost, Report, ScanSummary, TimelineEntry, Violation,
 };
 use crate::script::{Action, Expect, PathEnds, Paths, Script, StateOnStart};
 use crate::test_bed::{
@@ -393,7 +393,7 @@
         let now = self.now_ms();
         match action {
             ScheduledAction::Step(action) => {
-                self.add_to_timeline("rig", action.to_string());
+                self.add_to_timeline(HARNESS_LANE, action.to_string());
                 self.apply(action, now)
             }
             ScheduledAction::Continue { mixer, process } => {
@@ -413,7 +413,7 @@
             self.processes[mixer].iter().chain(self.former_processes.iter().map(|former| &former.1));
         if let Some(process) = processes.find(|p| p.number == number) {
             process.signal(Signal::CONT);
-            self.add_to_timeline("rig", format!("m{} goes on", mixer + 1));
+            self.add_to_timeline(HARNESS_LANE, format!("m{} goes on", mixer + 1));
         }
     }
 
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -245,19 +245,7 @@
         };
         let mixers = || args.iter().map(|a| self.mixer(a)).collect::<Result<Vec<_>, _>>();
         match word {
-            "partition" => {
-                let group = |g: &Node| match &g.kind {
-                    NodeKind::List(names) => {
-                        names.iter().map(|n| self.mixer(n)).collect::<Result<Vec<_>, _>>()
-                    }
-                    _ => Err(g.error(format!("found {}, expected a group, as (m1 m2)", g.describe()))),
-                };
-                let groups = args.iter().map(group).collect::<Result<Vec<_>, _>>()?;
-                if groups.is_empty() {
-                    return Err(node.error("partition has no group, expected as (partition (m1 m2) (m3))"));
-                }
-                Ok(Action::Partition(groups))
-            }
+            "partition" => self.parse_partition(node, args),
             "cut" => Ok(Action::Cut(self.parse_paths(node, args)?)),
             "drop" => Ok(Action::Drop(self.parse_paths(node, args)?)),
             "refuse" => Ok(Action::Refuse(self.parse_paths(node, args)?)),
@@ -283,18 +271,7 @@
                 [mixer, time] => Ok(Action::Stall(self.mixer(mixer)?, time.duration_ms("a time")?)),
                 _ => Err(node.error("expected a mixer and a time, as (stall m2 3s)")),
             },
-            "start" => match args {
-                [mixer] => Ok(Action::Start(self.mixer(mixer)?, StateOnStart::Kept)),
-                [mixer, how] => {
-                    let state = match how.symbol("fresh or kept")? {
-                        "fresh" => StateOnStart::Fresh,
-                        "kept" => StateOnStart::Kept,
-                        other => return Err(unexpected_name(how, other, &["fresh", "kept"])),
-                    };
-                    Ok(Action::Start(self.mixer(mixer)?, state))
-                }
-                _ => Err(node.error("expected a mixer, as (start m4) or (start m4 fresh)")),
-            },
+            "start" => self.parse_start(node, args),
             "kill" => expect_count(1).and_then(|()| Ok(Action::Kill(self.mixer(&args[0])?))),
             "term" => expect_count(1).and_then(|()| Ok(Action::Term(self.mixer(&args[0])?))),
             "twin" => expect_count(1).and_then(|()| Ok(Action::Twin(self.mixer(&args[0])?))),
@@ -302,23 +279,52 @@
             "die" => expect_count(1).and_then(|()| Ok(Action::Die(self.searcher(&args[0])?))),
             "return" => expect_count(1).and_then(|()| Ok(Action::Return(self.searcher(&args[0])?))),
             "drain" => expect_count(1).and_then(|()| Ok(Action::Drain(self.searcher(&args[0])?))),
-            "clock" => match args {
-                [mixer, how, time] => {
-                    let by = time.duration_ms("a time")?;
-                    match how.symbol("ahead or behind")? {
-                        "ahead" => Ok(Action::Clock(self.mixer(mixer)?, by)),
-                        "behind" => Ok(Action::Clock(self.mixer(mixer)?, -by)),
-                        other => Err(unexpected_name(how, other, &["ahead", "behind"])),
-                    }
-                }
-                _ => Err(node.error("expected a mixer, ahead or behind, and a time, as (clock m2 ahead 1h)")),
-            },
+            "clock" => self.parse_clock(node, args),
             "lose-discovery" => Ok(Action::LoseDiscovery(mixers()?)),
             "find-discovery" => Ok(Action::FindDiscovery(mixers()?)),
             other => Err(unexpected_name(node, other, &ACTION_NAMES)),
         }
     }
 
+    fn parse_partition(&self, node: &Node, args: &[Node]) -> Result<Action, ParseError> {
+        let group = |g: &Node| match &g.kind {
+            NodeKind::List(names) => names.iter().map(|n| self.mixer(n)).collect::<Result<Vec<_>, _>>(),
+            _ => Err(g.error(format!("found {}, expected a group, as (m1 m2)", g.describe()))),
+        };
+        let groups = args.iter().map(group).collect::<Result<Vec<_>, _>>()?;
+        if groups.is_empty() {
+            return Err(node.error("partition has no group, expected as (partition (m1 m2) (m3))"));
+        }
+        Ok(Action::Partition(groups))
+    }
+
+    fn parse_start(&self, node: &Node, args: &[Node]) -> Result<Action, ParseError> {
+        match args {
+            [mixer] => Ok(Action::Start(self.mixer(mixer)?, StateOnStart::Kept)),
+            [mixer, how] => {
+                let state = match how.symbol("fresh or kept")? {
+                    "fresh" => StateOnStart::Fresh,
+                    "kept" => StateOnStart::Kept,
+                    other => return Err(unexpected_name(how, other, &["fresh", "kept"])),
+                };
+                Ok(Action::Start(self.mixer(mixer)?, state))
+            }
+            _ => Err(node.error("expected a mixer, as (start m4) or (start m4 fresh)")),
+        }
+    }
+
+    fn parse_clock(&self, node: &Node, args: &[Node]) -> Result<Action, ParseError> {
+        let [mixer, direction, time] = args else {
+            return Err(node.error("expected a mixer, ahead or behind, and a time, as (clock m2 ahead 1h)"));
+        };
+        let offset_ms = time.duration_ms("a time")?;
+        match direction.symbol("ahead or behind")? {
+            "ahead" => Ok(Action::Clock(self.mixer(mixer)?, offset_ms)),
+            "behind" => Ok(Action::Clock(self.mixer(mixer)?, -offset_ms)),
+            other => Err(unexpected_name(direction, other, &["ahead", "behind"])),
+        }
+    }
+
     fn parse_expect(&self, node: &Node) -> Result<Expect, ParseError> {
         let (word, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
         let within = |rest: &[Node]| match rest {
@@ -397,9 +403,9 @@
             Self::Die(s) => write!(f, "(die s{})", s + 1),
             Self::Return(s) => write!(f, "(return s{})", s + 1),
             Self::Drain(s) => write!(f, "(drain s{})", s + 1),
-            Self::Clock(m, by) => {
-                let how = if *by < 0.0 { "behind" } else { "ahead" };
-                write!(f, "(clock m{} {how} {})", m + 1, format_time(by.abs()))
+            Self::Clock(m, offset_ms) => {
+                let direction = if *offset_ms < 0.0 { "behind" } else { "ahead" };
+                write!(f, "(clock m{} {direction} {})", m + 1, format_time(offset_ms.abs()))
             }
             Self::LoseDiscovery(mixers) => write!(f, "(lose-discovery {})", format_mixers(mixers)),
             Self::FindDiscovery(mixers) => write!(f, "(find-discovery {})", format_mixers(mixers)),
