--- a/crates/drill/src/random.rs
+++ b/crates/drill/src/random.rs
@@ -10,7 +10,7 @@
 const ACTION_COUNT: (u64, u64) = (4, 11);
 /// Maximum time between two actions.
 const MAX_INTERVAL_MS: u64 = 1500;
-/// Distinguishes these draws from others with the same seed.
+/// Mixed into the seed, so that scripts are independent of other random numbers of the same seed.
 const SEED_MASK: u128 = 0xd411_1000;
 
 /// Generates the script of a seed. It has faults of all kinds; then all paths are healed, all mixers that are down are
