--- a/src/logic.rs
+++ b/src/logic.rs
@@ -2,9 +2,9 @@
 //!
 //! A host creates a [`Mixer`] with the deployment's settings and passes it all events of one point in time by
 //! `handle_events`; `src/interface.rs` has the types and the trait. Inside, each searcher has an actor that
-//! detects whether it is slow ([`SearcherMonitor`]), one actor learns what latency is normal
-//! ([`BaselineTracker`]), and one holds the scans and dispatches their parts ([`Scheduler`]). Actors
-//! communicate only by messages; [`Mixer::deliver_messages`] empties their mailboxes.
+//! detects whether it is slow (`SearcherMonitor`), one actor learns what latency is normal
+//! (`BaselineTracker`), and one holds the scans and dispatches their parts (`Scheduler`). Actors
+//! communicate only by messages; `Mixer::deliver_messages` empties their mailboxes.
 //!
 //! Terms: the *latency ratio* of a part is its latency divided by the baseline of its table type. A searcher
 //! is *marked* when it is too slow compared with the others, then probed, readmitted *on trial*, and trusted
@@ -681,7 +681,7 @@
     /// failing searchers cause.
     const MAX_IDLE_LOSS_RATE: f64 = 0.25;
     /// The loss rate on idle connections must also exceed the rate on fresh ones by this factor.
-    const MIN_IDLE_TO_FRESH_LOSSES: f64 = 2.0;
+    const MIN_IDLE_TO_FRESH_RATIO: f64 = 2.0;
     /// Time for which idle connections are closed before use. It must end by itself: the new connections that
     /// are used instead do not show whether idle ones work again.
     const DISTRUST_MS: f64 = 10_000.0;
@@ -694,7 +694,7 @@
         let rate = if was_idle { &mut self.idle_rate } else { &mut self.fresh_rate };
         *rate += BaselineTracker::LAST_TEN_WEIGHT * (f64::from(u8::from(lost)) - *rate);
         if self.idle_rate > Self::MAX_IDLE_LOSS_RATE
-            && self.idle_rate > Self::MIN_IDLE_TO_FRESH_LOSSES * self.fresh_rate
+            && self.idle_rate > Self::MIN_IDLE_TO_FRESH_RATIO * self.fresh_rate
         {
             self.idle_rate = 0.0;
             self.distrusted_until = now + Self::DISTRUST_MS;
@@ -1028,7 +1028,7 @@
     /// A scan without any answered part ends when this many of its parts have lost their connection: it may
     /// crash the searchers that it reaches. For a while, its customer's scans then send one part first. The
     /// same happens to sound scans while many searchers crash for another reason.
-    const MAX_CONNECTION_LOSSES: u32 = 2;
+    const FATAL_CONNECTION_LOSSES: u32 = 2;
 
     /// Dispatches the parts that a scan lacks, and ends it as soon as it is whole or cannot become whole.
     fn advance(&mut self, index: ScanIndex, turn: &mut Turn) {
@@ -1039,7 +1039,7 @@
         }
         let has_answers =
             scan.in_second_step || scan.parts.iter().any(|part| part.state == PartState::Answered);
-        if !has_answers && scan.connections_lost >= Self::MAX_CONNECTION_LOSSES {
+        if !has_answers && scan.connections_lost >= Self::FATAL_CONNECTION_LOSSES {
             self.customers.set_cautious(scan.customer, now + CustomerTraffic::CAUTION_MS);
             return self.end(index, turn);
         }
@@ -1341,11 +1341,11 @@
     /// Share of this mixer's capacity at cold searchers that a table type gets. It is proportional to the
     /// type's benefit times its demand.
     fn capacity_share(&self, table_type: TypeIndex) -> f64 {
-        let worth = |table_type: TypeIndex| {
+        let weighted_demand = |table_type: TypeIndex| {
             self.table_types[table_type].benefit * self.demanded_work_rates[table_type]
         };
-        let total: f64 = (0..self.table_types.len()).map(worth).sum();
-        worth(table_type) / total.max(f64::MIN_POSITIVE)
+        let total: f64 = (0..self.table_types.len()).map(weighted_demand).sum();
+        weighted_demand(table_type) / total.max(f64::MIN_POSITIVE)
     }
 
     /// Whether a scan is one of those that may send parts to cold searchers although this mixer's share of
