--- a/src/logic.rs
+++ b/src/logic.rs
@@ -731,7 +731,7 @@
     const RETRY_TARGET_SHARE: f64 = 0.5;
     /// Step between the sampling numbers of consecutive scans, modulo 1. With the golden ratio as step, the
     /// numbers are spread evenly over 0 to 1, however many scans there are.
-    const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+    const SAMPLING_STEP: f64 = 0.618_033_988_749_895;
     /// Final answers are sent this long before the target time and the deadline: a tick and some reserve.
     const ANSWER_LEAD_MS: f64 = 30.0;
     /// Time constant of the average rates of this mixer's traffic. It is long, because one mixer of hundreds
@@ -803,7 +803,7 @@
             first_step_whole: true,
             in_second_step: false,
             connections_lost: 0,
-            sampling_number: (self.sampling_offset + self.last_scan as f64 * Self::GOLDEN_RATIO).fract(),
+            sampling_number: (self.sampling_offset + self.last_scan as f64 * Self::SAMPLING_STEP).fract(),
             parts_per_searcher: 1.0,
         };
         self.last_scan += 1;
@@ -1264,8 +1264,9 @@
 
 /// Warm-up capacity of cold searchers.
 impl Scheduler {
-    /// The expected work at a cold searcher in a window is lower than its capacity by this many standard
-    /// deviations. The random work then stays within the capacity for thousands of windows in a row.
+    /// The mean work that sampled scans bring to a cold searcher in a window is lower than the limit by this
+    /// many standard deviations. The work, which is random, then stays below the limit for thousands of
+    /// windows in a row.
     const COLD_LOAD_DEVIATIONS: f64 = 4.0;
     /// The traffic may exceed its known average by this factor, through bursts and clients that retry.
     const TRAFFIC_SURGE: f64 = 1.15;
@@ -1282,8 +1283,8 @@
     /// divides its share among the table types, see [`Self::capacity_share`]. In the first window after its
     /// first list it uses none of it, as an earlier process of the same mixer may just have used it.
     ///
-    /// If the share of a table type is smaller than one part, no mixer could ever send one. Then
-    /// [`Self::is_sampled`] selects scans, and a selected scan may send its parts.
+    /// If the share of a table type is smaller than the work of one part, no mixer could ever send one within
+    /// it. Then [`Self::is_sampled`] selects scans instead, and a selected scan may send the searcher its parts.
     ///
     /// While most searchers are cold, these rules make admission control reject scans.
     fn has_cold_capacity(
