--- a/crates/expect/src/explore/simulation.rs
+++ b/crates/expect/src/explore/simulation.rs
@@ -758,7 +758,7 @@
         let limits = &config.safety_limits;
         let work_ms = WORK_SHARE * config.table_types[self.scenario.templates[0].table_type].target_ms;
         let state = &mut self.searchers[searcher];
-        // The mixer is judged by what the list reports; it can't know of an unlisted start.
+        // The check uses the listed start, as the mixer can't know of an unlisted one.
         let age_ms = now - state.listed_started_at;
         if state.listed_started_at <= 0.0
             || age_ms >= limits.warm_up_ms
--- a/crates/rehearse/tests/recovery.rs
+++ b/crates/rehearse/tests/recovery.rs
@@ -147,8 +147,9 @@
     text
 }
 
-/// Prints the figures of `docs/evidence.md`. Run with `cargo test --release -p pewterwharf-rehearse -- --ignored --nocapture`; `SEEDS` is the
-/// number of seeds, and `PAIRS` adds the pairs of faults.
+/// Prints the figures of `docs/evidence.md`. Run with
+/// `cargo test --release -p pewterwharf-rehearse -- --ignored --nocapture`; `SEEDS` is the number of seeds, and `PAIRS`
+/// adds the pairs of faults.
 #[test]
 #[ignore = "a measurement"]
 fn recovery_table() {
