--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -889,3 +889,25 @@
     let timeout_ms: f64 = timeout_ms.unwrap_or_else(|| panic!("no call was sent: {}", harness.trace));
     assert!(timeout_ms <= 500.0, "the call states {timeout_ms} ms");
 }
+
+/// A searcher's answer to a probe is lost, though its link works. Guards against assigning each later answer to the
+/// probe before: every probe then times out, and the searcher is never readmitted.
+#[test]
+fn lost_probe_answer() {
+    let mut settings = settings();
+    settings["permissions"]["multiplex"] = json!(3);
+    let mut harness = Harness::with_settings(&settings, 1, 256);
+    harness.send_request(1, "all", "q1", 3);
+    let first_link = harness.last_link();
+    harness.input(Input::LinkUp { link: first_link });
+    harness.advance(1200.0);
+    assert!(harness.trace.contains(&format!("link {first_link}: I")), "no probe was sent: {}", harness.trace);
+    // The searcher answers a part, and never the probe.
+    harness.send_answer(first_link, "q1.0", Verdict::Ok, "a");
+    harness.advance(500.0);
+    let link = harness.last_link();
+    harness.input(Input::LinkUp { link });
+    harness.input(Input::Frames { link, frames: vec![Frame::Probe(Some(Verdict::Ok))], error: None });
+    let counters = harness.reducer.counters().to_string();
+    assert!(counters.contains("probes 2\nprobes_ok 1\n"), "{}\n{counters}", harness.trace);
+}
