--- a/crates/mixer/src/reducer/links.rs
+++ b/crates/mixer/src/reducer/links.rs
@@ -30,8 +30,8 @@
 
     pub(super) fn probe(&mut self, now: UnixMs, searcher: SocketAddrV4) {
         self.counters.probes += 1;
-        let usable_link = self.usable_links(searcher).first().copied();
-        let Some(link_id) = usable_link.or_else(|| self.connect(now, searcher)) else {
+        let link_id = self.link_for_probe(searcher).or_else(|| self.connect(now, searcher));
+        let Some(link_id) = link_id else {
             let outcome = DispatchOutcome::ConnectFailed;
             return self.events.push(Event::ProbeEnded { searcher, outcome, took_ms: 0.0 });
         };
@@ -42,6 +42,20 @@
         self.enqueue(link_id, QueuedFrame::Probe);
     }
 
+    /// A usable link on which no probe is overdue. Answers to probes carry no id and are assigned in order: if
+    /// the answer to an overdue probe is lost, each later answer on its link would be assigned to the probe
+    /// before. Links with an overdue probe are closed, unless calls are open on them.
+    fn link_for_probe(&mut self, searcher: SocketAddrV4) -> Option<LinkId> {
+        let has_overdue_probe =
+            |link_id: &LinkId| self.links.get(link_id).is_some_and(Link::has_overdue_probe);
+        let (overdue, others): (Vec<LinkId>, Vec<LinkId>) =
+            self.usable_links(searcher).into_iter().partition(has_overdue_probe);
+        for link_id in overdue {
+            self.close_link(link_id, LinkCloseReason::Silent);
+        }
+        others.first().copied()
+    }
+
     pub(super) fn time_out_probe(&mut self, now: UnixMs, link_id: LinkId, number: u64) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(probe) = link.probes.iter_mut().find(|p| p.number == number && !p.reported) else { return };
@@ -53,6 +67,7 @@
         let sent_at = probe.sent_at;
         self.events.push(Event::ProbeEnded { searcher: link.searcher, outcome, took_ms: now - sent_at });
         self.check_silent(link_id, sent_at);
+        self.check_idle(now, link_id);
     }
 
     /// Marks a link as silent if something sent on it has timed out and nothing has arrived since. The network
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -264,7 +264,8 @@
 /// Why a link to a searcher is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkCloseReason {
-    /// Something sent on it timed out and nothing has arrived since.
+    /// Something sent on it timed out and nothing has arrived since, or a probe on it is still not answered
+    /// when the next one is due.
     Silent,
     /// The decision module suspects that idle connections are broken.
     Doubted,
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -250,6 +250,13 @@
     pub(super) reported: bool,
 }
 
+impl Probe {
+    /// Whether it was sent and has timed out. Its answer may still arrive.
+    fn is_overdue(&self) -> bool {
+        self.reported && self.frame.is_some()
+    }
+}
+
 pub(super) struct Attempt {
     pub(super) part_name: Rc<str>,
     pub(super) link: LinkId,
@@ -276,8 +283,14 @@
         self.cancels.pop_front().map(QueuedFrame::Cancel)
     }
 
+    /// Whether nothing is awaited on it. An overdue probe may never be answered and does not count.
     pub(super) fn is_idle(&self) -> bool {
-        self.state == LinkState::Up && self.open_calls.is_empty() && self.probes.is_empty()
+        let awaits_no_probe = self.probes.iter().all(Probe::is_overdue);
+        self.state == LinkState::Up && self.open_calls.is_empty() && awaits_no_probe
+    }
+
+    pub(super) fn has_overdue_probe(&self) -> bool {
+        self.probes.iter().any(Probe::is_overdue)
     }
 
     /// Records the end of an attempt. If it was sent, its answer may still arrive, or arrive again, and has
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -911,3 +911,25 @@
     let counters = harness.reducer.counters().to_string();
     assert!(counters.contains("probes 2\nprobes_ok 1\n"), "{}\n{counters}", harness.trace);
 }
+
+/// A searcher accepts connections and never answers a probe. Guards against links that pile up, as each probe needs one
+/// without an overdue probe.
+#[test]
+fn unanswered_probes_keep_few_links() {
+    let mut harness = Harness::new(1);
+    harness.send_request(1, "all", "q1", 1);
+    let first_link = harness.last_link();
+    harness.input(Input::LinkUp { link: first_link });
+    harness.input(Input::LinkClosed { link: first_link, frames_written: 1 });
+    let mut last_link = first_link;
+    for _ in 0..40 {
+        harness.advance(250.0);
+        if harness.last_link() != last_link {
+            last_link = harness.last_link();
+            harness.input(Input::LinkUp { link: last_link });
+        }
+    }
+    let count = |text: &str| harness.trace.matches(text).count();
+    assert!(count(": I\n") >= 10, "{}", harness.trace);
+    assert!(count("connect to") - count(": close\n") <= 2, "{}", harness.trace);
+}
