--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -158,3 +158,23 @@
     let excessive = excessive_timeouts(&record, &sent_at);
     assert!(excessive.is_empty(), "{excessive:?}");
 }
+
+/// The thread that reads a request is delayed after one of its clock reads. Guards against a deadline that counts from the
+/// end of the delay: the time that is left and the time from which it counts must come from one clock read.
+#[test]
+fn deadline_after_delay_of_reading_thread() {
+    const DELAY_MS: u64 = 400;
+    for clock_read in 1..=4 {
+        let setting = format!(
+            "SHIM_ACCEPTS_FAIL=1000,0 SHIM_HOLDS_READER_OF=q1 SHIM_HOLDS={clock_read} SHIM_HOLD_MS={DELAY_MS}"
+        );
+        let name = format!("delayed-reader-{clock_read}");
+        let (mixer, record) = start_recording(&name, &setting, &[SearcherBehavior::Answers]);
+        let mut client = mixer.connect();
+        client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
+        let sent_at = HashMap::from([("q1".to_owned(), now_ms())]);
+        read_answer(&client);
+        let excessive = excessive_timeouts(&record, &sent_at);
+        assert!(excessive.is_empty(), "clock read {clock_read}: {excessive:?}");
+    }
+}
--- a/crates/soak/shim/sends.c
+++ b/crates/soak/shim/sends.c
@@ -5,7 +5,8 @@
    SHIM_STOPS_AFTER=PREFIX: after the first call with a part whose name has this prefix is written, the process stops itself once.
    SHIM_HOLDS_ONE_IN=N: one in N reads of the clock is followed by a delay of up to SHIM_HOLD_MS.
    SHIM_HOLDS=N: instead of stopping the process, the thread that wrote the call is delayed by SHIM_HOLD_MS after its Nth read of the
-   clock from then on. */
+   clock from then on.
+   SHIM_HOLDS_READER_OF=TEXT: the same for the thread that first receives bytes with this text. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -153,3 +154,12 @@
     }
     return written;
 }
+
+ssize_t recv(int socket, void *bytes, size_t count, int flags) {
+    ssize_t received = REAL(recv)(socket, bytes, count, flags);
+    const char *text = getenv("SHIM_HOLDS_READER_OF"), *clock_reads = getenv("SHIM_HOLDS");
+    if (text && clock_reads && received > 0 && memmem(bytes, received, text, strlen(text)) &&
+        !atomic_exchange(&has_stopped, 1))
+        clock_reads_left = atoi(clock_reads);
+    return received;
+}
