--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -307,14 +307,17 @@
     /// Reports the pending request, with the time that its client still waits; false if there is none.
     fn report_request(&mut self, connection_id: ConnectionId, messages: &MessageSender) -> bool {
         let Some(PendingRequest { mut kind, close, since }) = self.pending.take() else { return false };
-        if let RequestKind::Scan(scan) = &mut kind {
-            scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
-        }
         self.shared.awaits_answer.store(true, Ordering::SeqCst);
         self.buffered_data_reported = false;
         // Reported before the request, which may be answered at once.
         self.report_buffered_data(connection_id, messages);
-        messages.send(Input::Request { connection_id, kind, close });
+        // The time that is left counts from the time of the message: with two reads of the clock, a pause between
+        // them would be added to it.
+        let now = messages.now();
+        if let RequestKind::Scan(scan) = &mut kind {
+            scan.wait_ms = (scan.wait_ms - (now - since)).max(0.0);
+        }
+        messages.send_at(now, Input::Request { connection_id, kind, close });
         true
     }
 
--- a/crates/mixer/src/messages.rs
+++ b/crates/mixer/src/messages.rs
@@ -50,7 +50,12 @@
 impl MessageSender {
     /// Sends an input that has happened now; false once the service has ended.
     pub fn send(&self, input: Input) -> bool {
-        self.sender.send(Message::Input { at: self.clock.now(), input }).is_ok()
+        self.send_at(self.clock.now(), input)
+    }
+
+    /// Sends an input that happened at this time, by [`Self::now`]; false once the service has ended.
+    pub fn send_at(&self, at: UnixMs, input: Input) -> bool {
+        self.sender.send(Message::Input { at, input }).is_ok()
     }
 
     /// The time by the service's clock.
