--- a/src/logic.rs
+++ b/src/logic.rs
@@ -148,8 +148,8 @@
     }
 
     /// Schedules the next subscription after a failed one, with exponential backoff and jitter. Discovery may
-    /// have rejected all mixers at once; the jitter spreads their retries, so that each is accepted as soon as
-    /// there is room for it.
+    /// have rejected all mixers at once; the jitter spreads their retries, so that each is accepted as soon
+    /// as there is room for it.
     fn schedule_subscription(&mut self) {
         self.failed_subscriptions = (self.failed_subscriptions + 1).min(Self::MAX_BACKOFF_FAILURES);
         let within_ms = self.scheduler.permissions.resubscribe_within_ms.unwrap_or(f64::INFINITY);
@@ -193,11 +193,11 @@
         let ListedSearcher { searcher: address, cell, zone, started_at, status } = entry;
         let searcher = self.directory.add(address);
         let monitor = SearcherMonitor::new(searcher, address, zone, self.scheduler.baseline.clone());
-        // Of searchers with equal cost, those in the mixer's own zone come first, then a random order decides.
-        // Each mixer has its own random order, so that the mixers do not all prefer the same searchers.
+        // Of searchers with equal cost, the one with the lowest tie-breaker is preferred: it lies between 0
+        // and 1 in the mixer's own zone, and between 1 and 2 in other zones. Within a zone it is random, and
+        // another for each mixer, so that the mixers do not all prefer the same searchers.
         let tie_breaker = f64::from(u8::from(zone != self.zone)) + self.random.rand_float();
-        let now = self.turn.now;
-        let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker, now);
+        let state = SearcherState::new(address, cell, zone, started_at, status, tie_breaker);
         set_or_push(&mut self.monitors, searcher, monitor);
         set_or_push(&mut self.scheduler.searchers, searcher, state);
         self.scheduler.shard_map.add(cell, searcher);
@@ -212,7 +212,6 @@
             state.listed_start_at = started_at;
             state.found_start_at = started_at;
             state.concurrency_limit = f64::INFINITY;
-            state.start_known_at = self.turn.now;
             state.leaving = false;
             self.turn.send(Address::monitor(searcher), Message::SearcherRestarted);
         }
@@ -272,13 +271,14 @@
     /// Length of a time slice: half a second, as in the design. The ShortTail paper asks for the shortest
     /// slice that holds enough parts.
     const SLICE_MS: f64 = 500.0;
-    /// A slice stays open until it has this many parts, and is judged only then. With fewer, a single part
-    /// with a latency ratio under 7 could raise the slice's average over the threshold.
+    /// A slice stays open until it has this many parts, and is judged only then. With three parts, one that
+    /// is slow raises the average over the threshold of three only if its latency ratio is over 7, as long as
+    /// the two others are normal. With fewer parts, a lower ratio would do.
     const MIN_SLICE_PARTS: u32 = 3;
     /// Weight of a new part in the smoothed latency of a searcher, which covers about the last five parts.
     const LATENCY_WEIGHT: f64 = 0.2;
-    /// Time constant by which a searcher's latency decays to its zone's average while no part confirms it:
-    /// some slices.
+    /// Time constant by which a searcher's latency decays to its zone's average while no part confirms it. It
+    /// is some slices long.
     const LATENCY_DECAY_MS: f64 = 5000.0;
     /// The same where probes are not allowed. Only parts renew the latency then, some seconds apart, so that
     /// it is kept for as long as most faults last.
@@ -349,16 +349,16 @@
     ) {
         let now = turn.now;
         let decayed = Self::decayed_latency(&self.health, &self.baseline, self.zone, now);
-        // A part without an answer only proves that its latency is over the threshold, so that its ratio is
-        // limited. With its full time, one lost answer would outweigh some twenty good answers, and would
-        // raise the average that the next parts are compared with.
+        // A part without an answer only proves that its latency is over the threshold. Its ratio is therefore
+        // limited to the threshold plus the present ratio. With its whole age, one lost answer would outweigh
+        // some twenty good ones, and would raise the zone's average.
         let is_unanswered = matches!(outcome, DispatchOutcome::TimedOut | DispatchOutcome::Cancelled);
         let counted_ratio =
             if is_unanswered { ratio.min(self.baseline.mark_ratio + decayed.ratio) } else { ratio };
         let counted =
             RelativeLatency { ratio: counted_ratio, excess_ms: (counted_ratio - 1.0) * baseline_ms };
         turn.send(Address::BASELINE_TRACKER, Message::ZoneSample { zone: self.zone, latency: counted });
-        // Without probes, the new part weighs more the longer ago the old latency was confirmed.
+        // Without probes, the longer ago the old latency was confirmed, the more the new part weighs.
         let age_weight = 1.0 - ((self.health.latency_at - now) / self.baseline.decay_ms).exp();
         let weight = if may_probe { Self::LATENCY_WEIGHT } else { Self::LATENCY_WEIGHT.max(age_weight) };
         self.health.latency = decayed.toward(counted, weight);
@@ -384,8 +384,8 @@
         let Some(slice) = self.slices.iter_mut().find(holds_part) else { return };
         slice.in_flight.retain(|part| part.dispatch != dispatch);
         slice.ratio_sum += ratio;
-        // A failed part says nothing about speed. A slice with one is not reported to the baseline tracker, as
-        // it would raise the median that all searchers are compared with.
+        // A failed part says nothing about speed. A slice with one is not reported to the baseline tracker,
+        // as it would raise the median that all searchers are compared with.
         slice.without_failure &= !matches!(
             outcome,
             DispatchOutcome::Error | DispatchOutcome::ConnectFailed | DispatchOutcome::Reset
@@ -476,8 +476,7 @@
     fn update_ages(&mut self, now: f64) {
         let mut oldest_excess_ms = 0.0;
         let mut oldest_ratio = 0.0;
-        // The parts of one call are sent at the same time, so that the number of distinct times is the number
-        // of calls.
+        // The parts of one call are sent at the same time, so that calls are counted by their distinct times.
         let mut overtaken_calls = BTreeSet::new();
         for part in self.slices.iter().flat_map(|slice| &slice.in_flight) {
             if self.baseline.is_overtaken(part.table_type, part.sent_at, self.newest_success_sent_at) {
@@ -496,8 +495,8 @@
 
     /// Judges each slice once it is over and all its parts have ended, and earlier if the ages of its parts
     /// in flight raise its average over the threshold: a searcher that hangs would otherwise be marked only
-    /// after the last timeout. A sound searcher whose few parts are all heavy may be marked too, and then gets
-    /// no traffic until the next probe.
+    /// after the last timeout. A sound searcher whose few parts are all heavy may be marked too, and then
+    /// gets no traffic until the next probe.
     fn judge_slices(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let mark_ratio = self.baseline.mark_ratio;
@@ -531,7 +530,7 @@
 
 impl Slice {
     /// Mean latency ratio of its parts. A part in flight counts with its age. The answer of an overtaken part
-    /// is probably lost, so that its ratio counts as the threshold at most.
+    /// is probably lost, so that it counts with the threshold at most.
     fn mean_ratio(&self, baseline: &Baseline, newest_success_sent_at: f64, now: f64) -> f64 {
         let age_ratios = self.in_flight.iter().map(|part| {
             let is_overtaken = baseline.is_overtaken(part.table_type, part.sent_at, newest_success_sent_at);
@@ -547,8 +546,8 @@
     /// A searcher is marked when the mean latency ratio of its slice exceeds the median of all searchers by
     /// this factor. The ShortTail paper says "about three".
     const MARK_MULTIPLE: f64 = 3.0;
-    /// Least weight of a new part in a table type's baseline latency, which so covers a few hundred parts, or
-    /// some seconds.
+    /// Least weight of a new part in a table type's baseline latency. With it, the baseline covers a few
+    /// hundred parts, or some seconds.
     const LATENCY_WEIGHT: f64 = 0.01;
     /// After this many samples, a latency is clipped at `MARK_MULTIPLE` times the baseline.
     const UNCLIPPED_SAMPLES: f64 = 10.0;
@@ -559,7 +558,7 @@
     /// parts.
     const FIRST_WORK_STEP: f64 = 0.05;
     /// A part that is faster than the work estimate lowers it by this many steps, a slower one raises it by
-    /// one step. The estimate so settles where a quarter of the parts are faster.
+    /// one step. Both balance where a quarter of the parts are faster, which is where the estimate settles.
     const WORK_STEPS_DOWN: f64 = 3.0;
     /// Weight of a new sample in the averages that cover about the last ten samples.
     const LAST_TEN_WEIGHT: f64 = 0.1;
@@ -626,13 +625,13 @@
     /// Budget of hedges, and of retries where the deployment states none: a tenth of the accepted scans and
     /// parts, and a few more. A larger budget would add to an overload.
     const DEFAULT_BUDGET: RetryBudget = RetryBudget { free: 5.0, share: 0.1, window_ms: 2000.0 };
-    /// Busy share of the searchers' cores from which on none of the budget is available. All of it is
-    /// available up to half this share, and in between it falls linearly. The cores above this share are left
-    /// for fluctuations of the load.
+    /// Busy share of the searchers' cores from which on none of the budget is available. Up to half this
+    /// share all of it is available, and in between the available part falls linearly. The cores beyond this
+    /// share are left for fluctuations of the load.
     const FULL_BUSY_SHARE: f64 = 0.8;
     /// The window is longer by this much for extra dispatches, and shorter by this much for accepted scans
-    /// and parts. The budget is so kept even if the deployment sees an event at the edge of a window a little
-    /// earlier or later.
+    /// and parts. The budget is then kept even if the deployment sees an event at the edge of a window a
+    /// little earlier or later.
     const WINDOW_MARGIN_MS: f64 = 1.0;
 
     /// Whether one more extra dispatch is within the budget. The busier the searchers report to be, the less
@@ -726,13 +725,14 @@
     /// A sum of weights that is lower than the required weight by this much still counts as enough, because
     /// weights are rounded.
     const WEIGHT_TOLERANCE: f64 = 1e-5;
-    /// Share of the target time that a client's retry is assumed to have left. How much it has is not known,
-    /// so that the middle between none and all is used.
+    /// Share of the target time that a client's retry is assumed to have left. How much it really has is not
+    /// known; this is the middle between nothing and all.
     const RETRY_TARGET_SHARE: f64 = 0.5;
     /// Step between the sampling numbers of consecutive scans, modulo 1. With the golden ratio as step, the
     /// numbers are spread evenly over 0 to 1, however many scans there are.
     const SAMPLING_STEP: f64 = 0.618_033_988_749_895;
-    /// Final answers are sent this long before the target time and the deadline: a tick and some reserve.
+    /// Scans end this long before their target time and their deadline, so that the answer arrives in time: a
+    /// tick and some reserve.
     const ANSWER_LEAD_MS: f64 = 30.0;
     /// Time constant of the average rates of this mixer's traffic. It is long, because one mixer of hundreds
     /// may see a scan of many parts only every few seconds.
@@ -744,7 +744,6 @@
             Message::BaselineChanged(baseline) => self.baseline = baseline,
             Message::SearcherRecovered { searcher } => {
                 self.searchers[searcher].found_start_at = turn.now;
-                self.searchers[searcher].start_known_at = turn.now;
             }
             Message::Host(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry }) => {
                 let request = ScanRequest { id, number, table_type, customer, deadline_at, work_ms, retry };
@@ -958,8 +957,8 @@
         let baseline_ms = self.baseline.latency_ms[dispatch.table_type];
         match outcome {
             DispatchOutcome::Ok => took_ms,
-            // The answer is lost, but the searcher is not slow. The loss costs the wait until a hedge, so that
-            // it counts with at most the latency for which a searcher is marked.
+            // The answer is lost, but the searcher is not slow. The loss costs the wait until a hedge, so
+            // that it counts with at most the latency for which a searcher is marked.
             _ if is_lost => took_ms.clamp(baseline_ms, self.baseline.mark_ratio * baseline_ms),
             DispatchOutcome::Cancelled | DispatchOutcome::Moot => took_ms.max(baseline_ms),
             _ => took_ms.max(dispatch.timeout_ms),
@@ -976,8 +975,8 @@
 
     /// Adapts the limit on this mixer's calls in flight at a searcher (additive increase, multiplicative
     /// decrease). While parts are in time, the limit grows by about one call in one latency. When a part took
-    /// too long, the limit is cut by a factor, at most once in one latency. This limits hot spots and
-    /// congestion of any cause.
+    /// too long, the limit is cut to a share of itself, or of the calls in flight if these are fewer; this
+    /// happens at most once in one latency. It limits hot spots and congestion of any cause.
     fn adapt_concurrency_limit(&mut self, dispatch: &InFlightDispatch, latency_ms: f64, now: f64) {
         let searcher = &mut self.searchers[dispatch.searcher];
         let work_ms = self.baseline.work_ms[dispatch.table_type];
@@ -985,7 +984,7 @@
         if latency_ms <= work_ms + Self::IN_TIME_SHARE * (target_ms - work_ms) {
             searcher.concurrency_limit += 1.0 / searcher.concurrency_limit;
         } else if now - searcher.limit_cut_at > self.baseline.latency_ms[dispatch.table_type] {
-            let used = f64::from(searcher.active_calls() + 1);
+            let used = f64::from(searcher.active_calls() + 1); // with the call of the ended dispatch
             searcher.concurrency_limit = (searcher.concurrency_limit.min(used) * Self::LIMIT_CUT).max(1.0);
             searcher.limit_cut_at = now;
         }
@@ -1029,6 +1028,8 @@
     /// crash the searchers that it reaches. For a while, its customer's scans then send one part first. The
     /// same happens to sound scans while many searchers crash for another reason.
     const FATAL_CONNECTION_LOSSES: u32 = 2;
+    /// Sum of the weights of all parts of a step.
+    const ALL_PARTS_WEIGHT: f64 = 1.0;
 
     /// Dispatches the parts that a scan lacks, and ends it as soon as it is whole or cannot become whole.
     fn advance(&mut self, index: ScanIndex, turn: &mut Turn) {
@@ -1043,10 +1044,11 @@
             self.customers.set_cautious(scan.customer, now + CustomerTraffic::CAUTION_MS);
             return self.end(index, turn);
         }
+        // A scan that may crash searchers sends one part at a time until one is answered.
         let is_suspect = scan.connections_lost > 0 || self.customers.is_cautious(scan.customer, now);
         let one_part_first = !has_answers && is_suspect;
         let is_new = !scan.in_second_step && scan.parts.iter().all(|part| part.dispatches.is_empty());
-        if is_new && let Some(reason) = self.admission_control(index, now) {
+        if is_new && let Some(reason) = self.scan_rejection(index, now) {
             let Some(scan) = self.scans.get(&index) else { return };
             self.rejections[scan.table_type][reason as usize] += 1;
             return self.end(index, turn);
@@ -1111,8 +1113,9 @@
         }
     }
 
-    /// Answers a scan. The first answer of a scan with two steps opens its second step, which requires all of
-    /// its parts; the host sends them.
+    /// Answers a scan. The first answer of a scan with two steps opens its second step, for which the host
+    /// passes new parts. The second step requires all of them; its minimum is that of the first step if the
+    /// table type allows partial answers, else all parts too.
     fn complete(&mut self, index: ScanIndex, whole: bool, turn: &mut Turn) {
         let Some(scan) = self.scans.get_mut(&index) else { return };
         let whole = whole && scan.first_step_whole;
@@ -1122,9 +1125,12 @@
         }
         scan.in_second_step = true;
         scan.first_step_whole = whole;
-        scan.minimum_weight =
-            if scan.minimum_weight < scan.required_weight { scan.minimum_weight } else { 1.0 };
-        scan.required_weight = 1.0;
+        scan.minimum_weight = if scan.minimum_weight < scan.required_weight {
+            scan.minimum_weight
+        } else {
+            Self::ALL_PARTS_WEIGHT
+        };
+        scan.required_weight = Self::ALL_PARTS_WEIGHT;
         let first_step_parts = std::mem::take(&mut scan.parts);
         turn.cancel(self.forget_parts(first_step_parts), self.permissions.cancel);
     }
@@ -1139,6 +1145,7 @@
         let opens_step_too_late = !scan.in_second_step
             && self.table_types[scan.table_type].has_second_step
             && turn.now >= scan.deadline_at;
+        // `answered` contains the tolerance once, so that this means an answered weight beyond the tolerance.
         let has_answer = answered > 2.0 * Self::WEIGHT_TOLERANCE;
         if has_answer && answered >= scan.minimum_weight && !opens_step_too_late {
             return self.complete(index, answered >= scan.required_weight, turn);
@@ -1170,8 +1177,8 @@
             return None;
         }
         let Replica { tier, cost, searcher } = self.best_replica(scan, part, now)?;
-        // A searcher that has just rejected the part as full would reject it again. The part waits for as long
-        // as the searcher needs to finish one part.
+        // A searcher that has just rejected the part as full would reject it again. The part waits for as
+        // long as the searcher needs to finish one part.
         let rejected_as_full = PartDispatch { searcher, outcome: Some(DispatchOutcome::Full) };
         let must_wait = part.dispatches.contains(&rejected_as_full)
             && now < part.ended_at + self.baseline.work_ms[scan.table_type];
@@ -1211,10 +1218,10 @@
         self.baseline.work_ms[table_type] + call_work_ms
     }
 
-    /// Chooses the replica with the lowest cost, which is its smoothed latency times one plus this mixer's
-    /// calls in flight there. Of replicas with equal cost, one that gets a call in this turn anyway is
-    /// preferred, then one in the mixer's own zone, then a random one. Marked searchers and others with known
-    /// trouble come last, but are used if there are no better ones.
+    /// Chooses the replica with the lowest cost, which is its smoothed latency multiplied by the number of
+    /// this mixer's calls in flight there, the new one included. Of replicas with equal cost, one that gets a
+    /// call in this turn anyway is preferred, then the one with the lowest tie-breaker. Marked searchers and
+    /// others with known trouble come last, but are used if there are no better ones.
     fn best_replica(&self, scan: &Scan, part: &Part, now: f64) -> Option<Replica> {
         let holders = self.shard_map.holders(part.shard);
         let replicas = holders.filter_map(|searcher| self.rank_replica(scan, part, searcher, now));
@@ -1243,8 +1250,11 @@
         let was_tried = part.dispatches.iter().any(|dispatch| dispatch.searcher == searcher);
         let is_late = health.oldest_ratio > self.baseline.mark_ratio;
         let is_avoided = health.marked || health.on_trial && other_calls > 0 || was_tried || is_late;
-        // Of replicas with equal cost, cold searchers rank in the middle and in the order of their cells.
-        // Neighbouring shards, which share searchers, so find the most capacity.
+        // Of replicas with equal cost, a cold searcher ranks by the distance of its cell from the shard's
+        // first cell instead of randomly. Neighbouring shards, which share searchers, then prefer different
+        // ones, and find more capacity in total. The tie-breaker lies half a zone behind those of the warm
+        // searchers: between 0.5 and 1.5 in the mixer's own zone (warm: 0 to 1), between 1.5 and 2.5 in other
+        // zones (warm: 1 to 2).
         let tie_breaker = if self.is_cold(state, now) {
             state.tie_breaker.floor() + 0.5 + self.shard_map.distance(part.shard, state.cell)
         } else {
@@ -1262,7 +1272,7 @@
     }
 }
 
-/// Warm-up capacity of cold searchers.
+/// Capacity of cold searchers.
 impl Scheduler {
     /// The mean work that sampled scans bring to a cold searcher in a window is lower than the limit by this
     /// many standard deviations. The work, which is random, then stays below the limit for thousands of
@@ -1270,10 +1280,11 @@
     const COLD_LOAD_DEVIATIONS: f64 = 4.0;
     /// The traffic may exceed its known average by this factor, through bursts and clients that retry.
     const TRAFFIC_SURGE: f64 = 1.15;
-    /// Traffic with hedges, divided by traffic without: each part may be hedged once.
-    const HEDGED_TRAFFIC: f64 = 2.0;
-    /// Busy shares under this count as this. The traffic of almost idle searchers says little about how much
-    /// they could carry, so that the capacity that is derived from it is twice the traffic at most.
+    /// Traffic with a hedge of every part, divided by the traffic without hedges: a part is hedged once at
+    /// most.
+    const HEDGED_TRAFFIC_RATIO: f64 = 2.0;
+    /// Lower busy shares count as this one. The traffic of almost idle searchers says little about how much
+    /// they could carry, so that the capacity is derived as twice the traffic at most.
     const MIN_BUSY_SHARE: f64 = 0.5;
 
     /// Whether a searcher has capacity for one more part of a scan. A warm searcher always has.
@@ -1283,8 +1294,8 @@
     /// divides its share among the table types, see [`Self::capacity_share`]. In the first window after its
     /// first list it uses none of it, as an earlier process of the same mixer may just have used it.
     ///
-    /// If the share of a table type is smaller than the work of one part, no mixer could ever send one within
-    /// it. Then [`Self::is_sampled`] selects scans instead, and a selected scan may send the searcher its parts.
+    /// If a table type's share is smaller than the work of one part, the mixer could never send a part within
+    /// it. Then [`Self::is_sampled`] admits some of the scans, and these may send the searcher their parts.
     ///
     /// While most searchers are cold, these rules make admission control reject scans.
     fn has_cold_capacity(
@@ -1315,9 +1326,9 @@
         sent_ms + work_ms <= allowed_ms
     }
 
-    /// Work that all mixers together may send a cold searcher in a window: the product of its present speed,
-    /// the rate of work that a warm searcher can carry, the length of the window, and the multiple of all
-    /// this at which a cold searcher fails.
+    /// Work that all mixers together may send a cold searcher in a window. What the searcher can carry in it
+    /// is the product of its present speed, the rate of work that a warm searcher can carry, and the length
+    /// of the window; it fails at a multiple of this.
     ///
     /// The speed is that of the slowest warm-up that the deployment allows: it grows linearly with the time
     /// since the searcher's latest start. The rate of a warm searcher is estimated from this mixer's traffic,
@@ -1334,7 +1345,7 @@
         limits.overload_multiple * speed * warm_work_rate * limits.overload_window_ms
     }
 
-    /// Converts a rate of one mixer to the rate of all mixers at one searcher.
+    /// Factor that converts the rate of one mixer at all searchers to the rate of all mixers at one searcher.
     fn mixers_per_searcher(&self) -> f64 {
         self.mixer_count / self.ready_searcher_count.max(1.0)
     }
@@ -1354,22 +1365,27 @@
     ///
     /// Several mixers share the capacity of a cold searcher without communicating. Each therefore admits only
     /// a fraction of its scans: those whose sampling number is below the fraction. How much work the mixers
-    /// admit together in a window is random. The fraction is chosen so that the mean of this work lies
+    /// admit together in a window is then random. The fraction is chosen so that the mean of this work lies
     /// [`Self::COLD_LOAD_DEVIATIONS`] standard deviations below the limit.
     ///
-    /// The limit is the capacity and what the platform adds to it for random fluctuation: to N parts, twice
-    /// the square root of N, and two parts. All parts of a scan have the same sampling number, so that a scan
-    /// of many parts finds capacity for all of them or for none.
+    /// The limit is the capacity plus what the platform allows beyond it for random fluctuation: for a
+    /// capacity of N parts, another `2 * sqrt(N) + 2` parts. All parts of a scan have the same sampling
+    /// number, so that a scan of many parts finds capacity for all of them or for none.
     ///
     /// A hedge is not sampled, as it is not a scan of its own. It is admitted only if the limit leaves room
     /// for a hedge of every part. Otherwise the hedges could fill a window when parts are late at many
     /// searchers at once.
     fn is_sampled(&self, scan: &Scan, is_hedge: bool, work_ms: f64, capacity_ms: f64) -> bool {
         let scan_work_ms = scan.parts_per_searcher * work_ms;
+        // Parts are counted in those of the table type with the least work: N = capacity / least work.
         let least_work_ms = self.baseline.work_ms.iter().copied().fold(f64::INFINITY, f64::min);
         let limit_ms = capacity_ms + 2.0 * (capacity_ms * least_work_ms).sqrt() + 2.0 * least_work_ms;
-        // The work of randomly admitted scans has the standard deviation sqrt(mean * scan_work). The highest
-        // mean that is allowed solves mean + margin_factor * sqrt(mean) = limit.
+        // The number of admitted scans is taken as Poisson distributed, so that its variance is its mean.
+        // Each scan brings the work `scan_work`. With `mean` for the mean of the work, the number of scans
+        // has the mean `mean / scan_work`, and the work has the variance `mean / scan_work * scan_work^2`, so
+        // that its standard deviation is `sqrt(mean * scan_work)`. The highest allowed mean is the one for
+        // which `mean + COLD_LOAD_DEVIATIONS * sqrt(mean * scan_work) = limit`, a quadratic equation in
+        // `sqrt(mean)`.
         let margin_factor = Self::COLD_LOAD_DEVIATIONS * scan_work_ms.sqrt();
         let doubled_mean_root = (margin_factor * margin_factor + 4.0 * limit_ms).sqrt() - margin_factor;
         let max_mean_ms = doubled_mean_root.powi(2) / 4.0;
@@ -1378,9 +1394,10 @@
             * demanded_work_rate
             * self.mixers_per_searcher()
             * self.limits.overload_window_ms;
-        // In a window, each mixer sends a searcher at most the work of one scan and one more part.
+        // The work to expect if all scans were admitted. In a window, each mixer sends a searcher at most the
+        // work of one scan and one more part.
         let expected_ms = demand_ms.min(self.mixer_count * (scan_work_ms + work_ms));
-        let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC } else { scan.sampling_number };
+        let admitted_share = if is_hedge { Self::HEDGED_TRAFFIC_RATIO } else { scan.sampling_number };
         admitted_share * expected_ms < max_mean_ms
     }
 }
@@ -1414,7 +1431,8 @@
         turn.send(Address::monitor(searcher), message);
     }
 
-    /// Timeout of a dispatch: it lasts as long as the answer is still of use to the scan.
+    /// Timeout of a dispatch. It lasts as long as the answer is of use to the scan, and half of
+    /// [`Self::ANSWER_LEAD_MS`] longer, so that it ends after the scan but before the client's deadline.
     fn timeout_ms(&self, scan: &Scan, now: f64) -> f64 {
         let is_late_useful = self.table_types[scan.table_type].late_benefit_share > 0.0;
         let useful_until =
@@ -1422,7 +1440,7 @@
         (useful_until - now).max(1.0) + Self::ANSWER_LEAD_MS / 2.0
     }
 
-    /// Time after which a dispatch is late, and may be hedged.
+    /// Time after which a dispatch is late, and may be hedged. It is [`Self::ANSWER_LEAD_MS`] at least.
     fn late_after_ms(&self, scan: &Scan, now: f64) -> f64 {
         let mark_ms = self.baseline.mark_ratio * self.baseline.latency_ms[scan.table_type];
         let left_ms = (scan.target_at - now) * Self::LATE_TARGET_SHARE;
@@ -1470,8 +1488,8 @@
         (!is_distrusted).then_some(is_idle)
     }
 
-    /// Counts sent work in this mixer's traffic and, if a start of the searcher is known, against its
-    /// warm-up capacity.
+    /// Counts sent work in this mixer's traffic and, if a start of the searcher is known, against the
+    /// capacity that it has while it is cold.
     fn record_sent_work(&mut self, searcher: SearcherIndex, table_type: TypeIndex, work_ms: f64, now: f64) {
         let state = &mut self.searchers[searcher];
         state.last_sent_at = now;
@@ -1486,13 +1504,13 @@
 
 /// Admission control.
 impl Scheduler {
-    /// Of the time that a part has left beyond its own work until its target time, it may spend this share
-    /// waiting at its searcher.
+    /// A part may spend this share of the time between its own work and its target time waiting at its
+    /// searcher.
     const MAX_WAIT_SHARE: f64 = 0.6;
 
     /// Returns why a new scan must be rejected, or none if it is admitted. It is rejected if too few of its
     /// parts have a replica that can answer one more part in time.
-    fn admission_control(&mut self, index: ScanIndex, now: f64) -> Option<RejectionReason> {
+    fn scan_rejection(&mut self, index: ScanIndex, now: f64) -> Option<RejectionReason> {
         self.set_parts_per_searcher(index);
         let scan = self.scans.get(&index)?;
         let mut admitted_weight = 0.0;
@@ -1522,8 +1540,8 @@
     /// the reason is a part in flight that is too old, or the concurrency limit; without, it is a smoothed
     /// latency that is too high.
     ///
-    /// A searcher that this mixer sent nothing for a while gets the part in any case: if all parts were
-    /// rejected, its latency would never be renewed. The time is chosen so that all mixers together do this a
+    /// A searcher that was sent nothing for the retry interval gets the part in any case: if all parts were
+    /// rejected, its latency would never be renewed. The interval is such that all mixers together do this a
     /// few times in a slice.
     fn searcher_rejection(&self, scan: &Scan, searcher: SearcherIndex, now: f64) -> Option<RejectionReason> {
         let state = &self.searchers[searcher];
@@ -1535,10 +1553,15 @@
         let left_ms = scan.target_at - now;
         let baseline_ms = self.baseline.latency_ms[scan.table_type];
         let work_ms = self.baseline.work_ms[scan.table_type].min(left_ms);
+        // A part whose work takes most of the time that is left would be rejected for a small delay, even if
+        // nothing is slow. Delays by up to this factor count as equal, and so are always allowed.
         let max_latency_ms =
             (work_ms + Self::MAX_WAIT_SHARE * (left_ms - work_ms)).max(Self::EQUAL_COST_FACTOR * work_ms);
         let calls = state.active_calls();
         if calls == 0 {
+            // The latency was observed on parts of any table type. Whether the searcher is slow, which delays
+            // all parts by the same ratio, or had a queue, which delays them by the same time, is not known.
+            // The lower estimate is used, so that parts of one table type do not block those of another.
             let latency = SearcherMonitor::decayed_latency(&state.health, &self.baseline, state.zone, now);
             let expected_ms = (latency.ratio * baseline_ms).min(baseline_ms + latency.excess_ms);
             return (expected_ms > max_latency_ms).then_some(RejectionReason::Latency);
--- a/src/report.rs
+++ b/src/report.rs
@@ -77,7 +77,8 @@
         let Self { highest_latency, longest_unused_ms, .. } = self;
         writeln!(
             f,
-            "searchers\n  ready {ready}, marked {marked}, without connection {disconnected}, on trial {on_trial}"
+            "searchers\n  ready {ready}, marked {marked}, without connection {disconnected}, \
+             on trial {on_trial}"
         )?;
         writeln!(f, "  cold {cold}, held to fewer than three calls {limited}")?;
         writeln!(
@@ -89,8 +90,8 @@
         let [not_up, cold_capacity, latency, age, limit] = self.rejections_by_reason();
         writeln!(
             f,
-            "scans refused at the door\n  nobody up {not_up}, cold {cold_capacity}, cost {latency}, old part {age}, \
-             limit {limit}"
+            "scans refused at the door\n  nobody up {not_up}, cold {cold_capacity}, \
+             cost {latency}, old part {age}, limit {limit}"
         )
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -43,7 +43,7 @@
     /// The latency that is normal for its table type.
     pub const NORMAL: Self = Self { ratio: 1.0, excess_ms: 0.0 };
 
-    /// Moves by the share `weight` of the distance towards `target`, as an exponentially weighted moving
+    /// Moves towards `target` by the share `weight` of the distance, as an exponentially weighted moving
     /// average does.
     pub fn toward(self, target: Self, weight: f64) -> Self {
         Self {
@@ -101,7 +101,7 @@
     /// Calls in flight that were overtaken.
     pub overtaken_calls: u32,
     pub marked: bool,
-    /// Readmitted, but no part has come back in time yet.
+    /// Gets one part at a time until one comes back in time.
     pub on_trial: bool,
     /// The last part sent to it was refused a connection, or lost it.
     pub disconnected: bool,
@@ -299,7 +299,7 @@
     pub health: SearcherHealth,
     pub slices: Vec<Slice>,
     pub probe_at: f64,
-    /// When the newest part that was answered was sent.
+    /// When the answered part that was sent last was sent.
     pub newest_success_sent_at: f64,
     /// It has refused a connection since it was last readmitted or restarted.
     pub refused_connection: bool,
@@ -446,7 +446,7 @@
         }
     }
 
-    /// How many cells after the first cell of a shard a cell comes, as a share of all cells.
+    /// How many cells a cell comes after the first cell of a shard, as a share of all cells.
     pub fn distance(&self, shard: u32, cell: u32) -> f64 {
         let cells = self.searchers_by_cell.len();
         ((cell as usize + cells - shard as usize % cells) % cells) as f64 / cells as f64
@@ -690,13 +690,14 @@
     /// Other mixers report that it is draining or gone.
     pub leaving: bool,
     pub health: SearcherHealth,
-    /// Decides between searchers of equal cost: the lower value is preferred.
+    /// Of searchers with equal cost, the one with the lowest value is preferred. It lies between 0 and 1 in
+    /// the mixer's own zone, and between 1 and 2 in other zones.
     pub tie_breaker: f64,
     /// Calls of this mixer in flight there.
     pub calls: u32,
     /// When a part was last answered.
     pub last_success_at: f64,
-    /// When the newest part that was answered was sent.
+    /// When the answered part that was sent last was sent.
     pub newest_success_sent_at: f64,
     /// When a part was last sent there.
     pub last_sent_at: f64,
@@ -704,8 +705,6 @@
     pub concurrency_limit: f64,
     /// When `concurrency_limit` was last cut.
     pub limit_cut_at: f64,
-    /// When this mixer learned of its latest start.
-    pub start_known_at: f64,
     /// Work that was sent to it lately, recorded only if a start of it is known.
     pub recent_work: VecDeque<SentWork>,
 }
@@ -718,7 +717,6 @@
         started_at: f64,
         status: SearcherStatus,
         tie_breaker: f64,
-        start_known_at: f64,
     ) -> Self {
         Self {
             address,
@@ -737,7 +735,6 @@
             last_sent_at: 0.0,
             concurrency_limit: f64::INFINITY,
             limit_cut_at: 0.0,
-            start_known_at,
             recent_work: VecDeque::new(),
         }
     }
@@ -823,8 +820,8 @@
     pub tier: u8,
     /// The part was sent before.
     pub is_retry: bool,
-    /// Cost divided by the part's weight, as the bits of the number. Bits of numbers that are not negative are
-    /// ordered like the numbers.
+    /// Cost divided by the part's weight, as the bits of the number. Bits of numbers that are not negative
+    /// are ordered like the numbers.
     pub cost_bits: u64,
     /// The part's index in its scan.
     pub part: usize,
@@ -845,15 +842,17 @@
     pub required_weight: f64,
     /// Least weight of parts for any answer.
     pub minimum_weight: f64,
-    /// Whether the first step's answer was whole.
+    /// False once the first step was answered in part only; the answer to the second step is then not whole
+    /// either.
     pub first_step_whole: bool,
     pub in_second_step: bool,
     /// Parts in flight that lost their connection.
     pub connections_lost: u32,
-    /// Number from 0 to 1 that decides whether the scan is admitted where cold searchers have capacity for a
-    /// fraction of the scans only: the scans whose number is below the fraction are.
+    /// Number from 0 to 1. Where cold searchers have capacity for only a fraction of the scans, those whose
+    /// number is below the fraction are admitted.
     pub sampling_number: f64,
-    /// Parts that each searcher gets if they are spread evenly over all searchers that hold the scan's shards.
+    /// Parts that each searcher gets if they are spread evenly over all searchers that hold the scan's
+    /// shards.
     pub parts_per_searcher: f64,
 }
 
