--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
 //! State of the decision module's actors, and the messages that they send each other. The decisions are in
-//! `src/logic.rs`, which also says what the terms and units mean.
+//! `src/logic.rs` and `src/logic/`; `src/logic.rs` also says what the terms and units mean.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
