--- a/src/logic/cold_capacity.rs
+++ b/src/logic/cold_capacity.rs
@@ -24,7 +24,8 @@
     /// first list it uses none of it, as an earlier process of the same mixer may just have used it.
     ///
     /// If a table type's share is smaller than the work of one part, the mixer could never send a part within
-    /// it. Then [`Self::is_sampled`] admits some of the scans, and these may send the searcher their parts.
+    /// it. Then [`Self::is_sampled`] admits some of the scans, and these may send the searcher their parts
+    /// and one more.
     ///
     /// While most searchers are cold, these rules make admission control reject scans.
     pub(super) fn has_cold_capacity(
--- a/src/logic/replica_selection.rs
+++ b/src/logic/replica_selection.rs
@@ -33,7 +33,7 @@
     pub(super) const EQUAL_COST_FACTOR: f64 = 1.5;
 
     /// The next dispatch of a part, if one may be made. Candidates without known trouble come first, then
-    /// first dispatches before retries and hedges, then those of low cost.
+    /// first dispatches before retries and hedges, then those of low cost for their weight.
     pub(super) fn candidate(
         &self,
         scan: &Scan,
@@ -66,8 +66,8 @@
         is_wanted && self.may_repeat(scan, part, now) && (within_budget || is_free)
     }
 
-    /// Whether executing a part once more does no harm. A keyed part that may have run would take effect
-    /// again after its window, also if the client repeats it.
+    /// Whether executing a part once more does no harm. After its window, a keyed part that may have run
+    /// would take effect again, whether this mixer or the client repeats it.
     pub(super) fn is_repeatable(&self, scan: &Scan, part: &Part, now: f64) -> bool {
         match self.table_types[scan.table_type].idempotency {
             Idempotency::Replayable => true,
--- a/src/logic/scan_lifecycle.rs
+++ b/src/logic/scan_lifecycle.rs
@@ -29,8 +29,8 @@
     /// Step between the sampling numbers of consecutive scans, modulo 1. With the golden ratio as step, the
     /// numbers are spread evenly over 0 to 1, however many scans there are.
     const SAMPLING_STEP: f64 = 0.618_033_988_749_895;
-    /// Scans end this long before their target time and their deadline, so that the answer arrives in time: a
-    /// tick and some reserve.
+    /// The target time and the deadline of a scan are brought forward by this, so that its answer arrives in
+    /// time: a tick and some reserve.
     pub(super) const ANSWER_LEAD_MS: f64 = 30.0;
     /// A scan without any answered part ends when this many of its parts have lost their connection: it may
     /// crash the searchers that it reaches. For a while, its customer's scans then send one part first. The
--- a/src/logic/slices.rs
+++ b/src/logic/slices.rs
@@ -55,7 +55,8 @@
         self.health.on_trial &= !is_good && !self.health.marked;
     }
 
-    /// Updates the highest age of the parts in flight, and the count of overtaken calls.
+    /// Updates the highest age of the parts in flight that were not overtaken, and the count of overtaken
+    /// calls.
     pub(super) fn update_ages(&mut self, now: f64) {
         let mut oldest_excess_ms = 0.0;
         let mut oldest_ratio = 0.0;
--- a/src/state.rs
+++ b/src/state.rs
@@ -93,10 +93,11 @@
     pub latency: RelativeLatency,
     /// When a part last confirmed `latency`.
     pub latency_at: f64,
-    /// Highest age of a part of this mixer in flight there, beyond the baseline latency of its table type.
+    /// Highest age of a part of this mixer in flight there that was not overtaken, beyond the baseline
+    /// latency of its table type.
     pub oldest_excess_ms: f64,
-    /// Highest age of a part of this mixer in flight there, divided by the baseline latency of its table
-    /// type.
+    /// Highest age of a part of this mixer in flight there that was not overtaken, divided by the baseline
+    /// latency of its table type.
     pub oldest_ratio: f64,
     /// Calls in flight that were overtaken.
     pub overtaken_calls: u32,
