--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -37,7 +37,7 @@
 /// Of three parts two are required: two are sent, and a late one is replaced by the third, which was not sent
 /// yet.
 #[test]
-fn late_part_is_replaced_by_an_unsent_one() {
+fn late_part_replaced_by_unsent_part() {
     let mut rig = two_of_three_parts_required();
     rig.list_warm(3);
     rig.scan(0, 3);
@@ -390,7 +390,7 @@
 /// A scan at whose parts searchers crash is not sent on, and the next scan of its customer sends one part
 /// first.
 #[test]
-fn deadly_scan_ends_and_its_customer_gets_caution() {
+fn scan_that_crashes_searchers() {
     let mut rig = all_parts_required(Idempotency::Replayable);
     rig.list_warm(6);
     rig.scan(0, 3);
@@ -424,7 +424,7 @@
     assert_snapshot!(rig.trace());
 }
 
-/// Where a mixer's share of a cold searcher is less than a part, few scans are admitted, by their lottery
+/// Where a mixer's share of a cold searcher is less than a part, few scans are admitted, by their sampling
 /// numbers.
 #[test]
 fn rule_4_lottery_for_shares_under_one_part() {
@@ -526,7 +526,7 @@
 
 /// Guards against rejected parts that wait for the own budget, which limits work that is done twice.
 #[test]
-fn parts_that_never_ran_are_free_of_the_own_budget() {
+fn budget_of_parts_that_never_ran() {
     let mut rig = Rig::without_probes(vec![table_type(Idempotency::Replayable, 1.0)]);
     rig.list_warm(3);
     rig.scan(0, 12);
@@ -636,7 +636,7 @@
 /// Where probes are not allowed, a slow part after a long idle time counts in full, and keeps parts away for
 /// longer.
 #[test]
-fn without_probes_slow_part_after_idle_time_is_remembered() {
+fn slow_part_after_idle_time_without_probes() {
     let again = |mut rig: Rig| {
         rig.list_warm(2);
         serve_scans(&mut rig, 12);
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -20,8 +20,9 @@
     trace.lines().filter(|l| l.ends_with(&format!("-> s{n}"))).count()
 }
 
+/// A peer's mark triggers a probe, which decides whether the searcher is marked.
 #[test]
-fn peer_mark_triggers_a_probe_that_decides() {
+fn probe_after_peer_mark() {
     let mut rig = rig();
     rig.list_warm(2);
     rig.handle(peer_report(1, PeerReport::Marked));
@@ -49,8 +50,9 @@
     assert!(!rig.trace().contains("marked"));
 }
 
+/// A searcher that several peers have marked gets one part at a time.
 #[test]
-fn marks_of_several_peers_allow_one_part_at_a_time() {
+fn trial_after_marks_of_several_peers() {
     let mut rig = rig();
     rig.list_warm(1);
     rig.handle(vec![Event::List {
@@ -63,8 +65,9 @@
     assert!(sent(&trace, 1) <= 1 && sent(&trace, 2) >= 5, "{trace}");
 }
 
+/// A searcher that is reported as leaving gets nothing until the report is withdrawn.
 #[test]
-fn searcher_reported_as_leaving_gets_nothing_until_withdrawn() {
+fn reported_departure_and_withdrawal() {
     let mut rig = rig();
     rig.list_warm(2);
     rig.handle(peer_report(1, PeerReport::Leaving { leaving: true }));
@@ -98,7 +101,7 @@
 /// Guards against a reported start in the future, from a clock that is an hour ahead: it would keep a
 /// searcher cold for an hour. Withdrawn, the start is again the one of the own list.
 #[test]
-fn reported_restart_makes_cold_despite_clock_skew() {
+fn reported_restart_with_clock_skew() {
     let sent_cold_and_warm = |started_at: f64| {
         let mut rig = rig();
         rig.list_warm(1);
@@ -115,8 +118,9 @@
     assert!(now.0 < 10 && now.1 > 20, "{now:?}");
 }
 
+/// No report makes a cold searcher warm.
 #[test]
-fn report_does_not_make_a_cold_searcher_warm() {
+fn cold_searcher_stays_cold_after_reports() {
     let sent_cold = |reports: Vec<Event>| {
         let mut rig = Rig::with_mixers(4, vec![table_type(Idempotency::Replayable, 1.0)]);
         rig.handle(vec![Event::List {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -141,8 +141,9 @@
     }
 }
 
+/// All mixers together stay within the capacity of a cold searcher.
 #[test]
-fn all_mixers_stay_within_a_cold_searchers_capacity() {
+fn cold_capacity_is_not_exceeded() {
     let mut runs = Vec::new();
     for mixers in [2, 20, 30, 300] {
         let cases = [
@@ -167,8 +168,9 @@
     assert_within_capacity(runs);
 }
 
+/// All mixers together stay within the capacity of a cold searcher, also if the scans need all cores.
 #[test]
-fn all_mixers_stay_within_capacity_under_overload() {
+fn cold_capacity_under_overload() {
     let cases = [1, 2].into_iter().flat_map(|cores| {
         let overloaded = |scenario: Scenario| Scenario { load: 1.0, cores, ..scenario };
         let restarts = Scenario { mixer_restarts: 0.1, ..several_types(300) };
@@ -182,8 +184,9 @@
     assert_within_capacity(cases.map(run).collect());
 }
 
+/// All mixers together stay within the capacity of a cold searcher, whatever the settings.
 #[test]
-fn all_mixers_stay_within_capacity_under_drawn_settings() {
+fn cold_capacity_under_drawn_settings() {
     // A table type whose parts have several times the mean work, on one core, comes nearest to the capacity.
     let one_core = |scenario: Scenario| Scenario {
         cores: 1,
@@ -224,20 +227,23 @@
     assert!(is_kept, "{name}, {} mixers: served {served:.3?}, at least {least:?} wanted", scenario.mixers);
 }
 
+/// Table types with long parts get capacity of cold searchers beside those with short parts.
 #[test]
-fn long_parts_get_cold_capacity_beside_short_ones() {
+fn cold_capacity_for_long_parts() {
     assert_served("unequal work", &unequal_work(20), 8, &[0.55, 0.70]);
     assert_served("unequal work", &unequal_work(30), 8, &[0.50, 0.70]);
 }
 
+/// Scans of many parts get capacity of cold searchers beside scans of few.
 #[test]
-fn wide_scans_get_cold_capacity_beside_narrow_ones() {
+fn cold_capacity_for_wide_scans() {
     assert_served("unequal width", &unequal_width(20), 8, &[0.52, 0.75]);
     assert_served("unequal width", &unequal_width(30), 8, &[0.48, 0.75]);
 }
 
+/// Hundreds of mixers use the capacity of cold searchers that they share.
 #[test]
-fn hundreds_of_mixers_use_the_cold_capacity() {
+fn cold_capacity_with_hundreds_of_mixers() {
     assert_served("several types", &several_types(300), 3, &[0.76, 0.765]);
     assert_served("no searcher warm", &all_cold(300), 3, &[0.47, 0.50]);
 }
