--- a/crates/mixer/src/buffer.rs
+++ b/crates/mixer/src/buffer.rs
@@ -1,10 +1,12 @@
-//! The read buffer of a connection: it grows as needed and is compacted in place.
+//! The read buffer of a connection, and the limit on the memory of all buffers. A buffer grows as needed, and
+//! the space of consumed bytes is used again.
 
 use std::io::{self, Read};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Memory that many buffers share. Each buffer's initial space is not counted.
+/// The memory that many buffers together may take, and what is left of it. The initial space of each buffer is
+/// not counted.
 #[derive(Clone)]
 pub struct MemoryBudget(Arc<AtomicUsize>);
 
@@ -17,27 +19,29 @@
         self.0.load(Ordering::Relaxed)
     }
 
+    /// Takes `bytes` from the budget; false if it has too few left.
     pub(crate) fn try_reserve(&self, bytes: usize) -> bool {
-        let reduce = |remaining: usize| remaining.checked_sub(bytes);
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, reduce).is_ok()
+        let subtract = |remaining: usize| remaining.checked_sub(bytes);
+        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract).is_ok()
     }
 
+    /// Gives reserved bytes back.
     pub(crate) fn release(&self, bytes: usize) {
         self.0.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
+/// A read buffer. Bytes are added at its end by reading, and consumed at its beginning.
 pub struct Buffer {
+    /// The whole space of the buffer. Only `start..end` holds bytes that were read and are not consumed.
     data: Vec<u8>,
-    /// Bytes before this index are consumed.
     start: usize,
-    /// Bytes from this index on are not filled yet.
     end: usize,
     budget: MemoryBudget,
 }
 
 impl Buffer {
-    /// The space that every buffer has, whatever the budget. Most messages fit into it whole.
+    /// The space that a buffer always gets, even if the budget is exhausted. Most messages fit into it.
     const INITIAL_BYTES: usize = 2048;
 
     pub fn new(budget: &MemoryBudget) -> Self {
@@ -49,16 +53,31 @@
         &self.data[self.start..self.end]
     }
 
-    /// Reads once; the number of bytes read, zero at the end of the input.
+    /// Reads once. Returns the number of bytes read, which is zero at the end of the input.
     ///
     /// # Errors
     /// `OutOfMemory` if the buffer has to grow and the budget is exhausted; otherwise the error of the input.
     pub fn fill(&mut self, input: &mut impl Read) -> io::Result<usize> {
+        self.reuse_consumed_space();
+        self.grow_if_nearly_full()?;
+        let count = loop {
+            match input.read(&mut self.data[self.end..]) {
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                other => break other?,
+            }
+        };
+        self.end += count;
+        Ok(count)
+    }
+
+    /// Frees the whole space of an empty buffer that has grown. Otherwise, if little space is left at the end,
+    /// moves the bytes to the beginning.
+    fn reuse_consumed_space(&mut self) {
         if self.start == self.end {
             self.start = 0;
             self.end = 0;
             if self.data.len() > Self::INITIAL_BYTES {
-                self.shrink();
+                self.free_space();
             }
         }
         if self.data.len() - self.end < Self::INITIAL_BYTES && self.start > 0 {
@@ -66,21 +85,19 @@
             self.end -= self.start;
             self.start = 0;
         }
-        if self.data.len() - self.end < Self::INITIAL_BYTES / 2 {
-            let size = (2 * self.data.len()).max(Self::INITIAL_BYTES);
-            if size > Self::INITIAL_BYTES && !self.budget.try_reserve(size - self.data.len()) {
-                return Err(io::ErrorKind::OutOfMemory.into());
-            }
-            self.data.resize(size, 0);
+    }
+
+    /// Doubles the space if little of it is left at the end, or creates the initial space.
+    fn grow_if_nearly_full(&mut self) -> io::Result<()> {
+        if self.data.len() - self.end >= Self::INITIAL_BYTES / 2 {
+            return Ok(());
         }
-        let count = loop {
-            match input.read(&mut self.data[self.end..]) {
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                other => break other?,
-            }
-        };
-        self.end += count;
-        Ok(count)
+        let size = (2 * self.data.len()).max(Self::INITIAL_BYTES);
+        if size > Self::INITIAL_BYTES && !self.budget.try_reserve(size - self.data.len()) {
+            return Err(io::ErrorKind::OutOfMemory.into());
+        }
+        self.data.resize(size, 0);
+        Ok(())
     }
 
     /// Consumes up to `count` bytes.
@@ -88,7 +105,8 @@
         self.start = self.start.saturating_add(count).min(self.end);
     }
 
-    fn shrink(&mut self) {
+    /// Frees the space and gives it back to the budget.
+    fn free_space(&mut self) {
         self.budget.release(self.data.len().saturating_sub(Self::INITIAL_BYTES));
         self.data = Vec::new();
     }
@@ -96,6 +114,6 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.shrink();
+        self.free_space();
     }
 }
--- a/crates/mixer/src/client.rs
+++ b/crates/mixer/src/client.rs
@@ -30,7 +30,7 @@
 
 /// A client that accepts no bytes of its answer for this long is disconnected.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often stuck clients are looked for while an answer waits to be written.
+/// How often the mixer checks for such clients while an answer waits to be written.
 const STUCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// The longest wait for events. The thread reads the clock at least this often, so that a pause of the process
 /// is detected.
@@ -44,8 +44,8 @@
 const LISTENER: Token = Token(0);
 const COMMANDS: Token = Token(usize::MAX);
 
-/// Whether an accept failed because the process has no descriptor left. Only then does it help to close
-/// another client.
+/// Whether an accept failed because the process has no file descriptor left. Only then does closing another
+/// client help.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
@@ -54,23 +54,24 @@
 pub struct Clients {
     poll: Poll,
     listener: Option<TcpListener>,
-    /// The listener is closed once all waiting connections are accepted.
+    /// Listening was asked to end: the listener is closed once all waiting connections are accepted.
     stopping: bool,
-    /// The number of connections that may be open, so that accepting never exceeds the limit on descriptors.
+    /// Maximum number of open connections, which keeps accepting within the limit on file descriptors.
     max_connections: usize,
     connections: HashMap<ConnectionId, Connection>,
     last_id: ConnectionId,
     /// A connection has ended since connections were last accepted.
     has_new_room: bool,
-    /// After a failed accept: nothing is accepted until then.
-    accept_paused_until: Option<Instant>,
-    /// Connections may wait to be accepted, none of which arrived earlier than this.
+    /// Set after a failed accept: nothing is accepted before this time.
+    accept_retry_at: Option<Instant>,
+    /// The earliest time at which connections that wait to be accepted may have arrived; `None` if there are
+    /// none, as far as is known.
     waiting_since: Option<UnixMs>,
     /// Connections that could not be registered with the poll. They are read every [`RETRY_DELAY`].
     not_polled: Vec<ConnectionId>,
     budget: MemoryBudget,
     commands: CommandSender,
-    received: Receiver<Command>,
+    command_queue: Receiver<Command>,
     messages: MessageSender,
     arrivals: ArrivalTracker,
 }
@@ -91,7 +92,7 @@
         let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
         // The service sends an answer and three further commands at most for each connection, so this channel
         // needs no bound.
-        let (sender, received) = unbounded();
+        let (sender, command_queue) = unbounded();
         let arrivals = ArrivalTracker::new(messages.now());
         Ok(Self {
             poll,
@@ -101,17 +102,18 @@
             connections: HashMap::new(),
             last_id: 0,
             has_new_room: false,
-            accept_paused_until: None,
+            accept_retry_at: None,
             waiting_since: None,
             not_polled: Vec::new(),
             budget,
             commands: CommandSender { sender, waker },
-            received,
+            command_queue,
             messages,
             arrivals,
         })
     }
 
+    /// The sending end of the commands to this thread.
     pub fn commands(&self) -> CommandSender {
         self.commands.clone()
     }
@@ -129,24 +131,18 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 other => other?,
             }
-            let were_all_taken = events.iter().count() < MAX_EVENTS;
-            if self.arrivals.record_poll(self.messages.now(), wait.as_secs_f64() * 1000.0, were_all_taken) {
+            let all_found = events.iter().count() < MAX_EVENTS;
+            if self.arrivals.record_poll(self.messages.now(), wait.as_secs_f64() * 1000.0, all_found) {
                 self.messages.send(Input::ProcessPaused);
             }
             let has_commands = self.handle_events(&events);
             self.read_not_polled();
-            // After the events on connections: [`Command::Resume`] must not report a request whose client is
-            // known to have disconnected.
+            // Commands come after the events on connections: [`Command::Resume`] must not report a request
+            // whose client is known to have disconnected.
             if has_commands {
                 self.run_commands();
             }
-            let pause_is_over = self.accept_paused_until.is_some_and(|until| until <= Instant::now());
-            if pause_is_over {
-                self.accept_paused_until = None;
-            }
-            if std::mem::take(&mut self.has_new_room) || pause_is_over {
-                self.accept();
-            }
+            self.accept_if_possible_again();
             if has_waiting_answers {
                 self.flush_all();
                 self.end_stuck();
@@ -154,11 +150,12 @@
         }
     }
 
+    /// How long to wait for events at most.
     fn poll_wait(&self, has_waiting_answers: bool) -> Duration {
         let stuck_check = has_waiting_answers.then_some(STUCK_CHECK_INTERVAL);
-        let accept = self.accept_paused_until.map(|until| until.saturating_duration_since(Instant::now()));
+        let accept_retry = self.accept_retry_at.map(|at| at.saturating_duration_since(Instant::now()));
         let not_polled = (!self.not_polled.is_empty()).then_some(RETRY_DELAY);
-        let waits = stuck_check.into_iter().chain(accept).chain(not_polled);
+        let waits = stuck_check.into_iter().chain(accept_retry).chain(not_polled);
         waits.fold(MAX_POLL_WAIT, Duration::min)
     }
 
@@ -184,6 +181,7 @@
         has_commands
     }
 
+    /// Ends the connections of clients that have accepted no bytes of an answer for [`STUCK_TIMEOUT`].
     fn end_stuck(&mut self) {
         let is_stuck = |c: &Connection| !c.unsent.is_empty() && c.write_progress_at.elapsed() > STUCK_TIMEOUT;
         let stuck = self.connections.iter().filter(|(_, connection)| is_stuck(connection));
@@ -192,6 +190,17 @@
         }
     }
 
+    /// Accepts connections after a connection has ended, or once the delay after a failed accept is over.
+    fn accept_if_possible_again(&mut self) {
+        let is_retry_due = self.accept_retry_at.is_some_and(|at| at <= Instant::now());
+        if is_retry_due {
+            self.accept_retry_at = None;
+        }
+        if std::mem::take(&mut self.has_new_room) || is_retry_due {
+            self.accept();
+        }
+    }
+
     /// Accepts the waiting connections. If some are left, those accepted later may have arrived at any time
     /// since this turn.
     fn accept(&mut self) {
@@ -201,14 +210,15 @@
         }
     }
 
-    /// Accepts all waiting connections, which arrived no earlier than `since`; false if some may be left.
+    /// Accepts all waiting connections, which arrived no earlier than `since`; false if some may be left, as
+    /// the maximum is reached or an accept has failed.
     fn accept_all(&mut self, since: UnixMs) -> bool {
         while self.connections.len() < self.max_connections
-            && self.accept_paused_until.is_none()
+            && self.accept_retry_at.is_none()
             && let Some(listener) = &self.listener
         {
             match listener.accept() {
-                Ok((stream, _)) => self.begin(stream, since),
+                Ok((stream, _)) => self.add_connection(stream, since),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     // The listener is closed only now, as clients that waited to be accepted may have sent
                     // requests already.
@@ -223,15 +233,15 @@
                     debug!("accept: {error}");
                     let out_of_descriptors = is_out_of_descriptors(&error);
                     self.messages.send(Input::AcceptFailed { out_of_descriptors });
-                    self.accept_paused_until = Some(Instant::now() + RETRY_DELAY);
+                    self.accept_retry_at = Some(Instant::now() + RETRY_DELAY);
                 }
             }
         }
         false
     }
 
-    /// Begins to serve a connection that arrived no earlier than `since`.
-    fn begin(&mut self, mut stream: TcpStream, since: UnixMs) {
+    /// Begins to serve an accepted connection, which arrived no earlier than `since`.
+    fn add_connection(&mut self, mut stream: TcpStream, since: UnixMs) {
         if let Err(error) = stream.set_nodelay(true) {
             debug!("a client's answers may wait for its acknowledgements: {error}");
         }
@@ -262,7 +272,8 @@
         self.read(connection_id);
     }
 
-    /// Tries again to register the connections that are not polled, and reads and writes them meanwhile.
+    /// Tries again to register the connections that are not polled. As the poll reports nothing of them, they
+    /// are also written and read here.
     fn read_not_polled(&mut self) {
         for connection_id in std::mem::take(&mut self.not_polled) {
             let Some(connection) = self.connections.get_mut(&connection_id) else { continue };
@@ -278,7 +289,7 @@
     }
 
     fn run_commands(&mut self) {
-        while let Ok(command) = self.received.try_recv() {
+        while let Ok(command) = self.command_queue.try_recv() {
             match command {
                 Command::Write { connection_id, bytes, last } => {
                     if let Some(connection) = self.connections.get_mut(&connection_id) {
@@ -316,7 +327,8 @@
         }
     }
 
-    /// Continues all unwritten answers, as no event follows a write that failed only for a moment.
+    /// Continues to write all unwritten answers. A write that failed only for a moment is followed by no event,
+    /// so events alone would not do.
     fn flush_all(&mut self) {
         let waiting = self
             .connections
@@ -328,6 +340,7 @@
         }
     }
 
+    /// Continues to write the unwritten answer of a connection.
     fn flush(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&connection_id).filter(|c| !c.unsent.is_empty())
         else {
@@ -350,12 +363,14 @@
         }
     }
 
+    /// Records that a client has closed its side.
     fn peer_ended(&mut self, connection_id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.peer_ended = true;
         }
     }
 
+    /// Reads from a connection in this turn, and ends it if it is over.
     fn read(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         let is_open = connection.read(connection_id, self.arrivals.earliest_arrival(), &self.messages);
--- a/crates/mixer/src/client/connection.rs
+++ b/crates/mixer/src/client/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a client, as the reading thread holds it: what has arrived on it, and when that is
-//! reported to the service.
+//! One connection of a client, as the reading thread holds it. It reads what arrives, parses the requests and
+//! reports them to the service, one at a time.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
@@ -14,54 +14,67 @@
 use crate::inputs::{ConnectionId, Input};
 use crate::messages::MessageSender;
 
-/// Bytes that are read and discarded after a connection's last request, so that no reset overtakes its
-/// answer. A client that sends more has had its answer and does not read it.
+/// Maximum number of bytes that are read and discarded after a connection's last request. Without reading them,
+/// the close would become a reset, which can overtake the answer. A client that sends more than this has had
+/// its answer and does not read it.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024;
-/// Bytes of one connection that are discarded in one turn, so that other connections have theirs.
+/// Maximum number of bytes of one connection that are discarded in one turn, so that the other connections are
+/// read as well.
 const MAX_DISCARDED_BYTES_PER_TURN: usize = 64 * 1024;
-/// Bytes that are read ahead of the answer to the open request, to see whether the client is still connected.
+/// Bytes that are read behind a request before it is answered, to see whether its client is still connected.
 const MAX_READ_AHEAD_BYTES: usize = 4096;
 
-/// A request that has been read whole and is not reported yet.
+/// A request that has been read completely and is not reported yet.
 pub(super) struct PendingRequest {
     kind: RequestKind,
     /// The connection ends with its answer.
     close: bool,
-    /// It arrived no earlier than this.
-    since: UnixMs,
+    /// The earliest time at which its last byte may have arrived.
+    earliest_arrival: UnixMs,
+}
+
+/// What follows a step of [`Connection::read`].
+enum ReadStep {
+    /// Another step in the same turn.
+    Continue,
+    /// Nothing more in this turn.
+    EndTurn,
+    /// The connection has ended.
+    EndConnection,
 }
 
 /// A connection, as the reading thread holds it.
 pub(super) struct Connection {
     pub(super) shared: Arc<SharedConnection>,
     pub(super) buffer: Buffer,
-    /// When the bytes in the buffer arrived.
+    /// The earliest times at which the bytes in the buffer may have arrived.
     pub(super) arrival_times: ArrivalTimes,
     /// The poll reports its events. Otherwise it is read in every turn.
     pub(super) is_polled: bool,
-    /// Bytes may wait to be read, none of which arrived earlier than this.
+    /// The earliest time at which bytes that are not read yet may have arrived; `None` if there are none, as
+    /// far as is known.
     pub(super) unread_since: Option<UnixMs>,
     pub(super) parser: RequestParser,
-    /// The beginning of a request was reported.
+    /// [`Input::RequestStarted`] was sent for the request that is arriving.
     pub(super) start_reported: bool,
-    /// Set after the last request: the number of further bytes that are discarded. It is unlimited where the
-    /// mixer ends the connection, as the client's time is limited then.
+    /// Set after the last request: how many further bytes are discarded before the connection ends.
+    /// `usize::MAX` where the time that the client has to close is limited instead.
     pub(super) discard_limit: Option<usize>,
-    /// It was reported that more arrived after the last answer.
+    /// [`Input::DataAfterLastAnswer`] was sent.
     pub(super) late_data_reported: bool,
-    /// There may be more to read in another turn.
+    /// There may be more to read, which is left to another turn.
     pub(super) may_have_more: bool,
     /// The connection was just accepted. Whether it has ended already is only known in the next turn.
     pub(super) just_accepted: bool,
     /// The client has closed its side: it counts as disconnected, whatever it sent before.
     pub(super) peer_ended: bool,
     /// A request that is reported once it is known whether its client is still connected.
-    pub(super) pending: Option<PendingRequest>,
-    /// It was reported that more was read behind the open request.
+    pub(super) pending_request: Option<PendingRequest>,
+    /// [`Input::MoreDataBuffered`] was sent for the open request.
     pub(super) buffered_data_reported: bool,
     /// It ends once everything that has arrived is reported and answered.
     pub(super) closing: bool,
-    /// It ends as its client has had its last answer and its time to close, whatever still arrives.
+    /// Its client has had its last answer and its time to close: it ends whatever still arrives.
     pub(super) closing_finished: bool,
     /// The part of an answer that waits to be written.
     pub(super) unsent: Vec<u8>,
@@ -74,11 +87,12 @@
 }
 
 impl Connection {
-    /// A connection that has just been accepted, and arrived no earlier than `since`.
+    /// A connection that has just been accepted. `earliest_arrival`: the earliest time at which it may have
+    /// been established, and thus the earliest for its first bytes.
     pub(super) fn new(
         shared: Arc<SharedConnection>,
         budget: &MemoryBudget,
-        since: UnixMs,
+        earliest_arrival: UnixMs,
         is_polled: bool,
     ) -> Self {
         Self {
@@ -86,7 +100,7 @@
             buffer: Buffer::new(budget),
             arrival_times: ArrivalTimes::default(),
             is_polled,
-            unread_since: Some(since),
+            unread_since: Some(earliest_arrival),
             parser: RequestParser::default(),
             start_reported: false,
             discard_limit: None,
@@ -94,7 +108,7 @@
             may_have_more: false,
             just_accepted: true,
             peer_ended: false,
-            pending: None,
+            pending_request: None,
             buffered_data_reported: false,
             closing: false,
             closing_finished: false,
@@ -105,9 +119,9 @@
         }
     }
 
-    /// Whether the connection is being closed and nothing is left to do on it: no request, no answer, and no
-    /// beginning of a request. A client that has had its last answer first has its time to read it and to
-    /// close.
+    /// Whether the connection is being closed and nothing is left to do on it: no request, no beginning of a
+    /// request, and no answer. After the last answer, it is done once the client's time to read that answer and
+    /// to close is over.
     pub(super) fn is_done_closing(&self) -> bool {
         if self.is_finished() {
             return self.closing_finished && self.unsent.is_empty();
@@ -116,7 +130,7 @@
         let has_partial_request = self.discard_limit.is_none() && self.has_buffered_request();
         self.closing
             && !awaits_answer
-            && self.pending.is_none()
+            && self.pending_request.is_none()
             && !has_partial_request
             && self.unsent.is_empty()
     }
@@ -135,28 +149,31 @@
         !self.buffer.bytes().iter().all(u8::is_ascii_whitespace)
     }
 
-    /// Reads everything that has arrived, even while a request is open, and reports the next request once it
-    /// may be. Returns false at the end of the connection. A request is reported only once nothing more is
-    /// there to read, or the limit on reading ahead is reached, as the connection's end may be behind it:
-    /// otherwise parts would be sent for a client that disconnected while it waited to be accepted, or for its
-    /// turn.
+    /// Reads in one turn what has arrived, and reports the next request. Returns false at the end of the
+    /// connection.
     ///
-    /// `since`: the earliest time at which the data that the poll has found in this turn may have arrived.
+    /// Bytes behind a request are read before the request is reported, and also while it is open, as the end of
+    /// the connection may be behind them. Otherwise parts would be sent for a client that has disconnected
+    /// while it waited to be accepted or to be read. The request is reported once nothing is left to read or
+    /// [`MAX_READ_AHEAD_BYTES`] are buffered behind it.
+    ///
+    /// `earliest_arrival`: the earliest time at which data that the poll has found in this turn may have
+    /// arrived.
     pub(super) fn read(
         &mut self,
         connection_id: ConnectionId,
-        since: UnixMs,
+        earliest_arrival: UnixMs,
         messages: &MessageSender,
     ) -> bool {
         let just_accepted = std::mem::take(&mut self.just_accepted);
-        self.unread_since.get_or_insert(since);
+        self.unread_since.get_or_insert(earliest_arrival);
         if self.peer_ended {
             if self.awaits_answer() {
                 return false;
             }
             // What the client sent is still read: closing a connection with unread bytes resets it, and the
             // client could lose an answer that it has not read yet.
-            self.pending = None;
+            self.pending_request = None;
             self.begin_discarding(usize::MAX);
         }
         loop {
@@ -166,45 +183,75 @@
             if self.discard_limit.is_some() {
                 return self.discard(connection_id, messages);
             }
-            if self.pending.is_none() {
+            if self.pending_request.is_none() {
                 self.parse_next();
             }
-            let has_request = self.pending.is_some() || self.awaits_answer();
+            let has_request = self.pending_request.is_some() || self.awaits_answer();
             if self.discard_limit.is_some() {
                 continue; // the request was the last one
             }
-            if has_request && self.buffer.bytes().len() >= MAX_READ_AHEAD_BYTES {
-                if just_accepted {
-                    self.may_have_more = true; // whether it has ended is known in the next turn
-                    return true;
+            let step = if has_request && self.buffer.bytes().len() >= MAX_READ_AHEAD_BYTES {
+                self.stop_reading_ahead(connection_id, just_accepted, messages)
+            } else {
+                self.read_once(connection_id, earliest_arrival, has_request, messages)
+            };
+            match step {
+                ReadStep::Continue => {}
+                ReadStep::EndTurn => return true,
+                ReadStep::EndConnection => return false,
+            }
+        }
+    }
+
+    /// Reports the pending request although there may be more to read behind it.
+    fn stop_reading_ahead(
+        &mut self,
+        connection_id: ConnectionId,
+        just_accepted: bool,
+        messages: &MessageSender,
+    ) -> ReadStep {
+        if just_accepted {
+            self.may_have_more = true; // whether the connection has ended is known in the next turn
+            return ReadStep::EndTurn;
+        }
+        // After the report, the next step parses on if the request is already answered.
+        if self.report_request(connection_id, messages) { ReadStep::Continue } else { ReadStep::EndTurn }
+    }
+
+    /// Reads once. If nothing is left to read, or the memory budget has no room, the pending request is
+    /// reported. `has_request`: a request is pending or open.
+    fn read_once(
+        &mut self,
+        connection_id: ConnectionId,
+        earliest_arrival: UnixMs,
+        has_request: bool,
+        messages: &MessageSender,
+    ) -> ReadStep {
+        match self.fill(earliest_arrival) {
+            Ok(1..) => {
+                self.report_buffered_data(connection_id, messages);
+                ReadStep::Continue
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                if self.report_request(connection_id, messages) {
+                    return ReadStep::Continue;
                 }
-                if !self.report_request(connection_id, messages) {
-                    return true;
+                if !has_request {
+                    self.report_request_start(connection_id, messages);
                 }
-                continue; // waits for the answer, or parses on if that is already given
+                ReadStep::EndTurn
             }
-            match self.fill(since) {
-                Ok(1..) => self.report_buffered_data(connection_id, messages),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if self.report_request(connection_id, messages) {
-                        continue;
-                    }
-                    if !has_request {
-                        self.report_request_start(connection_id, messages);
-                    }
-                    return true;
+            Err(error) if error.kind() == ErrorKind::OutOfMemory => {
+                if self.report_request(connection_id, messages) {
+                    return ReadStep::Continue;
                 }
-                Err(error) if error.kind() == ErrorKind::OutOfMemory => {
-                    if self.report_request(connection_id, messages) {
-                        continue;
-                    }
-                    if has_request {
-                        return true;
-                    }
-                    self.reject_long_request(since);
+                if has_request {
+                    return ReadStep::EndTurn;
                 }
-                _ => return false,
+                self.reject_long_request(earliest_arrival);
+                ReadStep::Continue
             }
+            _ => ReadStep::EndConnection,
         }
     }
 
@@ -216,38 +263,41 @@
         }
     }
 
-    /// Replaces a request for which the memory budget has no room by one that is answered with an error.
-    fn reject_long_request(&mut self, since: UnixMs) {
+    /// Makes an unusable request, which is answered with an error, of a partly read one for which the memory
+    /// budget has no room.
+    fn reject_long_request(&mut self, earliest_arrival: UnixMs) {
         let kind = RequestKind::Unusable(503, "no room for so long a request".to_owned());
         self.discard_limit = Some(MAX_DISCARDED_BYTES);
-        self.pending = Some(PendingRequest { kind, close: true, since });
+        self.pending_request = Some(PendingRequest { kind, close: true, earliest_arrival });
     }
 
-    /// Reads once, and records when the bytes may have arrived.
-    fn fill(&mut self, since: UnixMs) -> io::Result<usize> {
+    /// Reads into the buffer once, and records the earliest time at which the bytes may have arrived.
+    fn fill(&mut self, earliest_arrival: UnixMs) -> io::Result<usize> {
         let read = self.buffer.fill(&mut &self.shared.stream);
         match &read {
             Ok(count) => {
-                let since = *self.unread_since.get_or_insert(since);
-                self.arrival_times.add(*count, since);
+                let unread_since = *self.unread_since.get_or_insert(earliest_arrival);
+                self.arrival_times.add(*count, unread_since);
             }
-            // Nothing is left to read, and the poll reports what arrives from now on.
+            // Nothing is left to read. What arrives from now on is reported by the poll, but not on a
+            // connection that is not polled: there it may have arrived at any time since this turn.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                self.unread_since = (!self.is_polled).then_some(since);
+                self.unread_since = (!self.is_polled).then_some(earliest_arrival);
             }
             Err(_) => {}
         }
         read
     }
 
-    /// Discards whatever arrives from now on, up to that many bytes.
+    /// Discards what is buffered, and from now on whatever arrives, up to `limit` bytes.
     fn begin_discarding(&mut self, limit: usize) {
         self.discard_limit = Some(limit);
         self.buffer.consume(usize::MAX);
     }
 
-    /// Reads and discards one turn's share of what has arrived after the last request; false at the
-    /// connection's end.
+    /// Reads and discards up to [`MAX_DISCARDED_BYTES_PER_TURN`] of what has arrived after the last request;
+    /// false at the end of the connection, or once the limit is reached. The pending request is reported once
+    /// nothing is left to read.
     fn discard(&mut self, connection_id: ConnectionId, messages: &MessageSender) -> bool {
         let mut discarded = 0;
         while discarded < MAX_DISCARDED_BYTES_PER_TURN {
@@ -282,9 +332,9 @@
     /// Parses the next request from the buffer, unless the request before it still awaits its answer.
     fn parse_next(&mut self) {
         if self.awaits_answer() && !self.buffer.bytes().is_empty() {
-            // The answering thread first clears `awaits_answer` and then checks `reader_waits`. So
-            // `awaits_answer` is read again after `reader_waits` is set: either this thread sees that the
-            // answer is given, or the answering thread sees that this one waits.
+            // The answering thread clears `awaits_answer` before it checks `reader_waits`. Here `reader_waits`
+            // is set before `awaits_answer` is checked again. So at least one thread notices the other: this
+            // one that the answer is given, or the answering thread that this one waits.
             self.shared.reader_waits.store(true, Ordering::SeqCst);
             if self.awaits_answer() {
                 return;
@@ -296,34 +346,38 @@
         }
         let Some(Request { kind, close, used }) = self.parser.parse(self.buffer.bytes()) else { return };
         self.buffer.consume(used);
-        let since = self.arrival_times.consume(used).unwrap_or(f64::NEG_INFINITY);
+        let earliest_arrival = self.arrival_times.consume(used).unwrap_or(f64::NEG_INFINITY);
         self.start_reported = false;
         if close {
             self.begin_discarding(MAX_DISCARDED_BYTES);
         }
-        self.pending = Some(PendingRequest { kind, close, since });
+        self.pending_request = Some(PendingRequest { kind, close, earliest_arrival });
     }
 
     /// Reports the pending request, with the time that its client still waits; false if there is none.
     fn report_request(&mut self, connection_id: ConnectionId, messages: &MessageSender) -> bool {
-        let Some(PendingRequest { mut kind, close, since }) = self.pending.take() else { return false };
+        let Some(PendingRequest { mut kind, close, earliest_arrival }) = self.pending_request.take() else {
+            return false;
+        };
         if let RequestKind::Scan(scan) = &mut kind {
-            scan.wait_ms = (scan.wait_ms - (messages.now() - since)).max(0.0);
+            let waited_ms = messages.now() - earliest_arrival;
+            scan.wait_ms = (scan.wait_ms - waited_ms).max(0.0);
         }
         self.shared.awaits_answer.store(true, Ordering::SeqCst);
         self.buffered_data_reported = false;
-        // Reported before the request, which may be answered at once.
+        // Reported before the request, as the service may answer that at once.
         self.report_buffered_data(connection_id, messages);
         messages.send(Input::Request { connection_id, kind, close });
         true
     }
 
-    /// Reports once that more was read behind the open request. Its answer must not end the connection then.
+    /// Reports once that more was read behind the open request. The answer to that request must not end the
+    /// connection then.
     fn report_buffered_data(&mut self, connection_id: ConnectionId, messages: &MessageSender) {
-        let is_open = self.pending.is_none() && self.awaits_answer();
-        let is_new =
+        let has_open_request = self.pending_request.is_none() && self.awaits_answer();
+        let has_unreported_data =
             self.discard_limit.is_none() && self.has_buffered_request() && !self.buffered_data_reported;
-        if is_open && is_new {
+        if has_open_request && has_unreported_data {
             self.buffered_data_reported = true;
             messages.send(Input::MoreDataBuffered { connection_id });
         }
--- a/crates/mixer/src/http.rs
+++ b/crates/mixer/src/http.rs
@@ -6,6 +6,8 @@
 
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a chunked body as it is sent, with the heads of its chunks.
+const MAX_CHUNKED_BODY_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 const MAX_HEADERS: usize = 64;
 
 /// A scan as its client requests it.
@@ -54,14 +56,14 @@
     pub used: usize,
 }
 
-/// An invalid request: the status of its answer and the reason.
-struct RequestError {
-    status: u16,
-    reason: String,
+/// Why a request is rejected, and the status of its answer.
+pub struct RequestError {
+    pub status: u16,
+    pub reason: String,
 }
 
 impl RequestError {
-    fn bad_request(reason: String) -> Self {
+    pub(crate) fn bad_request(reason: String) -> Self {
         Self { status: 400, reason }
     }
 
@@ -70,10 +72,12 @@
     }
 }
 
-/// How the end of a request's body is found.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Framing {
+pub enum BodyFraming {
+    /// The length is stated.
     Length(usize),
+    /// The last chunk is the end.
     Chunked,
 }
 
@@ -101,14 +105,15 @@
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-fn parse_framing(headers: &[httparse::Header]) -> Result<Option<Framing>, RequestError> {
+/// How the end of a request's body is found; `None` if it has no body.
+fn parse_framing(headers: &[httparse::Header]) -> Result<Option<BodyFraming>, RequestError> {
     let length = single_header(headers, "Content-Length").map_err(RequestError::bad_request)?;
     let coding = single_header(headers, "Transfer-Encoding").map_err(RequestError::bad_request)?;
     match (coding, length) {
         (Some(_), Some(_)) => {
             Err(RequestError::bad_request("the length of the body is told twice".to_owned()))
         }
-        (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
+        (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(BodyFraming::Chunked)),
         (Some(coding), None) => {
             Err(RequestError { status: 501, reason: format!("Transfer-Encoding {coding}") })
         }
@@ -118,7 +123,7 @@
         }
         (None, Some(length)) => match length.parse().unwrap_or(usize::MAX) {
             length if length > MAX_BODY_BYTES => Err(RequestError::body_too_large()),
-            length => Ok(Some(Framing::Length(length))),
+            length => Ok(Some(BodyFraming::Length(length))),
         },
     }
 }
@@ -127,19 +132,20 @@
 /// each further piece.
 #[derive(Default)]
 pub struct RequestParser {
-    /// Number of bytes that were passed in and do not form a whole request.
+    /// Number of bytes that were passed in the last call, which did not contain a whole request.
     seen: usize,
-    /// A whole request takes at least this many bytes.
+    /// Once the head is parsed: a whole request takes at least this many bytes. Zero before.
     min_bytes: usize,
     /// The data of the chunks parsed so far.
     chunked_body: Vec<u8>,
-    /// The offset of the next chunk in the body.
+    /// The offset of the next chunk in the body as it is sent.
     next_chunk_at: usize,
 }
 
-/// A request body, and how many bytes it takes in the stream.
+/// The body of a request.
 struct ParsedBody {
     data: Vec<u8>,
+    /// Number of bytes that it takes as it is sent, with the heads of its chunks.
     used: usize,
 }
 
@@ -147,16 +153,15 @@
     /// Parses the first request of these bytes; `None` while it is incomplete. The next call must pass the
     /// same bytes and those that have arrived since; after a whole request, the bytes behind it.
     pub fn parse(&mut self, bytes: &[u8]) -> Option<Request> {
-        // An incomplete head can be complete only after a further line feed. A body is complete only with
-        // `min_bytes`.
-        let no_new_line =
-            bytes.len() <= MAX_HEAD_BYTES && !bytes.get(self.seen..).is_some_and(|new| new.contains(&b'\n'));
-        let is_incomplete_head = self.min_bytes == 0 && self.seen > 0 && no_new_line;
-        if bytes.is_empty() || bytes.len() < self.min_bytes || is_incomplete_head {
+        if bytes.is_empty() || bytes.len() < self.min_bytes || self.is_head_still_incomplete(bytes) {
             self.seen = self.seen.max(bytes.len());
             return None;
         }
-        let request = self.parse_whole(bytes);
+        // An error consumes all bytes and ends the connection, as the next request can't be found.
+        let request = self.parse_whole(bytes).unwrap_or_else(|RequestError { status, reason }| {
+            let kind = RequestKind::Unusable(status, reason);
+            Some(Request { kind, close: true, used: bytes.len() })
+        });
         self.seen = bytes.len();
         if request.is_some() {
             *self = Self::default();
@@ -164,80 +169,84 @@
         request
     }
 
-    /// Parses the body that begins at `body_start`; `None` while it is incomplete.
-    fn parse_body(
-        &mut self,
-        bytes: &[u8],
-        body_start: usize,
-        framing: Framing,
-    ) -> Result<Option<ParsedBody>, RequestError> {
-        let bytes = &bytes[body_start..];
-        if let Framing::Length(length) = framing {
-            self.min_bytes = body_start + length;
-            return Ok(bytes.get(..length).map(|body| ParsedBody { data: body.to_vec(), used: length }));
-        }
-        self.min_bytes = body_start + self.next_chunk_at + 1;
-        loop {
-            match parse_chunk(&bytes[self.next_chunk_at..]).map_err(RequestError::bad_request)? {
-                _ if self.next_chunk_at > MAX_HEAD_BYTES + MAX_BODY_BYTES => {
-                    return Err(RequestError::body_too_large());
-                }
-                None if bytes.len() - self.next_chunk_at > MAX_HEAD_BYTES + MAX_BODY_BYTES => {
-                    return Err(RequestError::body_too_large());
-                }
-                None => return Ok(None),
-                Some(Chunk { data: [], used }) => {
-                    let data = std::mem::take(&mut self.chunked_body);
-                    return Ok(Some(ParsedBody { data, used: self.next_chunk_at + used }));
-                }
-                Some(Chunk { data, used }) => {
-                    self.next_chunk_at += used;
-                    self.chunked_body.extend_from_slice(data);
-                    if self.chunked_body.len() > MAX_BODY_BYTES {
-                        return Err(RequestError::body_too_large());
-                    }
-                }
-            }
-        }
+    /// Whether the head was incomplete in the last call and still is, as no line feed has arrived since. A head
+    /// that has become too long is parsed again, and rejected.
+    fn is_head_still_incomplete(&self, bytes: &[u8]) -> bool {
+        let no_new_line =
+            bytes.len() <= MAX_HEAD_BYTES && !bytes.get(self.seen..).is_some_and(|new| new.contains(&b'\n'));
+        self.min_bytes == 0 && self.seen > 0 && no_new_line
     }
 
-    fn parse_whole(&mut self, bytes: &[u8]) -> Option<Request> {
-        // An error in the framing consumes all bytes and ends the connection, as the next request can't be
-        // found.
-        let framing_error = |status: u16, reason: String| {
-            Some(Request { kind: RequestKind::Unusable(status, reason), close: true, used: bytes.len() })
-        };
+    /// Parses a request; `None` while it is incomplete. The error means that its end can't be found.
+    fn parse_whole(&mut self, bytes: &[u8]) -> Result<Option<Request>, RequestError> {
+        let head_error = |reason: &str| RequestError { status: 431, reason: reason.to_owned() };
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let body_start = match head.parse(bytes) {
             Ok(httparse::Status::Complete(head_bytes)) if head_bytes > MAX_HEAD_BYTES => {
-                return framing_error(431, "a head too long".into());
+                return Err(head_error("a head too long"));
             }
             Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
             Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
-                return framing_error(431, "a head without end".into());
+                return Err(head_error("a head without end"));
             }
-            Ok(httparse::Status::Partial) => return None,
-            Err(httparse::Error::TooManyHeaders) => return framing_error(431, "too many headers".into()),
-            Err(error) => return framing_error(400, error.to_string()),
+            Ok(httparse::Status::Partial) => return Ok(None),
+            Err(httparse::Error::TooManyHeaders) => return Err(head_error("too many headers")),
+            Err(error) => return Err(RequestError::bad_request(error.to_string())),
         };
         if head.version == Some(0) && values_of(head.headers, "Transfer-Encoding").next().is_some() {
-            return framing_error(400, "HTTP/1.0 knows no Transfer-Encoding".into());
+            return Err(RequestError::bad_request("HTTP/1.0 knows no Transfer-Encoding".to_owned()));
         }
         let headers = &*head.headers;
-        let (body, used) = match parse_framing(headers) {
-            Err(error) => return framing_error(error.status, error.reason),
-            Ok(None) => (Vec::new(), body_start),
-            Ok(Some(framing)) => match self.parse_body(bytes, body_start, framing) {
-                Err(error) => return framing_error(error.status, error.reason),
-                Ok(None) => return None,
-                Ok(Some(body)) => (body.data, body_start + body.used),
-            },
+        let body = match parse_framing(headers)? {
+            None => Some(ParsedBody { data: Vec::new(), used: 0 }),
+            Some(BodyFraming::Length(length)) => self.parse_body_of_length(bytes, body_start, length),
+            Some(BodyFraming::Chunked) => self.parse_chunked_body(bytes, body_start)?,
         };
+        let Some(body) = body else { return Ok(None) };
         let close = closes_connection(&head);
         let method = head.method.unwrap_or_default();
         let path = head.path.unwrap_or_default().split('?').next().unwrap_or_default();
-        Some(Request { kind: parse_kind(method, path, headers, &body), close, used })
+        let kind = parse_kind(method, path, headers, &body.data);
+        Ok(Some(Request { kind, close, used: body_start + body.used }))
+    }
+
+    /// Parses a body of known length that begins at `body_start`; `None` while it is incomplete.
+    fn parse_body_of_length(&mut self, bytes: &[u8], body_start: usize, length: usize) -> Option<ParsedBody> {
+        self.min_bytes = body_start + length;
+        let data = bytes[body_start..].get(..length)?;
+        Some(ParsedBody { data: data.to_vec(), used: length })
+    }
+
+    /// Parses the chunks of a body that begins at `body_start`, from the first that is not parsed yet; `None`
+    /// while the last one is incomplete.
+    fn parse_chunked_body(
+        &mut self,
+        bytes: &[u8],
+        body_start: usize,
+    ) -> Result<Option<ParsedBody>, RequestError> {
+        let bytes = &bytes[body_start..];
+        self.min_bytes = body_start + self.next_chunk_at + 1;
+        loop {
+            let unparsed = &bytes[self.next_chunk_at..];
+            let chunk = parse_chunk(unparsed).map_err(RequestError::bad_request)?;
+            if self.next_chunk_at > MAX_CHUNKED_BODY_BYTES {
+                return Err(RequestError::body_too_large());
+            }
+            let Some(Chunk { data, used }) = chunk else {
+                let is_too_large = unparsed.len() > MAX_CHUNKED_BODY_BYTES;
+                return if is_too_large { Err(RequestError::body_too_large()) } else { Ok(None) };
+            };
+            if data.is_empty() {
+                let data = std::mem::take(&mut self.chunked_body);
+                return Ok(Some(ParsedBody { data, used: self.next_chunk_at + used }));
+            }
+            self.next_chunk_at += used;
+            self.chunked_body.extend_from_slice(data);
+            if self.chunked_body.len() > MAX_BODY_BYTES {
+                return Err(RequestError::body_too_large());
+            }
+        }
     }
 }
 
@@ -294,7 +303,7 @@
     }
 }
 
-/// Parses the trailers, which begin at `trailers_start` behind the last chunk's size.
+/// Parses the rest of the last chunk: the trailers, which begin at `trailers_start`, behind the chunk's size.
 fn parse_last_chunk(bytes: &[u8], trailers_start: usize) -> Result<Option<Chunk<'_>>, String> {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(&bytes[trailers_start..], &mut trailers) {
@@ -307,16 +316,16 @@
     }
 }
 
-/// Parses the first request of these bytes; `None` while it is incomplete.
+/// Parses the first request of these bytes at once; `None` if it is incomplete.
 pub fn parse_request(bytes: &[u8]) -> Option<Request> {
     RequestParser::default().parse(bytes)
 }
 
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// Tolerance for the sum of the weights, however few parts there are.
+/// The least tolerance for the sum of the weights, which applies if there are few parts.
 const WEIGHT_SUM_TOLERANCE: f64 = 1e-3;
-/// Weights are written with six digits: each may be off by half of the last digit, or by a whole one if it
-/// was truncated.
+/// Weights are written with six decimals: each may be off by half of the last decimal, or by a whole one if the
+/// client truncates.
 const WEIGHT_SUM_TOLERANCE_PER_PART: f64 = 1e-6;
 
 fn parse_scan(table_type: &str, headers: &[httparse::Header], body: &[u8]) -> Result<RequestKind, String> {
@@ -353,8 +362,8 @@
 }
 
 /// Scales the weights to a sum of one. Clients round them, and the error of the sum grows with the number of
-/// parts. Without this, a query that needs all of its parts would never count as whole, even if all of them are
-/// answered.
+/// parts. With a sum below one, a query that needs all of its parts would never count as whole, even if all of
+/// them are answered.
 fn normalize_weights(parts: &mut [PartRequest]) -> Result<(), String> {
     let sum: f64 = parts.iter().map(|p| p.weight).sum();
     let tolerance = WEIGHT_SUM_TOLERANCE.max(WEIGHT_SUM_TOLERANCE_PER_PART * parts.len() as f64);
@@ -422,13 +431,6 @@
     serde_json::json!({"exact": whole, "rows": rows}).to_string().into_bytes()
 }
 
-/// How the end of the body of discovery's response is found.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum BodyFraming {
-    Length(usize),
-    Chunked,
-}
-
 /// The head of discovery's response.
 pub struct ResponseHead {
     pub status: u16,
--- a/crates/mixer/src/listener.rs
+++ b/crates/mixer/src/listener.rs
@@ -9,16 +9,23 @@
 
 use crate::signals::is_stop;
 
-/// The previous process may hold the port for a while after the platform has started the next one. It is
-/// waited for well within the 30 s after which a mixer has to be ready.
+/// How long a port that is in use is waited for. The previous process may hold it for a while after the
+/// platform has started the next one. This is well within the 30 s after which a mixer has to be ready.
 const PORT_TIMEOUT: Duration = Duration::from_secs(20);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens at an address once its port is free. Returns the listener, and the signals that arrived meanwhile.
+/// The outcome of [`listen`].
+pub struct BoundListener {
+    pub listener: TcpListener,
+    /// The signals that arrived while the port was waited for, in their order.
+    pub missed_signals: Vec<i32>,
+}
+
+/// Listens at an address, once its port is free.
 ///
 /// # Errors
-/// If the port can't be had, or the process is asked to end before.
-pub fn listen(address: SocketAddr, signals: &mut Signals) -> Result<(TcpListener, Vec<i32>)> {
+/// If the port can't be used, or the process is asked to end while it waits for it.
+pub fn listen(address: SocketAddr, signals: &mut Signals) -> Result<BoundListener> {
     let since = Instant::now();
     let mut missed_signals = Vec::new();
     loop {
@@ -33,7 +40,7 @@
             }
             bound => {
                 let listener = bound.with_context(|| format!("listen={address}"))?;
-                return Ok((listener, missed_signals));
+                return Ok(BoundListener { listener, missed_signals });
             }
         }
     }
@@ -42,7 +49,7 @@
 /// The address of a listener, whose port the system may have chosen.
 ///
 /// # Errors
-/// If the system does not tell.
+/// If the operating system can't report it.
 pub fn local_addr(listener: &TcpListener) -> Result<SocketAddr> {
     listener.local_addr().context("the listener's address")
 }
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -8,7 +8,7 @@
 use super::state::{Client, ClientState, Part, PartId, Scan, ScanId, Timer};
 use crate::clock::UnixMs;
 use crate::counters::TableTypeCounters;
-use crate::http::{self, PartRequest, RequestKind, ScanRequest};
+use crate::http::{self, PartRequest, RequestError, RequestKind, ScanRequest};
 use crate::inputs::{ConnectionId, Effect, Phase};
 
 /// The protocol's time after which a client without an open request may be disconnected. A client that has
@@ -22,13 +22,7 @@
 /// explains its mistake.
 const MAX_UNUSABLE_REQUESTS: u32 = 3;
 
-/// Why a request is rejected: the status of its answer and the reason.
-struct Rejection {
-    status: u16,
-    reason: String,
-}
-
-/// The indices of the names that a request gives.
+/// The indices of a scan's table type and customer in the configuration, found by the names that it gives.
 struct ScanIds {
     table_type: usize,
     customer: usize,
@@ -191,10 +185,10 @@
         match kind {
             RequestKind::Scan(scan) => match self.check_scan(&scan) {
                 Ok(ids) => self.receive_scan(now, connection_id, scan, &ids),
-                Err(rejection) => self.reject_request(now, connection_id, &rejection),
+                Err(error) => self.reject_request(now, connection_id, &error),
             },
             RequestKind::Unusable(status, reason) => {
-                self.reject_request(now, connection_id, &Rejection { status, reason })
+                self.reject_request(now, connection_id, &RequestError { status, reason })
             }
             page => self.answer_page(now, connection_id, &page),
         }
@@ -218,30 +212,31 @@
     }
 
     /// Checks the names, shards and id that a scan gives.
-    fn check_scan(&self, scan: &ScanRequest) -> Result<ScanIds, Rejection> {
+    fn check_scan(&self, scan: &ScanRequest) -> Result<ScanIds, RequestError> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let table_type = index_of(&self.config.table_type_names, &scan.table_type).ok_or_else(|| {
-            Rejection { status: 404, reason: format!("no table type {:?}", scan.table_type) }
+            RequestError { status: 404, reason: format!("no table type {:?}", scan.table_type) }
         })?;
         let customer = match &scan.customer {
             _ if self.config.customers.is_empty() => 0,
-            None => return Err(Rejection { status: 400, reason: "Req-Owner is missing".to_owned() }),
+            None => return Err(RequestError::bad_request("Req-Owner is missing".to_owned())),
             Some(name) => index_of(&self.config.customer_names, name)
-                .ok_or_else(|| Rejection { status: 400, reason: format!("no customer {name:?}") })?,
+                .ok_or_else(|| RequestError::bad_request(format!("no customer {name:?}")))?,
         };
         if let Some(part) = scan.parts.iter().find(|p| p.shard >= self.config.shard_count) {
-            return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
+            return Err(RequestError::bad_request(format!("no shard {}", part.shard)));
         }
         // A searcher's answer identifies its part by name alone, and that name is made from the request's id.
         // Two open requests with one id could not be told apart.
         if self.open_request_ids.contains(&scan.id) {
-            return Err(Rejection { status: 409, reason: format!("the request {} is still open", scan.id) });
+            let reason = format!("the request {} is still open", scan.id);
+            return Err(RequestError { status: 409, reason });
         }
         Ok(ScanIds { table_type, customer })
     }
 
-    fn reject_request(&mut self, now: UnixMs, connection_id: ConnectionId, rejection: &Rejection) {
-        let Rejection { status, reason } = rejection;
+    fn reject_request(&mut self, now: UnixMs, connection_id: ConnectionId, error: &RequestError) {
+        let RequestError { status, reason } = error;
         self.counters.requests_unusable += 1;
         debug!("a request was answered {status}: {reason}");
         if let Some(client) = self.clients.get_mut(&connection_id) {
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -14,9 +14,9 @@
 use crate::frame::{self, CallPart};
 use crate::inputs::{ConnectionId, Effect, LinkId};
 
-/// The delay before a write on a blocked link is first retried. It doubles with each retry. Retries are needed
-/// because the reading thread reports when a link that was full becomes writable, but reports nothing after a
-/// write that failed only for a moment.
+/// Delay of the first retry of a write on a blocked link; it doubles with each further retry. The reading
+/// thread reports when a link whose buffer was full becomes writable. A write that failed only for a moment is
+/// followed by no such report, so writes are also retried after a delay.
 const FIRST_WRITE_RETRY_MS: f64 = 10.0;
 
 /// A frame whose first byte is to be written now.
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The next frame to write on a link, with only those attempts that may be sent now; `None` if nothing is
-    /// queued. On a closing link only cancellations are still sent. `disconnected`: clients whose connections
-    /// have ended, whether or not an input has reported that.
+    /// The next frame to write on a link, with only those attempts that may be sent now; `None` if nothing may
+    /// be. On a closing link only cancellations are still sent. `disconnected`: clients whose connections have
+    /// ended, whether or not an input has reported that.
     ///
-    /// The first byte has to be written at once, as the frame states the time that is left at `now`, and only
-    /// if none of its clients has disconnected. Otherwise the frame has to be [returned](Self::return_frame).
+    /// The frame states the time that is left at `now`, so its first byte has to be written at once. If that is
+    /// not possible, or one of its clients has disconnected, it has to be [returned](Self::return_frame).
     pub fn next_frame(
         &mut self,
         now: UnixMs,
@@ -90,22 +90,23 @@
         }
     }
 
-    /// Returns the frame that was handed out last for a link and of which no byte was written. It is queued
-    /// again.
+    /// Takes back the frame that [`Self::next_frame`] returned last for a link. No byte of it may have been
+    /// written. It is queued again as the next one.
     pub fn return_frame(&mut self, link_id: LinkId) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let Some(queued) = link.last_frame.take() else { return };
         link.frames_begun -= 1;
-        match &queued {
+        match queued {
             QueuedFrame::Probe => {
                 let number = Some(link.frames_begun);
                 for probe in link.probes.iter_mut().filter(|probe| probe.frame == number) {
                     probe.frame = None;
                 }
+                link.queue.push_front(QueuedFrame::Probe);
             }
-            QueuedFrame::Cancel(_) => {}
-            QueuedFrame::Call { attempt_ids, .. } => {
-                for attempt_id in attempt_ids {
+            QueuedFrame::Cancel(part_name) => link.cancels.push_front(part_name),
+            QueuedFrame::Call { call, attempt_ids } => {
+                for attempt_id in &attempt_ids {
                     if let Some(attempt) = self.attempts.get_mut(attempt_id) {
                         attempt.frame = None;
                     }
@@ -113,15 +114,13 @@
                         part.may_have_run = part.may_have_run.saturating_sub(1);
                     }
                 }
+                link.queue.push_front(QueuedFrame::Call { call, attempt_ids });
             }
         }
-        match queued {
-            QueuedFrame::Cancel(part_name) => link.cancels.push_front(part_name),
-            queued => link.queue.push_front(queued),
-        }
     }
 
-    /// A searcher accepts no more bytes. If that lasts for the connect timeout, its link is closed.
+    /// Handles that a searcher accepts no more bytes: the write is retried, and the link is closed if nothing
+    /// is accepted for the connect timeout.
     pub(super) fn link_blocked(&mut self, now: UnixMs, link_id: LinkId, made_progress: bool) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let still_blocked = link.blocked_since.is_some() && !made_progress;
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -54,9 +54,9 @@
             true => self.cached_list = None,
             false => self.use_cached_list(now),
         }
-        // A searcher that is missing in an older list may have been added since.
-        let whole = list.whole && age != ListAge::Older;
-        self.apply_list(now, list, if whole { ListKind::Full } else { ListKind::Changes }, age);
+        // An older whole list is applied like changes: a searcher that it lacks may have been added since.
+        let is_full = list.whole && age != ListAge::Older;
+        self.apply_list(now, list, if is_full { ListKind::Full } else { ListKind::Changes }, age);
     }
 
     /// Applies the cached list from before the start, unless a newer one has arrived.
@@ -91,23 +91,52 @@
         }
     }
 
+    /// Applies a list to the searchers and passes it to the decision module.
     fn apply_list(&mut self, now: UnixMs, list: List, kind: ListKind, age: ListAge) {
         self.counters.lists += 1;
         self.counters.list_entries_bad += list.bad.len() as u64;
-        self.list_index = if age == ListAge::Older { self.list_index } else { list.index };
+        if age != ListAge::Older {
+            self.list_index = list.index;
+        }
         for reason in &list.bad {
             self.warn(now, &format!("discovery: {reason}"));
         }
         let departures = self.departures_unknown_to(age);
+        let were_ready = if kind == ListKind::Changes { Vec::new() } else { self.mark_all_gone() };
+        let listed = self.update_searchers(list.entries, &departures);
+        // Logged once all entries are applied, as the list may contain the searcher.
+        were_ready.iter().filter_map(|key| self.searchers.get(key)).for_each(Searcher::log_if_left);
+        self.end_unsent_to_departed(now);
+        self.events.push(Event::List { kind, searchers: listed });
+        self.remove_unlinked_gone_searchers();
+        let has_ready = self.searchers.values().any(|searcher| searcher.status == SearcherStatus::Ready);
+        if self.phase == Phase::Starting && has_ready {
+            self.enter_phase(Phase::Ready);
+        }
+    }
+
+    /// Marks all searchers as gone, before the entries of a whole list are applied. Returns the keys of those
+    /// that were ready.
+    fn mark_all_gone(&mut self) -> Vec<SocketAddrV4> {
         let mut were_ready = Vec::new();
-        if kind != ListKind::Changes {
-            let ready =
-                self.searchers.iter().filter(|(_, searcher)| searcher.status == SearcherStatus::Ready);
-            were_ready.extend(ready.map(|(key, _)| *key));
-            self.searchers.values_mut().for_each(|searcher| searcher.status = SearcherStatus::Gone);
+        for (key, searcher) in &mut self.searchers {
+            if searcher.status == SearcherStatus::Ready {
+                were_ready.push(*key);
+            }
+            searcher.status = SearcherStatus::Gone;
         }
-        let mut listed = Vec::with_capacity(list.entries.len());
-        for mut entry in list.entries {
+        were_ready
+    }
+
+    /// Updates the searchers from the entries of a list. An entry that lists a searcher as ready does not undo
+    /// its departure, unless the entry is of a later process of that searcher.
+    fn update_searchers(
+        &mut self,
+        entries: Vec<Entry>,
+        departures: &HashMap<String, Departure>,
+    ) -> Vec<ListedSearcher> {
+        let mut listed = Vec::with_capacity(entries.len());
+        for mut entry in entries {
             if let Some(departure) = departures.get(&entry.name)
                 && entry.life == SearcherStatus::Ready
                 && entry.since <= departure.started_at
@@ -116,16 +145,14 @@
             }
             listed.extend(self.update_searcher(entry));
         }
-        were_ready.iter().filter_map(|key| self.searchers.get(key)).for_each(Searcher::log_if_left);
-        self.end_unsent_to_departed(now);
-        self.events.push(Event::List { kind, searchers: listed });
-        // Searchers that are gone and have no open links are removed, as each release brings new ones.
+        listed
+    }
+
+    /// Removes the searchers that are gone and have no open links. Each release brings new searchers, so they
+    /// would accumulate.
+    fn remove_unlinked_gone_searchers(&mut self) {
         self.searchers.retain(|_, s| s.status != SearcherStatus::Gone || !s.links.is_empty());
         self.keys_by_name.retain(|_, key| self.searchers.contains_key(key));
-        if self.phase == Phase::Starting && self.searchers.values().any(|s| s.status == SearcherStatus::Ready)
-        {
-            self.enter_phase(Phase::Ready);
-        }
     }
 
     /// The departures, by searcher name, that a list of this age may not contain yet. A reported drain is not
@@ -153,8 +180,9 @@
         }
     }
 
-    /// Updates a searcher from its entry in a list, which identifies it by name. The decision module identifies
-    /// it by the address under which it was first listed.
+    /// Updates a searcher from its entry in a list, and returns what the decision module is told of it; `None`
+    /// if an unknown searcher is listed as gone. Lists identify a searcher by its name, the decision module by
+    /// the address under which it was first listed.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
         let Entry { name, addr: address, zone, cell, since: started_at, life: status, .. } = entry;
         let key = match self.keys_by_name.get(&name) {
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -14,16 +14,16 @@
 
 use crate::clock::UnixMs;
 
-/// A draining mixer accepts new connections for this long. Clients may keep opening some for 0.4 s.
+/// A draining mixer accepts new connections for this long. Clients may go on opening connections for 0.4 s.
 pub(super) const LISTEN_MS: f64 = 600.0;
 /// Time that a client has to close its connection after its last answer.
 pub(super) const LINGER_MS: f64 = 300.0;
-/// The longest query timeout that the platform allows for in a drain. After it has asked a mixer to end, the
-/// platform waits for the mixer's longest query timeout, or for this time if that is shorter, and 0.7 s more,
-/// before it kills the process. [`drain_times`] uses 0.6 s of these 0.7 s.
+/// The longest query timeout that the platform allows for in a drain. The platform kills a mixer that it has
+/// asked to end after the mixer's longest query timeout, but no more than this, plus 0.7 s. [`drain_times`]
+/// adds [`LISTEN_MS`] in place of the 0.7 s, so that a drain ends 0.1 s before the kill.
 const MAX_DRAIN_QUERY_MS: f64 = 3000.0;
-/// All queries are answered this long before the latest time to end. The process may have been paused when it
-/// was asked to end, and its schedule then begins too late.
+/// All queries are answered this long before the latest time to end. If the process was paused when it was
+/// asked to end, the times of its drain are all too late.
 const ANSWERED_BEFORE_END_MS: f64 = 150.0;
 /// A searcher's timeout may end this long after its client's deadline.
 const DEADLINE_SLACK_MS: f64 = 150.0;
@@ -174,15 +174,15 @@
     now + SERVE_BUFFERED_MS
 }
 
-/// The time until which a draining mixer serves buffered requests: half of the drain. The other half is left to
-/// the clients for reading the answers.
+/// The time until which a draining mixer serves buffered requests: the middle of the drain. Its second half is
+/// left to the clients for reading the answers.
 pub(super) fn drain_serves_buffered_until(listen_until: UnixMs, until: UnixMs) -> UnixMs {
     let began_at = listen_until - LISTEN_MS;
     began_at + (until - began_at) / 2.0
 }
 
-/// After that time, this many buffered requests of a client are refused before its connection ends. Without a
-/// limit, a client that sends without end would stay connected.
+/// Once buffered requests are no longer served, this many of a client are refused before its connection ends.
+/// Without a limit, a client that sends without end would stay connected.
 const MAX_BUFFERED_REFUSED: u32 = 16;
 
 /// The time until which a client's buffered requests are served; `None` unless the mixer drains or the
@@ -200,8 +200,8 @@
     client.close_after_answer || !client.has_buffered_data || is_flooding
 }
 
-/// Whether a query is refused because more requests are buffered behind it and the time to serve those is
-/// over.
+/// Whether a query is refused although its client is connected: more requests are buffered behind it, and the
+/// time for which buffered requests are served is over.
 pub(super) fn is_buffered_refused(client: &Client, drain_serves_until: Option<UnixMs>, now: UnixMs) -> bool {
     client.has_buffered_data && serves_until(client, drain_serves_until).is_some_and(|until| now >= until)
 }
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -4,7 +4,8 @@
 mod writes;
 
 use std::collections::HashMap;
-use std::net::SocketAddrV4;
+use std::io;
+use std::net::{SocketAddrV4, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -25,7 +26,7 @@
 use crate::fleet::FleetMember;
 use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, WatchNumber};
 use crate::link::Link;
-use crate::listener::{listen, local_addr};
+use crate::listener::{BoundListener, listen, local_addr};
 use crate::log;
 use crate::messages::{Message, MessageSender, STACK_BYTES, spawn};
 use crate::outbox::Outbox;
@@ -72,19 +73,20 @@
 }
 
 /// Inputs for one step of the reducer.
-struct Inputs {
+struct ReceivedInputs {
     inputs: Vec<(UnixMs, Input)>,
-    /// They include what happened while the process was paused.
+    /// The process was paused before, and the inputs include what happened meanwhile.
     caught_up: bool,
 }
 
+/// Prints the counters of the reducer, the log, and the other subsystems.
 fn print_counters(counters: &str, other_counters: &str) {
     log::print(&format!("{counters}log_texts_dropped {}\n{other_counters}", log::dropped()));
 }
 
 /// Sets the cached list from before the start, if there is one. Returns the list version after which the first
-/// watch requests changes: zero without a cached list, as the first list on a watch is then a whole one. With a
-/// cached list it is `None`, and the watch requests the whole list first.
+/// watch requests changes. Without a cached list this is zero, for which discovery sends a whole list first.
+/// With a cached list it is `None`, for which the watch requests the whole list.
 fn restore_list(reducer: &mut Reducer, cached_list: &serde_json::Value, now: UnixMs) -> Option<u64> {
     match discovery::parse_list(cached_list) {
         Ok(list) if list.entries.is_empty() => Some(list.index),
@@ -101,12 +103,54 @@
     }
 }
 
+/// Starts the thread of a watch of discovery.
+fn start_watch(watch: Watch, status: &Arc<WatchStatus>, messages: &MessageSender) -> io::Result<()> {
+    let status = status.clone();
+    let messages = messages.clone();
+    spawn("discovery", STACK_BYTES, move || watch.run(&status, &messages))
+}
+
+/// Starts the thread that accepts clients and reads from them.
+fn start_clients(
+    listener: TcpListener,
+    max_connections: usize,
+    budget: MemoryBudget,
+    messages: &MessageSender,
+) -> Result<CommandSender> {
+    let clients = Clients::open(listener, max_connections, budget, messages.clone())
+        .context("connections of clients")?;
+    let commands = clients.commands();
+    spawn("clients", STACK_BYTES, move || {
+        if let Err(error) = clients.run() {
+            tracing::error!("connections of clients: {error}");
+        }
+    })?;
+    Ok(commands)
+}
+
+/// Starts the thread that opens links to searchers and reads from them.
+fn start_searchers(
+    connect_timeout: Duration,
+    budget: MemoryBudget,
+    messages: &MessageSender,
+) -> Result<LinkOpener> {
+    let (searchers, link_opener) =
+        Searchers::open(connect_timeout, budget, messages.clone()).context("connections to searchers")?;
+    spawn("searchers", STACK_BYTES, move || {
+        if let Err(error) = searchers.run() {
+            tracing::error!("connections to searchers: {error}");
+        }
+    })?;
+    Ok(link_opener)
+}
+
 impl Service {
     /// Opens sockets and starts threads. The signal handlers must be registered before, so that no signal
     /// kills the process meanwhile.
     ///
     /// # Errors
-    /// If a socket or a thread can't be had, or the process is asked to end before it can listen.
+    /// If a socket can't be opened, a thread can't be started, or the process is asked to end before it can
+    /// listen.
     pub fn open(
         mut startup: StartupConfig,
         settings: &Settings,
@@ -124,34 +168,19 @@
         let mut reducer = Reducer::new(startup.config.clone(), startup.seed, startup.sockets);
         let index = restore_list(&mut reducer, &startup.cached_list, clock.now());
         reducer.set_discovery(startup.discovery);
-        // Before the signal thread starts, so that an error in its settings is reported at the start like any
-        // other.
+        // Opened before the signal thread starts, so that an error in its settings makes the start fail like
+        // any other.
         let announcer =
             Announcer::open(settings, reducer.type_names(), startup.seed, &messages, fleet.handle())?;
         let watch_status = Arc::new(WatchStatus::default());
         let first_watch = Watch { number: 0, address: startup.discovery, index };
-        let watch_messages = messages.clone();
-        let status = watch_status.clone();
-        spawn("discovery", STACK_BYTES, move || first_watch.run(&status, &watch_messages))?;
-        let (listener, missed_signals) = listen(startup.listen.into(), &mut signals)?;
+        start_watch(first_watch, &watch_status, &messages)?;
+        let BoundListener { listener, missed_signals } = listen(startup.listen.into(), &mut signals)?;
         let listen_addr = local_addr(&listener)?;
         let max_connections = reducer.max_client_connections();
         let budget = || MemoryBudget::new(startup.memory_bytes / MEMORY_DIVISOR);
-        let clients = Clients::open(listener, max_connections, budget(), messages.clone())
-            .context("connections of clients")?;
-        let client_commands = clients.commands();
-        spawn("clients", STACK_BYTES, move || {
-            if let Err(error) = clients.run() {
-                tracing::error!("connections of clients: {error}");
-            }
-        })?;
-        let (searchers, link_opener) = Searchers::open(connect_timeout, budget(), messages.clone())
-            .context("connections to searchers")?;
-        spawn("searchers", STACK_BYTES, move || {
-            if let Err(error) = searchers.run() {
-                tracing::error!("connections to searchers: {error}");
-            }
-        })?;
+        let client_commands = start_clients(listener, max_connections, budget(), &messages)?;
+        let link_opener = start_searchers(connect_timeout, budget(), &messages)?;
         info!("{} listens on {listen_addr}", startup.name);
         let partial_frames = budget();
         let signal_thread = SignalThread::new(signals, missed_signals, startup, reloaders, messages.clone());
@@ -179,13 +208,13 @@
     /// Runs until the process is asked to end and everything is answered.
     pub fn run(mut self) -> Result<()> {
         while self.reducer.phase() != Phase::Closed {
-            let Inputs { inputs, caught_up } = self.receive_inputs();
+            let ReceivedInputs { inputs, caught_up } = self.receive_inputs();
             let received_at = self.clock.now();
             let effects = self.reducer.step(received_at, inputs);
             effects.into_iter().for_each(|effect| self.carry_out(effect));
             let paused = self.pauses.check(self.clock.now(), 0.0);
-            // Writing is not put off twice in a row: on a machine where every step takes this long, nothing
-            // would ever be sent.
+            // After a pause, writing waits until inputs are received again, but not twice in a row: on a
+            // machine where every step takes this long, nothing would ever be sent.
             if paused && !caught_up {
                 self.was_paused = true;
             } else {
@@ -202,7 +231,7 @@
         Ok(())
     }
 
-    /// How long to wait for a message until something is due.
+    /// How long to wait for a message: until something is due, or not at all if there is something to do now.
     fn time_to_wait(&self) -> Duration {
         if !self.own_inputs.is_empty() || !self.outbox.is_empty() || self.was_paused {
             return Duration::ZERO;
@@ -215,7 +244,7 @@
     }
 
     /// Waits until a message arrives or something is due, and receives what has arrived.
-    fn receive_inputs(&mut self) -> Inputs {
+    fn receive_inputs(&mut self) -> ReceivedInputs {
         let wait = self.time_to_wait();
         let mut inputs = std::mem::take(&mut self.own_inputs);
         if let Ok(message) = self.inbox.recv_timeout(wait) {
@@ -227,16 +256,16 @@
         {
             self.receive(message, &mut inputs);
         }
-        // A thread that notices a pause reports it before anything that it reads afterwards. `was_paused` is
-        // thus set before any of these inputs is used.
+        // A thread that notices a pause reports it before anything that it reads afterwards. So `was_paused` is
+        // set by now if any of these inputs was read after a pause.
         let caught_up = std::mem::take(&mut self.was_paused) || paused;
         if caught_up {
             self.catch_up(&mut inputs);
         }
-        Inputs { inputs, caught_up }
+        ReceivedInputs { inputs, caught_up }
     }
 
-    /// Receives what happened while the process was paused.
+    /// Receives the reports of what happened while the process was paused, for the time of [`CATCH_UP`].
     fn catch_up(&mut self, inputs: &mut Vec<(UnixMs, Input)>) {
         debug!("the process was paused: inputs from that time are received first");
         inputs.push((self.clock.now(), Input::ProcessPaused));
@@ -244,7 +273,7 @@
         while let Ok(message) = self.inbox.recv_deadline(until) {
             self.receive(message, inputs);
         }
-        // A pause that was reported meanwhile is the same one, or a later one that is over too.
+        // A pause that was reported meanwhile is the same one, or a later one that is over by now as well.
         self.was_paused = false;
     }
 
@@ -254,10 +283,10 @@
                 self.clients.insert(connection_id, handle);
                 inputs.push((at, Input::ClientConnected { connection_id }));
             }
-            Message::LinkUp { at, link, shared } => {
-                if let Some(held) = self.links.get_mut(&link) {
-                    held.set_up(shared);
-                    inputs.push((at, Input::LinkUp { link }));
+            Message::LinkUp { at, link: link_id, shared } => {
+                if let Some(link) = self.links.get_mut(&link_id) {
+                    link.set_up(shared);
+                    inputs.push((at, Input::LinkUp { link: link_id }));
                 }
             }
             Message::Input { at, input } => self.receive_input(at, input, inputs),
@@ -282,6 +311,8 @@
         }
     }
 
+    /// Receives an input for the reducer. Some inputs also change what the service holds, and some never reach
+    /// the reducer in this form.
     fn receive_input(&mut self, at: UnixMs, input: Input, inputs: &mut Vec<(UnixMs, Input)>) {
         match input {
             Input::ProcessPaused => self.was_paused = true,
@@ -289,11 +320,12 @@
                 self.outbox.add(link);
                 inputs.push((at, Input::LinkWritable { link }));
             }
-            Input::LinkClosed { link, .. } => {
-                let frames_written = self.links.remove(&link).map_or(0, |held| held.frames_written);
-                inputs.push((at, Input::LinkClosed { link, frames_written }));
+            Input::LinkClosed { link: link_id, .. } => {
+                let frames_written = self.links.remove(&link_id).map_or(0, |link| link.frames_written);
+                inputs.push((at, Input::LinkClosed { link: link_id, frames_written }));
             }
-            // Routes that lead clients here are withdrawn before the mixer stops.
+            // If routes lead clients here, they are withdrawn first. The reducer gets the input after that,
+            // with `Message::RoutesWithdrawn`.
             Input::Stop => {
                 self.fleet.announce_end();
                 if self.announcer.stop() {
@@ -327,20 +359,20 @@
                 }
             }
             Effect::Send { link } => self.outbox.add(link),
-            Effect::RetryWrite { link } => {
-                if let Some(held) = self.links.get(&link) {
-                    held.retry();
-                    self.outbox.add(link);
+            Effect::RetryWrite { link: link_id } => {
+                if let Some(link) = self.links.get(&link_id) {
+                    link.retry();
+                    self.outbox.add(link_id);
                 }
             }
-            Effect::CloseLink { link } => {
-                while self.write_next(link) {}
-                if let Some(link) = self.links.get_mut(&link) {
+            Effect::CloseLink { link: link_id } => {
+                while self.write_next(link_id) {}
+                if let Some(link) = self.links.get_mut(&link_id) {
                     link.close();
                 }
             }
             Effect::StopListening => self.client_commands.stop_listening(),
-            Effect::StartWatch { number, address } => self.start_watch(number, address),
+            Effect::StartWatch { number, address } => self.start_newer_watch(number, address),
             Effect::WatchActivated { watch } => self.watch_status.active.store(watch, Ordering::Release),
             Effect::PrintCounters(text) => {
                 print_counters(&text, &(self.announcer.counters() + &self.fleet.counters()));
@@ -348,12 +380,10 @@
         }
     }
 
-    fn start_watch(&self, number: WatchNumber, address: SocketAddrV4) {
+    fn start_newer_watch(&self, number: WatchNumber, address: SocketAddrV4) {
         self.watch_status.newest.store(number, Ordering::Release);
         let watch = Watch { number, address, index: None };
-        let messages = self.messages.clone();
-        let status = self.watch_status.clone();
-        if let Err(error) = spawn("discovery", STACK_BYTES, move || watch.run(&status, &messages)) {
+        if let Err(error) = start_watch(watch, &self.watch_status, &self.messages) {
             warn!("no thread for a watch: {error}");
         }
     }
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -18,7 +18,7 @@
 const RELOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Read the files of a running mixer again.
+/// Functions that read the files of a running mixer again.
 #[derive(Clone, Copy)]
 pub struct Reloaders {
     /// Reads the platform's configuration, for a mixer that was started with the given one.
@@ -51,7 +51,7 @@
 }
 
 impl SignalThread {
-    /// `missed_signals`: those that arrived before, in their order.
+    /// `missed_signals`: signals that were received before and are not handled yet, in their order.
     pub fn new(
         signals: Signals,
         missed_signals: Vec<i32>,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reads both files again.
+    /// Reads both files again. The operator's file is reported at once, the configuration by the input.
     fn reload(&mut self) -> Input {
         let settings = (self.reloaders.settings)().map(Box::new);
         let message = Message::SettingsReloaded(settings.map_err(|error| format!("{error:#}")));
