--- a/crates/mixer/src/announcer.rs
+++ b/crates/mixer/src/announcer.rs
@@ -223,7 +223,7 @@
 impl Announcer {
     /// # Errors
     /// If the file names something that does not exist, or the console, the speaker's listener or a thread
-    /// can't be had.
+    /// can't be started.
     pub fn open(
         settings: &Settings,
         type_names: &[String],
@@ -287,7 +287,7 @@
             }
             (slot @ Some(_), None) => {
                 if let Some(active) = slot.take() {
-                    // In a thread of its own: closing the sessions takes time, and scans go on meanwhile.
+                    // Closing the sessions takes time, so it has a thread of its own and does not delay scans.
                     let end = move || active.speaker.shutdown("bgp was taken out of the operator's file");
                     spawn("bgp end", STACK_BYTES, end).map_err(|error| error.to_string())?;
                 }
--- a/crates/mixer/src/client_handle.rs
+++ b/crates/mixer/src/client_handle.rs
@@ -16,16 +16,16 @@
 /// What the service and the reading thread share of a client's connection.
 pub(crate) struct SharedConnection {
     pub stream: TcpStream,
-    /// A request has no answer yet. The next one is parsed after the answer.
+    /// A request was reported and has no answer yet. The next one is parsed after the answer.
     pub awaits_answer: AtomicBool,
-    /// The reading thread has a further request, and waits for that answer.
+    /// The reading thread has bytes of a further request, and waits for that answer.
     pub reader_waits: AtomicBool,
     /// The last answer has been given: whatever arrives after it is discarded.
     pub finished: AtomicBool,
 }
 
 impl SharedConnection {
-    /// Whether the other side has closed or reset the connection; unread bytes before that do not hide it.
+    /// Whether the other side has closed or reset the connection, even if there are unread bytes before that.
     pub fn has_ended(&self) -> bool {
         loop {
             let mut descriptors = [PollFd::new(&self.stream, PollFlags::RDHUP)];
@@ -100,7 +100,7 @@
     pub(crate) connection_id: ConnectionId,
     pub(crate) shared: Arc<SharedConnection>,
     pub(crate) commands: CommandSender,
-    /// An answer could not be written at once: from then on the reading thread writes.
+    /// An answer could not be written at once: since then the reading thread writes all answers.
     pub(crate) written_by_reader: bool,
     /// It was given its last answer.
     pub(crate) finished: bool,
@@ -113,7 +113,8 @@
         self.shared.has_ended()
     }
 
-    /// Writes an answer; false if its rest is left to the reading thread, which reports when it is written.
+    /// Writes an answer. Returns false if its rest is left to the reading thread, which reports once it is
+    /// written.
     pub fn answer(&mut self, mut bytes: Vec<u8>, last: bool) -> bool {
         self.finished |= last;
         if !self.written_by_reader {
--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -19,6 +19,7 @@
 use crate::http::{self, BodyFraming, Chunk};
 use crate::inputs::{Input, WatchNumber};
 use crate::messages::MessageSender;
+use crate::stream::finish_connecting;
 
 /// Discovery sends an empty line on a watch every 2 s. A connection that has sent nothing for this long is no
 /// longer trusted, and others are opened beside it. Changes that it misses count as known to the mixer 6 s
@@ -259,15 +260,9 @@
     /// Handles an event. The error is the reason why the connection ends.
     fn handle_event(&mut self, watch: &mut RunningWatch) -> Result<()> {
         if matches!(self.stage, Stage::Connecting) {
-            if let Some(error) = self.stream.take_error()? {
-                return Err(error.into());
+            if !finish_connecting(&self.stream)? {
+                return Ok(());
             }
-            match self.stream.peer_addr() {
-                Ok(_) => {}
-                Err(error) if error.kind() == ErrorKind::NotConnected => return Ok(()),
-                Err(error) => return Err(error.into()),
-            }
-            self.stream.set_nodelay(true)?;
             match watch.index {
                 // A list that is held is from another discovery service, which numbers its versions
                 // independently: the whole list is requested.
--- a/crates/mixer/src/fleet.rs
+++ b/crates/mixer/src/fleet.rs
@@ -17,7 +17,8 @@
 use crate::messages::MessageSender;
 use crate::reducer::{ListStatus, RecentUsage, Reducer};
 
-/// How often the mixer checks for changes to share with the other mixers. It is well under the time of a probe.
+/// How often the mixer checks for changes to share with the other mixers. This is well under the time that a
+/// probe takes.
 const SHARE_INTERVAL_MS: f64 = 50.0;
 /// A mark that persists is shared again this often, so that the other mixers do not discard it as too old.
 const REPEAT_INTERVAL_MS: f64 = 700.0;
@@ -68,7 +69,7 @@
     /// Begins to join the fleet. The descriptors that its links need are taken from `startup`.
     ///
     /// # Errors
-    /// If too few descriptors are left for the rest, or the listener or the thread can't be had.
+    /// If too few descriptors are left for the rest, or the listener or the thread can't be started.
     pub fn open(settings: &Settings, startup: &mut StartupConfig, messages: &MessageSender) -> Result<Self> {
         let Some(fleet) = &settings.fleet else { return Ok(Self { active: None, settings: None }) };
         let config = mesh_config(fleet, startup.seed);
@@ -161,13 +162,7 @@
         }
         let shares_usage = now >= self.next_usage_at && scans_by_customer != self.shared_usage;
         if shares_usage {
-            let usage = scans_by_customer.iter().zip(reducer.customer_names()).enumerate();
-            let changed = usage.filter(|(nth, (scans, _))| self.shared_usage.get(*nth) != Some(*scans));
-            reports.extend(changed.map(|(_, (scans, name))| LocalReport::CustomerUsage {
-                customer: name.clone(),
-                scans: *scans as u32,
-                span_ms: USAGE_SPAN_MS,
-            }));
+            self.collect_usage(scans_by_customer, reducer.customer_names(), &mut reports);
         }
         // If the reports can't be sent now, nothing is recorded as shared, and the next call creates them
         // again.
@@ -182,6 +177,24 @@
         }
     }
 
+    /// Adds reports on the customers whose usage has changed since it was shared last.
+    fn collect_usage(
+        &self,
+        scans_by_customer: &[usize],
+        customer_names: &[String],
+        reports: &mut Vec<LocalReport>,
+    ) {
+        for (nth, (scans, name)) in scans_by_customer.iter().zip(customer_names).enumerate() {
+            if self.shared_usage.get(nth) != Some(scans) {
+                reports.push(LocalReport::CustomerUsage {
+                    customer: name.clone(),
+                    scans: *scans as u32,
+                    span_ms: USAGE_SPAN_MS,
+                });
+            }
+        }
+    }
+
     /// Adds reports on the searchers whose status has changed or has to be repeated. Returns what is shared of
     /// each searcher once these reports are sent.
     fn collect_searchers(
@@ -199,6 +212,7 @@
                 before.status != status || is_unhealthy && now - before.at >= REPEAT_INTERVAL_MS
             };
             if before.is_none_or(is_due) {
+                // What a mark relies on; for a searcher that is not marked, its oldest open part.
                 let (latency_ratio, parts) = if observed.marked {
                     (observed.evidence.relative_latency, observed.evidence.parts)
                 } else {
--- a/crates/mixer/src/inputs.rs
+++ b/crates/mixer/src/inputs.rs
@@ -102,6 +102,13 @@
     PrintCounters,
 }
 
+/// An input, and when it happened.
+#[derive(Clone, Debug)]
+pub struct TimedInput {
+    pub at: UnixMs,
+    pub input: Input,
+}
+
 /// What the service has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
--- a/crates/mixer/src/reducer.rs
+++ b/crates/mixer/src/reducer.rs
@@ -26,7 +26,7 @@
 use crate::clock::UnixMs;
 use crate::counters::{Counters, TableTypeCounters};
 use crate::http;
-use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, WatchNumber};
+use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, TimedInput, WatchNumber};
 use rules::Violation;
 use state::{Attempt, AttemptId, Client, Link, Part, PartId, Scan, ScanId, ScheduledTimer, Searcher, Timer};
 
@@ -57,13 +57,6 @@
     pub lost_idle_connections: bool,
 }
 
-/// An input, its time, and the rank by which the inputs of one step are ordered.
-struct RankedInput {
-    rank: u8,
-    at: UnixMs,
-    input: Input,
-}
-
 /// A mixer's state. See the documentation of this module.
 pub struct Reducer {
     module: Mixer,
@@ -245,17 +238,15 @@
         self.add_timer(now + CACHED_LIST_DELAY_MS, Timer::CachedList);
     }
 
-    /// Applies inputs, each with its time, and fires the timers that are due. Returns the effects to carry out.
+    /// Applies inputs, and fires the timers that are due. Returns the effects to carry out.
     ///
     /// Lists are applied first, as a searcher's drain counts from the time it was reported. Disconnected
     /// clients and closed links are next: nothing is sent for such a client or on such a link, even if the
     /// input that reports it comes after others.
-    pub fn step(&mut self, now: UnixMs, inputs: Vec<(UnixMs, Input)>) -> Vec<Effect> {
-        let rank = |(at, input): (UnixMs, Input)| RankedInput { rank: self.rank(&input), at, input };
-        let mut ranked: Vec<RankedInput> = inputs.into_iter().map(rank).collect();
-        ranked.sort_by_key(|ranked| ranked.rank); // stable: inputs of one rank keep their order
-        for RankedInput { at, input, .. } in ranked {
-            // Frames that wait for a link are sent now, however long ago the link came up.
+    pub fn step(&mut self, now: UnixMs, mut inputs: Vec<TimedInput>) -> Vec<Effect> {
+        inputs.sort_by_key(|timed| self.rank(&timed.input)); // stable: inputs of one rank keep their order
+        for TimedInput { at, input } in inputs {
+            // Frames that wait for a link are sent now, even if the link came up long ago.
             let at = if matches!(input, Input::LinkUp { .. }) { now } else { at.min(now) };
             self.apply_input(at, input);
         }
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -9,7 +9,7 @@
 
 use super::Reducer;
 use super::rules::SendRefusal;
-use super::state::{Attempt, AttemptId, ExpectedAnswer, PartId, QueuedFrame, Timer};
+use super::state::{Attempt, AttemptId, ExpectedAnswer, Link, PartId, QueuedFrame, Timer};
 use crate::clock::UnixMs;
 use crate::frame::{Frame, Verdict};
 use crate::inputs::LinkId;
@@ -65,22 +65,24 @@
         debug!("{part_name}: attempt {number} after {last_outcome:?}");
     }
 
-    /// Queues a call on the first link with room, or on a new one.
-    pub(super) fn queue_call(&mut self, now: UnixMs, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) {
+    /// The first link to a searcher on which a call with these attempts may be sent.
+    fn link_with_room(&self, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) -> Option<LinkId> {
         let part_names: Vec<&Rc<str>> =
             attempt_ids.iter().filter_map(|id| Some(&self.attempts.get(id)?.part_name)).collect();
-        let usable_links = self.usable_links(searcher);
-        let has_room = |id: &&LinkId| {
-            self.links.get(id).is_some_and(|link| {
-                // An answer to an earlier attempt of a part must not be taken for the answer to this one.
-                let expects_other = |name: &&Rc<str>| {
-                    link.expected.get(*name).is_some_and(|other| *other != ExpectedAnswer::Duplicate)
-                };
-                link.open_calls.len() < self.config.max_calls_per_connection
-                    && !part_names.iter().any(expects_other)
-            })
+        let has_room = |link: &Link| {
+            // An answer to an earlier attempt of a part must not be taken for the answer to this one.
+            let expects_other = |name: &&Rc<str>| {
+                link.expected.get(*name).is_some_and(|other| *other != ExpectedAnswer::Duplicate)
+            };
+            link.open_calls.len() < self.config.max_calls_per_connection
+                && !part_names.iter().any(expects_other)
         };
-        let link_id = usable_links.iter().find(has_room).copied().or_else(|| self.connect(now, searcher));
+        self.usable_links(searcher).into_iter().find(|id| self.links.get(id).is_some_and(has_room))
+    }
+
+    /// Queues a call on the first link with room, or on a new one. If none can be opened, the attempts fail.
+    pub(super) fn queue_call(&mut self, now: UnixMs, searcher: SocketAddrV4, attempt_ids: &[AttemptId]) {
+        let link_id = self.link_with_room(searcher, attempt_ids).or_else(|| self.connect(now, searcher));
         let Some(link_id) = link_id else {
             for attempt_id in attempt_ids {
                 self.end_attempt(now, *attempt_id, DispatchOutcome::ConnectFailed);
@@ -110,8 +112,8 @@
         self.check_silent(link_id, dispatched_at);
     }
 
-    /// Ends an attempt whose answer is no longer awaited, and sends its searcher a cancellation if the
-    /// deployment permits that.
+    /// Ends an attempt whose answer is no longer awaited. If it was sent and the deployment permits it, its
+    /// searcher is sent a cancellation.
     pub(super) fn cancel_attempt(&mut self, now: UnixMs, attempt_id: AttemptId, outcome: DispatchOutcome) {
         let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         if attempt.frame.is_some() && self.config.permissions.cancel {
@@ -126,8 +128,8 @@
         self.end_attempt_with_load(now, attempt_id, outcome, None);
     }
 
-    /// Records the outcome of an attempt and reports it to the decision module, with the busy share that its
-    /// searcher reported.
+    /// Records the outcome of an attempt and reports it to the decision module. `busy`: the busy share that the
+    /// searcher reported with its answer.
     fn end_attempt_with_load(
         &mut self,
         now: UnixMs,
@@ -159,16 +161,7 @@
         debug!("{}: attempt {number} ended as {outcome:?} after {took_ms:.1} ms", attempt.part_name);
         if let Some(link) = self.links.get_mut(&attempt.link) {
             link.finish_attempt(&attempt.part_name, was_sent);
-            if let Some(unfinished) = link.open_calls.get_mut(&attempt.call) {
-                *unfinished -= 1;
-                if *unfinished == 0 {
-                    link.open_calls.remove(&attempt.call);
-                    // If the call is still queued, it is not sent any more.
-                    link.queue.retain(
-                        |queued| !matches!(queued, QueuedFrame::Call { call, .. } if *call == attempt.call),
-                    );
-                }
-            }
+            link.finish_part_of_call(attempt.call);
             self.check_idle(now, attempt.link);
         }
         let searcher = attempt.searcher;
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -252,30 +252,33 @@
         if let Some(client) = self.clients.get_mut(&connection_id) {
             client.unusable_requests = 0;
         }
-        let open = self.scans.len() + self.parts.len();
         let drain_serves_until = self.drain_serves_until(now);
         let is_refused = |client: &Client| rules::is_buffered_refused(client, drain_serves_until, now);
         if self.clients.get(&connection_id).is_some_and(is_refused) {
-            self.counters.scans_throttled += 1;
-            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(
-                now,
-                connection_id,
-                503,
-                self.config.permissions.retry_after_ms,
-                b"closing\n",
-            );
+            return self.throttle_before_start(now, connection_id, ids, b"closing\n");
         }
+        let open = self.scans.len() + self.parts.len();
         if !rules::may_take_query(open, scan.parts.len(), self.config.max_open) {
-            self.counters.scans_throttled += 1;
-            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, connection_id, 503, self.config.permissions.retry_after_ms, b"full\n");
+            return self.throttle_before_start(now, connection_id, ids, b"full\n");
         }
         self.start_scan(now, connection_id, scan, ids);
     }
 
+    /// Answers a scan that the decision module is not told of.
+    fn throttle_before_start(
+        &mut self,
+        now: UnixMs,
+        connection_id: ConnectionId,
+        ids: &ScanIds,
+        reason: &[u8],
+    ) {
+        self.counters.scans_throttled += 1;
+        self.counters.by_type[ids.table_type].throttled += 1;
+        self.answer(now, connection_id, 503, self.config.permissions.retry_after_ms, reason);
+    }
+
     fn start_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
@@ -375,7 +378,7 @@
         }
     }
 
-    /// Removes a scan and its parts. Its open attempts end by themselves.
+    /// Removes a scan and its parts. Its open attempts are not ended here.
     fn remove_scan(&mut self, scan: ScanId) {
         let Some(scan) = self.scans.remove(&scan) else { return };
         self.open_request_ids.remove(&scan.request_id);
--- a/crates/mixer/src/reducer/lists.rs
+++ b/crates/mixer/src/reducer/lists.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Updates a searcher from its entry in a list, and returns what the decision module is told of it; `None`
+    /// Updates a searcher from its entry in a list, and returns what is passed to the decision module; `None`
     /// if an unknown searcher is listed as gone. Lists identify a searcher by its name, the decision module by
     /// the address under which it was first listed.
     fn update_searcher(&mut self, entry: Entry) -> Option<ListedSearcher> {
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -20,7 +20,7 @@
 pub(super) const LINGER_MS: f64 = 300.0;
 /// The longest query timeout that the platform allows for in a drain. The platform kills a mixer that it has
 /// asked to end after the mixer's longest query timeout, but no more than this, plus 0.7 s. [`drain_times`]
-/// adds [`LISTEN_MS`] in place of the 0.7 s, so that a drain ends 0.1 s before the kill.
+/// adds [`LISTEN_MS`] in place of the 0.7 s, so that a drain ends at least 0.1 s before the kill.
 const MAX_DRAIN_QUERY_MS: f64 = 3000.0;
 /// All queries are answered this long before the latest time to end. If the process was paused when it was
 /// asked to end, the times of its drain are all too late.
@@ -165,8 +165,9 @@
     }
 }
 
-/// How long requests are served that were buffered when their client's connection began to close. It is enough
-/// for several slow requests, and keeps a client that sends without end from being served for ever.
+/// How long requests are served that were buffered when their client's connection began to close. This is
+/// enough for several slow requests. Without a limit, a client that sends without end would be served without
+/// end.
 const SERVE_BUFFERED_MS: f64 = 1000.0;
 
 /// The time until which a client's buffered requests are served if its connection begins to close at `now`.
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -280,6 +280,19 @@
         self.state == LinkState::Up && self.open_calls.is_empty() && self.probes.is_empty()
     }
 
+    /// Records that one part of a call is finished. With the last one, the call is no longer open, and is not
+    /// sent any more if it is still queued.
+    pub(super) fn finish_part_of_call(&mut self, call_id: CallId) {
+        let Some(unfinished) = self.open_calls.get_mut(&call_id) else { return };
+        *unfinished -= 1;
+        if *unfinished == 0 {
+            self.open_calls.remove(&call_id);
+            let is_finished =
+                |queued: &QueuedFrame| matches!(queued, QueuedFrame::Call { call, .. } if *call == call_id);
+            self.queue.retain(|queued| !is_finished(queued));
+        }
+    }
+
     /// Records the end of an attempt. If it was sent, its answer may still arrive, or arrive again, and has
     /// to be distinguished from a later attempt's answer and from one that was never requested.
     pub(super) fn finish_attempt(&mut self, name: &Rc<str>, was_sent: bool) {
--- a/crates/mixer/src/searcher.rs
+++ b/crates/mixer/src/searcher.rs
@@ -18,6 +18,7 @@
 use crate::inputs::{Input, LinkId};
 use crate::link::SharedLink;
 use crate::messages::MessageSender;
+use crate::stream::finish_connecting;
 
 /// Reads of one link in a row. If there is more to read, the other links are read first.
 const MAX_READS_IN_A_ROW: usize = 16;
@@ -214,15 +215,9 @@
         messages: &MessageSender,
     ) -> io::Result<bool> {
         if !self.up {
-            if let Some(error) = self.shared.stream.take_error()? {
-                return Err(error);
+            if !finish_connecting(&self.shared.stream)? {
+                return Ok(false);
             }
-            match self.shared.stream.peer_addr() {
-                Ok(_) => {}
-                Err(error) if error.kind() == ErrorKind::NotConnected => return Ok(false),
-                Err(error) => return Err(error),
-            }
-            self.shared.stream.set_nodelay(true)?;
             self.up = true;
             self.deadline = None;
             messages.send_link_up(link, self.shared.clone());
--- a/crates/mixer/src/service.rs
+++ b/crates/mixer/src/service.rs
@@ -24,7 +24,7 @@
 use crate::clock::{Clock, UnixMs};
 use crate::discovery::{self, Watch, WatchStatus};
 use crate::fleet::FleetMember;
-use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, WatchNumber};
+use crate::inputs::{ConnectionId, Effect, Input, LinkId, Phase, TimedInput, WatchNumber};
 use crate::link::Link;
 use crate::listener::{BoundListener, listen, local_addr};
 use crate::log;
@@ -45,7 +45,7 @@
 const MAX_INPUTS_PER_TURN: usize = 256;
 
 /// After a pause of the process, inputs are received for this long before anything is sent: the reading threads
-/// were paused too, and still have to report what happened meanwhile.
+/// were paused too, and still have to report what happened during the pause.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
 /// A mixer. Its phase is the reducer's: [`Phase::Starting`] until a list is held, then `Ready`, `Draining`,
@@ -61,7 +61,7 @@
     link_opener: LinkOpener,
     watch_status: Arc<WatchStatus>,
     /// Inputs from the service itself, for the reducer's next step.
-    own_inputs: Vec<(UnixMs, Input)>,
+    own_inputs: Vec<TimedInput>,
     outbox: Outbox,
     /// The memory that the partly written frames of all links may take.
     partial_frames: MemoryBudget,
@@ -74,8 +74,8 @@
 
 /// Inputs for one step of the reducer.
 struct ReceivedInputs {
-    inputs: Vec<(UnixMs, Input)>,
-    /// The process was paused before, and the inputs include what happened meanwhile.
+    inputs: Vec<TimedInput>,
+    /// The process was paused before, and the inputs include what happened during the pause.
     caught_up: bool,
 }
 
@@ -266,9 +266,9 @@
     }
 
     /// Receives the reports of what happened while the process was paused, for the time of [`CATCH_UP`].
-    fn catch_up(&mut self, inputs: &mut Vec<(UnixMs, Input)>) {
+    fn catch_up(&mut self, inputs: &mut Vec<TimedInput>) {
         debug!("the process was paused: inputs from that time are received first");
-        inputs.push((self.clock.now(), Input::ProcessPaused));
+        inputs.push(TimedInput { at: self.clock.now(), input: Input::ProcessPaused });
         let until = Instant::now() + CATCH_UP;
         while let Ok(message) = self.inbox.recv_deadline(until) {
             self.receive(message, inputs);
@@ -277,22 +277,22 @@
         self.was_paused = false;
     }
 
-    fn receive(&mut self, message: Message, inputs: &mut Vec<(UnixMs, Input)>) {
+    fn receive(&mut self, message: Message, inputs: &mut Vec<TimedInput>) {
         match message {
             Message::ClientConnected { at, connection_id, handle } => {
                 self.clients.insert(connection_id, handle);
-                inputs.push((at, Input::ClientConnected { connection_id }));
+                inputs.push(TimedInput { at, input: Input::ClientConnected { connection_id } });
             }
             Message::LinkUp { at, link: link_id, shared } => {
                 if let Some(link) = self.links.get_mut(&link_id) {
                     link.set_up(shared);
-                    inputs.push((at, Input::LinkUp { link: link_id }));
+                    inputs.push(TimedInput { at, input: Input::LinkUp { link: link_id } });
                 }
             }
             Message::Input { at, input } => self.receive_input(at, input, inputs),
             Message::RoutesWithdrawn => {
                 if self.announcer.routes_withdrawn() {
-                    inputs.push((self.clock.now(), Input::Stop));
+                    inputs.push(TimedInput { at: self.clock.now(), input: Input::Stop });
                 }
             }
             Message::StatusRequested(sender) => {
@@ -313,26 +313,26 @@
 
     /// Receives an input for the reducer. Some inputs also change what the service holds, and some never reach
     /// the reducer in this form.
-    fn receive_input(&mut self, at: UnixMs, input: Input, inputs: &mut Vec<(UnixMs, Input)>) {
+    fn receive_input(&mut self, at: UnixMs, input: Input, inputs: &mut Vec<TimedInput>) {
         match input {
             Input::ProcessPaused => self.was_paused = true,
             Input::LinkWritable { link } => {
                 self.outbox.add(link);
-                inputs.push((at, Input::LinkWritable { link }));
+                inputs.push(TimedInput { at, input: Input::LinkWritable { link } });
             }
             Input::LinkClosed { link: link_id, .. } => {
                 let frames_written = self.links.remove(&link_id).map_or(0, |link| link.frames_written);
-                inputs.push((at, Input::LinkClosed { link: link_id, frames_written }));
+                inputs.push(TimedInput { at, input: Input::LinkClosed { link: link_id, frames_written } });
             }
             // If routes lead clients here, they are withdrawn first. The reducer gets the input after that,
             // with `Message::RoutesWithdrawn`.
             Input::Stop => {
                 self.fleet.announce_end();
                 if self.announcer.stop() {
-                    inputs.push((at, Input::Stop));
+                    inputs.push(TimedInput { at, input: Input::Stop });
                 }
             }
-            input => inputs.push((at, input)),
+            input => inputs.push(TimedInput { at, input }),
         }
     }
 
@@ -342,7 +342,10 @@
                 if let Some(client) = self.clients.get_mut(&connection_id)
                     && !client.answer(bytes, last)
                 {
-                    self.own_inputs.push((self.clock.now(), Input::AnswerDelayed { connection_id }));
+                    self.own_inputs.push(TimedInput {
+                        at: self.clock.now(),
+                        input: Input::AnswerDelayed { connection_id },
+                    });
                 }
             }
             Effect::CloseClient { connection_id } => {
@@ -355,7 +358,10 @@
                 if self.link_opener.open(link, address) {
                     self.links.insert(link, Link::default());
                 } else {
-                    self.own_inputs.push((self.clock.now(), Input::LinkClosed { link, frames_written: 0 }));
+                    self.own_inputs.push(TimedInput {
+                        at: self.clock.now(),
+                        input: Input::LinkClosed { link, frames_written: 0 },
+                    });
                 }
             }
             Effect::Send { link } => self.outbox.add(link),
--- a/crates/mixer/src/service/writes.rs
+++ b/crates/mixer/src/service/writes.rs
@@ -3,7 +3,7 @@
 
 use super::Service;
 use crate::client_handle::ClientHandle;
-use crate::inputs::{ConnectionId, Input, LinkId};
+use crate::inputs::{ConnectionId, Input, LinkId, TimedInput};
 use crate::link::WriteOutcome;
 use crate::outbox::{self, WriteSlice};
 
@@ -55,7 +55,8 @@
         }
         if matches!(outcome, WriteOutcome::Partial | WriteOutcome::Stalled | WriteOutcome::NotBegun) {
             let made_progress = outcome == WriteOutcome::Partial;
-            self.own_inputs.push((self.clock.now(), Input::LinkBlocked { link: link_id, made_progress }));
+            let input = Input::LinkBlocked { link: link_id, made_progress };
+            self.own_inputs.push(TimedInput { at: self.clock.now(), input });
         }
         outcome == WriteOutcome::Complete
     }
--- a/crates/mixer/src/signals.rs
+++ b/crates/mixer/src/signals.rs
@@ -13,8 +13,8 @@
 use crate::inputs::Input;
 use crate::messages::{Message, MessageSender};
 
-/// An unreadable configuration may still be being written: it is read again for this long, well within the 4
-/// s after which a new one has to take effect.
+/// For how long an unreadable configuration is read again, as it may still be being written. This is well
+/// within the 4 s after which a new one has to take effect.
 const RELOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether the process was asked to end meanwhile.
+    /// Whether a signal to end the process waits to be handled.
     fn has_stop_waiting(&mut self) -> bool {
         self.waiting.extend(self.signals.pending());
         self.waiting.iter().any(|signal| is_stop(*signal))
--- a/crates/mixer/src/stream.rs
+++ b/crates/mixer/src/stream.rs
@@ -1,9 +1,26 @@
-//! Non-blocking writes to a connection.
+//! Steps that all non-blocking connections have in common.
 
 use std::io::{self, ErrorKind, Write};
 
 use mio::net::TcpStream;
 
+/// Whether a connection that was begun is established now. Once it is, small writes on it are not delayed.
+///
+/// # Errors
+/// If the connection has failed.
+pub fn finish_connecting(stream: &TcpStream) -> io::Result<bool> {
+    if let Some(error) = stream.take_error()? {
+        return Err(error);
+    }
+    match stream.peer_addr() {
+        Ok(_) => {}
+        Err(error) if error.kind() == ErrorKind::NotConnected => return Ok(false),
+        Err(error) => return Err(error),
+    }
+    stream.set_nodelay(true)?;
+    Ok(true)
+}
+
 /// Writes what the other side accepts now, which may be nothing, and returns the number of bytes.
 ///
 /// # Errors
--- a/crates/mixer/tests/drain.rs
+++ b/crates/mixer/tests/drain.rs
@@ -70,7 +70,7 @@
     let client = TcpStream::connect(address).expect("the mixer accepts");
     client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
     sleep_until(sigterm_at, schedule.first_half_ms);
-    let (mut client, rest) = send_first_half(client, nth);
+    let HalfSentRequest { mut client, rest } = send_first_half(client, nth);
     if let Some(last_byte_ms) = schedule.last_byte_ms {
         sleep_until(sigterm_at, last_byte_ms);
         // If the connection was closed, the missing answer shows it.
@@ -166,13 +166,12 @@
     let mut mixer = start_with_config(&config, &[SearcherBehavior::Answers]);
     // The first halves of 30 clients, for 18 slots, have arrived before the mixer accepts the first connection.
     mixer.signal("STOP");
-    let clients: Vec<(TcpStream, String)> =
-        (0..30).map(|nth| send_first_half(mixer.connect(), nth)).collect();
+    let clients: Vec<HalfSentRequest> = (0..30).map(|nth| send_first_half(mixer.connect(), nth)).collect();
     mixer.signal("TERM");
     mixer.signal("CONT");
     let resumed_at = Instant::now();
     std::thread::scope(|scope| {
-        for (nth, (mut client, rest)) in clients.into_iter().enumerate() {
+        for (nth, HalfSentRequest { mut client, rest }) in clients.into_iter().enumerate() {
             scope.spawn(move || {
                 sleep_until(resumed_at, 900 + 30 * nth as i64);
                 client.write_all(rest.as_bytes()).expect("the connection accepts bytes");
@@ -184,12 +183,17 @@
     assert_eq!(mixer.child.wait().expect("the process ends").code(), Some(0));
 }
 
-/// Sends the first half of a request and returns the other half.
-fn send_first_half(mut client: TcpStream, nth: usize) -> (TcpStream, String) {
+/// A request of which the first half is sent.
+struct HalfSentRequest {
+    client: TcpStream,
+    rest: String,
+}
+
+fn send_first_half(mut client: TcpStream, nth: usize) -> HalfSentRequest {
     let request = scan_request("lookup", 1).replace("q1", &format!("q{nth}"));
     let (first, rest) = request.split_at(request.len() / 2);
     client.write_all(first.as_bytes()).expect("the connection accepts bytes");
-    (client, rest.to_owned())
+    HalfSentRequest { client, rest: rest.to_owned() }
 }
 
 /// Guards against a drain that waits for connections without a request.
--- a/crates/mixer/tests/faults.rs
+++ b/crates/mixer/tests/faults.rs
@@ -278,7 +278,7 @@
         |listener: &std::net::TcpListener| listener.local_addr().expect("the listener's address").to_string();
     let path = write_config("reload-half", |config| config["discovery"] = address_of(&old_discovery).into());
     let child = mixer_command("true", &address_of(&old_discovery), &path).spawn().expect("the mixer starts");
-    let (child, _log, _) = wait_until_listening(child);
+    let LaunchedMixer { child, log: _log, .. } = wait_until_listening(child);
     let process = KillOnDrop(child);
     write_config("reload-half", |config| config["discovery"] = address_of(&new_discovery).into());
     let complete = std::fs::read(&path).expect("the configuration can be read");
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -38,6 +38,13 @@
     pub searchers: Vec<(SocketAddr, &'static str)>,
 }
 
+/// The process of a mixer that listens.
+pub struct LaunchedMixer {
+    pub child: Child,
+    pub log: BufReader<ChildStderr>,
+    pub address: SocketAddr,
+}
+
 /// How a mixer ended.
 #[derive(Debug, PartialEq)]
 pub struct Exit {
@@ -94,13 +101,13 @@
     let child = mixer_command(shell_command, &discovery_address, config)
         .envs(settings.map(|path| ("PEWTERWHARF_SETTINGS", path)))
         .spawn();
-    let (child, mut log, address) = wait_until_listening(child.expect("the mixer starts"));
+    let LaunchedMixer { child, mut log, address } = wait_until_listening(child.expect("the mixer starts"));
     wait_for_log(&mut log, "ready");
     Mixer { child, log, address, discovery, frames, searchers }
 }
 
 /// Starts a mixer and waits until it listens.
-pub fn launch(discovery: String, config: &str) -> (Child, BufReader<ChildStderr>, SocketAddr) {
+pub fn launch(discovery: String, config: &str) -> LaunchedMixer {
     wait_until_listening(mixer_command("true", &discovery, config).spawn().expect("the mixer starts"))
 }
 
@@ -119,11 +126,11 @@
 }
 
 /// Waits until the mixer logs the address that it listens on.
-pub fn wait_until_listening(mut child: Child) -> (Child, BufReader<ChildStderr>, SocketAddr) {
+pub fn wait_until_listening(mut child: Child) -> LaunchedMixer {
     let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
     let line = wait_for_log(&mut log, "listens on ");
     let address = line.rsplit(' ').next().and_then(|word| word.trim().parse().ok()).expect("an address");
-    (child, log, address)
+    LaunchedMixer { child, log, address }
 }
 
 pub fn send_signal(child: &Child, name: &str) {
@@ -267,7 +274,7 @@
         let child = mixer_command(shell_command, &discovery_address.to_string(), config)
             .spawn()
             .expect("the mixer starts");
-        let (child, log, address) = wait_until_listening(child);
+        let LaunchedMixer { child, log, address } = wait_until_listening(child);
         Self { discovery: Some(discovery), discovery_address, child, log, address }
     }
 
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -102,7 +102,7 @@
 #[test]
 fn watch_resumes_by_version() {
     let listener = bind_free_port();
-    let (mut child, mut log, _) =
+    let LaunchedMixer { mut child, mut log, .. } =
         launch(listener.local_addr().expect("the listener's address").to_string(), EXAMPLE_CONFIG);
     let mut requests = String::new();
     let list =
@@ -156,7 +156,7 @@
     };
     let ((old_address, old_discovery), (new_address, _)) = (start_discovery("up"), start_discovery("up"));
     std::fs::write(config, &text).expect("the file can be written");
-    let (child, mut log, address) = launch(old_address, config);
+    let LaunchedMixer { child, mut log, address } = launch(old_address, config);
     wait_for_log(&mut log, "ready");
     let mut mixer = Mixer { child, log, address, discovery: old_discovery, frames, searchers: Vec::new() };
     let mut output = Vec::new();
@@ -642,7 +642,7 @@
     let searcher = searcher_listener.local_addr().expect("the listener's address");
     let (sender, frames) = mpsc::channel();
     standins::serve_searcher(searcher_listener, SearcherBehavior::Answers, sender);
-    let (mut child, mut log, address) =
+    let LaunchedMixer { mut child, mut log, address } =
         launch(discovery.local_addr().expect("the listener's address").to_string(), &config.path());
     let answer_poll = |list: Value| {
         let (mut stream, _) = discovery.accept().expect("a poll");
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -7,7 +7,7 @@
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{PartRequest, RequestKind, ScanRequest};
-use pewterwharf_mixer::inputs::{Effect, Input, Phase};
+use pewterwharf_mixer::inputs::{Effect, Input, Phase, TimedInput};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::{ConfigChange, MixerConfig};
 use serde_json::json;
@@ -83,10 +83,10 @@
     }
 
     fn input(&mut self, input: Input) {
-        self.step(vec![(self.now_ms, input)]);
+        self.step(vec![TimedInput { at: self.now_ms, input }]);
     }
 
-    fn step(&mut self, inputs: Vec<(f64, Input)>) {
+    fn step(&mut self, inputs: Vec<TimedInput>) {
         for effect in self.reducer.step(self.now_ms, inputs) {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace("\r\n", " ").replace('\n', " ");
             let line = match effect {
@@ -459,15 +459,15 @@
     harness.send_request(1, "all", "q1", 1);
     // The link is established and the client leaves in the same step. Then the link ends: no new call may be sent on it.
     harness.step(vec![
-        (harness.now_ms, Input::LinkUp { link: 3 }),
-        (harness.now_ms, Input::ClientDisconnected { connection_id: 1 }),
+        TimedInput { at: harness.now_ms, input: Input::LinkUp { link: 3 } },
+        TimedInput { at: harness.now_ms, input: Input::ClientDisconnected { connection_id: 1 } },
     ]);
     harness.input(Input::ClientConnected { connection_id: 2 });
     let kind = RequestKind::Scan(ScanRequest { id: "q2".to_owned(), ..one_part_request() });
     let request = Input::Request { connection_id: 2, kind, close: false };
     harness.step(vec![
-        (harness.now_ms, request),
-        (harness.now_ms, Input::LinkClosed { link: 3, frames_written: 0 }),
+        TimedInput { at: harness.now_ms, input: request },
+        TimedInput { at: harness.now_ms, input: Input::LinkClosed { link: 3, frames_written: 0 } },
     ]);
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -743,8 +743,11 @@
     // A request in the same step must not be sent on the link that is being closed.
     let scan = ScanRequest { id: "q2".to_owned(), ..one_part_request() };
     harness.step(vec![
-        (harness.now_ms, Input::Request { connection_id: 2, kind: RequestKind::Scan(scan), close: false }),
-        (harness.now_ms, Input::Frames { link: 3, frames: vec![answer], error }),
+        TimedInput {
+            at: harness.now_ms,
+            input: Input::Request { connection_id: 2, kind: RequestKind::Scan(scan), close: false },
+        },
+        TimedInput { at: harness.now_ms, input: Input::Frames { link: 3, frames: vec![answer], error } },
     ]);
     assert_snapshot!(harness.trace_and_counters());
 }
@@ -811,7 +814,9 @@
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     let link = harness.last_link();
-    harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkUp { link })]);
+    harness
+        .reducer
+        .step(harness.now_ms, vec![TimedInput { at: harness.now_ms, input: Input::LinkUp { link } }]);
     assert_eq!(next_frames(&mut harness, link, &[1]), Vec::<String>::new());
     harness.input(Input::ClientDisconnected { connection_id: 1 });
     assert_snapshot!(harness.trace_and_counters());
@@ -823,7 +828,9 @@
         let mut harness = Harness::new(1);
         harness.send_request(1, "once", "q1", 1);
         let link = harness.last_link();
-        harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkUp { link })]);
+        harness
+            .reducer
+            .step(harness.now_ms, vec![TimedInput { at: harness.now_ms, input: Input::LinkUp { link } }]);
         let first = harness.reducer.next_frame(harness.now_ms, link, &[]).expect("a call");
         harness.reducer.return_frame(link);
         harness.input(Input::LinkBlocked { link, made_progress: false });
@@ -831,7 +838,10 @@
         if client_leaves {
             harness.input(Input::ClientDisconnected { connection_id: 1 });
         }
-        harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkWritable { link })]);
+        harness.reducer.step(
+            harness.now_ms,
+            vec![TimedInput { at: harness.now_ms, input: Input::LinkWritable { link } }],
+        );
         let timeout_ms = |frame: &str| frame.split("d=").nth(1)?.split(' ').next()?.parse::<u64>().ok();
         let before_ms = timeout_ms(&String::from_utf8_lossy(&first.bytes)).expect("a timeout");
         let later: Vec<Option<u64>> =
@@ -846,7 +856,9 @@
     let mut harness = Harness::new(2);
     harness.send_request(1, "once", "q1", 1);
     let link = harness.last_link();
-    harness.reducer.step(harness.now_ms, vec![(harness.now_ms, Input::LinkUp { link })]);
+    harness
+        .reducer
+        .step(harness.now_ms, vec![TimedInput { at: harness.now_ms, input: Input::LinkUp { link } }]);
     assert!(harness.reducer.next_frame(harness.now_ms, link, &[]).is_some());
     harness.reducer.return_frame(link);
     harness.input(Input::LinkBlocked { link, made_progress: false });
@@ -882,7 +894,7 @@
     harness.send_request(1, "all", "q1", 1);
     let (link, came_up_at) = (harness.last_link(), harness.now_ms);
     harness.now_ms += 1500.0;
-    harness.step(vec![(came_up_at, Input::LinkUp { link })]);
+    harness.step(vec![TimedInput { at: came_up_at, input: Input::LinkUp { link } }]);
     let timeout_ms =
         harness.trace.lines().find_map(|line| line.split_once(" d=")?.1.split(' ').next()?.parse().ok());
     // 500 of 2000 ms are left.
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -8,7 +8,7 @@
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{PartRequest, RequestKind, ScanRequest};
-use pewterwharf_mixer::inputs::{Effect, Input, Phase};
+use pewterwharf_mixer::inputs::{Effect, Input, Phase, TimedInput};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::MixerConfig;
 use serde_json::{Value, json};
@@ -198,7 +198,7 @@
         let writable_link =
             |input: &Input| if let Input::LinkWritable { link } = input { Some(*link) } else { None };
         let writable_links: Vec<u64> = inputs.iter().filter_map(writable_link).collect();
-        let timed_inputs = inputs.into_iter().map(|input| (self.now_ms, input)).collect();
+        let timed_inputs = inputs.into_iter().map(|input| TimedInput { at: self.now_ms, input }).collect();
         let effects = self.reducer.step(self.now_ms, timed_inputs);
         for effect in effects {
             self.apply(effect);
--- a/crates/mixer/tests/starts.rs
+++ b/crates/mixer/tests/starts.rs
@@ -42,7 +42,7 @@
         // A listener that is kept and never accepts is silent; without one, connections are refused.
         let silent_listener = is_silent.then_some(listener);
         let started_at = Instant::now();
-        let (mut child, mut log, address) = launch(discovery, &path);
+        let LaunchedMixer { mut child, mut log, address } = launch(discovery, &path);
         assert!(ask(address, READY_REQUEST).starts_with("HTTP/1.1 503"), "no list is in use yet");
         wait_for_log(&mut log, "ready");
         assert!(started_at.elapsed() < Duration::from_secs(5), "ready after {:?}", started_at.elapsed());
@@ -85,7 +85,7 @@
     let child = spawn_on(expected);
     std::thread::sleep(Duration::from_millis(500)); // the mixer finds the port in use
     drop(listener);
-    let (mut child, _log, address) = wait_until_listening(child);
+    let LaunchedMixer { mut child, log: _log, address } = wait_until_listening(child);
     assert_eq!(address, expected);
     let _ = child.kill();
     let _ = child.wait();
--- a/crates/mixer/tests/watches.rs
+++ b/crates/mixer/tests/watches.rs
@@ -32,7 +32,7 @@
     fn start() -> Self {
         let discovery = bind_free_port();
         let address = discovery.local_addr().expect("the listener's address").to_string();
-        let (child, log, _) = launch(address, EXAMPLE_CONFIG);
+        let LaunchedMixer { child, log, .. } = launch(address, EXAMPLE_CONFIG);
         Self { discovery, child, log, searcher: "127.0.0.1:9".parse().expect("an address") }
     }
 
@@ -396,7 +396,7 @@
         let old_discovery = standins::DiscoveryServer::default();
         old_discovery.serve(discovery_listener);
         old_discovery.publish(standins::discovery_list(1, true, &[(searcher, "up")]));
-        let (child, log, address) = launch(discovery_address, &config_path);
+        let LaunchedMixer { child, log, address } = launch(discovery_address, &config_path);
         let log_lines = read_lines(log);
         let mixer = Self { child, log_lines, address, config_path, old_discovery, searcher, frames };
         assert!(mixer.logs("ready"), "the mixer is not ready");
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -8,7 +8,7 @@
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{RequestKind, ScanRequest, parse_request};
-use pewterwharf_mixer::inputs::{Effect, Input};
+use pewterwharf_mixer::inputs::{Effect, Input, TimedInput};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::MixerConfig;
 use serde_json::json;
@@ -53,7 +53,7 @@
     };
     let list = List { index: 1, whole: true, entries: vec![searcher], bad: Vec::new() };
     let inputs = vec![Input::List { watch: 0, list }, Input::ClientConnected { connection_id: CLIENT }];
-    mixer.step(START_MS, inputs.into_iter().map(|input| (START_MS, input)).collect());
+    mixer.step(START_MS, inputs.into_iter().map(|input| TimedInput { at: START_MS, input }).collect());
     mixer
 }
 
@@ -98,15 +98,15 @@
 fn play_query(table_type: &str, weights: &[f64], unanswered: usize) -> QueryResult {
     let mut mixer = start_mixer();
     let kind = RequestKind::Scan(parse_scan(table_type, weights));
-    let effects =
-        mixer.step(START_MS, vec![(START_MS, Input::Request { connection_id: CLIENT, kind, close: false })]);
+    let request = Input::Request { connection_id: CLIENT, kind, close: false };
+    let effects = mixer.step(START_MS, vec![TimedInput { at: START_MS, input: request }]);
     let opened_link = effects.iter().find_map(|effect| match effect {
         Effect::Connect { link, .. } => Some(*link),
         _ => None,
     });
     let link =
         opened_link.unwrap_or_else(|| panic!("{} parts: nothing was sent, {effects:?}", weights.len()));
-    mixer.step(START_MS, vec![(START_MS, Input::LinkUp { link })]);
+    mixer.step(START_MS, vec![TimedInput { at: START_MS, input: Input::LinkUp { link } }]);
     let mut sent_shards = Vec::new();
     while let Some(frame) = mixer.next_frame(START_MS, link, &[]) {
         sent_shards.extend(shards_of_call(&frame.bytes));
@@ -119,10 +119,9 @@
         busy: None,
     };
     let frames = sent_shards[..sent_shards.len() - unanswered].iter().map(answer).collect();
-    let effects = mixer.step(
-        START_MS + ANSWER_DELAY_MS,
-        vec![(START_MS + ANSWER_DELAY_MS, Input::Frames { link, frames, error: None })],
-    );
+    let answered_at = START_MS + ANSWER_DELAY_MS;
+    let answers = Input::Frames { link, frames, error: None };
+    let effects = mixer.step(answered_at, vec![TimedInput { at: answered_at, input: answers }]);
     let exact = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { bytes, .. } => {
             let text = String::from_utf8(bytes).expect("the answer is text");
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -225,7 +225,7 @@
     discovery.publish(standins::discovery_list(1, true, &searchers));
     let path = write_config(name, change);
     let child = mixer_command(shell_command, &discovery_address, &path).spawn().expect("the mixer starts");
-    let (child, mut log, address) = wait_until_listening(child);
+    let LaunchedMixer { child, mut log, address } = wait_until_listening(child);
     wait_for_log(&mut log, "ready");
     let (_, frames) = mpsc::channel();
     Mixer { child, log, address, discovery, frames, searchers }
