--- a/crates/mixer/src/discovery.rs
+++ b/crates/mixer/src/discovery.rs
@@ -43,7 +43,7 @@
 const STATUS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 const MAX_EVENTS: usize = 8;
 
-/// Longest line or list that is read. It holds thousands of searchers.
+/// Maximum size of a line or a list. It is enough for thousands of searchers.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// The numbers of the watches that are needed: the newest, and the one whose lists are used. An older watch
@@ -143,6 +143,18 @@
 
     /// Opens one more connection, in place of another if there are too many.
     fn attempt(&mut self, now: Instant) {
+        self.make_room_for_attempt(now);
+        self.last_id += 1;
+        debug!("requests the changes after {:?} from discovery at {}", self.index, self.address);
+        match self.connect(now) {
+            Ok(connection) => drop(self.connections.insert(self.last_id, connection)),
+            Err(error) => debug!("discovery at {}: {error}", self.address),
+        }
+    }
+
+    /// Ends the connections that have sent no list for [`SILENCE_TIMEOUT`] since they were opened, and if there
+    /// are still too many without a list, the youngest of those.
+    fn make_room_for_attempt(&mut self, now: Instant) {
         // A watch that is being replaced leaves the file descriptors to the newer one.
         let is_newest = self.status.newest.load(Ordering::Acquire) == self.number;
         let max_attempts = if is_newest { MAX_ATTEMPTS } else { 1 };
@@ -154,12 +166,6 @@
         {
             self.connections.remove(youngest);
         }
-        self.last_id += 1;
-        debug!("requests the changes after {:?} from discovery at {}", self.index, self.address);
-        match self.connect(now) {
-            Ok(connection) => drop(self.connections.insert(self.last_id, connection)),
-            Err(error) => debug!("discovery at {}: {error}", self.address),
-        }
     }
 
     fn connect(&self, now: Instant) -> Result<Connection> {
--- a/crates/mixer/src/reducer/frames.rs
+++ b/crates/mixer/src/reducer/frames.rs
@@ -60,28 +60,15 @@
         disconnected: &[ConnectionId],
     ) -> Option<OutgoingFrame> {
         loop {
-            let link = self.links.get_mut(&link_id)?;
-            let queued = match link.state {
-                LinkState::Opening => None,
-                LinkState::Up => link.next_queued(),
-                LinkState::Closing => link.next_cancel(),
-            };
-            let (outgoing, queued) = match queued? {
-                QueuedFrame::Probe => {
-                    (self.probe_frame(link_id).map(OutgoingFrame::without_clients), QueuedFrame::Probe)
+            let mut queued = self.links.get_mut(&link_id)?.take_next_frame()?;
+            if let QueuedFrame::Call { call, attempt_ids } = &mut queued {
+                let all_ids = std::mem::take(attempt_ids);
+                *attempt_ids = self.take_sendable(now, link_id, *call, all_ids, disconnected);
+                if !self.events.is_empty() {
+                    self.add_timer(now, Timer::UnsentAttempts);
                 }
-                QueuedFrame::Cancel(part_name) => {
-                    let frame = OutgoingFrame::without_clients(frame::encode_cancel(&part_name));
-                    (Some(frame), QueuedFrame::Cancel(part_name))
-                }
-                QueuedFrame::Call { call, attempt_ids } => {
-                    let attempt_ids = self.take_sendable(now, link_id, call, attempt_ids, disconnected);
-                    if !self.events.is_empty() {
-                        self.add_timer(now, Timer::UnsentAttempts);
-                    }
-                    (self.call_frame(now, &attempt_ids), QueuedFrame::Call { call, attempt_ids })
-                }
-            };
+            }
+            let outgoing = self.encode_queued(now, link_id, &queued);
             if let (Some(outgoing), Some(link)) = (outgoing, self.links.get_mut(&link_id)) {
                 link.frames_begun += 1;
                 link.last_frame = Some(queued);
@@ -90,6 +77,17 @@
         }
     }
 
+    /// Encodes a frame that was queued; `None` if nothing of it may be sent any more.
+    fn encode_queued(&mut self, now: UnixMs, link_id: LinkId, queued: &QueuedFrame) -> Option<OutgoingFrame> {
+        match queued {
+            QueuedFrame::Probe => self.probe_frame(link_id).map(OutgoingFrame::without_clients),
+            QueuedFrame::Cancel(part_name) => {
+                Some(OutgoingFrame::without_clients(frame::encode_cancel(part_name)))
+            }
+            QueuedFrame::Call { attempt_ids, .. } => self.call_frame(now, attempt_ids),
+        }
+    }
+
     /// Takes back the frame that [`Self::next_frame`] returned last for a link. No byte of it may have been
     /// written. It is queued again as the next one.
     pub fn return_frame(&mut self, link_id: LinkId) {
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -180,7 +180,7 @@
 pub(super) enum LinkState {
     Opening,
     Up,
-    /// Nothing new is sent on it, and its end is awaited.
+    /// Only cancellations are still sent on it, and its end is awaited.
     Closing,
 }
 
@@ -267,12 +267,16 @@
 const MAX_FINISHED_NAMES: usize = 512;
 
 impl Link {
-    /// Takes the frame that is to be written next.
-    pub(super) fn next_queued(&mut self) -> Option<QueuedFrame> {
-        self.next_cancel().or_else(|| self.queue.pop_front())
+    /// Takes the frame that is to be written next. On a closing link only cancellations are still written.
+    pub(super) fn take_next_frame(&mut self) -> Option<QueuedFrame> {
+        match self.state {
+            LinkState::Opening => None,
+            LinkState::Up => self.take_next_cancel().or_else(|| self.queue.pop_front()),
+            LinkState::Closing => self.take_next_cancel(),
+        }
     }
 
-    pub(super) fn next_cancel(&mut self) -> Option<QueuedFrame> {
+    fn take_next_cancel(&mut self) -> Option<QueuedFrame> {
         self.cancels.pop_front().map(QueuedFrame::Cancel)
     }
 
--- a/crates/mixer/tests/codecs.rs
+++ b/crates/mixer/tests/codecs.rs
@@ -26,7 +26,8 @@
     format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n{}{}0\r\nT: 1\r\n\r\n", chunk(first), chunk(second))
 }
 
-/// Checks that no proper prefix of a message is parsed, and that further bytes do not change the result; returns the result.
+/// Checks that no proper prefix of a message is parsed, and that further bytes do not change the result;
+/// returns the result.
 fn check_prefixes<T: Debug + PartialEq>(message: &[u8], parse: impl Fn(&[u8]) -> Option<T>) -> Option<T> {
     for end in 0..message.len() {
         assert_eq!(parse(&message[..end]), None, "the first {end} bytes");
@@ -134,8 +135,10 @@
     assert_snapshot!(format!("{valid:#?}\n{}\n{oversized}\n{}", invalid.join("\n"), encoded.join("\n")));
 }
 
+/// A parser must never report that it used more bytes than it was given, whichever byte of a message is
+/// corrupted.
 #[test]
-fn corrupted_bytes_consume_no_excess() {
+fn corrupted_bytes() {
     let frame = frame::encode_call(&[CallPart { id: "9b1f.3", shard: 3, wait_ms: 240, text: "c41e77d0" }]);
     let answer = [&[0, 0, 0, 16], b"Oa.3 200 1 -\nval".as_slice()].concat();
     for message in [with_content_length(BODY).into_bytes(), with_chunks(BODY).into_bytes(), frame, answer] {
@@ -231,7 +234,8 @@
 
 #[test]
 fn body_in_many_chunks() {
-    // One byte per chunk. If the parser read the body again at each chunk, this would take far longer than the limit.
+    // One byte per chunk. If the parser read the body again at each chunk, this would take far longer than
+    // the limit.
     let chunks: String =
         BODY.chars().chain(" ".repeat(8000).chars()).map(|byte| format!("1\r\n{byte}\r\n")).collect();
     let message = format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n").into_bytes();
--- a/crates/mixer/tests/crossings.rs
+++ b/crates/mixer/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Races on loopback: clients that leave while they wait for an answer, and the end of the program. Each test provokes one with the
-//! timing of its stand-ins, and checks what the mixer does.
+//! Races on loopback: clients that leave while they wait for an answer, and the end of the program. Each test
+//! provokes one with the timing of its stand-ins, and checks what the mixer does.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -31,8 +31,10 @@
     }
 }
 
+/// Guards against parts that are not cancelled when their client closes or resets its connection, because
+/// bytes behind the request hide the end of the connection.
 #[test]
-fn parts_are_cancelled_when_client_leaves() {
+fn cancellation_after_client_disconnect() {
     let closing = |id: &str| request(id).replace("Host: app.svc", "Host: app.svc\r\nConnection: close");
     let excess = ["", "\r\n", "GET /-/ready HTTP/1.1\r\n", "GET /-/ready HTTP/1.1\r\n\r\n"];
     let long_excess = format!("{}{}", request("next"), "GET /-/ready HTTP/1.1\r\n\r\n".repeat(500));
@@ -72,8 +74,10 @@
     }
 }
 
+/// Guards against parts that are sent for a client that has disconnected while its connection waited to be
+/// accepted.
 #[test]
-fn client_that_left_before_accept() {
+fn disconnect_before_accept() {
     const SOCKETS: usize = 48;
     let config = write_config("places", |config| config["limits"]["sockets"] = SOCKETS.into());
     let mut mixer = start_with_config(&config, &[SearcherBehavior::Hangs]);
@@ -103,8 +107,9 @@
     mixer.child.wait().expect("the process ends");
 }
 
+/// Guards against a drain that closes connections whose request is just beginning or has arrived in part.
 #[test]
-fn new_and_partial_requests_when_drain_begins() {
+fn requests_at_drain_start() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let (new, partial, idle) = (mixer.connect(), mixer.connect(), mixer.connect());
     for client in [&partial, &idle] {
@@ -129,13 +134,14 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
+/// Guards against connections that are reset because the listener closes while they wait to be accepted.
 #[test]
-fn accept_queue_is_served_when_listening_ends() {
+fn accept_queue_at_listening_end() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.signal("TERM");
     wait_for_log(&mut mixer.log, "draining");
-    // The mixer is stopped. When it resumes, the connections are in the accept queue, and the second signal, which ends listening
-    // at once, is pending.
+    // The mixer is stopped. When it resumes, the connections are in the accept queue, and the second signal,
+    // which ends listening at once, is pending.
     mixer.signal("STOP");
     let clients: Vec<TcpStream> = (0..40).map(|_| mixer.connect()).collect();
     clients.iter().enumerate().for_each(|(nth, client)| send(client, &request(&format!("q{nth}"))));
@@ -149,8 +155,9 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
+/// Guards against an exit that cuts off the last answer of a client that reads slowly.
 #[test]
-fn partly_read_answer_is_completed_before_exit() {
+fn partly_read_answer_at_exit() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let slow = mixer.connect();
     let mut writer = slow.try_clone().expect("a second handle");
@@ -177,10 +184,11 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
-/// The requests and answers exceed the buffers of the connection: when the last answer is written, the mixer has not read all
+/// Guards against a reset that destroys the last answer while the client still sends. The requests and
+/// answers exceed the buffers of the connection: when the last answer is written, the mixer has not read all
 /// requests, and the client has not received all answers.
 #[test]
-fn client_that_still_sends_receives_last_answer() {
+fn last_answer_to_sending_client() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     let mut slow = mixer.connect();
     let mut writer = slow.try_clone().expect("a second handle");
@@ -214,8 +222,10 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
+/// Guards against a client that keeps its connection slot because it sends on after its last answer and does
+/// not close.
 #[test]
-fn client_that_sends_after_last_answer_frees_its_slot() {
+fn slot_after_last_answer() {
     let mixer = start(&[SearcherBehavior::Answers]);
     let faulty = mixer.connect();
     // The third unusable request ends the connection; the others exceed what the mixer reads ahead.
@@ -235,9 +245,10 @@
     drop(faulty);
 }
 
-/// In the protocol, a client that closes its connection has left, and an attempt that begins for it more than 0.1 s later is a fault.
+/// In the protocol, a client that closes its connection has left, and an attempt that begins for it more than
+/// 0.1 s later is a fault.
 #[test]
-fn burst_of_clients_that_leave_receives_no_further_attempts() {
+fn attempts_after_burst_of_disconnects() {
     // Each part is sent and none is answered, so that hedged requests fall due after the clients have left.
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     for is_half_closed in [false, true] {
@@ -270,8 +281,9 @@
     }
 }
 
+/// Guards against a hedged request that falls due after its client has disconnected.
 #[test]
-fn no_hedge_after_client_left() {
+fn hedge_after_client_disconnect() {
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
     send(&client, &scan_request("lookup", 1));
--- a/crates/mixer/tests/crowd.rs
+++ b/crates/mixer/tests/crowd.rs
@@ -1,5 +1,5 @@
-//! Clients that send requests while a crowd of idle connections takes all connection slots: each request that the mixer has read is
-//! answered.
+//! Clients that send requests while a crowd of idle connections takes all connection slots: each request that
+//! the mixer has read is answered.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -66,9 +66,10 @@
     ClosedConnection { received: received.parse().expect("a count"), sent: sent.parse().expect("a count") }
 }
 
-/// Guards against a request that the mixer reads and then closes without an answer to free its connection slot.
+/// Guards against a request that the mixer reads and then closes without an answer to free its connection
+/// slot.
 #[test]
-fn requests_beside_crowd_are_answered() {
+fn requests_beside_idle_crowd() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = build_library(ShimLibrary::Accepts, &folder).expect("the library can be built");
     let record = folder.join(format!("closes-{}", std::process::id()));
--- a/crates/mixer/tests/drain.rs
+++ b/crates/mixer/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Requests that arrive in pieces while a mixer drains, on loopback: each is answered between SIGTERM and the exit.
+//! Requests that arrive in pieces while a mixer drains, on loopback: each is answered between SIGTERM and the
+//! exit.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -16,7 +17,8 @@
 /// Clients are started this long before SIGTERM.
 const LEAD_TIME: Duration = Duration::from_millis(250);
 
-/// When a client connects, sends the first half of its request, and sends the rest, in milliseconds after SIGTERM.
+/// When a client connects, sends the first half of its request, and sends the rest, in milliseconds after
+/// SIGTERM.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     connected_ms: i64,
@@ -102,10 +104,10 @@
     })
 }
 
-/// Guards against a draining mixer that exits after it has read the first half of a request: its client would get the end of the
-/// connection in place of an answer.
+/// Guards against a draining mixer that exits after it has read the first half of a request: its client would
+/// get the end of the connection in place of an answer.
 #[test]
-fn partial_request_delays_exit() {
+fn exit_with_partial_request() {
     let schedules = [
         schedule(-200, -100, 950),
         schedule(-200, -100, 1400),
@@ -134,9 +136,10 @@
     });
 }
 
-/// Guards against a request that is still incomplete when the platform kills the mixer: its client must be answered before.
+/// Guards against a request that is still incomplete when the platform kills the mixer: its client must be
+/// answered before.
 #[test]
-fn request_that_stays_partial_is_answered_before_the_kill() {
+fn unfinished_request_before_kill() {
     // The kill comes before and after the time limit for receiving a whole request.
     for longest_ms in [500, LONGEST_TIMEOUT_MS] {
         let stops_midway = Schedule { connected_ms: 100, first_half_ms: 500, last_byte_ms: None };
@@ -153,10 +156,10 @@
     }
 }
 
-/// Guards against requests left in the accept queue: when listening ends, all connection slots are taken by clients that are in
-/// the middle of sending theirs.
+/// Guards against requests left in the accept queue: when listening ends, all connection slots are taken by
+/// clients that are in the middle of sending theirs.
 #[test]
-fn partial_requests_beyond_all_connection_slots_are_answered() {
+fn partial_requests_beyond_connection_slots() {
     let config = write_config("few-places", |config| {
         config["limits"]["sockets"] = 48.into();
         for class in config["settings"]["services"].as_array_mut().expect("a list of classes") {
@@ -164,7 +167,8 @@
         }
     });
     let mut mixer = start_with_config(&config, &[SearcherBehavior::Answers]);
-    // The first halves of 30 clients, for 18 slots, have arrived before the mixer accepts the first connection.
+    // The first halves of 30 clients, for 18 slots, have arrived before the mixer accepts the first
+    // connection.
     mixer.signal("STOP");
     let clients: Vec<HalfSentRequest> = (0..30).map(|nth| send_first_half(mixer.connect(), nth)).collect();
     mixer.signal("TERM");
@@ -198,7 +202,7 @@
 
 /// Guards against a drain that waits for connections without a request.
 #[test]
-fn idle_connections_do_not_delay_exit() {
+fn exit_with_idle_connections() {
     let mixer = start_with_timeout("silent", LONGEST_TIMEOUT_MS);
     let idle: Vec<TcpStream> = (0..3).map(|_| mixer.connect()).collect();
     let DrainResult { ended_after, .. } = drain_with_clients(mixer, &[]);
--- a/crates/mixer/tests/drills.rs
+++ b/crates/mixer/tests/drills.rs
@@ -1,5 +1,5 @@
-//! Drills: several mixer processes with faults between them, as scripted in `drills/*.lisp`. An expectation is checked until it holds or
-//! its time is over; no test relies on a fixed sleep.
+//! Drills: several mixer processes with faults between them, as scripted in `drills/*.lisp`. An expectation
+//! is checked until it holds or its time is over; no test relies on a fixed sleep.
 
 use std::path::PathBuf;
 
@@ -29,7 +29,7 @@
         })*
 
         #[test]
-        fn every_script_is_a_test() {
+        fn script_titles() {
             let titles: Vec<String> = Script::read(FLEET_SCRIPTS).expect("the scripts can be parsed").into_iter().map(|script| script.title).collect();
             assert_eq!(titles, [$($title),*]);
         }
@@ -56,9 +56,10 @@
     kill_behind_half_open_link: "kill behind a half-open link",
 }
 
-/// A fleet that stays partitioned can't agree, and scans without a searcher are not answered: the drill must report both.
+/// A fleet that stays partitioned can't agree, and scans without a searcher are not answered: the drill must
+/// report both.
 #[test]
-fn failed_expectations_are_reported() {
+fn failed_expectations() {
     let text = r#"(drill "permanent partition" (mixers 3) (searchers 4) (load 20)
         (at 200ms (partition (m1) (m2 m3))) (at 300ms (die s1)) (at 300ms (die s2)) (at 300ms (die s3)) (at 300ms (die s4))
         (expect (members 3 (within 6s))) (expect (members 2 (within 1s))) (expect (answered 0.9)))"#;
--- a/crates/mixer/tests/faults.rs
+++ b/crates/mixer/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Regression tests of faults that were found in the search before production, each provoked by itself: see `docs/incidents/`.
+//! Regression tests of faults that were found in the search before production, each provoked by itself: see
+//! `docs/incidents/`.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,11 +13,14 @@
 
 /// The time that a client has to begin a request; an idle client is checked when it has passed.
 const REQUEST_START_TIMEOUT: Duration = Duration::from_millis(2000);
-/// When the platform kills a draining mixer: the example's longest query timeout, and the platform's grace period.
+/// When the platform kills a draining mixer: the example's longest query timeout, and the platform's grace
+/// period.
 const KILLED_AFTER: Duration = Duration::from_millis(2000 + 700);
 
+/// Guards against a line end behind a request that counts as the beginning of the next one: the idle client
+/// would be answered with 408 once the time limit for a request is over.
 #[test]
-fn line_end_behind_request_keeps_client_idle() {
+fn line_end_behind_request() {
     let mixer = start(&[SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     write!(client, "{}\r\n", scan_request("entry", 1)).expect("the connection accepts bytes");
@@ -97,8 +101,10 @@
     }
 }
 
+/// Guards against a mixer that blocks or fails when its log can't be written: the disk is full, the pipe is
+/// closed, or nobody reads the pipe.
 #[test]
-fn unwritable_log_does_not_stop_the_mixer() {
+fn unwritable_log() {
     for target in [LogTarget::FullDisk, LogTarget::ClosedPipe, LogTarget::UnreadPipe] {
         let mut mixer = start_logging_to(&target);
         let client = connect_when_ready(mixer.address);
@@ -117,6 +123,8 @@
     }
 }
 
+/// Guards against a drain whose first answer ends the connection although further requests are buffered
+/// behind it.
 #[test]
 fn pipelined_requests_during_drain() {
     let mixer = start(&[SearcherBehavior::AnswersAfterMs(200)]);
@@ -136,8 +144,10 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
+/// Guards against a request that arrives late in a drain and keeps its whole deadline, which ends after the
+/// platform has killed the mixer.
 #[test]
-fn late_request_in_drain_is_answered_before_kill() {
+fn late_request_in_drain() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan_request("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
@@ -153,8 +163,10 @@
     assert!(status.starts_with(b"HTTP/1.1 50"), "{}", String::from_utf8_lossy(&status));
 }
 
+/// Guards against a drain that counts its time from when the mixer handles SIGTERM. The process is stopped
+/// when the signal is sent, so that this is later than for the platform.
 #[test]
-fn sigterm_during_stop_is_answered_before_kill() {
+fn sigterm_during_process_stop() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan_request("entry", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
@@ -174,12 +186,15 @@
     assert!(status.starts_with(b"HTTP/1.1 50"), "{}", String::from_utf8_lossy(&status));
 }
 
+/// Guards against attempts for a client that has disconnected, where bytes behind its request hide the end of
+/// its connection.
 #[test]
-fn no_retry_for_client_that_sent_excess_bytes_and_left() {
+fn retry_after_excess_bytes_and_disconnect() {
     let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = scan_request("lookup", 1).replace("Deadline-Ms: 1000", "Deadline-Ms: 2000");
-    // The mixer is stopped, so that it finds the request, the bytes behind it and the end of the connection all at once.
+    // The mixer is stopped, so that it finds the request, the bytes behind it and the end of the connection
+    // all at once.
     mixer.signal("STOP");
     write!(&client, "{request}{}", "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(1000))
         .expect("the connection accepts bytes");
@@ -194,6 +209,7 @@
     }
 }
 
+/// Guards against a SIGHUP that is lost while the mixer waits for its port.
 #[test]
 fn reload_while_waiting_for_port() {
     let (held_port, old_discovery, new_discovery) = (bind_free_port(), bind_free_port(), bind_free_port());
@@ -224,8 +240,10 @@
     calls
 }
 
+/// Guards against calls for clients that sent a request and disconnected while the process was stopped. The
+/// bytes behind the request exceed what the mixer reads ahead.
 #[test]
-fn no_calls_for_clients_that_left_during_a_stop() {
+fn disconnects_during_process_stop() {
     let excess = "GET /-/healthy HTTP/1.1\r\n\r\n".repeat(400);
     for is_accepted_before in [true, false] {
         let mixer = start(&[SearcherBehavior::Answers]);
@@ -255,6 +273,8 @@
     }
 }
 
+/// Guards against a drain that ends the connection with the answer to a page although a query is buffered
+/// behind it.
 #[test]
 fn request_behind_page_during_drain() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
@@ -271,8 +291,9 @@
     }
 }
 
+/// Guards against a reload that is lost because the file is still being written when the signal arrives.
 #[test]
-fn partially_written_configuration_is_reloaded_once_complete() {
+fn reload_of_partly_written_configuration() {
     let (old_discovery, new_discovery) = (bind_free_port(), bind_free_port());
     let address_of =
         |listener: &std::net::TcpListener| listener.local_addr().expect("the listener's address").to_string();
@@ -289,8 +310,10 @@
     let _moved_watch = accept(&new_discovery);
 }
 
+/// Guards against hedges and retries that are sent right after a stop of the process, before the disconnects
+/// from that time are read.
 #[test]
-fn timers_due_in_a_stop_wait_for_its_events() {
+fn timers_due_during_process_stop() {
     for round in 0..8 {
         let mixer = start(&[SearcherBehavior::Hangs, SearcherBehavior::Hangs, SearcherBehavior::Answers]);
         let clients: Vec<TcpStream> = (0..60).map(|_| mixer.connect()).collect();
@@ -312,8 +335,9 @@
     }
 }
 
+/// Guards against buffered requests that get no answer because the first one takes up the time of the drain.
 #[test]
-fn pipelined_requests_behind_a_hung_one_during_drain() {
+fn hung_pipelined_request_during_drain() {
     let mixer = start(&[SearcherBehavior::Hangs]);
     let client = mixer.connect();
     let request = |id: &str| {
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Harness of the tests that run the mixer on loopback: starts the program with its stand-ins, sends requests and reads
-//! answers.
+//! Harness of the tests that run the mixer on loopback: starts the program with its stand-ins, sends requests
+//! and reads answers.
 
 #![allow(dead_code, reason = "each test file uses some of it")]
 
@@ -64,7 +64,8 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// Starts a mixer with the example's configuration and one searcher for each behavior, and waits until it is ready.
+/// Starts a mixer with the example's configuration and one searcher for each behavior, and waits until it is
+/// ready.
 pub fn start(behaviors: &[SearcherBehavior]) -> Mixer {
     start_with_config(EXAMPLE_CONFIG, behaviors)
 }
@@ -326,7 +327,8 @@
     }
 }
 
-/// Answers a request for the list, and the watch that follows it on the connection; `None` if the mixer closed the connection.
+/// Answers a request for the list, and the watch that follows it on the connection; `None` if the mixer
+/// closed the connection.
 pub fn answer_discovery_request(mut stream: &TcpStream, list: &Value) -> Option<()> {
     let read_head = |stream: &TcpStream| {
         let (mut input, mut first, mut line) = (BufReader::new(stream), String::new(), String::new());
--- a/crates/mixer/tests/loopback.rs
+++ b/crates/mixer/tests/loopback.rs
@@ -16,7 +16,7 @@
 use harness::*;
 
 #[test]
-fn serves_one_connection_until_sigterm() {
+fn one_connection_until_sigterm() {
     let mixer = start(&[SearcherBehavior::Answers, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
     let mut answers = Vec::new();
@@ -37,8 +37,9 @@
     insta::assert_snapshot!(format!("{}\n{exit}", answers.join("\n")));
 }
 
+/// Scans are answered by the remaining searcher.
 #[test]
-fn hung_and_disconnecting_searchers_are_bypassed() {
+fn hung_and_disconnecting_searchers() {
     let mixer =
         start(&[SearcherBehavior::Hangs, SearcherBehavior::DisconnectsOnCall, SearcherBehavior::Answers]);
     let mut client = mixer.connect();
@@ -64,8 +65,9 @@
     insta::assert_snapshot!(format!("{answer}\n{exit}"));
 }
 
+/// Guards against a client that reads no answers and blocks the thread that writes to the other clients.
 #[test]
-fn slow_reader_does_not_block_others() {
+fn slow_reader_beside_other_client() {
     const REQUESTS: usize = 5000;
     let mixer = start(&[SearcherBehavior::Answers]);
     let slow = mixer.connect();
@@ -84,8 +86,9 @@
     assert_eq!(mixer.wait_for_exit().status, Some(0));
 }
 
+/// Guards against a call to a searcher that drains, where no other is left.
 #[test]
-fn draining_searcher_receives_nothing() {
+fn draining_searcher() {
     let mut mixer = start(&[SearcherBehavior::Answers]);
     mixer.searchers[0].1 = "draining";
     mixer.discovery.publish(standins::discovery_list(2, false, &mixer.searchers));
@@ -99,8 +102,10 @@
     insta::assert_snapshot!(format!("{answer}\n{exit}"));
 }
 
+/// Each watch requests the changes after the version of the last list, also after an invalid list and an
+/// error status.
 #[test]
-fn watch_resumes_by_version() {
+fn watch_resumption_by_version() {
     let listener = bind_free_port();
     let LaunchedMixer { mut child, mut log, .. } =
         launch(listener.local_addr().expect("the listener's address").to_string(), EXAMPLE_CONFIG);
@@ -139,8 +144,10 @@
     insta::assert_snapshot!(format!("{}\n{}", run(None), run(Some("/nowhere"))));
 }
 
+/// A reload of the configuration moves the watch to another discovery server. An invalid file changes
+/// nothing.
 #[test]
-fn reload_moves_watch() {
+fn watch_move_on_reload() {
     let config = concat!(env!("CARGO_TARGET_TMPDIR"), "/replaced.json");
     let text = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
     let (sender, frames) = mpsc::channel();
@@ -194,7 +201,8 @@
         client.write_all(scan_request(table_type, parts).as_bytes()).expect("the connection accepts bytes");
         answers.push(read_answer(&client).split(" | ").next().map(str::to_owned).unwrap_or_default());
     };
-    // Both searchers receive a part. A part that must not run twice is abandoned, another is sent to the other searcher.
+    // Both searchers receive a part. A part that must not run twice is abandoned, another is sent to the
+    // other searcher.
     ask("entry", 2);
     ask("lookup", 2);
     wait_for_log(&mut mixer.log, "never sent on it");
@@ -264,7 +272,8 @@
     )
 }
 
-/// Starts a mixer that announces one address to a peer. The settings file is removed once the mixer has read it.
+/// Starts a mixer that announces one address to a peer. The settings file is removed once the mixer has read
+/// it.
 fn start_announcing(peer: &Peer, searchers: &[SearcherBehavior]) -> Mixer {
     let text = bgp_settings(peer, "(announce \"198.51.100.1/32\")");
     let file = TemporaryFile::new(&format!("bgp-{}", peer.address.port()), &text);
@@ -328,21 +337,23 @@
     }
 }
 
+/// Guards against a drain that refuses connections while routes still lead clients to the mixer.
 #[test]
-fn withdrawal_precedes_refusal() {
+fn withdrawal_before_refusal() {
     check_drains(2);
 }
 
 /// `cargo test -p pewterwharf-mixer --test loopback -- --ignored` runs this longer test too.
 #[test]
 #[ignore = "takes some minutes"]
-fn withdrawal_precedes_refusal_in_200_drains() {
+fn withdrawal_before_refusal_in_many_drains() {
     let rounds: Vec<_> = (0..8).map(|_| std::thread::spawn(|| check_drains(25))).collect();
     rounds.into_iter().for_each(|round| round.join().expect("each drain withdraws first"));
 }
 
+/// The address is withdrawn when the last searcher drains, and announced again when it is back.
 #[test]
-fn withdrawn_without_usable_searcher() {
+fn withdrawal_without_usable_searcher() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
     let mut mixer = start_announcing(&peer, &[SearcherBehavior::Answers]);
     peer.wait_for("announce 198.51.100.1/32, path of 1");
@@ -375,8 +386,8 @@
     assert!(signalled_at.elapsed().as_secs() < 5, "{:?}", signalled_at.elapsed());
 }
 
-/// Measures the figures of `docs/bgp.md`: the time from the loss of the last usable searcher to the withdrawal, and from its return to
-/// the announcement.
+/// Measures the figures of `docs/bgp.md`: the time from the loss of the last usable searcher to the
+/// withdrawal, and from its return to the announcement.
 #[test]
 #[ignore = "a measurement"]
 fn bgp_propagation_times() {
@@ -472,9 +483,10 @@
     peer.wait_for("announce 198.51.100.1/32, path of 1");
 }
 
-/// Three groups with one searcher each. `lookup` needs six tenths of its parts, `entry` all of them.
+/// Each address is announced and withdrawn by what the mixer can serve of its own table types. Here three
+/// groups have one searcher each; `lookup` needs six tenths of its parts, `entry` all of them.
 #[test]
-fn addresses_follow_their_table_types() {
+fn addresses_by_table_type() {
     let config = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
     let config = config.replace("\"positions\": 1", "\"positions\": 3");
     let config = TemporaryFile::new("mixer-types", &config);
@@ -502,10 +514,10 @@
     assert!(before.is_empty(), "the other address is unchanged: {before:?}");
 }
 
-/// While discovery is silent and searchers answer, the address is depreferenced and not withdrawn; it is preferred again once
-/// discovery sends something.
+/// While discovery is silent and searchers answer, the address is depreferenced and not withdrawn; it is
+/// preferred again once discovery sends something.
 #[test]
-fn stale_list_depreferences() {
+fn depreference_with_stale_list() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
     // Discovery sends an empty line every two seconds; the list becomes stale between two of them.
     let settings = bgp_settings(&peer, "(stale 900ms) (announce \"198.51.100.1/32\")");
@@ -561,8 +573,8 @@
     ProcessUsage { cpu_ticks: cpu_ticks.unwrap_or(0), memory, threads }
 }
 
-/// Measures the figures of `docs/bgp.md`: the cost of announcing for a mixer that knows two hundred searchers and is idle for ten
-/// seconds.
+/// Measures the figures of `docs/bgp.md`: the cost of announcing for a mixer that knows two hundred searchers
+/// and is idle for ten seconds.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_bgp_peers() {
@@ -590,8 +602,8 @@
     }
 }
 
-/// The example's configuration changed to one without probes: the list is polled, `lookup` is answered from four fifths of its
-/// parts, and searchers report their load in answers.
+/// The example's configuration changed to one without probes: the list is polled, `lookup` is answered from
+/// four fifths of its parts, and searchers report their load in answers.
 fn probeless_config(name: &str) -> TemporaryFile {
     let text = std::fs::read_to_string(EXAMPLE_CONFIG).expect("the example's configuration");
     let mut config: Value = serde_json::from_str(&text).expect("the configuration is JSON");
@@ -635,8 +647,10 @@
     assert_eq!(mixer.wait_for_exit(), expected);
 }
 
+/// Guards against a mixer that stops serving scans, or requests the wrong changes, while discovery answers no
+/// poll.
 #[test]
-fn polled_list_survives_discovery_outage() {
+fn polled_list_during_discovery_outage() {
     let (config, discovery, searcher_listener) =
         (probeless_config("asking"), bind_free_port(), bind_free_port());
     let searcher = searcher_listener.local_addr().expect("the listener's address");
@@ -687,7 +701,8 @@
 
 #[test]
 fn thread_count_with_many_searchers() {
-    // With a thread per link, each of several hundred mixers had a hundred threads, more than one machine allowed.
+    // With a thread per link, each of several hundred mixers had a hundred threads, more than one machine
+    // allowed.
     let mixer = start(&[SearcherBehavior::Answers; 40]);
     let mut client = mixer.connect();
     client.write_all(scan_request("entry", 16).as_bytes()).expect("the connection accepts bytes");
--- a/crates/mixer/tests/pauses.rs
+++ b/crates/mixer/tests/pauses.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn events_after_pause_may_have_arrived_at_its_begin() {
+fn events_after_pause() {
     let tracked = track(&[complete(10.0), complete(50.0), complete(650.0), complete(651.0), complete(660.0)]);
     // The poll may have returned before the pause: events that arrived during it are found by the next poll.
     assert_eq!(tracked[2..], [(true, 50.0), (false, 50.0), (false, 660.0)]);
@@ -69,8 +69,9 @@
     assert_eq!(tracked[2..], [(false, 50.0), (false, 50.0), (false, 152.0)]);
 }
 
+/// A wait that takes as long as it was to take is not a pause.
 #[test]
-fn long_wait_is_no_pause() {
+fn long_wait() {
     let mut detector = PauseDetector::new(0.0);
     assert!(!detector.check(500.0, 500.0));
     assert!(detector.check(700.0, 0.0));
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -21,7 +21,8 @@
     trace: String,
 }
 
-/// Settings with three table types: `all` needs every part, `most` half of them, `once` must not be executed twice.
+/// Settings with three table types: `all` needs every part, `most` half of them, `once` must not be executed
+/// twice.
 fn settings() -> serde_json::Value {
     let table_type = |name: &str, idempotency: &str| {
         json!({"name": name, "idempotency": idempotency, "points": 1.0, "slo_ms": 800.0, "hard_limit_ms": 2000.0,
@@ -153,7 +154,8 @@
         self.input(Input::Frames { link, frames: vec![frame], error: None });
     }
 
-    /// The trace since the last call, and the counters that are not zero. Counters by table type have a test of their own.
+    /// The trace since the last call, and the counters that are not zero. Counters by table type have a test
+    /// of their own.
     fn trace_and_counters(&mut self) -> String {
         let counters = self.reducer.counters().to_string();
         let nonzero: Vec<&str> =
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn scan_is_answered() {
+fn answered_scan() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 2);
     harness.input(Input::LinkUp { link: 4 });
@@ -195,7 +197,7 @@
 }
 
 #[test]
-fn further_link_when_others_are_full() {
+fn second_link_beside_full_one() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 3);
     harness.input(Input::LinkUp { link: 5 });
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn failed_part_is_retried() {
+fn retry_of_failed_part() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -217,7 +219,8 @@
 
 #[test]
 fn duplicate_request_id() {
-    // An answer is assigned to its part by name only: two clients with the same request id must not get each other's answers.
+    // An answer is assigned to its part by name only: two clients with the same request id must not get each
+    // other's answers.
     let mut harness = Harness::new(1);
     harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "all", "q1", 1);
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn rule_1_scan_ends_before_deadline() {
+fn rule_1_scan_end_before_deadline() {
     let mut harness = Harness::new(2);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -267,7 +270,8 @@
     harness.input(Input::LinkUp { link: 3 });
     harness.input(Input::LinkClosed { link: 3, frames_written: 1 });
     let mut trace = harness.trace_and_counters();
-    // The frame was not written: the part is sent to another searcher. The same holds for a connection that was never established.
+    // The frame was not written: the part is sent to another searcher. The same holds for a connection that
+    // was never established.
     let mut harness = Harness::new(3);
     harness.send_request(1, "once", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -329,7 +333,7 @@
 }
 
 #[test]
-fn client_leaves() {
+fn client_disconnect() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 2);
     harness.input(Input::LinkUp { link: 4 });
@@ -339,7 +343,8 @@
 
 #[test]
 fn probe_without_connection() {
-    // Whichever timer expires first: the decision module treats a searcher that refused connections as cold once it is back.
+    // Whichever timer expires first: the decision module treats a searcher that refused connections as cold
+    // once it is back.
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkClosed { link: 3, frames_written: 0 });
@@ -353,7 +358,8 @@
 
 #[test]
 fn silently_cut_link() {
-    // The searcher is marked for late parts. A probe on the cut link times out, and the next probe uses a new link.
+    // The searcher is marked for late parts. A probe on the cut link times out, and the next probe uses a new
+    // link.
     let mut settings = settings();
     settings["permissions"]["multiplex"] = json!(3);
     let mut harness = Harness::with_settings(&settings, 1, 256);
@@ -381,7 +387,7 @@
 }
 
 #[test]
-fn idle_link_is_closed() {
+fn idle_link() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -393,7 +399,7 @@
 }
 
 #[test]
-fn searcher_changes_address() {
+fn searcher_address_change() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -428,7 +434,7 @@
 }
 
 #[test]
-fn idle_clients_make_room() {
+fn eviction_of_idle_clients() {
     let mut harness = Harness::with_settings(&settings(), 1, 32);
     harness.advance(1.0);
     harness.input(Input::ClientConnected { connection_id: 2 });
@@ -441,7 +447,7 @@
 }
 
 #[test]
-fn closing_client_leaves() {
+fn disconnect_while_closing() {
     let mut harness = Harness::with_settings(&settings(), 1, 32);
     harness.advance(1.0);
     harness.input(Input::ClientConnected { connection_id: 2 });
@@ -454,10 +460,11 @@
 }
 
 #[test]
-fn link_end_precedes_sends() {
+fn link_end_before_sends() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
-    // The link is established and the client leaves in the same step. Then the link ends: no new call may be sent on it.
+    // The link is established and the client leaves in the same step. Then the link ends: no new call may be
+    // sent on it.
     harness.step(vec![
         TimedInput { at: harness.now_ms, input: Input::LinkUp { link: 3 } },
         TimedInput { at: harness.now_ms, input: Input::ClientDisconnected { connection_id: 1 } },
@@ -472,6 +479,8 @@
     assert_snapshot!(harness.trace_and_counters());
 }
 
+/// Guards against the close of a client that still sends after its last answer during a drain, which would
+/// reset its connection. Without a drain, such a client is closed.
 #[test]
 fn sending_client_during_drain() {
     for (is_draining, client_closes) in [(true, true), (true, false), (false, false)] {
@@ -499,8 +508,10 @@
     }
 }
 
+/// Guards against a drain that ends while an answer is still being written, or that waits for it longer than
+/// the platform does.
 #[test]
-fn unwritten_answer_delays_exit() {
+fn exit_with_unwritten_answer() {
     for is_written in [true, false] {
         let mut harness = Harness::new(1);
         harness.input(Input::Request { connection_id: 1, kind: RequestKind::Counters, close: false });
@@ -524,7 +535,7 @@
 }
 
 #[test]
-fn drain_answers_all_requests() {
+fn requests_during_drain() {
     let mut harness = Harness::new(1);
     harness.input(Input::ClientConnected { connection_id: 2 });
     harness.send_request(1, "all", "q1", 1);
@@ -547,7 +558,7 @@
 }
 
 #[test]
-fn second_stop_abandons_requests() {
+fn second_stop() {
     let mut harness = Harness::new(1);
     harness.send_request(1, "all", "q1", 1);
     harness.input(Input::LinkUp { link: 3 });
@@ -568,14 +579,16 @@
     harness
         .reducer
         .set_cached_list(START_MS, List { index: 1, whole: true, entries: known, bad: Vec::new() });
-    // The mixer counts as knowing the agent's list from the start: it sends nothing until the agent had time to send a newer one.
+    // Discovery's list counts as known to the mixer from its start on: it sends nothing until discovery has had
+    // time to send a newer list.
     harness.advance(1499.0);
     assert_eq!(harness.reducer.phase(), Phase::Starting);
     harness.advance(1.0);
     assert_eq!(harness.reducer.phase(), Phase::Ready);
     harness.input(Input::ClientConnected { connection_id: 1 });
     harness.send_request(1, "all", "q1", 1);
-    // The chosen searcher is no longer on the list: the call that still waits for a connection goes to its replica.
+    // The chosen searcher is no longer on the list: the call that still waits for a connection goes to its
+    // replica.
     harness.update_list(true, vec![entry(1, SearcherStatus::Ready, 0.0)]);
     harness.input(Input::LinkUp { link: 3 });
     assert_snapshot!(harness.trace_and_counters());
@@ -653,7 +666,7 @@
 }
 
 #[test]
-fn reload_moves_watch() {
+fn watch_move_on_reload() {
     let mut harness = Harness::new(1);
     let moved = |port| {
         let discovery = std::net::SocketAddrV4::new([10, 9, 9, 9].into(), port);
@@ -752,8 +765,9 @@
     assert_snapshot!(harness.trace_and_counters());
 }
 
+/// Guards against collections that grow with each searcher, client and scan that has come and gone.
 #[test]
-fn no_state_left_after_churn() {
+fn state_after_churn() {
     let mut harness = Harness::new(0);
     let numbered_entry = |number: u32| {
         let addr = std::net::SocketAddrV4::new([10, 1, (number >> 8) as u8, number as u8].into(), 80);
@@ -790,6 +804,7 @@
     assert_snapshot!(format!("{:?}", sizes[3]));
 }
 
+/// A client is closed for a failed accept only if the process is out of file descriptors.
 #[test]
 fn failed_accepts() {
     let mut harness = Harness::new(1);
@@ -822,6 +837,8 @@
     assert_snapshot!(harness.trace_and_counters());
 }
 
+/// Guards against a returned call that is sent for a client that has left, or with the time that was left
+/// when it was first encoded.
 #[test]
 fn returned_call() {
     for client_leaves in [true, false] {
@@ -888,6 +905,7 @@
     assert!(harness.trace.contains(&format!("link {next_link}: Dq1.0")), "{}", harness.trace);
 }
 
+/// Guards against a call that states the time left when its link came up, although the machine paused since.
 #[test]
 fn link_up_before_machine_pause() {
     let mut harness = Harness::new(1);
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Simulations with random settings and random faults, played through the reducer and the decision module without sockets: the rules
-//! hold for all settings within the documented bounds. A failure names the seed of its simulation.
+//! Simulations with random settings and random faults, played through the reducer and the decision module
+//! without sockets: the rules hold for all settings within the documented bounds. A failure names the seed of
+//! its simulation.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -123,7 +124,8 @@
     frames: Vec<Vec<String>>,
 }
 
-/// The time of an event as the bits of its milliseconds, and a number that keeps the order of simultaneous events.
+/// The time of an event as the bits of its milliseconds, and a number that keeps the order of simultaneous
+/// events.
 type EventKey = (u64, u64);
 
 /// One simulation: the events to come, and the state against which the mixer is checked.
@@ -518,7 +520,7 @@
 }
 
 #[test]
-fn rules_hold_for_random_settings() {
+fn random_settings() {
     let mut answers = 0;
     for seed in 0..SIMULATIONS {
         let played = std::panic::catch_unwind(|| Simulation::play(seed));
--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -1,8 +1,10 @@
-//! The soak test: mixers and their surroundings as processes, overlapping faults drawn from a seed, and a check of invariants.
+//! The soak test: mixers and their surroundings as processes, overlapping faults drawn from a seed, and a
+//! check of invariants.
 //!
-//! `SOAK_SEEDS=1..40 SOAK_SECONDS=20 cargo test -p pewterwharf-mixer --test soak -- --ignored --nocapture` runs many seeds. Every
-//! second seed has small buffers, every fourth delays threads after they read the clock, every fifth sends requests in two halves.
-//! With `SOAK_SHIM=1`, system calls of the mixers fail now and then.
+//! `SOAK_SEEDS=1..40 SOAK_SECONDS=20 cargo test -p pewterwharf-mixer --test soak -- --ignored --nocapture`
+//! runs many seeds. Every second seed has small buffers, every fourth delays threads after they read the
+//! clock, every fifth sends requests in two halves. With `SOAK_SHIM=1`, system calls of the mixers fail now
+//! and then.
 
 use std::path::PathBuf;
 
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn restart_while_searchers_hang() {
+fn restart_with_hung_searchers() {
     let faults = vec![
         at(500, Fault::SearcherPaused { searcher: 0, ms: 2500 }),
         at(600, Fault::SearcherPaused { searcher: 5, ms: 2500 }),
@@ -99,8 +101,10 @@
     assert!(report.violations.is_empty(), "{:?}", report.by_rule());
 }
 
+/// Guards against calls that a resumed mixer sends to searchers whose drain was published while it was
+/// stopped.
 #[test]
-fn drains_while_mixer_is_stopped() {
+fn searcher_drains_during_mixer_stop() {
     let mut faults = Vec::new();
     for round in 0..3 {
         let begin_ms = 500 + 1500 * round;
--- a/crates/mixer/tests/starts.rs
+++ b/crates/mixer/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Starts and full tables, on loopback: readiness whatever discovery does, a port that is still in use, descriptors exhausted by idle
-//! clients, and the resource limits of a large fleet.
+//! Starts and full tables, on loopback: readiness whatever discovery does, a port that is still in use,
+//! descriptors exhausted by idle clients, and the resource limits of a large fleet.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,8 +30,10 @@
     read_answer(&client)
 }
 
+/// A mixer with a list from before its start becomes ready and serves scans although discovery is silent or
+/// refuses connections.
 #[test]
-fn known_list_makes_ready_without_discovery() {
+fn known_list_without_discovery() {
     let searcher = start_searcher();
     for is_silent in [false, true] {
         let path = write_config("known", |config| {
@@ -57,8 +59,9 @@
     }
 }
 
+/// Guards against a mixer that gives up its first request to discovery before the answer to it arrives.
 #[test]
-fn ready_after_slow_discovery() {
+fn slow_discovery() {
     let searcher = start_searcher();
     let mut mixer = ManualDiscoveryMixer::start("true", EXAMPLE_CONFIG);
     let slow = mixer.accept_discovery_connection();
@@ -78,8 +81,9 @@
     command.env("ROUTER_LISTEN", address.to_string()).spawn().expect("the mixer starts")
 }
 
+/// A mixer whose port is still held by another process waits until it is free.
 #[test]
-fn waits_for_port_in_use() {
+fn port_in_use() {
     let listener = bind_free_port();
     let expected = listener.local_addr().expect("the listener's address");
     let child = spawn_on(expected);
@@ -102,8 +106,10 @@
     assert!(signalled_at.elapsed() < Duration::from_secs(5), "ended after {:?}", signalled_at.elapsed());
 }
 
+/// Guards against idle clients that leave no file descriptor for the watch: the mixer could not reconnect to
+/// discovery, and would not learn of a drain.
 #[test]
-fn idle_clients_fill_descriptors_during_discovery_outage() {
+fn full_descriptor_table_during_discovery_outage() {
     for (sockets, shell_command) in [(256, "true"), (1024, "true"), (1024, "ulimit -n 128")] {
         let searcher = start_searcher();
         let path = write_config("full", |config| config["limits"]["sockets"] = sockets.into());
@@ -146,7 +152,7 @@
 }
 
 #[test]
-fn large_fleet_fits_minimum_memory() {
+fn large_fleet_with_minimum_memory() {
     const SEARCHERS: usize = 1024;
     let path = write_config("large", |config| {
         config["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
@@ -186,7 +192,7 @@
 }
 
 #[test]
-fn configuration_errors_name_the_key() {
+fn keys_in_configuration_errors() {
     for (key, change) in [
         (
             "rules.fall_ms",
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn invalid_list_entry_is_skipped_and_named() {
+fn invalid_list_entry() {
     let searcher = start_searcher();
     let mut mixer = ManualDiscoveryMixer::start("true", EXAMPLE_CONFIG);
     let mut list = standins::discovery_list(1, true, &[(searcher, "up")]);
--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -1,5 +1,6 @@
-//! Requests that wait before the mixer processes them: to be accepted, to be registered with the poll, or behind another request.
-//! The time that searchers are given is at most what the client has left, measured at the mixer's own writes.
+//! Requests that wait before the mixer processes them: to be accepted, to be registered with the poll, or
+//! behind another request. The time that searchers are given is at most what the client has left, measured at
+//! the mixer's own writes.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -28,8 +29,8 @@
     answers: Vec<String>,
 }
 
-/// Starts a mixer that records its own writes, with this setting of the library that delays or fails system calls. Returns the
-/// path of the record too.
+/// Starts a mixer that records its own writes, with this setting of the library that delays or fails system
+/// calls. Returns the path of the record too.
 fn start_recording(name: &str, shim_setting: &str, behaviors: &[SearcherBehavior]) -> (Mixer, PathBuf) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = |library| build_library(library, &folder).expect("the library can be built");
@@ -90,7 +91,8 @@
     })
 }
 
-/// Guards against a deadline that counts from when a request was read, although the request waited while `accept` failed.
+/// Guards against a deadline that counts from when a request was read, although the request waited while
+/// `accept` failed.
 #[test]
 fn deadlines_while_accepts_fail() {
     let (mixer, record) =
@@ -108,7 +110,8 @@
     assert!(served * 100 >= answers.len() * 95, "{served} of {} served", answers.len());
 }
 
-/// Guards against a reset connection and a wrong deadline when a connection can't be registered with the poll at once.
+/// Guards against a reset connection and a wrong deadline when a connection can't be registered with the poll
+/// at once.
 #[test]
 fn deadlines_while_poll_registration_fails() {
     let (mixer, record) =
@@ -125,9 +128,10 @@
     assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 200")), "{answers:?}");
 }
 
-/// Guards against missing the rest of a request, or the end of its client, on a connection that the poll does not report.
+/// Guards against missing the rest of a request, or the end of its client, on a connection that the poll does
+/// not report.
 #[test]
-fn unregistered_connections_are_still_read() {
+fn unregistered_connections() {
     let (mixer, _) = start_recording("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
     let request = scan_request("lookup", 1);
@@ -141,7 +145,8 @@
     while !next_frame().starts_with("K q1.0") {}
 }
 
-/// Guards against a deadline that counts from when a request's turn comes, although it was read behind another one.
+/// Guards against a deadline that counts from when a request's turn comes, although it was read behind
+/// another one.
 #[test]
 fn deadline_of_pipelined_request() {
     const WORK_MS: u64 = 600;
--- a/crates/mixer/tests/watches.rs
+++ b/crates/mixer/tests/watches.rs
@@ -1,4 +1,5 @@
-//! Watches that fall silent, stop, are reset or resume, on loopback. Each test controls what discovery sends and when.
+//! Watches that fall silent, stop, are reset or resume, on loopback. Each test controls what discovery sends
+//! and when.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,8 +15,8 @@
 mod harness;
 use harness::*;
 
-/// A change in discovery must reach the mixer within this time. It counts as known to the mixer after 6 s; of these, a connection
-/// may take 3 s to start.
+/// A change in discovery must reach the mixer within this time. It counts as known to the mixer after 6 s; of
+/// these, a connection may take 3 s to start.
 const CHANGE_RECEIVED_WITHIN: Duration = Duration::from_secs(3);
 /// A reconnect must come well within a grace period of 250 ms.
 const RECONNECT_WITHIN: Duration = Duration::from_millis(200);
@@ -66,8 +67,9 @@
     send(stream, &format!("{WATCH_RESPONSE_HEAD}{}", http_chunk(chunk)));
 }
 
+/// Guards against a drain that is missed because the watch's connection stays open but sends nothing more.
 #[test]
-fn silent_watch_is_replaced() {
+fn silent_watch() {
     let mut mixer = WatchingMixer::start();
     let first = mixer.start_watch();
     let silent_since = Instant::now();
@@ -79,8 +81,10 @@
     drop(first);
 }
 
+/// Guards against new attempts that replace the oldest one: the response of a discovery server that is slow
+/// to start would never be read.
 #[test]
-fn slow_watch_is_kept_beside_newer_ones() {
+fn slow_watch_beside_newer_ones() {
     let mut mixer = WatchingMixer::start();
     let _first = mixer.start_watch();
     let oldest = accept(&mixer.discovery);
@@ -90,8 +94,10 @@
     drop(newer);
 }
 
+/// Guards against a late reconnect after an outage during which discovery accepted connections and sent
+/// nothing, or half a list.
 #[test]
-fn reconnects_after_discovery_accepted_and_stayed_silent() {
+fn reconnect_after_silent_connections() {
     let mut mixer = WatchingMixer::start();
     drop(mixer.start_watch());
     // Discovery is down: it accepts watches, sends nothing or half a list, and never continues.
@@ -107,8 +113,9 @@
     wait_for_log(&mut mixer.log, "drains");
 }
 
+/// Guards against a late reconnect after an outage during which discovery closed each connection at once.
 #[test]
-fn reconnects_after_discovery_closed_every_connection() {
+fn reconnect_after_closed_connections() {
     let mut mixer = WatchingMixer::start();
     drop(mixer.start_watch());
     // With a growing backoff, its delays would be long after this many attempts.
@@ -120,8 +127,9 @@
     wait_for_log(&mut mixer.log, "drains");
 }
 
+/// Guards against a watch that waits for the rest of a line on a connection that has stopped or was closed.
 #[test]
-fn watch_that_stops_within_a_line_is_replaced() {
+fn watch_stopped_within_line() {
     for is_reset in [false, true] {
         let mut mixer = WatchingMixer::start();
         let first = mixer.start_watch();
@@ -161,8 +169,10 @@
     standins::discovery_list(index, index == 1, &[("127.0.0.1:9".parse().expect("an address"), status)])
 }
 
+/// Guards against a list that arrives byte by byte: each byte would renew the trust in its connection, while
+/// the drain in the list is not applied.
 #[test]
-fn list_that_trickles_in_is_requested_again() {
+fn trickling_list() {
     let mut mixer = WatchingMixer::start();
     let first = mixer.start_watch();
     let list = format!("{}\n", mixer.list(2, "draining"));
@@ -278,7 +288,7 @@
 }
 
 #[test]
-fn recovers_from_every_discovery_fault() {
+fn recovery_from_discovery_faults() {
     for config in configs() {
         for fault in &DISCOVERY_FAULTS {
             let mut mixer = ManualDiscoveryMixer::start("true", &config);
@@ -292,7 +302,7 @@
 }
 
 #[test]
-fn recovers_from_refused_connections() {
+fn recovery_from_refused_connections() {
     for config in configs() {
         let mut mixer = ManualDiscoveryMixer::start("true", &config);
         drop(serve_list(&mut mixer, &single_searcher_list(1, "up"), "ready", "none yet"));
@@ -303,7 +313,8 @@
     }
 }
 
-/// A discovery server that a mixer's watch is moved to: faulty at first, healthy once the test gives it a list.
+/// A discovery server that a mixer's watch is moved to: faulty at first, healthy once the test gives it a
+/// list.
 struct FaultyDiscovery {
     address: SocketAddr,
     /// The list of a healthy server; `None` while it is faulty.
@@ -374,7 +385,8 @@
     lines
 }
 
-/// A mixer with one searcher and a configuration file of its own, whose watch can be moved to another discovery server.
+/// A mixer with one searcher and a configuration file of its own, whose watch can be moved to another
+/// discovery server.
 struct MovableMixer {
     child: Child,
     log_lines: Receiver<String>,
@@ -441,7 +453,8 @@
 /// A move to another discovery server counts as complete after this time.
 const MOVE_COMPLETE_AFTER: Duration = Duration::from_secs(4);
 
-/// Moves the watch to a faulty discovery server. Then the old or the new server publishes a drain, which the mixer must apply.
+/// Moves the watch to a faulty discovery server. Then the old or the new server publishes a drain, which the
+/// mixer must apply.
 fn check_drain_after_move(nth: usize, fault: Option<&'static DiscoveryFault>, is_from_old: bool) {
     let fault_name = fault.map_or("refuses", |fault| fault.name);
     let case = format!("{fault_name}, drain from the old server: {is_from_old}");
@@ -479,8 +492,9 @@
     });
 }
 
+/// A searcher that a snapshot does not contain is logged as gone.
 #[test]
-fn searcher_missing_from_snapshot_is_logged_as_gone() {
+fn searcher_missing_from_snapshot() {
     let mixer = MovableMixer::start("gone");
     mixer.old_discovery.publish(standins::discovery_list(2, true, &[]));
     assert!(mixer.logs(&format!("s-{} is gone", mixer.searcher.port())), "nothing is logged");
--- a/crates/mixer/tests/wide.rs
+++ b/crates/mixer/tests/wide.rs
@@ -1,5 +1,5 @@
-//! Queries of up to 2,000 parts, whose weights clients round to six digits. They are parsed from the bytes of their requests and played
-//! through the reducer and the decision module without sockets.
+//! Queries of up to 2,000 parts, whose weights clients round to six digits. They are parsed from the bytes of
+//! their requests and played through the reducer and the decision module without sockets.
 
 use std::fmt::Write;
 
@@ -143,6 +143,8 @@
     text.match_indices("q1.").filter_map(shard_after_id).collect()
 }
 
+/// Guards against rounded weights whose sum is below one: a scan whose parts are all answered would not count
+/// as whole.
 #[test]
 fn complete_with_all_parts() {
     for parts in part_counts() {
@@ -153,8 +155,9 @@
     }
 }
 
+/// Guards against a tolerance for rounded weights that counts a scan as whole without its last part.
 #[test]
-fn no_answer_with_one_part_missing() {
+fn one_part_missing() {
     for parts in part_counts() {
         for weights in [equal_weights(parts), random_weights(parts)] {
             assert_eq!(play_query("all", &weights, 1).exact, None, "{parts} parts");
@@ -184,8 +187,9 @@
     }
 }
 
+/// The tolerance for rounded weights must not accept weights that are wrong.
 #[test]
-fn wrong_sum_of_weights_is_rejected() {
+fn wrong_sum_of_weights() {
     for parts in [2, 24, 320, MAX_PARTS] {
         let mut weights = equal_weights(parts);
         weights[0] += 0.01;
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -1,4 +1,5 @@
-//! Delays between the decision to send a call and its first byte: the process is stopped, or searchers accept no bytes.
+//! Delays between the decision to send a call and its first byte: the process is stopped, or searchers accept
+//! no bytes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -73,8 +74,10 @@
     calls
 }
 
+/// Guards against the remaining calls of a query that are sent after a stop although the client left during
+/// it.
 #[test]
-fn stop_between_calls_client_leaves() {
+fn disconnect_during_stop_between_calls() {
     let (mixer, client) = start_and_stop_between_calls(2, 1000);
     drop(client);
     thread::sleep(STOP_DURATION);
@@ -82,8 +85,10 @@
     assert!(calls.is_empty(), "{} calls for a client that left: {calls:?}", calls.len());
 }
 
+/// Guards against the remaining calls of a query that are sent after a stop although the deadline is over, or
+/// that state the time left before the stop.
 #[test]
-fn stop_between_calls_uses_up_deadline() {
+fn deadline_during_stop_between_calls() {
     let (mixer, _client) = start_and_stop_between_calls(2, 300);
     thread::sleep(STOP_DURATION);
     let calls = calls_after_resume(&mixer);
@@ -98,8 +103,10 @@
     );
 }
 
+/// Guards against the remaining calls of a query that are sent after a stop to searchers that have begun to
+/// drain.
 #[test]
-fn stop_between_calls_searchers_drain() {
+fn drain_during_stop_between_calls() {
     let (mixer, _client) = start_and_stop_between_calls(2, 1900);
     let draining: Vec<_> = mixer.searchers.iter().map(|(address, _)| (*address, "draining")).collect();
     mixer.discovery.publish(standins::discovery_list(2, false, &draining));
@@ -108,8 +115,10 @@
     assert!(calls.is_empty(), "{} calls to draining searchers: {calls:?}", calls.len());
 }
 
+/// Guards against a deadline that counts from when a request is read, although it arrived while the process
+/// was stopped.
 #[test]
-fn deadline_of_request_that_arrives_during_a_stop() {
+fn deadline_of_request_during_stop() {
     const DEADLINE_MS: u64 = 1500;
     const SLACK_MS: u64 = 150;
     for is_known_client in [true, false] {
@@ -135,8 +144,10 @@
     }
 }
 
+/// Guards against a call for a client that leaves between a check and the write. In each round, the thread is
+/// delayed after another one of its clock reads.
 #[test]
-fn client_leaves_while_thread_is_delayed_after_clock_read() {
+fn disconnect_during_delay_after_clock_read() {
     const DELAY_MS: u64 = 400;
     for clock_read in 1..=6 {
         let setting = format!("SHIM_STOPS_AFTER=stops SHIM_HOLDS={clock_read} SHIM_HOLD_MS={DELAY_MS}");
@@ -170,8 +181,10 @@
     }
 }
 
+/// Guards against a call that waits for its link and is sent once that is established, although its client
+/// has left.
 #[test]
-fn late_connection_after_client_left() {
+fn link_established_after_client_disconnect() {
     // The accept queue has room for a single connection; the system retries the other after a second.
     let listener = bind_free_port();
     rustix::net::listen(&listener, 0).expect("the backlog can be changed");
@@ -277,8 +290,9 @@
     }
 }
 
+/// Guards against a frame that is cut or repeated where it is written in several pieces.
 #[test]
-fn slow_reader_receives_whole_calls() {
+fn whole_calls_to_slow_reader() {
     let listener = bind_with_small_buffer();
     let address = listener.local_addr().expect("the listener's address");
     serve_slow_reader(listener);
@@ -292,8 +306,9 @@
     }
 }
 
+/// Guards against writes to searchers that accept nothing and block the service's thread.
 #[test]
-fn blocked_searchers_do_not_delay_other_clients() {
+fn other_clients_beside_blocked_searchers() {
     const SEARCHERS: usize = 100;
     /// The time allowed for all blocked searchers together; each costs much less.
     const DELAY_LIMIT: Duration = Duration::from_millis(250);
