--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: their connections, their requests, and the answers.
 
-use pewterwharf::interface::{Event, Idempotency};
+use pewterwharf::interface::Event;
 use tracing::debug;
 
 use super::Reducer;
@@ -282,26 +282,23 @@
     fn start_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
+        // The scans are numbered without gaps, unlike their ids.
         self.scan_number = self.scan_number.wrapping_add(1);
         let number = self.scan_number;
         let query_timeout_ms = self.config.table_types[table_type].query_timeout_ms;
         let answers_until = self.drain_answers_until();
         let deadline_at = rules::query_deadline(now, scan.wait_ms, query_timeout_ms, answers_until);
-        let work: Option<Vec<f64>> = scan.parts.iter().map(|p| p.work_ms).collect();
-        let work_ms = work.map(|w| w.iter().sum());
+        // The work of a scan is known only if its client gives it for each part.
+        let work_ms = scan.parts.iter().map(|part| part.work_ms).sum();
         let retry = scan.retry;
         self.events.push(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry });
-        let repeat_until = match self.config.table_types[table_type].idempotency {
-            Idempotency::Replayable => f64::INFINITY,
-            Idempotency::Keyed { window_ms } => now + window_ms,
-            Idempotency::NonReplayable => f64::NEG_INFINITY,
-        };
+        let repeat_until = rules::repeat_until(now, self.config.table_types[table_type].idempotency);
         let mut parts = Vec::with_capacity(scan.parts.len());
         for part in &scan.parts {
             parts.push(self.start_part(id, number, &scan.id, part, repeat_until));
         }
         debug!(
-            "query {} of client {connection_id}: class {}, {} parts, {:.0} ms",
+            "query {} of client {connection_id}: table type {}, {} parts, {:.0} ms",
             scan.id,
             scan.table_type,
             parts.len(),
--- a/crates/mixer/src/reducer/rules.rs
+++ b/crates/mixer/src/reducer/rules.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-use pewterwharf::interface::SearcherStatus;
+use pewterwharf::interface::{Idempotency, SearcherStatus};
 
 use super::state::{Client, ClientState, Link, LinkState, Part, Searcher};
 
@@ -257,6 +257,16 @@
     ends_at.map_or(deadline_at, |ends_at| deadline_at.min(ends_at))
 }
 
+/// Until when the parts of a query that is received at `now` may be sent again although an earlier attempt may
+/// have run: infinity for parts that can be repeated, minus infinity for parts that must not be.
+pub(super) fn repeat_until(now: UnixMs, idempotency: Idempotency) -> UnixMs {
+    match idempotency {
+        Idempotency::Replayable => f64::INFINITY,
+        Idempotency::Keyed { window_ms } => now + window_ms,
+        Idempotency::NonReplayable => f64::NEG_INFINITY,
+    }
+}
+
 /// Whether a query with that many parts fits under the cap on open queries and parts.
 pub(super) fn may_take_query(open: usize, parts: usize, cap: usize) -> bool {
     open + 1 + parts <= cap
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -43,8 +43,8 @@
     pub(super) attempts: u8,
     /// Number of attempts that were sent, except those known never to have run.
     pub(super) may_have_run: u8,
-    /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be
-    /// repeated, minus infinity for parts that must not be.
+    /// Until when the part may be sent again although an attempt may have run; see
+    /// [`super::rules::repeat_until`].
     pub(super) repeat_until: UnixMs,
     /// How its latest attempt ended.
     pub(super) last_outcome: Option<DispatchOutcome>,
--- a/crates/mixer/tests/drain.rs
+++ b/crates/mixer/tests/drain.rs
@@ -46,11 +46,11 @@
     ended_after: Duration,
 }
 
-/// Starts a mixer whose classes have this query timeout.
+/// Starts a mixer whose table types have this query timeout.
 fn start_with_timeout(name: &str, timeout_ms: u64) -> Mixer {
     let config = write_config(name, |config| {
-        for class in config["settings"]["services"].as_array_mut().expect("a list of classes") {
-            class["hard_limit_ms"] = timeout_ms.into();
+        for table_type in config["settings"]["services"].as_array_mut().expect("a list of table types") {
+            table_type["hard_limit_ms"] = timeout_ms.into();
         }
     });
     start_with_config(&config, &[SearcherBehavior::Answers])
@@ -162,8 +162,8 @@
 fn partial_requests_beyond_connection_slots() {
     let config = write_config("few-places", |config| {
         config["limits"]["sockets"] = 48.into();
-        for class in config["settings"]["services"].as_array_mut().expect("a list of classes") {
-            class["hard_limit_ms"] = LONGEST_TIMEOUT_MS.into();
+        for table_type in config["settings"]["services"].as_array_mut().expect("a list of table types") {
+            table_type["hard_limit_ms"] = LONGEST_TIMEOUT_MS.into();
         }
     });
     let mut mixer = start_with_config(&config, &[SearcherBehavior::Answers]);
--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -22,6 +22,13 @@
 /// The deadline of [`scan_request`].
 const DEADLINE_MS: f64 = 1000.0;
 
+/// A mixer that records its own writes.
+struct RecordingMixer {
+    mixer: Mixer,
+    /// The path of the record.
+    record: PathBuf,
+}
+
 /// Requests that were sent.
 struct SentRequests {
     /// When each request was sent, by its id.
@@ -29,9 +36,8 @@
     answers: Vec<String>,
 }
 
-/// Starts a mixer that records its own writes, with this setting of the library that delays or fails system
-/// calls. Returns the path of the record too.
-fn start_recording(name: &str, shim_setting: &str, behaviors: &[SearcherBehavior]) -> (Mixer, PathBuf) {
+/// Starts a mixer with this setting of the library that delays or fails system calls.
+fn start_recording(name: &str, shim_setting: &str, behaviors: &[SearcherBehavior]) -> RecordingMixer {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = |library| build_library(library, &folder).expect("the library can be built");
     let (accepts, sends) = (library(ShimLibrary::Accepts), library(ShimLibrary::Sends));
@@ -43,7 +49,7 @@
         accepts.display(),
         sends.display()
     );
-    (start_after_command(&shell_command, EXAMPLE_CONFIG, None, behaviors), record)
+    RecordingMixer { mixer: start_after_command(&shell_command, EXAMPLE_CONFIG, None, behaviors), record }
 }
 
 /// Descriptions of the parts whose searchers were given more time than the client had left, beyond the slack.
@@ -95,7 +101,7 @@
 /// `accept` failed.
 #[test]
 fn deadlines_while_accepts_fail() {
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("accepts", "SHIM_ACCEPTS_FAIL=1200,400", &[SearcherBehavior::Answers]);
     let SentRequests { sent_at, answers } = send_requests(&mixer, 150, Duration::from_millis(20));
     let excessive = excessive_timeouts(&record, &sent_at);
@@ -114,7 +120,7 @@
 /// at once.
 #[test]
 fn deadlines_while_poll_registration_fails() {
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("registers", "SHIM_REGISTERS_FAIL=600,300", &[SearcherBehavior::Answers]);
     let SentRequests { sent_at, answers } = send_requests(&mixer, 100, Duration::from_millis(20));
     let excessive = excessive_timeouts(&record, &sent_at);
@@ -132,7 +138,8 @@
 /// not report.
 #[test]
 fn unregistered_connections() {
-    let (mixer, _) = start_recording("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
+    let RecordingMixer { mixer, .. } =
+        start_recording("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
     let request = scan_request("lookup", 1);
     let (first, rest) = request.split_at(request.len() / 2);
@@ -150,7 +157,7 @@
 #[test]
 fn deadline_of_pipelined_request() {
     const WORK_MS: u64 = 600;
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("behind", "SHIM_ACCEPTS_FAIL=1000,0", &[SearcherBehavior::AnswersAfterMs(WORK_MS)]);
     let mut client = mixer.connect();
     client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
--- a/crates/mixer/tests/writes.rs
+++ b/crates/mixer/tests/writes.rs
@@ -38,8 +38,14 @@
     format!("export {shim_setting} LD_PRELOAD={}", library.display())
 }
 
-/// A mixer that has stopped itself after writing the first call of a query, and the client of that query.
-fn start_and_stop_between_calls(searchers: usize, deadline_ms: u32) -> (Mixer, TcpStream) {
+/// A mixer that has stopped itself after it has written the first call of a query, and the client of that
+/// query.
+struct StoppedMixer {
+    mixer: Mixer,
+    client: TcpStream,
+}
+
+fn start_and_stop_between_calls(searchers: usize, deadline_ms: u32) -> StoppedMixer {
     let behaviors = vec![SearcherBehavior::Answers; searchers];
     let shell_command = preload_command("SHIM_STOPS_AFTER=stops");
     let mixer = start_after_command(&shell_command, EXAMPLE_CONFIG, None, &behaviors);
@@ -52,7 +58,7 @@
         .replace("Deadline-Ms: 1000", &format!("Deadline-Ms: {deadline_ms}"));
     write!(&client, "{request}").expect("the connection accepts bytes");
     while !mixer.frames.recv_timeout(TIMEOUT).expect("a frame").starts_with("D stops.") {}
-    (mixer, client)
+    StoppedMixer { mixer, client }
 }
 
 /// Resumes a stopped mixer and returns the calls that it sends then.
@@ -78,7 +84,7 @@
 /// it.
 #[test]
 fn disconnect_during_stop_between_calls() {
-    let (mixer, client) = start_and_stop_between_calls(2, 1000);
+    let StoppedMixer { mixer, client } = start_and_stop_between_calls(2, 1000);
     drop(client);
     thread::sleep(STOP_DURATION);
     let calls = calls_after_resume(&mixer);
@@ -89,11 +95,11 @@
 /// that state the time left before the stop.
 #[test]
 fn deadline_during_stop_between_calls() {
-    let (mixer, _client) = start_and_stop_between_calls(2, 300);
+    let StoppedMixer { mixer, client: _client } = start_and_stop_between_calls(2, 300);
     thread::sleep(STOP_DURATION);
     let calls = calls_after_resume(&mixer);
     assert!(calls.is_empty(), "{} calls after the client's deadline: {calls:?}", calls.len());
-    let (mixer, _client) = start_and_stop_between_calls(2, 1900);
+    let StoppedMixer { mixer, client: _client } = start_and_stop_between_calls(2, 1900);
     thread::sleep(STOP_DURATION);
     let calls = calls_after_resume(&mixer);
     let left_ms = 1900 - STOP_DURATION.as_millis() as u64;
@@ -107,7 +113,7 @@
 /// drain.
 #[test]
 fn drain_during_stop_between_calls() {
-    let (mixer, _client) = start_and_stop_between_calls(2, 1900);
+    let StoppedMixer { mixer, client: _client } = start_and_stop_between_calls(2, 1900);
     let draining: Vec<_> = mixer.searchers.iter().map(|(address, _)| (*address, "draining")).collect();
     mixer.discovery.publish(standins::discovery_list(2, false, &draining));
     thread::sleep(STOP_DURATION);
