--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: their connections, their requests, and the answers.
 
-use pewterwharf::interface::{Event, Idempotency};
+use pewterwharf::interface::Event;
 use tracing::debug;
 
 use super::Reducer;
@@ -8,7 +8,7 @@
 use super::state::{Client, ClientState, Part, PartId, Scan, ScanId, Timer};
 use crate::clock::UnixMs;
 use crate::counters::TableTypeCounters;
-use crate::http::{self, PartRequest, RequestKind, ScanRequest};
+use crate::http::{self, PartRequest, RequestError, RequestKind, ScanRequest};
 use crate::inputs::{ConnectionId, Effect, Phase};
 
 /// The protocol's time after which a client without an open request may be disconnected. A client that has
@@ -22,13 +22,7 @@
 /// explains its mistake.
 const MAX_UNUSABLE_REQUESTS: u32 = 3;
 
-/// Why a request is rejected: the status of its answer and the reason.
-struct Rejection {
-    status: u16,
-    reason: String,
-}
-
-/// The indices of the names that a request gives.
+/// The indices of a scan's table type and customer in the configuration, found by the names that it gives.
 struct ScanIds {
     table_type: usize,
     customer: usize,
@@ -191,10 +185,10 @@
         match kind {
             RequestKind::Scan(scan) => match self.check_scan(&scan) {
                 Ok(ids) => self.receive_scan(now, connection_id, scan, &ids),
-                Err(rejection) => self.reject_request(now, connection_id, &rejection),
+                Err(error) => self.reject_request(now, connection_id, &error),
             },
             RequestKind::Unusable(status, reason) => {
-                self.reject_request(now, connection_id, &Rejection { status, reason })
+                self.reject_request(now, connection_id, &RequestError { status, reason })
             }
             page => self.answer_page(now, connection_id, &page),
         }
@@ -218,30 +212,31 @@
     }
 
     /// Checks the names, shards and id that a scan gives.
-    fn check_scan(&self, scan: &ScanRequest) -> Result<ScanIds, Rejection> {
+    fn check_scan(&self, scan: &ScanRequest) -> Result<ScanIds, RequestError> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let table_type = index_of(&self.config.table_type_names, &scan.table_type).ok_or_else(|| {
-            Rejection { status: 404, reason: format!("no table type {:?}", scan.table_type) }
+            RequestError { status: 404, reason: format!("no table type {:?}", scan.table_type) }
         })?;
         let customer = match &scan.customer {
             _ if self.config.customers.is_empty() => 0,
-            None => return Err(Rejection { status: 400, reason: "Req-Owner is missing".to_owned() }),
+            None => return Err(RequestError::bad_request("Req-Owner is missing".to_owned())),
             Some(name) => index_of(&self.config.customer_names, name)
-                .ok_or_else(|| Rejection { status: 400, reason: format!("no customer {name:?}") })?,
+                .ok_or_else(|| RequestError::bad_request(format!("no customer {name:?}")))?,
         };
         if let Some(part) = scan.parts.iter().find(|p| p.shard >= self.config.shard_count) {
-            return Err(Rejection { status: 400, reason: format!("no shard {}", part.shard) });
+            return Err(RequestError::bad_request(format!("no shard {}", part.shard)));
         }
         // A searcher's answer identifies its part by name alone, and that name is made from the request's id.
         // Two open requests with one id could not be told apart.
         if self.open_request_ids.contains(&scan.id) {
-            return Err(Rejection { status: 409, reason: format!("the request {} is still open", scan.id) });
+            let reason = format!("the request {} is still open", scan.id);
+            return Err(RequestError { status: 409, reason });
         }
         Ok(ScanIds { table_type, customer })
     }
 
-    fn reject_request(&mut self, now: UnixMs, connection_id: ConnectionId, rejection: &Rejection) {
-        let Rejection { status, reason } = rejection;
+    fn reject_request(&mut self, now: UnixMs, connection_id: ConnectionId, error: &RequestError) {
+        let RequestError { status, reason } = error;
         self.counters.requests_unusable += 1;
         debug!("a request was answered {status}: {reason}");
         if let Some(client) = self.clients.get_mut(&connection_id) {
@@ -257,53 +252,53 @@
         if let Some(client) = self.clients.get_mut(&connection_id) {
             client.unusable_requests = 0;
         }
-        let open = self.scans.len() + self.parts.len();
         let drain_serves_until = self.drain_serves_until(now);
         let is_refused = |client: &Client| rules::is_buffered_refused(client, drain_serves_until, now);
         if self.clients.get(&connection_id).is_some_and(is_refused) {
-            self.counters.scans_throttled += 1;
-            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_refused_at_end += 1;
-            return self.answer(
-                now,
-                connection_id,
-                503,
-                self.config.permissions.retry_after_ms,
-                b"closing\n",
-            );
+            return self.throttle_before_start(now, connection_id, ids, b"closing\n");
         }
+        let open = self.scans.len() + self.parts.len();
         if !rules::may_take_query(open, scan.parts.len(), self.config.max_open) {
-            self.counters.scans_throttled += 1;
-            self.counters.by_type[ids.table_type].throttled += 1;
             self.counters.scans_turned_away += 1;
-            return self.answer(now, connection_id, 503, self.config.permissions.retry_after_ms, b"full\n");
+            return self.throttle_before_start(now, connection_id, ids, b"full\n");
         }
         self.start_scan(now, connection_id, scan, ids);
     }
 
+    /// Answers a scan that the decision module is not told of.
+    fn throttle_before_start(
+        &mut self,
+        now: UnixMs,
+        connection_id: ConnectionId,
+        ids: &ScanIds,
+        reason: &[u8],
+    ) {
+        self.counters.scans_throttled += 1;
+        self.counters.by_type[ids.table_type].throttled += 1;
+        self.answer(now, connection_id, 503, self.config.permissions.retry_after_ms, reason);
+    }
+
     fn start_scan(&mut self, now: UnixMs, connection_id: ConnectionId, scan: ScanRequest, ids: &ScanIds) {
         let &ScanIds { table_type, customer } = ids;
         let id = self.next_id();
+        // The scans are numbered without gaps, unlike their ids.
         self.scan_number = self.scan_number.wrapping_add(1);
         let number = self.scan_number;
         let query_timeout_ms = self.config.table_types[table_type].query_timeout_ms;
         let answers_until = self.drain_answers_until();
         let deadline_at = rules::query_deadline(now, scan.wait_ms, query_timeout_ms, answers_until);
-        let work: Option<Vec<f64>> = scan.parts.iter().map(|p| p.work_ms).collect();
-        let work_ms = work.map(|w| w.iter().sum());
+        // The work of a scan is known only if its client gives it for each part.
+        let work_ms = scan.parts.iter().map(|part| part.work_ms).sum();
         let retry = scan.retry;
         self.events.push(Event::Scan { id, number, table_type, customer, deadline_at, work_ms, retry });
-        let repeat_until = match self.config.table_types[table_type].idempotency {
-            Idempotency::Replayable => f64::INFINITY,
-            Idempotency::Keyed { window_ms } => now + window_ms,
-            Idempotency::NonReplayable => f64::NEG_INFINITY,
-        };
+        let repeat_until = rules::repeat_until(now, self.config.table_types[table_type].idempotency);
         let mut parts = Vec::with_capacity(scan.parts.len());
         for part in &scan.parts {
             parts.push(self.start_part(id, number, &scan.id, part, repeat_until));
         }
         debug!(
-            "query {} of client {connection_id}: class {}, {} parts, {:.0} ms",
+            "query {} of client {connection_id}: table type {}, {} parts, {:.0} ms",
             scan.id,
             scan.table_type,
             parts.len(),
@@ -380,7 +375,7 @@
         }
     }
 
-    /// Removes a scan and its parts. Its open attempts end by themselves.
+    /// Removes a scan and its parts. Its open attempts are not ended here.
     fn remove_scan(&mut self, scan: ScanId) {
         let Some(scan) = self.scans.remove(&scan) else { return };
         self.open_request_ids.remove(&scan.request_id);
--- a/crates/mixer/src/reducer/state.rs
+++ b/crates/mixer/src/reducer/state.rs
@@ -43,8 +43,8 @@
     pub(super) attempts: u8,
     /// Number of attempts that were sent, except those known never to have run.
     pub(super) may_have_run: u8,
-    /// Until when the part may be sent again although an attempt may have run: infinity for parts that can be
-    /// repeated, minus infinity for parts that must not be.
+    /// Until when the part may be sent again although an attempt may have run; see
+    /// [`super::rules::repeat_until`].
     pub(super) repeat_until: UnixMs,
     /// How its latest attempt ended.
     pub(super) last_outcome: Option<DispatchOutcome>,
@@ -180,7 +180,7 @@
 pub(super) enum LinkState {
     Opening,
     Up,
-    /// Nothing new is sent on it, and its end is awaited.
+    /// Only cancellations are still sent on it, and its end is awaited.
     Closing,
 }
 
@@ -274,12 +274,16 @@
 const MAX_FINISHED_NAMES: usize = 512;
 
 impl Link {
-    /// Takes the frame that is to be written next.
-    pub(super) fn next_queued(&mut self) -> Option<QueuedFrame> {
-        self.next_cancel().or_else(|| self.queue.pop_front())
+    /// Takes the frame that is to be written next. On a closing link only cancellations are still written.
+    pub(super) fn take_next_frame(&mut self) -> Option<QueuedFrame> {
+        match self.state {
+            LinkState::Opening => None,
+            LinkState::Up => self.take_next_cancel().or_else(|| self.queue.pop_front()),
+            LinkState::Closing => self.take_next_cancel(),
+        }
     }
 
-    pub(super) fn next_cancel(&mut self) -> Option<QueuedFrame> {
+    fn take_next_cancel(&mut self) -> Option<QueuedFrame> {
         self.cancels.pop_front().map(QueuedFrame::Cancel)
     }
 
@@ -293,6 +297,19 @@
         self.probes.iter().any(Probe::is_overdue)
     }
 
+    /// Records that one part of a call is finished. With the last one, the call is no longer open, and is not
+    /// sent any more if it is still queued.
+    pub(super) fn finish_part_of_call(&mut self, call_id: CallId) {
+        let Some(unfinished) = self.open_calls.get_mut(&call_id) else { return };
+        *unfinished -= 1;
+        if *unfinished == 0 {
+            self.open_calls.remove(&call_id);
+            let is_finished =
+                |queued: &QueuedFrame| matches!(queued, QueuedFrame::Call { call, .. } if *call == call_id);
+            self.queue.retain(|queued| !is_finished(queued));
+        }
+    }
+
     /// Records the end of an attempt. If it was sent, its answer may still arrive, or arrive again, and has
     /// to be distinguished from a later attempt's answer and from one that was never requested.
     pub(super) fn finish_attempt(&mut self, name: &Rc<str>, was_sent: bool) {
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Harness of the tests that run the mixer on loopback: starts the program with its stand-ins, sends requests and reads
-//! answers.
+//! Harness of the tests that run the mixer on loopback: starts the program with its stand-ins, sends requests
+//! and reads answers.
 
 #![allow(dead_code, reason = "each test file uses some of it")]
 
@@ -38,6 +38,13 @@
     pub searchers: Vec<(SocketAddr, &'static str)>,
 }
 
+/// The process of a mixer that listens.
+pub struct LaunchedMixer {
+    pub child: Child,
+    pub log: BufReader<ChildStderr>,
+    pub address: SocketAddr,
+}
+
 /// How a mixer ended.
 #[derive(Debug, PartialEq)]
 pub struct Exit {
@@ -57,7 +64,8 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// Starts a mixer with the example's configuration and one searcher for each behavior, and waits until it is ready.
+/// Starts a mixer with the example's configuration and one searcher for each behavior, and waits until it is
+/// ready.
 pub fn start(behaviors: &[SearcherBehavior]) -> Mixer {
     start_with_config(EXAMPLE_CONFIG, behaviors)
 }
@@ -94,13 +102,13 @@
     let child = mixer_command(shell_command, &discovery_address, config)
         .envs(settings.map(|path| ("PEWTERWHARF_SETTINGS", path)))
         .spawn();
-    let (child, mut log, address) = wait_until_listening(child.expect("the mixer starts"));
+    let LaunchedMixer { child, mut log, address } = wait_until_listening(child.expect("the mixer starts"));
     wait_for_log(&mut log, "ready");
     Mixer { child, log, address, discovery, frames, searchers }
 }
 
 /// Starts a mixer and waits until it listens.
-pub fn launch(discovery: String, config: &str) -> (Child, BufReader<ChildStderr>, SocketAddr) {
+pub fn launch(discovery: String, config: &str) -> LaunchedMixer {
     wait_until_listening(mixer_command("true", &discovery, config).spawn().expect("the mixer starts"))
 }
 
@@ -119,11 +127,11 @@
 }
 
 /// Waits until the mixer logs the address that it listens on.
-pub fn wait_until_listening(mut child: Child) -> (Child, BufReader<ChildStderr>, SocketAddr) {
+pub fn wait_until_listening(mut child: Child) -> LaunchedMixer {
     let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
     let line = wait_for_log(&mut log, "listens on ");
     let address = line.rsplit(' ').next().and_then(|word| word.trim().parse().ok()).expect("an address");
-    (child, log, address)
+    LaunchedMixer { child, log, address }
 }
 
 pub fn send_signal(child: &Child, name: &str) {
@@ -267,7 +275,7 @@
         let child = mixer_command(shell_command, &discovery_address.to_string(), config)
             .spawn()
             .expect("the mixer starts");
-        let (child, log, address) = wait_until_listening(child);
+        let LaunchedMixer { child, log, address } = wait_until_listening(child);
         Self { discovery: Some(discovery), discovery_address, child, log, address }
     }
 
@@ -319,7 +327,8 @@
     }
 }
 
-/// Answers a request for the list, and the watch that follows it on the connection; `None` if the mixer closed the connection.
+/// Answers a request for the list, and the watch that follows it on the connection; `None` if the mixer
+/// closed the connection.
 pub fn answer_discovery_request(mut stream: &TcpStream, list: &Value) -> Option<()> {
     let read_head = |stream: &TcpStream| {
         let (mut input, mut first, mut line) = (BufReader::new(stream), String::new(), String::new());
--- a/crates/mixer/tests/settings.rs
+++ b/crates/mixer/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Simulations with random settings and random faults, played through the reducer and the decision module without sockets: the rules
-//! hold for all settings within the documented bounds. A failure names the seed of its simulation.
+//! Simulations with random settings and random faults, played through the reducer and the decision module
+//! without sockets: the rules hold for all settings within the documented bounds. A failure names the seed of
+//! its simulation.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,7 +9,7 @@
 use pewterwharf_mixer::discovery::{Entry, List};
 use pewterwharf_mixer::frame::{Frame, Verdict};
 use pewterwharf_mixer::http::{PartRequest, RequestKind, ScanRequest};
-use pewterwharf_mixer::inputs::{Effect, Input, Phase};
+use pewterwharf_mixer::inputs::{Effect, Input, Phase, TimedInput};
 use pewterwharf_mixer::reducer::Reducer;
 use pewterwharf_terms::MixerConfig;
 use serde_json::{Value, json};
@@ -123,7 +124,8 @@
     frames: Vec<Vec<String>>,
 }
 
-/// The time of an event as the bits of its milliseconds, and a number that keeps the order of simultaneous events.
+/// The time of an event as the bits of its milliseconds, and a number that keeps the order of simultaneous
+/// events.
 type EventKey = (u64, u64);
 
 /// One simulation: the events to come, and the state against which the mixer is checked.
@@ -198,7 +200,7 @@
         let writable_link =
             |input: &Input| if let Input::LinkWritable { link } = input { Some(*link) } else { None };
         let writable_links: Vec<u64> = inputs.iter().filter_map(writable_link).collect();
-        let timed_inputs = inputs.into_iter().map(|input| (self.now_ms, input)).collect();
+        let timed_inputs = inputs.into_iter().map(|input| TimedInput { at: self.now_ms, input }).collect();
         let effects = self.reducer.step(self.now_ms, timed_inputs);
         for effect in effects {
             self.apply(effect);
@@ -518,7 +520,7 @@
 }
 
 #[test]
-fn rules_hold_for_random_settings() {
+fn random_settings() {
     let mut answers = 0;
     for seed in 0..SIMULATIONS {
         let played = std::panic::catch_unwind(|| Simulation::play(seed));
--- a/crates/mixer/tests/waiting.rs
+++ b/crates/mixer/tests/waiting.rs
@@ -1,5 +1,6 @@
-//! Requests that wait before the mixer processes them: to be accepted, to be registered with the poll, or behind another request.
-//! The time that searchers are given is at most what the client has left, measured at the mixer's own writes.
+//! Requests that wait before the mixer processes them: to be accepted, to be registered with the poll, or
+//! behind another request. The time that searchers are given is at most what the client has left, measured at
+//! the mixer's own writes.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -21,6 +22,13 @@
 /// The deadline of [`scan_request`].
 const DEADLINE_MS: f64 = 1000.0;
 
+/// A mixer that records its own writes.
+struct RecordingMixer {
+    mixer: Mixer,
+    /// The path of the record.
+    record: PathBuf,
+}
+
 /// Requests that were sent.
 struct SentRequests {
     /// When each request was sent, by its id.
@@ -28,9 +36,8 @@
     answers: Vec<String>,
 }
 
-/// Starts a mixer that records its own writes, with this setting of the library that delays or fails system calls. Returns the
-/// path of the record too.
-fn start_recording(name: &str, shim_setting: &str, behaviors: &[SearcherBehavior]) -> (Mixer, PathBuf) {
+/// Starts a mixer with this setting of the library that delays or fails system calls.
+fn start_recording(name: &str, shim_setting: &str, behaviors: &[SearcherBehavior]) -> RecordingMixer {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let library = |library| build_library(library, &folder).expect("the library can be built");
     let (accepts, sends) = (library(ShimLibrary::Accepts), library(ShimLibrary::Sends));
@@ -42,7 +49,7 @@
         accepts.display(),
         sends.display()
     );
-    (start_after_command(&shell_command, EXAMPLE_CONFIG, None, behaviors), record)
+    RecordingMixer { mixer: start_after_command(&shell_command, EXAMPLE_CONFIG, None, behaviors), record }
 }
 
 /// Descriptions of the parts whose searchers were given more time than the client had left, beyond the slack.
@@ -90,10 +97,11 @@
     })
 }
 
-/// Guards against a deadline that counts from when a request was read, although the request waited while `accept` failed.
+/// Guards against a deadline that counts from when a request was read, although the request waited while
+/// `accept` failed.
 #[test]
 fn deadlines_while_accepts_fail() {
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("accepts", "SHIM_ACCEPTS_FAIL=1200,400", &[SearcherBehavior::Answers]);
     let SentRequests { sent_at, answers } = send_requests(&mixer, 150, Duration::from_millis(20));
     let excessive = excessive_timeouts(&record, &sent_at);
@@ -108,10 +116,11 @@
     assert!(served * 100 >= answers.len() * 95, "{served} of {} served", answers.len());
 }
 
-/// Guards against a reset connection and a wrong deadline when a connection can't be registered with the poll at once.
+/// Guards against a reset connection and a wrong deadline when a connection can't be registered with the poll
+/// at once.
 #[test]
 fn deadlines_while_poll_registration_fails() {
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("registers", "SHIM_REGISTERS_FAIL=600,300", &[SearcherBehavior::Answers]);
     let SentRequests { sent_at, answers } = send_requests(&mixer, 100, Duration::from_millis(20));
     let excessive = excessive_timeouts(&record, &sent_at);
@@ -125,10 +134,12 @@
     assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 200")), "{answers:?}");
 }
 
-/// Guards against missing the rest of a request, or the end of its client, on a connection that the poll does not report.
+/// Guards against missing the rest of a request, or the end of its client, on a connection that the poll does
+/// not report.
 #[test]
-fn unregistered_connections_are_still_read() {
-    let (mixer, _) = start_recording("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
+fn unregistered_connections() {
+    let RecordingMixer { mixer, .. } =
+        start_recording("unpolled", "SHIM_REGISTERS_FAIL=1000,1000", &[SearcherBehavior::Hangs]);
     let mut client = mixer.connect();
     let request = scan_request("lookup", 1);
     let (first, rest) = request.split_at(request.len() / 2);
@@ -141,11 +152,12 @@
     while !next_frame().starts_with("K q1.0") {}
 }
 
-/// Guards against a deadline that counts from when a request's turn comes, although it was read behind another one.
+/// Guards against a deadline that counts from when a request's turn comes, although it was read behind
+/// another one.
 #[test]
 fn deadline_of_pipelined_request() {
     const WORK_MS: u64 = 600;
-    let (mixer, record) =
+    let RecordingMixer { mixer, record } =
         start_recording("behind", "SHIM_ACCEPTS_FAIL=1000,0", &[SearcherBehavior::AnswersAfterMs(WORK_MS)]);
     let mut client = mixer.connect();
     client.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
@@ -169,7 +181,7 @@
             "SHIM_ACCEPTS_FAIL=1000,0 SHIM_HOLDS_READER_OF=q1 SHIM_HOLDS={clock_read} SHIM_HOLD_MS={DELAY_MS}"
         );
         let name = format!("delayed-reader-{clock_read}");
-        let (mixer, record) = start_recording(&name, &setting, &[SearcherBehavior::Answers]);
+        let RecordingMixer { mixer, record } = start_recording(&name, &setting, &[SearcherBehavior::Answers]);
         let mut client = mixer.connect();
         client.write_all(scan_request("lookup", 1).as_bytes()).expect("the connection accepts bytes");
         let sent_at = HashMap::from([("q1".to_owned(), now_ms())]);
