--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -5,7 +5,8 @@
 
 use std::fmt;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::os::fd::OwnedFd;
 use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,6 +14,7 @@
 use std::time::{Duration, Instant};
 
 use pewterwharf_standins::{self as standins, SearcherBehavior};
+use rustix::net::{self, AddressFamily, SocketType, sockopt};
 use serde_json::Value;
 
 /// What does not happen within this time does not happen at all, however busy the machine is.
@@ -64,6 +66,32 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
+/// A port that refuses connections. It stays bound, so that no other process gets it before it is listened on.
+pub struct RefusingPort {
+    socket: OwnedFd,
+    pub address: SocketAddr,
+}
+
+impl RefusingPort {
+    /// Binds this port; zero is for any free one.
+    pub fn bind(port: u16) -> Self {
+        let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+        sockopt::set_socket_reuseaddr(&socket, true).expect("the socket option can be set");
+        let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
+        net::bind(&socket, &address).expect("the port is free");
+        let address = net::getsockname(&socket).expect("the socket's address");
+        let address = SocketAddrV4::try_from(address).expect("an IPv4 address").into();
+        Self { socket, address }
+    }
+
+    /// Accepts connections from now on.
+    pub fn listen(self) -> TcpListener {
+        const BACKLOG: i32 = 128;
+        net::listen(&self.socket, BACKLOG).expect("the port can be listened on");
+        self.socket.into()
+    }
+}
+
 /// Starts a mixer with the example's configuration and one searcher for each behavior, and waits until it is
 /// ready.
 pub fn start(behaviors: &[SearcherBehavior]) -> Mixer {
@@ -262,6 +290,8 @@
 pub struct ManualDiscoveryMixer {
     /// `None` while discovery is down.
     pub discovery: Option<TcpListener>,
+    /// The port of discovery while it is down.
+    refusing_port: Option<RefusingPort>,
     pub discovery_address: SocketAddr,
     pub child: Child,
     pub log: BufReader<ChildStderr>,
@@ -276,7 +306,7 @@
             .spawn()
             .expect("the mixer starts");
         let LaunchedMixer { child, log, address } = wait_until_listening(child);
-        Self { discovery: Some(discovery), discovery_address, child, log, address }
+        Self { discovery: Some(discovery), refusing_port: None, discovery_address, child, log, address }
     }
 
     /// The mixer's next connection to discovery.
@@ -287,10 +317,11 @@
     /// Closes the listener, so that connections are refused.
     pub fn stop_discovery(&mut self) {
         self.discovery = None;
+        self.refusing_port = Some(RefusingPort::bind(self.discovery_address.port()));
     }
 
     pub fn restart_discovery(&mut self) {
-        self.discovery = Some(TcpListener::bind(self.discovery_address).expect("the port is free"));
+        self.discovery = self.refusing_port.take().map(RefusingPort::listen);
     }
 
     /// Answers each request with this list until the mixer logs this text; returns the answered connections.
--- a/crates/mixer/tests/watches.rs
+++ b/crates/mixer/tests/watches.rs
@@ -317,6 +317,8 @@
 /// list.
 struct FaultyDiscovery {
     address: SocketAddr,
+    /// Its port, if it refuses connections until it is healthy.
+    refusing_port: Option<RefusingPort>,
     /// The list of a healthy server; `None` while it is faulty.
     list: Arc<Mutex<Option<Value>>>,
     is_over: Arc<AtomicBool>,
@@ -325,14 +327,15 @@
 impl FaultyDiscovery {
     /// Refuses connections until it is healthy.
     fn refusing() -> Self {
-        let address = bind_free_port().local_addr().expect("the listener's address");
-        Self { address, list: Arc::default(), is_over: Arc::default() }
+        let port = RefusingPort::bind(0);
+        let address = port.address;
+        Self { address, refusing_port: Some(port), list: Arc::default(), is_over: Arc::default() }
     }
 
     fn with_fault(fault: &'static DiscoveryFault) -> Self {
         let listener = bind_free_port();
         let address = listener.local_addr().expect("the listener's address");
-        let discovery = Self { address, list: Arc::default(), is_over: Arc::default() };
+        let discovery = Self { address, refusing_port: None, list: Arc::default(), is_over: Arc::default() };
         discovery.serve(listener, fault);
         discovery
     }
@@ -363,11 +366,11 @@
         });
     }
 
-    /// Serves this list from now on. `was_refusing`: nothing listens on its port yet.
-    fn recover(&self, list: Value, was_refusing: bool) {
+    /// Serves this list from now on.
+    fn recover(&mut self, list: Value) {
         *self.list.lock().expect("no thread panics while it holds the lock") = Some(list);
-        if was_refusing {
-            self.serve(TcpListener::bind(self.address).expect("the port is free"), &DISCOVERY_FAULTS[0]);
+        if let Some(port) = self.refusing_port.take() {
+            self.serve(port.listen(), &DISCOVERY_FAULTS[0]);
         }
     }
 }
@@ -459,7 +462,7 @@
     let fault_name = fault.map_or("refuses", |fault| fault.name);
     let case = format!("{fault_name}, drain from the old server: {is_from_old}");
     let mixer = MovableMixer::start(&format!("moved-{nth}-{is_from_old}"));
-    let new_discovery = fault.map_or_else(FaultyDiscovery::refusing, FaultyDiscovery::with_fault);
+    let mut new_discovery = fault.map_or_else(FaultyDiscovery::refusing, FaultyDiscovery::with_fault);
     assert!(mixer.ask().starts_with("HTTP/1.1 200"), "{case}");
     mixer.move_to(new_discovery.address);
     std::thread::sleep(MOVE_COMPLETE_AFTER);
@@ -467,7 +470,7 @@
     let draining = [(mixer.searcher, "draining")];
     match is_from_old {
         true => mixer.old_discovery.publish(standins::discovery_list(2, false, &draining)),
-        false => new_discovery.recover(standins::discovery_list(1, true, &draining), fault.is_none()),
+        false => new_discovery.recover(standins::discovery_list(1, true, &draining)),
     }
     let drains = mixer.logs("drains");
     let after = published_at.elapsed();
