--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn announced_when_servable_and_withdrawn_when_not() {
+fn announcement_and_withdrawal() {
     let mut fixture = Fixture::new();
     fixture.advance(10_000.0);
     fixture.step(Input::Health(health(1.0, 1.0)));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn last_announcer_is_withdrawn_only_if_nothing_is_servable() {
+fn withdrawal_of_last_announcer() {
     let mut fixture = Fixture::ready();
     fixture.step(Input::Health(health(0.3, 0.3)));
     fixture.advance(10_000.0);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn flapping_searchers_do_not_flap_routes() {
+fn routes_with_flapping_searchers() {
     let mut fixture = Fixture::ready();
     for _ in 0..120 {
         fixture.step(Input::Health(health(0.0, 0.0)));
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn doubtful_routes_are_not_of_another_announcer() {
+fn doubtful_routes_of_other_announcers() {
     let id = "10.0.0.1".parse().expect("an identifier");
     let hop = |last: u8| Some(format!("192.0.2.{last}").parse().expect("an address"));
     let own = hop(1);
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn configuration_change_keeps_the_state_of_remaining_addresses() {
+fn address_state_after_configuration_change() {
     let mut fixture = Fixture::ready();
     let mut new = config();
     new.addresses.remove(0);
--- a/crates/bgp/tests/message.rs
+++ b/crates/bgp/tests/message.rs
@@ -73,7 +73,7 @@
 
     /// Decoding random bytes, and messages with some bytes changed, does not panic.
     #[test]
-    fn random_bytes_do_not_panic(
+    fn parsing_of_random_bytes(
         noise in proptest::collection::vec(any::<u8>(), 0..200),
         kind in 0u8..7,
         changed in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn malformed_messages_give_the_error_codes_of_the_rfcs() {
+fn error_codes_of_malformed_messages() {
     let open = Open {
         asn: 70_000,
         hold_time_s: 90,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn malformed_attributes_are_treated_as_withdrawal() {
+fn treat_as_withdraw_of_malformed_attributes() {
     // An UPDATE with one prefix and the attributes ORIGIN, an empty AS_PATH and NEXT_HOP, each made invalid in turn.
     let update = |attributes: &[u8]| {
         let mut bytes = vec![0xFF; 16];
@@ -172,7 +172,7 @@
 
 /// Routes to watched prefixes are reported with their attributes; other routes are only counted.
 #[test]
-fn only_watched_prefixes_are_reported() {
+fn reported_prefixes() {
     let net = |text: &str| -> IpNet { text.parse().expect("a prefix") };
     let watch =
         WatchedPrefixes { prefixes: vec![net("198.51.100.1/32"), net("2001:db8::1/128")], own_asn: 64_512 };
--- a/crates/bgp/tests/rib.rs
+++ b/crates/bgp/tests/rib.rs
@@ -34,7 +34,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(800) })]
 
     #[test]
-    fn trie_behaves_like_a_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
+    fn trie_equivalence_with_map(steps in proptest::collection::vec((net(), proptest::option::of(0u32..100)), 1..80)) {
         let mut trie = Trie::default();
         let mut map = BTreeMap::new();
         for (at, value) in steps {
@@ -54,7 +54,7 @@
 
     /// After any sequence of changes, a peer that has received all updates has exactly the wanted routes.
     #[test]
-    fn peer_ends_up_with_the_wanted_routes(
+    fn convergence_of_peer_routes(
         steps in proptest::collection::vec((net(), proptest::option::of(0u32..3), 0u8..12), 1..80),
     ) {
         let mut routes = AdjRibOut::default();
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn collision_keeps_the_connection_of_the_higher_identifier() {
+fn connection_collision() {
     let mut out = String::new();
     for (peer, first) in [(9, Direction::Out), (9, Direction::In), (0, Direction::Out), (0, Direction::In)] {
         let second = if first == Direction::Out { Direction::In } else { Direction::Out };
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn idle_hold_doubles_from_the_third_flap_on() {
+fn idle_hold_after_flaps() {
     let mut session = Session::new(config(), 1);
     let mut now = 0.0;
     let mut out = String::new();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn session_ends_at_the_prefix_limit() {
+fn prefix_limit() {
     let mut session = at(State::Established);
     let update = |announced, withdrawn| {
         Message::Update(UpdateSummary { announced, withdrawn, ..UpdateSummary::default() })
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn route_refresh_is_requested_only_when_established() {
+fn route_refresh_request() {
     let mut session = at(State::Established);
     let effects = session.step(1.0, Input::RequestRefresh);
     assert_eq!(effects, [Effect::Send(Direction::Out, message::encode_route_refresh(Family::V4))]);
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 #[test]
-fn trial_of_a_drain() {
+fn drain_trial() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["try", "--bgp", "--scans", "2", "--hung", "0"])
         .output()
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn console_that_does_not_exist() {
+fn missing_console() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["bgp", "show", "--console", "/nowhere/at/all"])
         .output()
--- a/crates/cli/tests/season.rs
+++ b/crates/cli/tests/season.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn trial_answers_every_scan() {
+fn trial_without_losses() {
     let (printed, status) = pewterwharf("try --scans 4");
     assert_eq!(status, Some(0), "{printed}");
     assert!(printed.contains("4 of 4 scans answered; the mixer drained and ended"), "{printed}");
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn requests_are_answered_or_refused_and_drop_removes_the_socket() {
+fn answers_refusals_and_socket_removal() {
     let path = path("plain");
     let console = open(&path);
     assert_eq!(query(&path, "bgp show").expect("an answer"), Ok("peers\n".to_owned()));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn malformed_requests_do_not_affect_later_ones() {
+fn malformed_requests() {
     let path = path("bad");
     let _console = open(&path);
     let malformed: [&[u8]; 4] = [b"", b"no end", &[b'x'; MAX_REQUEST_BYTES + 1], b"\xFF\xFE\n"];
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn stale_sockets_are_replaced_and_others_are_not() {
+fn stale_and_live_sockets() {
     let stale = path("left");
     drop(UnixListener::bind(&stale).expect("a socket")); // the file remains
     let console = open(&stale);
--- a/crates/council/src/routing.rs
+++ b/crates/council/src/routing.rs
@@ -260,7 +260,7 @@
     }
 
     #[test]
-    fn the_shortest_route_is_used() {
+    fn shortest_route() {
         let (mut routers, now_ms) = exchange_link_states(3, |_, _| true, 3);
         assert_eq!(route(&mut routers, now_ms, 1, 3), [3]);
         // Only one direction is cut: the other one stays direct.
@@ -274,7 +274,7 @@
     }
 
     #[test]
-    fn stale_link_states_and_unknown_members_are_ignored() {
+    fn stale_link_states_and_unknown_members() {
         let (mut routers, now_ms) = exchange_link_states(3, |a, b| (a, b) != (1, 3), 5);
         let late_ms = now_ms + LINK_STATE_VALIDITY_MS + HEARD_TIMEOUT_MS;
         assert_eq!(routers[0].send(late_ms, 3, Vec::new()).0, 3, "no route is known: the direct path");
@@ -286,7 +286,7 @@
     }
 
     #[test]
-    fn a_routing_loop_ends() {
+    fn routing_loop() {
         let mut router = Router::new(1, 1..=3, 1);
         let forged = |member, hears| LinkState { member, start: 1, sequence: 1, hears, age_ms: 0 };
         let link_states = Packet::LinkStates(vec![forged(2, vec![1, 3]), forged(3, vec![2])]);
--- a/crates/council/tests/agreement.rs
+++ b/crates/council/tests/agreement.rs
@@ -443,19 +443,19 @@
 }
 
 #[test]
-fn applied_commands_survive_two_thousand_seeds_of_faults() {
+fn agreement_under_faults() {
     let worst_ms = run_all_seeds(0..2000);
     println!("all make progress within {worst_ms} ms after the heal");
 }
 
 #[test]
 #[ignore = "a hundred thousand seeds take minutes"]
-fn applied_commands_survive_a_hundred_thousand_seeds_of_faults() {
+fn agreement_under_faults_long() {
     println!("all make progress within {} ms after the heal", run_all_seeds(0..100_000));
 }
 
 #[test]
-fn lost_writes_are_detected() {
+fn detection_of_lost_writes() {
     // The core itself may panic because its log is shorter than what other members know of it.
     let is_undetected = |seed: u64| {
         let run = std::panic::catch_unwind(|| run_faults(seed, DiskFault::LostWrites));
@@ -467,7 +467,7 @@
 }
 
 #[test]
-fn a_member_far_behind_receives_a_snapshot() {
+fn snapshot_for_lagging_member() {
     let mut net = Net::new(3, 7);
     net.run(1000);
     net.kill(2);
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn a_failed_write_stops_a_member_before_it_sends() {
+fn failed_write_stops_member() {
     let mut net = Net::new(3, 8);
     net.run(1000);
     let leader = net.processes.iter().position(Process::is_leader).expect("a leader");
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn a_restart_of_all_members_keeps_applied_commands() {
+fn restart_of_all_members() {
     let mut net = Net::new(3, 9);
     net.run(2000);
     for _ in 0..5 {
@@ -523,7 +523,7 @@
 /// Partial partitions in which every member can still reach every other one over some route, also after the
 /// leader dies.
 #[test]
-fn partial_partitions_are_bridged_by_relaying() {
+fn relaying_across_partial_partitions() {
     type Works = fn(usize, usize) -> bool;
     let partitions: [(&str, Works); 4] = [
         ("each sees two neighbours", |a, b| (a + 1) % 5 == b || (b + 1) % 5 == a),
--- a/crates/council/tests/file.rs
+++ b/crates/council/tests/file.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn persisted_state_is_read_back() {
+fn persisted_state_round_trip() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("council");
     let OpenedFile { mut storage, member, state } = open(&path).expect("it is created");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn foreign_open_and_corrupt_files_are_rejected() {
+fn rejected_files() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("council");
     let mut storage = open(&path).expect("it is created").storage;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_crash_during_creation_leaves_no_file() {
+fn crash_during_creation() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("council");
     std::fs::write(path.with_extension("new"), b"half of it").expect("it can be written");
@@ -93,7 +93,7 @@
 
 /// A group of one member: applied commands survive each restart, and the log stays short.
 #[test]
-fn applied_commands_survive_restarts() {
+fn applied_commands_after_restarts() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("council");
     let mut sum = 0;
--- a/crates/drill/src/checks.rs
+++ b/crates/drill/src/checks.rs
@@ -255,7 +255,7 @@
     }
 
     #[test]
-    fn valid_record_has_no_violations() {
+    fn record_without_violations() {
         assert_eq!(rules(&valid_record()), []);
     }
 
--- a/crates/drill/tests/scripts.rs
+++ b/crates/drill/tests/scripts.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn random_scripts_are_reproducible_and_valid() {
+fn random_scripts() {
     for seed in 0..500 {
         let script = draw(seed);
         assert_eq!(script, draw(seed));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn shrink_removes_unneeded_steps() {
+fn shrinking() {
     let script = Script::read(EXAMPLE).expect("it can be parsed").remove(0);
     let smallest = shrink(&script, 100, |s| {
         let text = s.to_string();
--- a/crates/duties/tests/duties.rs
+++ b/crates/duties/tests/duties.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn duties_are_spread_over_the_candidates() {
+fn spread_over_candidates() {
     let (mut assigner, mut table) = (LeaseAssigner::new(MAX_CLOCK_DRIFT), DutyTable::default());
     let duties = ["a", "b", "c", "d", "e", "f"];
     run_turn(&mut assigner, &mut table, 0.0, &duties, &["m1", "m2", "m3"]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_expired_lease_is_reassigned_and_its_holder_cools_down() {
+fn reassignment_of_expired_lease() {
     let (mut assigner, mut table) = (LeaseAssigner::new(MAX_CLOCK_DRIFT), DutyTable::default());
     let length_ms = LENGTH_MS as f64 * (1.0 + MAX_CLOCK_DRIFT);
     run_turn(&mut assigner, &mut table, 0.0, &["a"], &["m1"]);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_released_duty_goes_to_the_chosen_mixer_at_once() {
+fn release_to_chosen_mixer() {
     let (mut assigner, mut table) = (LeaseAssigner::new(MAX_CLOCK_DRIFT), DutyTable::default());
     run_turn(&mut assigner, &mut table, 0.0, &["a"], &["m1"]);
     let mut m1 = LeaseHolder::new("m1", MAX_CLOCK_DRIFT);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_new_process_does_not_take_over_the_lease_of_its_predecessor() {
+fn lease_of_earlier_process() {
     let (mut assigner, mut table) = (LeaseAssigner::new(MAX_CLOCK_DRIFT), DutyTable::default());
     run_turn(&mut assigner, &mut table, 0.0, &["a"], &["m1.1a2b"]);
     let mut earlier = LeaseHolder::new("m1.1a2b", MAX_CLOCK_DRIFT);
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn one_mixer_at_a_time_may_act() {
+fn mutual_exclusion() {
     let bounds = Bounds { planted: PlantedFault::None, max_time: 3, effects: false, assigners: 2 };
     let result = check(bounds);
     println!("{} states", result.states);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn two_mixers_never_have_effects_under_one_epoch() {
+fn one_holder_per_epoch() {
     let bounds = Bounds { planted: PlantedFault::None, max_time: 4, effects: true, assigners: 1 };
     let result = check(bounds);
     println!("{} states with effects", result.states);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn planted_faults_are_detected() {
+fn detection_of_planted_faults() {
     let violated = |planted, effects| check(Bounds { planted, max_time: 3, effects, assigners: 2 }).violated;
     assert_eq!(violated(PlantedFault::GrantTooEarly, false), [ONE_HOLDER]);
     assert_eq!(violated(PlantedFault::DriftIgnored, false), [ONE_HOLDER]);
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -107,14 +107,14 @@
 }
 
 #[test]
-fn module_keeps_rules() {
+fn verdicts_of_module() {
     let verdicts = check_rules(None);
     assert_snapshot!(describe(&verdicts));
     assert!(verdicts.iter().all(|v| v.coverage.departures == Some(2)), "{verdicts:?}");
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn detection_of_planted_faults() {
     let faults = [
         Fault::DrainIgnored,
         Fault::ResentThoughRun,
--- a/crates/mesh/tests/fleet.rs
+++ b/crates/mesh/tests/fleet.rs
@@ -95,24 +95,24 @@
 }
 
 #[test]
-fn two_thousand_seeds_of_faults_converge() {
+fn convergence_under_faults() {
     run_all_seeds(0..2000);
 }
 
 /// A mixer held a dead incarnation that was above the live one, and ignored the live one's messages.
 #[test]
-fn a_dead_incarnation_above_the_live_one_excludes_nobody() {
+fn forged_death_of_later_incarnation() {
     assert_eq!(run_faults(25_656).map(|_| ()), Ok(()));
 }
 
 #[test]
 #[ignore = "a hundred thousand seeds take some minutes"]
-fn a_hundred_thousand_seeds_of_faults_converge() {
+fn convergence_under_faults_long() {
     run_all_seeds(0..100_000);
 }
 
 #[test]
-fn a_restart_of_the_whole_fleet_begins_empty() {
+fn restart_of_whole_fleet() {
     let mut net = Net::new(5, 1);
     net.run(3000.0);
     net.mark(0, 1, true);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn the_later_of_two_processes_under_one_name_supersedes_the_earlier() {
+fn two_processes_under_one_name() {
     let mut net = Net::new(3, 2);
     net.run(3000.0);
     let mut earlier = net.processes[2].node.take().expect("the process runs");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_path_cut_in_one_direction_is_bridged_by_a_third_mixer() {
+fn path_cut_in_one_direction() {
     let mut net = Net::new(3, 3);
     net.run(3000.0);
     net.cut[0][1] = true;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_long_stall_is_recovered_from_at_once() {
+fn recovery_after_long_stall() {
     let mut net = Net::new(5, 4);
     net.run(3000.0);
     net.stall(1, 12_000.0);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_mixer_that_marks_everything_causes_few_probes() {
+fn probes_with_excessive_marks() {
     let mut net = Net::new(5, 5);
     for i in 0..5 {
         (0..20).for_each(|searcher| net.mark(i, searcher, false));
@@ -212,7 +212,7 @@
 
 /// A mixer receives records under its own incarnation that it never published.
 #[test]
-fn forged_records_of_a_live_incarnation_become_void() {
+fn forged_records_of_live_incarnation() {
     const FORGED_KIND: u8 = 200;
     let mut net = Net::new(3, 6);
     net.run(3000.0);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn corrupted_frames_are_detected_and_incomplete_ones_awaited() {
+fn corrupted_and_incomplete_frames() {
     let (fleet, name, incarnation) = ("fleet".to_owned(), "m1".to_owned(), Incarnation::first(77));
     let hello = |format| Hello {
         format,
--- a/crates/mesh/tests/links.rs
+++ b/crates/mesh/tests/links.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn published_records_reach_the_other_mixer() {
+fn delivery_of_published_records() {
     let (m1, m2) = start_two_mixers();
     assert!(m1.publish(vec![mark_report()]));
     let status = wait_until(&m2.handle(), "received", |status| status.kinds.get("mark") == Some(&1));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn foreign_links_are_rejected_with_a_reason() {
+fn reasons_to_reject_links() {
     let (m1, m2) = start_two_mixers();
     let address = m1.local_addr();
     let rejection = |hello: Hello| send_raw(address, &Frame::Hello(hello).encode());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_unreadable_frame_closes_only_its_link() {
+fn unreadable_frame() {
     let (m1, m2) = start_two_mixers();
     let address = m1.local_addr();
     let mut huge = ((60 << 20) as u32).to_le_bytes().to_vec();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_link_without_a_hello_is_closed() {
+fn link_without_hello() {
     let (m1, m2) = start_two_mixers();
     let began = Instant::now();
     assert_eq!(send_raw(m1.local_addr(), &[]), None, "waits for the end of the link");
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_flood_of_records_does_not_affect_other_mixers() {
+fn flood_of_records() {
     let (m1, m2) = start_two_mixers();
     let mut stream = TcpStream::connect(m1.local_addr()).expect("it accepts");
     stream.write_all(&Frame::Hello(hello_of_m3()).encode()).expect("it is accepted");
@@ -240,7 +240,7 @@
 /// At shutdown the service no longer takes advice while the thread of the links may be handing some to it:
 /// neither may wait for the other.
 #[test]
-fn leaving_does_not_wait_for_blocked_advice() {
+fn leave_with_blocked_advice() {
     let (a, b) = (free_address(), free_address());
     let (called, calls) = std::sync::mpsc::channel();
     let block_forever = move |_| {
--- a/crates/rehearse/tests/recovery.rs
+++ b/crates/rehearse/tests/recovery.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn run_without_faults_is_complete_and_deterministic() {
+fn run_without_faults() {
     let fleet = Fleet::small();
     let healthy = run(&fleet, &[], 1);
     assert!(healthy.in_time_share(2000.0, LENGTH_MS) > 0.995 && healthy.unanswered + healthy.ran_twice == 0);
@@ -180,7 +180,7 @@
 
 /// Every fault has an effect; otherwise the recovery tests would prove nothing.
 #[test]
-fn faults_have_an_effect() {
+fn effect_of_faults() {
     let fleet = Fleet::small();
     for (name, fault) in faults(&fleet) {
         let overload = Fault::Load { factor: 6.0 };
@@ -221,7 +221,7 @@
 /// dispatches which would show that the searchers are fast again: with that fault, only 2 scans in 1,000 were completed in time
 /// in the three seconds after the cause.
 #[test]
-fn rejections_end_after_lost_answers() {
+fn rejections_after_lost_answers() {
     let lost =
         || vec![Fault::AnswersLost { searchers: (0..Fleet::small().searchers()).collect(), share: 0.2 }];
     let quarters = (0..4).map(|quarter| {
--- a/crates/rehearse/tests/reports.rs
+++ b/crates/rehearse/tests/reports.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn reports_reduce_dispatches_to_a_hung_searcher() {
+fn dispatches_to_hung_searcher() {
     let mut dispatches_without = 0;
     let mut dispatches_with = 0;
     for seed in 0..5 {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn faulty_reports_do_not_reduce_service() {
+fn service_with_faulty_reports() {
     for seed in 0..3 {
         let exchange = ReportExchange { faulty_mixer: Some(0), ..good_exchange() };
         let with = simulate(&fleet(10, Some(exchange)), &[], 15_000.0, seed);
@@ -57,7 +57,7 @@
 
 #[test]
 #[ignore = "a measurement for docs/copies.md"]
-fn dispatches_and_detection_times_of_a_hang() {
+fn detection_times_of_hang() {
     println!(
         "mixers  parts alone  parts shared  median/last marked alone  median/last marked shared  bytes/s/mixer"
     );
--- a/crates/replica/tests/policy.rs
+++ b/crates/replica/tests/policy.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_mark_or_three_late_parts_cause_a_probe() {
+fn causes_of_probes() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.report(10.0, 0, 1, &mark(false)), [Advice::Probe(address(1))]);
     assert_eq!(fixture.report(20.0, 0, 2, &mark(true)), []);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn two_marks_cause_suspicion_and_wrong_reports_cost_trust() {
+fn suspicion_and_trust() {
     let mut fixture = Fixture::new();
     fixture.report(10.0, 0, 1, &mark(false));
     assert_eq!(fixture.report(20.0, 1, 1, &mark(false)), [Advice::Suspect(address(1))]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn reported_departures_are_retracted() {
+fn retraction_of_departures() {
     let mut fixture = Fixture::new();
     let drains = Departure { started_at_ms: 5.0, stage: Stage::Draining };
     assert_eq!(fixture.report(10.0, 0, 1, &drains), [Advice::Departing(address(1))]);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn one_peer_takes_out_at_most_a_quarter() {
+fn exclusion_limit_per_peer() {
     let mut fixture = Fixture::new();
     let drains = Departure { started_at_ms: 5.0, stage: Stage::Draining };
     let departing: usize = (0..12).map(|n| fixture.report(10.0, 0, n, &drains).len()).sum();
--- a/crates/replica/tests/records.rs
+++ b/crates/replica/tests/records.rs
@@ -107,7 +107,7 @@
     /// An origin publishes, retracts and restarts; its batches arrive in any order and number. Whoever
     /// catches up then holds the same as the origin.
     #[test]
-    fn any_order_of_batches_converges(
+    fn convergence_in_any_batch_order(
         actions in prop::collection::vec((0u8..8, 0u8..4), 1..40),
         order in prop::collection::vec((0usize..64, 0usize..3), 0..120),
     ) {
@@ -150,7 +150,7 @@
 /// All orders of six batches, a deletion and a restart among them: after a final catch-up the receiver holds
 /// the same as the origin, and its version never goes back on the way.
 #[test]
-fn all_orders_of_six_batches_converge() {
+fn convergence_in_all_orders_of_six() {
     let mut origin = replica("a");
     let mut batches = Vec::new();
     let mut step = |origin: &mut Replica, action: &dyn Fn(&mut Replica)| {
@@ -186,7 +186,7 @@
 /// A mixer that was away while records were deleted and their tombstones discarded must neither keep nor
 /// spread them.
 #[test]
-fn deleted_records_do_not_come_back_from_an_absent_mixer() {
+fn deletions_and_an_absent_mixer() {
     let (mut a, mut b, mut away) = (replica("a"), replica("b"), replica("c"));
     for n in 0..50 {
         a.publish(0.0, &format!("s{n}"), &mark(4.0), 0.0);
@@ -213,7 +213,7 @@
 
 /// A record of an earlier piece is deleted, and its tombstone discarded, before a full sync ends.
 #[test]
-fn a_deletion_during_a_full_sync_is_not_missed() {
+fn deletion_during_full_sync() {
     let (mut a, mut away) = (replica("a"), replica("c"));
     for n in 0..50 {
         a.publish(0.0, &format!("s{n:02}"), &mark(4.0), 0.0);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_later_incarnation_voids_the_records_of_the_earlier_one() {
+fn records_of_earlier_incarnation() {
     let (mut a, mut b) = (replica("a"), replica("b"));
     a.publish(0.0, "s1", &mark(4.0), 0.0);
     let old = a.own_records_since(0.0, 0, UNLIMITED).expect("a record");
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn diverging_ranges_are_repaired() {
+fn repair_of_diverging_ranges() {
     let (mut a, mut b, mut c) = (replica("a"), replica("b"), replica("c"));
     for n in 0..100 {
         a.publish(0.0, &format!("s{n}"), &mark(4.0), 0.0);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_flood_of_records_stays_within_the_quota_of_its_origin() {
+fn quota_per_origin() {
     let limits = Limits::per_origin(64 * 1024, 4);
     let mut local = Replica::new("a", incarnation(1), ["a", "b", "c"].map(str::to_owned), limits);
     local.publish(0.0, "s1", &mark(4.0), 0.0);
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn invalid_batches_are_rejected() {
+fn rejection_of_invalid_batches() {
     let mut local = replica("a");
     let record = |name: &str, counter, value: Vec<u8>| WireRecord {
         kind: 1,
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn evidence_ages_while_held_and_the_older_age_counts() {
+fn age_of_evidence() {
     let (mut a, mut b, mut c) = (replica("a"), replica("b"), replica("c"));
     a.publish(1000.0, "s1", &mark(4.0), 900.0);
     let batch = a.own_records_since(1500.0, 0, UNLIMITED).expect("a record");
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn example_file_states_the_defaults() {
+fn defaults_in_example_file() {
     let text = include_str!("../../../deploy/pewterwharf.lisp");
     assert_eq!(Settings::read(text), Ok(Settings::default()));
 }
 
 #[test]
-fn errors_name_key_and_position() {
+fn key_and_position_in_errors() {
     assert_eq!(
         outcome("(log\n  (level wran))"),
         "2:10: found wran, expected one of error, warn, info, debug, trace; did you mean warn?"
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn number_followed_by_unit_is_a_quantity() {
+fn quantities() {
     let parsed = sexpr::parse("(a 6s 6 s 1.5m)").expect("well-formed text");
     let NodeKind::List(nodes) = &parsed[0].kind else { panic!("no list") };
     let kinds: Vec<String> = nodes.iter().map(|n| n.describe()).collect();
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simhost/tests/codec.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn documented_batches_are_decoded() {
+fn documented_batches() {
     let two = frame(&[FOR_MIXER, PART, WAKE, "0c05000000", CLIENT_TIMED_OUT]);
     assert_eq!(two[..20], bytes("0c0000004f0000000500000000000000206ec040"));
     let searchers = "0b 00000000 02000000
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn malformed_frames_are_rejected() {
+fn malformed_frames() {
     let valid = frame(&[FOR_MIXER, PART]);
     let mut wrong_count = valid.clone();
     wrong_count[8] = 1;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn documented_replies_are_encoded() {
+fn documented_replies() {
     let mut reply = Reply::to(12);
     let searcher = "10.18.74.7:5003".parse().expect("an address");
     reply.actions(
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn late_writes_have_no_scheduling_slack() {
+fn writes_after_their_time() {
     let written = |at: f64, timeout_ms: f64| Event::Written { at, part: PART.to_owned(), timeout_ms };
     let closed = Event::ClientClosed { at: 1100.0, id: ID.to_owned() };
     let signalled = |at: f64, signal: &str| Event::Signalled { at, mixer: 0, signal: signal.to_owned() };
--- a/crates/speaker/tests/loopback.rs
+++ b/crates/speaker/tests/loopback.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn withdrawn_when_not_servable_and_announced_again() {
+fn withdrawal_and_new_announcement() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
     let speaker = start(&peer);
     speaker.report_health(health(1.0));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn routes_are_sent_again_after_flaps() {
+fn routes_after_flaps() {
     let peer =
         Peer::start(&[PeerBehavior::Flaps, PeerBehavior::Flaps, PeerBehavior::Flaps, PeerBehavior::Conforms]);
     let speaker = start(&peer);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn protocol_errors_are_notified_and_the_session_restarts() {
+fn session_restart_after_protocol_errors() {
     let cases = [
         (PeerBehavior::WrongAs, "BadPeerAs", "2/2"),
         (PeerBehavior::SendsMalformedUpdate, "MalformedAttributeList", "3/1"),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn peer_that_stops_reading_does_not_delay_a_drain() {
+fn drain_with_blocked_peer() {
     let peer = Peer::start(&[PeerBehavior::StopsReading]);
     let mut config = config(peer.address);
     config.announce.depreferenced_ms = 5.0;
@@ -207,7 +207,7 @@
 /// NOTIFICATIONs before the peer's OPEN, after it and in the established state, and a peer with the mixer's own BGP
 /// Identifier.
 #[test]
-fn session_restarts_after_the_peer_ends_it_in_any_state() {
+fn session_restart_in_each_state() {
     let cases = [
         (PeerBehavior::ResetsBeforeOpen, "the peer said 6/4"),
         (PeerBehavior::ResetsAfterOpen, "the peer said 6/4"),
@@ -239,7 +239,7 @@
 
 /// Unless the session is established, a drain has no peer to wait for.
 #[test]
-fn drain_completes_in_each_session_state() {
+fn drain_in_each_session_state() {
     for (behavior, reached) in [
         (PeerBehavior::Silent, State::OpenSent),
         (PeerBehavior::SendsOpenOnly, State::OpenConfirm),
@@ -267,7 +267,7 @@
 /// Both sides connect, and the peer sends its OPENs in either order. The connection opened by the side with the higher BGP
 /// Identifier stays.
 #[test]
-fn collision_keeps_the_connection_of_the_higher_identifier() {
+fn connection_collision() {
     for (peer_id, keeps_mixers) in [(9, false), (0, true)] {
         for mixers_first in [true, false] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn last_announcer_withdraws_only_with_another_announcer() {
+fn withdrawal_of_last_announcer() {
     let peer = Peer::start(&[PeerBehavior::Conforms]);
     let mut config = config(peer.address);
     config.announce.addresses.truncate(1);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn configuration_changes_keep_sessions() {
+fn sessions_across_configuration_changes() {
     let (peer, second) = (Peer::start(&[PeerBehavior::Conforms]), Peer::start(&[PeerBehavior::Conforms]));
     let before = config(peer.address);
     let speaker = Speaker::start(before.clone(), None, 7).expect("the speaker starts");
@@ -383,7 +383,7 @@
 /// A peer stops reading while updates keep coming. Its connection is closed once its write queue is full; another peer gets
 /// all updates, and a drain waits for neither.
 #[test]
-fn peer_with_a_full_write_queue_is_disconnected() {
+fn peer_with_full_write_queue() {
     let (stalled, peer) = (
         Peer::start(&[PeerBehavior::StopsReading, PeerBehavior::Silent]),
         Peer::start(&[PeerBehavior::Conforms]),
@@ -423,7 +423,7 @@
 /// Peers that send more routes than the buffers of a connection hold. If the receive window stayed closed, such a peer would
 /// hang until its operating system gives up.
 #[test]
-fn peers_that_flood_routes_are_disconnected() {
+fn peers_flooding_routes() {
     let start_flood = || Peer::start(&[PeerBehavior::FloodsRoutes(1_000_000), PeerBehavior::Conforms]);
     let peers: Vec<Peer> = (0..16).map(|_| start_flood()).collect();
     let mut all = config(peers[0].address);
--- a/crates/terms/tests/terms.rs
+++ b/crates/terms/tests/terms.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn text_and_json_give_the_same_config() {
+fn equivalence_of_text_and_json() {
     let text = "services.count=1\nservices.0.name=look_up\nservices.0.slo_ms=800.0\n\
         services.0.hard_limit_ms=1500.0\nservices.0.points=1.0\nservices.0.idempotency=token\n\
         services.0.key_ttl_ms=5000.0\ncustomers.count=2\ncustomers.0.name=a\ncustomers.0.quota_per_s=3.5\n\
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn newer_format_and_defaults_of_the_older_one() {
+fn newer_format_and_older_defaults() {
     let config = MixerConfig::from_json(&newer_settings()).expect("good settings");
     let permissions = &config.permissions;
     assert_eq!(
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn contradictory_settings_are_rejected_with_their_key() {
+fn contradictory_settings() {
     let refused = |path: &str, value: serde_json::Value| {
         let mut settings = newer_settings();
         *settings.pointer_mut(path).expect("a key") = value;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn reload_rejects_contradictory_settings() {
+fn reload_of_contradictory_settings() {
     let file = |settings: serde_json::Value| {
         json!({"name": "m", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1f", "settings": settings})
             .to_string()
