--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -131,7 +131,7 @@
     let open = |seed| Box::new(loaded.suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let scenario = verdict["counterexample"]["arena"].as_u64().context("arena is missing")?;
     let replayed = loaded.suite.replay(scenario as usize, &moves, args.seed, &open);
-    let (lines, broken) = replayed.map_err(|error| anyhow!(error))?;
-    lines.iter().for_each(|line| println!("{line}"));
-    Ok(!broken)
+    let replay = replayed.map_err(|error| anyhow!(error))?;
+    replay.trace.iter().for_each(|line| println!("{line}"));
+    Ok(!replay.has_violation)
 }
--- a/crates/expect/src/claim.rs
+++ b/crates/expect/src/claim.rs
@@ -101,7 +101,7 @@
     Abandoned,
 }
 
-/// How fast a searcher list gets outdated: at most `changes` searchers change unlisted in `every_ms`.
+/// How fast a searcher list becomes outdated: at most `changes` searchers change in `every_ms` without being listed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     pub changes: u32,
--- a/crates/expect/src/explore/scenario.rs
+++ b/crates/expect/src/explore/scenario.rs
@@ -1,7 +1,7 @@
 //! The part of a fleet on which the module is explored.
 //!
-//! A scan only involves the holders of its slices, so a scenario contains these alone, with the configuration and layout
-//! of the whole fleet. Of interchangeable holders it keeps as many as a replacement and the next replacement need.
+//! A scan only involves the holders of its slices, so a scenario contains only these, with the configuration and layout of
+//! the whole fleet. It keeps at most [`MAX_HOLDERS`] interchangeable holders of a slice.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -76,8 +76,8 @@
 }
 
 impl Scenario {
-    /// Scenarios for a table type: for the slices with the fewest holders that accept parts, and for others whose
-    /// holders differ from these. `halls_matter`: a claim names a hall.
+    /// Scenarios for a table type: one for the slices with the fewest holders that accept parts, and further ones for slices
+    /// whose holders the module can distinguish from these. `halls_matter`: a claim names a hall.
     pub fn for_table_type(
         fleet: &Fleet,
         grouped: GroupsAndOrder<'_>,
@@ -110,34 +110,41 @@
             .filter(|class| seen.insert(holder_signature(*class)))
             .take(MAX_SCENARIOS)
             .collect();
-        first_classes
-            .into_iter()
-            .map(|first| {
-                // The second part is held by other sets, if possible.
-                let is_disjoint = |class: &&usize| {
-                    let sets = placement.sets_of_class(**class);
-                    !sets.iter().any(|s| placement.sets_of_class(first).contains(s))
-                };
-                let second = classes.iter().find(is_disjoint).copied();
-                let mut searchers: Vec<ScenarioSearcher> = Vec::new();
-                for class in [Some(first), second].into_iter().flatten() {
-                    add_holders(fleet, grouped, placement.sets_of_class(class), &mut searchers);
-                }
-                let slices = match second {
-                    Some(second) => {
-                        vec![placement.slices_of_class(first)[0], placement.slices_of_class(second)[0]]
-                    }
-                    None => placement.slices_of_class(first).iter().take(MAX_PARTS).copied().collect(),
-                };
-                let weight = 1.0 / slices.len().max(1) as f64;
-                let part = |weight: f64| move |slice: &u32| PartTemplate { slice: *slice, weight };
-                let templates = vec![
-                    ScanTemplate { table_type, parts: slices.iter().map(part(weight)).collect() },
-                    ScanTemplate { table_type, parts: slices.iter().take(1).map(part(1.0)).collect() },
-                ];
-                Self { config: fleet.config().clone(), searchers, templates, limits, seed }
-            })
-            .collect()
+        let scenario = |first| Self::for_class(fleet, grouped, &classes, first, table_type, limits, seed);
+        first_classes.into_iter().map(scenario).collect()
+    }
+
+    /// The scenario whose first part reads the class `first`. The second part is held by other sets, if possible.
+    fn for_class(
+        fleet: &Fleet,
+        grouped: GroupsAndOrder<'_>,
+        classes: &[usize],
+        first: usize,
+        table_type: usize,
+        limits: EventLimits,
+        seed: u64,
+    ) -> Self {
+        let placement = fleet.placement();
+        let is_disjoint = |class: &&usize| {
+            let sets = placement.sets_of_class(**class);
+            !sets.iter().any(|s| placement.sets_of_class(first).contains(s))
+        };
+        let second = classes.iter().find(is_disjoint).copied();
+        let mut searchers: Vec<ScenarioSearcher> = Vec::new();
+        for class in [Some(first), second].into_iter().flatten() {
+            add_holders(fleet, grouped, placement.sets_of_class(class), &mut searchers);
+        }
+        let slices = match second {
+            Some(second) => vec![placement.slices_of_class(first)[0], placement.slices_of_class(second)[0]],
+            None => placement.slices_of_class(first).iter().take(MAX_PARTS).copied().collect(),
+        };
+        let weight = 1.0 / slices.len().max(1) as f64;
+        let part = |weight: f64| move |slice: &u32| PartTemplate { slice: *slice, weight };
+        let templates = vec![
+            ScanTemplate { table_type, parts: slices.iter().map(part(weight)).collect() },
+            ScanTemplate { table_type, parts: slices.iter().take(1).map(part(1.0)).collect() },
+        ];
+        Self { config: fleet.config().clone(), searchers, templates, limits, seed }
     }
 }
 
@@ -150,8 +157,8 @@
     maybe_stale: bool,
 }
 
-/// What the module can distinguish of a scenario's searchers: cells and halls by order of appearance, except for the
-/// mixer's own hall. Where a claim names a hall (`halls_matter`), the halls themselves.
+/// What the module can distinguish of a scenario's searchers: cells and halls, numbered in order of appearance. The mixer's
+/// own hall is always the first. If a claim names a hall (`halls_matter`), halls keep their own numbers.
 pub(crate) fn signature(
     searchers: &[ScenarioSearcher],
     own_hall: u16,
@@ -189,7 +196,7 @@
     let mut available = 0;
     for nth in 0..MAX_HOLDERS as u32 {
         for group in groups.iter().filter(|g| nth < g.count) {
-            // One unavailable searcher of each condition is always kept, as a possible wrong target.
+            // One searcher of each unavailable group is always kept, as the module may wrongly send to it.
             if available >= MAX_HOLDERS && (nth > 0 || group.condition.accepts_work()) {
                 continue;
             }
--- a/crates/expect/src/explore/simulation.rs
+++ b/crates/expect/src/explore/simulation.rs
@@ -34,9 +34,9 @@
     NoEffectTwice,
     /// 3: no new part is sent to a searcher that is listed as draining or gone.
     DrainsKept,
-    /// 4: a cold searcher gets no more than its share of work.
+    /// 4: a cold searcher gets no more than its share of the work.
     ColdSpared,
-    /// 5: no answer from less than the minimum weight, and none called whole that is not.
+    /// 5: no answer is based on less than the minimum weight, and none is reported as whole below the required weight.
     AnswersHonest,
     /// 6: further dispatches stay within the configured retry budget.
     BudgetKept,
@@ -70,12 +70,12 @@
 
 /// Start of a run, in milliseconds since 1970. Any time long after 0 will do, as 0 means long ago.
 const START_MS: f64 = 1.0e9;
-/// A wait ends after this share of the shortest query timeout, if nothing happens before.
+/// Maximum duration of one wait, as a share of the shortest query timeout.
 const MAX_WAIT_SHARE: f64 = 0.25;
 /// Maximum number of waits at the end of a run until all scans are answered.
 const MAX_FINAL_WAITS: usize = 2000;
 /// Work of a part, as a share of the target time. It is well below the module's initial estimate, as the module may have
-/// learned that parts are small.
+/// measured that parts are small.
 const WORK_SHARE: f64 = 0.1;
 /// Rounding error that is tolerated in a sum of part weights.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
@@ -87,9 +87,9 @@
     searcher: usize,
     sent_at: f64,
     times_out_at: f64,
-    /// Process of the searcher at that time.
+    /// [`SearcherState::process`] when the dispatch was sent.
     process: u32,
-    /// No answer will come.
+    /// The searcher will not answer it.
     hangs: bool,
 }
 
@@ -106,6 +106,18 @@
     }
 }
 
+/// A dispatch to be checked, with the state of its scan and part when it was sent.
+struct DispatchContext {
+    /// Text that identifies the part in messages.
+    part: String,
+    searcher: usize,
+    table_type: usize,
+    scan_done: bool,
+    scan_arrived_at: f64,
+    /// Dispatches of the part before this one.
+    earlier: Vec<SentDispatch>,
+}
+
 #[derive(Clone, Debug)]
 struct PartState {
     dispatches: Vec<SentDispatch>,
@@ -133,15 +145,16 @@
     /// Start of its process, actual and as listed.
     started_at: f64,
     listed_started_at: f64,
-    /// Counts the changes of the searcher: dispatches to an earlier process get no regular answer.
+    /// Number of changes of the searcher. Dispatches sent before the latest change end differently, see
+    /// [`Simulation::possible_ends`].
     process: u32,
-    /// The list lacks a change.
+    /// The list does not report the latest change yet.
     list_outdated: bool,
-    /// Work sent to it while it was cold, by this process of the mixer.
+    /// Work that the current process of the mixer sent to it while it was cold.
     cold_work: VecDeque<ColdWork>,
 }
 
-/// A run.
+/// The state of one run.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     claims: &'a [BehaviourClaim],
@@ -159,7 +172,7 @@
     pending_events: Vec<Event>,
     remaining: EventLimits,
     restarts: u64,
-    /// Times of the scans and parts that arrived, and of the further dispatches, within the retry budget's window.
+    /// Arrival times of scans and parts, and times of further dispatches, within the window of the retry budget.
     arrivals: VecDeque<f64>,
     further_dispatches: VecDeque<f64>,
     violations: Vec<Violation>,
@@ -184,7 +197,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// Starts a mixer and gives it the list.
+    /// Starts the module under test and delivers the full list to it.
     pub fn new(
         scenario: &'a Scenario,
         claims: &'a [BehaviourClaim],
@@ -254,7 +267,8 @@
         for (id, dispatch) in self.in_flight.iter().filter(|(_, d)| !d.hangs) {
             moves.extend(self.possible_ends(dispatch).iter().map(|end| Move::DispatchEnds(*id, *end)));
         }
-        // A hanging dispatch shows only once its answer is due, so an earlier hang would give the same run.
+        // Only the dispatch that is answered next may hang: a hang has no effect before the answer is due, so an earlier
+        // one would give the same run.
         moves.extend(self.next_answered().into_iter().map(|(id, _)| Move::DispatchHangs(*id)));
         for searcher in 0..self.searchers.len() {
             self.add_searcher_moves(searcher, &mut moves);
@@ -318,13 +332,13 @@
             }
             (true, Condition::Draining) => &[DispatchEnd::Full],
             (true, Condition::Gone) => &[DispatchEnd::Refused],
-            // Sent before the change: a draining searcher completes its parts, a new process does not know them.
+            // Sent before the change: a draining searcher completes its parts; a new process has no record of them.
             (false, Condition::Draining) => &[DispatchEnd::Ok, DispatchEnd::Error],
             (false, _) => &[],
         }
     }
 
-    /// The dispatch that is answered next in the expected course.
+    /// The dispatch that is answered next in the expected course: the one sent first.
     fn next_answered(&self) -> Option<(&DispatchId, &InFlightDispatch)> {
         let answered = self.in_flight.iter().filter(|(_, d)| !d.hangs);
         answered.min_by(|a, b| a.1.sent_at.total_cmp(&b.1.sent_at))
@@ -394,7 +408,7 @@
         }
     }
 
-    /// Waits until every scan is answered, as a lost scan shows only at its deadline.
+    /// Waits until every scan is answered or a rule is violated. A lost scan is detected only at its deadline.
     pub fn finish(&mut self) {
         for _ in 0..MAX_FINAL_WAITS {
             if !self.violations.is_empty() || !self.has_open_scans() {
@@ -530,7 +544,7 @@
         self.pending_events.clear();
         self.arrivals.clear();
         self.further_dispatches.clear();
-        // The new process neither has to answer the scans of the old one, nor knows its dispatches.
+        // The new process has no record of the scans and dispatches of the old one, and answers none of them.
         self.scans.iter_mut().flatten().for_each(|scan| scan.done = true);
         self.searchers.iter_mut().for_each(|searcher| searcher.cold_work.clear());
         self.wake_at = self.now;
@@ -577,7 +591,8 @@
         }
     }
 
-    /// Calls the module with the events, and executes its actions. Returns whether any of them is visible to others.
+    /// Calls the module with the events, and executes its actions. Returns whether any of them affects a client or a
+    /// searcher.
     fn deliver(&mut self, mut events: Vec<Event>) -> bool {
         events.append(&mut self.pending_events);
         let actions = self.subject.handle_events(self.now, events);
@@ -624,75 +639,85 @@
             && let Some(event) = self.end_dispatch(id, DispatchOutcome::Cancelled)
         {
             let DispatchId { scan, part, dispatch } = id;
-            self.add_trace_line(&format!("    gives up part {scan}.{part} dispatch {dispatch}"));
+            self.add_trace_line(&format!("    cancels part {scan}.{part} dispatch {dispatch}"));
             self.pending_events.push(event);
         }
     }
 
     /// Sends a dispatch, and checks it against the rules and the behaviour claims.
     fn dispatch(&mut self, part_id: u64, port: u16, timeout_ms: f64) {
-        let now = self.now;
         let searcher = usize::from(port) - 1;
-        let DispatchId { scan: scan_index, part: part_index, .. } = dispatch_id(part_id, 0);
-        let Some(scan) = &mut self.scans[scan_index] else {
+        let DispatchId { scan, part, .. } = dispatch_id(part_id, 0);
+        let Some(sent) = self.record_dispatch(scan, part, searcher) else {
             return self.violation(
                 Rule::NoScanLost,
-                format!("a part of scan {scan_index}, which nobody asked, is sent"),
+                format!("a part of scan {scan} is sent before the scan arrived"),
             );
         };
-        let number = scan.parts[part_index].dispatches.len() as u8;
-        let table_type_index = self.scenario.templates[scan.template].table_type;
-        let idempotency = self.scenario.config.table_types[table_type_index].idempotency;
-        let done = scan.done;
-        let arrived_at = scan.arrived_at;
-        let earlier = scan.parts[part_index].dispatches.clone();
-        scan.parts[part_index].dispatches.push(SentDispatch { sent_at: now, outcome: None });
-        let state = &self.searchers[searcher];
-        let actual = state.actual;
-        let listed_status = state.listed_status;
+        let number = sent.earlier.len() as u8;
+        let process = self.searchers[searcher].process;
         self.in_flight.insert(
-            DispatchId { scan: scan_index, part: part_index, dispatch: number },
+            DispatchId { scan, part, dispatch: number },
             InFlightDispatch {
                 searcher,
-                sent_at: now,
-                times_out_at: now + timeout_ms.max(0.0),
-                process: state.process,
+                sent_at: self.now,
+                times_out_at: self.now + timeout_ms.max(0.0),
+                process,
                 hangs: false,
             },
         );
-        let name = self.scenario.searchers[searcher].name.clone();
-        let part = format!("part {scan_index}.{part_index}");
-        let condition = condition_text(actual);
-        self.add_trace_line(&format!("    {part} dispatch {number} -> {name}, which is {condition}"));
-        if done {
+        let name = &self.scenario.searchers[searcher].name;
+        let condition = condition_text(self.searchers[searcher].actual);
+        self.add_trace_line(&format!("    {} dispatch {number} -> {name}, which is {condition}", sent.part));
+        self.check_dispatch(&sent);
+    }
+
+    /// Adds a dispatch to those of its part; `None` if its scan has not arrived yet.
+    fn record_dispatch(&mut self, scan: usize, part: usize, searcher: usize) -> Option<DispatchContext> {
+        let state = self.scans[scan].as_mut()?;
+        let dispatches = &mut state.parts[part].dispatches;
+        let earlier = dispatches.clone();
+        dispatches.push(SentDispatch { sent_at: self.now, outcome: None });
+        Some(DispatchContext {
+            part: format!("part {scan}.{part}"),
+            searcher,
+            table_type: self.scenario.templates[state.template].table_type,
+            scan_done: state.done,
+            scan_arrived_at: state.arrived_at,
+            earlier,
+        })
+    }
+
+    /// Checks a dispatch against the rules, and then against the behaviour claims.
+    fn check_dispatch(&mut self, sent: &DispatchContext) {
+        let DispatchContext { part, searcher, .. } = sent;
+        let name = &self.scenario.searchers[*searcher].name;
+        if sent.scan_done {
             self.violation(Rule::NoScanLost, format!("{part} is sent to {name} after its scan's end"));
         }
-        self.check_repeat(&part, &name, &earlier, idempotency, arrived_at);
-        if listed_status != SearcherStatus::Ready {
-            let listed = if listed_status == SearcherStatus::Gone { "gone" } else { "draining" };
-            self.violation(
-                Rule::DrainsKept,
-                format!("{part} is sent to {name}, which was told to be {listed}"),
-            );
+        self.check_repeat(sent);
+        let listed = match self.searchers[*searcher].listed_status {
+            SearcherStatus::Ready => None,
+            SearcherStatus::Gone => Some("gone"),
+            SearcherStatus::Draining => Some("draining"),
+        };
+        if let Some(listed) = listed {
+            let description = format!("{part} is sent to {name}, which is listed as {listed}");
+            self.violation(Rule::DrainsKept, description);
         }
-        self.check_cold_work(&part, searcher);
-        if number > 0 {
-            self.further_dispatches.push_back(now);
+        self.check_cold_work(part, *searcher);
+        if !sent.earlier.is_empty() {
+            self.further_dispatches.push_back(self.now);
             self.check_retry_budget();
         }
-        self.check_dispatch_claims(&part, searcher, table_type_index, &earlier);
+        self.check_dispatch_claims(sent);
     }
 
-    /// Checks a dispatch of a part, with these earlier dispatches, against the behaviour claims.
-    fn check_dispatch_claims(
-        &mut self,
-        part: &str,
-        searcher: usize,
-        table_type: usize,
-        earlier: &[SentDispatch],
-    ) {
-        let actual = self.searchers[searcher].actual;
-        let ScenarioSearcher { name, hall, .. } = &self.scenario.searchers[searcher];
+    /// Checks a dispatch against the behaviour claims.
+    fn check_dispatch_claims(&mut self, sent: &DispatchContext) {
+        let DispatchContext { part, earlier, .. } = sent;
+        let actual = self.searchers[sent.searcher].actual;
+        let ScenarioSearcher { name, hall, .. } = &self.scenario.searchers[sent.searcher];
         let is_repeated = !earlier.is_empty();
         let is_concurrent = earlier.iter().any(|d| d.outcome.is_none());
         for (index, claim) in self.claims.iter().enumerate() {
@@ -701,7 +726,7 @@
             else {
                 continue;
             };
-            if claim.table_type.is_some_and(|t| t != table_type) {
+            if claim.table_type.is_some_and(|t| t != sent.table_type) {
                 continue;
             }
             let matches = (conditions.is_empty() || conditions.contains(&actual))
@@ -716,14 +741,8 @@
     }
 
     /// Rule 2, and the maximum number of dispatches of a part.
-    fn check_repeat(
-        &mut self,
-        part: &str,
-        searcher: &str,
-        earlier: &[SentDispatch],
-        idempotency: Idempotency,
-        arrived_at: f64,
-    ) {
+    fn check_repeat(&mut self, sent: &DispatchContext) {
+        let DispatchContext { part, earlier, .. } = sent;
         let permissions = &self.scenario.config.permissions;
         if earlier.len() >= permissions.max_dispatches as usize {
             let description =
@@ -737,14 +756,15 @@
         let may_have_run = || earlier.iter().filter(|d| d.may_have_run());
         let first_sent_at = may_have_run().map(|d| d.sent_at).fold(f64::INFINITY, f64::min);
         let any_ran = may_have_run().next().is_some();
-        let violated = match idempotency {
+        let violated = match self.scenario.config.table_types[sent.table_type].idempotency {
             Idempotency::Replayable => false,
             Idempotency::Keyed { window_ms } => {
-                any_ran && self.now > first_sent_at.max(arrived_at) + window_ms
+                any_ran && self.now > first_sent_at.max(sent.scan_arrived_at) + window_ms
             }
             Idempotency::NonReplayable => any_ran,
         };
         if violated {
+            let searcher = &self.scenario.searchers[sent.searcher].name;
             let description = format!("{part} is sent again, to {searcher}, though it may have run");
             self.violation(Rule::NoEffectTwice, description);
         }
@@ -758,7 +778,7 @@
         let limits = &config.safety_limits;
         let work_ms = WORK_SHARE * config.table_types[self.scenario.templates[0].table_type].target_ms;
         let state = &mut self.searchers[searcher];
-        // The check uses the listed start, as the mixer can't know of an unlisted one.
+        // The check uses the listed start, as the mixer has no information about an unlisted one.
         let age_ms = now - state.listed_started_at;
         if state.listed_started_at <= 0.0
             || age_ms >= limits.warm_up_ms
@@ -912,28 +932,32 @@
                 let end = match end {
                     DispatchEnd::Ok => "comes back",
                     DispatchEnd::Error => "fails",
-                    DispatchEnd::Full => "is turned away",
-                    DispatchEnd::Refused => "meets no connection",
+                    DispatchEnd::Full => "is rejected as full",
+                    DispatchEnd::Refused => "fails to connect",
                 };
                 format!("{} {end}", dispatch(id))
             }
             Move::DispatchHangs(id) => format!("{} will not be answered", dispatch(id)),
             Move::ConnectionLost(searcher) => format!("the connection to {} is lost", name(searcher)),
             Move::ListedChange(searcher, condition) => {
-                format!("{} is now {}, and the list tells so", name(searcher), condition_text(condition))
+                format!("{} is now {}, and the list reports it", name(searcher), condition_text(condition))
             }
             Move::UnlistedChange(searcher, condition) => {
-                format!("{} is now {}, and the list does not tell", name(searcher), condition_text(condition))
+                format!(
+                    "{} is now {}, and the list does not report it",
+                    name(searcher),
+                    condition_text(condition)
+                )
             }
             Move::ListUpdate(searcher) => {
                 let condition = condition_text(self.searchers[searcher].actual);
-                format!("the list tells that {} is {condition}", name(searcher))
+                format!("the list now reports {} as {condition}", name(searcher))
             }
             Move::ProbeEnds(searcher, true) => format!("the probe to {} comes back", name(searcher)),
             Move::ProbeEnds(searcher, false) => format!("the probe to {} fails", name(searcher)),
             Move::ClientLeaves(scan) => format!("the client of scan {scan} leaves"),
             Move::Wait => "time passes".to_owned(),
-            Move::Restart => "the mixer is killed and starts again with the list it held".to_owned(),
+            Move::Restart => "the mixer is killed and starts again with its cached list".to_owned(),
         }
     }
 }
--- a/crates/expect/src/groups.rs
+++ b/crates/expect/src/groups.rs
@@ -1,8 +1,8 @@
 //! Groups of interchangeable searchers, and the failures that are applied to them.
 //!
-//! A [`GroupedFleet`] is a list of groups. A failure of any `n` searchers becomes a choice of how many of each group
-//! fail, so that interchangeable cases are checked once. A group is a range of one order of all searchers, so it is
-//! split without copying its members.
+//! A [`GroupedFleet`] is a list of groups. A failure of any `n` searchers becomes a choice of how many of each group fail,
+//! so that interchangeable cases are checked once. All searchers are sorted by group once, and a group is a range of this
+//! order, so it is split without copying its members.
 
 use std::ops::ControlFlow;
 
@@ -10,7 +10,7 @@
 
 use crate::claim::{Failure, FailureTarget};
 
-/// Searchers with the same hall, set, condition and certainty.
+/// Searchers that failures and checks do not distinguish: same hall, set and condition, and the same `maybe_stale`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     pub set: u32,
@@ -151,8 +151,8 @@
         Some((groups.iter().map(worsen).collect(), AppliedFailure { condition, target }))
     }
 
-    /// Calls `visit` with each case of a failure: first the case without any failed searcher, and the cases of `n`
-    /// searchers before those of `n + 1`.
+    /// Calls `visit` with each case of a failure. Cases of `n` failed searchers precede those of `n + 1`, beginning with
+    /// none.
     pub fn for_each_case(
         &self,
         groups: &[Group],
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Each of `count` halls or sets fails on its own. All those without a searcher in `groups` are one case.
+    /// Calls `visit` with the failure of each of `count` halls or sets. Those without a searcher in `groups` are one case.
     fn for_each_location(
         &self,
         groups: &[Group],
@@ -277,9 +277,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Changes exactly `total` searchers whose listed status may be outdated, in every mixture of gone, draining and
-    /// cold. A mixture can be the worst case for the load: of two holders, one gone and one cold carry more than two cold,
-    /// and two gone carry nothing.
+    /// Calls `visit` with each change of exactly `total` searchers whose listed status may be outdated, in every mixture of
+    /// gone, draining and cold. A mixture can be the worst case for the load: with two holders, the load is highest if one is
+    /// gone and the other cold, as a slice without a holder adds no load.
     fn for_each_mixture(&self, groups: &[Group], total: u32, visit: &mut CaseVisitor<'_>) -> ControlFlow<()> {
         for gone in (0..=total).rev() {
             for draining in (0..=total - gone).rev() {
@@ -314,7 +314,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Each choice of exactly `total` searchers whose listed status may be outdated.
+    /// Calls `visit` with each choice of exactly `total` searchers whose listed status may be outdated.
     fn choose_stale(
         &self,
         groups: &[Group],
@@ -326,7 +326,7 @@
     }
 }
 
-/// Groups in which the searchers in this condition have a certain status.
+/// The same groups, where those in this condition are no longer `maybe_stale`.
 fn without_staleness(groups: &[Group], condition: Condition) -> GroupedFleet {
     let certain =
         |group: &Group| Group { maybe_stale: group.maybe_stale && group.condition != condition, ..*group };
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -17,4 +17,4 @@
 pub mod structural;
 mod suite;
 
-pub use suite::{CheckOptions, Counterexample, Coverage, Outcome, Suite, Verdict};
+pub use suite::{CheckOptions, Counterexample, Coverage, Outcome, Replay, Suite, Verdict};
--- a/crates/expect/src/plan.rs
+++ b/crates/expect/src/plan.rs
@@ -1,11 +1,10 @@
 //! Order of the moves of a migration between two placements.
 //!
-//! From one season to the next searchers come to hold other slices. A step copies or drops one slice at one group of
-//! searchers that move together; a slice is copied to all its new holders before any old holder drops it.
-//! [`Migration::plan`] finds an order in which every structural expectation holds after each step, by depth-first search
-//! over the sets of completed steps. Drops are tried first, as they free capacity; states from which the migration can't
-//! be completed are remembered, and never entered again. If there is no order, the search names the smallest set of
-//! expectations that excludes one.
+//! In a migration, searchers change the slices that they hold. A step copies or drops one slice at one group of searchers
+//! that move together; a slice is copied to all its new holders before any old holder drops it. [`Migration::plan`] finds
+//! an order in which every structural expectation holds after each step, by depth-first search over the sets of completed
+//! steps. Drops are tried first, as they free capacity. States from which the migration can't be completed are recorded
+//! and not visited again. If there is no order, the result names the smallest set of expectations that excludes one.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -50,7 +49,7 @@
 pub enum PlanError {
     /// These expectations exclude any order. `smallest`: no smaller set of expectations does.
     Excluded { names: Vec<String>, smallest: bool },
-    /// No order was found among the states visited.
+    /// The search reached its limit before it found an order.
     SearchLimitReached { states: usize },
     /// An expectation depends on sets, which are undefined while searchers move between them.
     DependsOnSets { name: String },
@@ -70,7 +69,7 @@
 
 /// Two fleets, and the steps from one to the other.
 pub struct Migration {
-    /// The searchers of both fleets. Those of the new fleet come first, so that their indices stay valid.
+    /// The searchers of both fleets. Those of the new fleet come first, so they keep their indices.
     fleet: Fleet,
     /// Index of the group of each searcher, used as its set.
     sets: Vec<u32>,
@@ -83,13 +82,15 @@
 /// Result of one search.
 enum SearchResult {
     Found(Plan),
-    /// There is no order among the states visited.
+    /// No order was found. If the limit was not reached, there is none.
     NotFound {
         states: usize,
     },
 }
 
 impl Migration {
+    /// Computes the steps from the old fleet to the new one.
+    ///
     /// # Errors
     /// If the fleets can't be compared, or are too large.
     pub fn new(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Self, PlanError> {
@@ -180,6 +181,7 @@
         }
     }
 
+    /// Depth-first search for an order in which the expectations hold after each step.
     fn search(&self, expectations: &[&Expectation], pace: Pace) -> Result<SearchResult, PlanError> {
         let none_completed = vec![false; self.steps.len()];
         let all_completed = vec![true; self.steps.len()];
@@ -200,7 +202,7 @@
         let mut completed = none_completed;
         // Completed steps in order.
         let mut path: Vec<usize> = Vec::new();
-        // The first step to try in the current state.
+        // Index of the first step to try in the current state. The steps before it were tried already.
         let mut next = 0;
         loop {
             if path.len() == self.steps.len() {
@@ -258,12 +260,12 @@
         expectations: &[&Expectation],
         pace: Pace,
     ) -> Result<PlanError, PlanError> {
-        // A search that reached its limit is no proof that there is no plan.
+        // A search that reached its limit does not prove that there is no plan.
         let has_no_plan = |set: &[&Expectation]| -> Result<bool, PlanError> {
             let result = self.search(set, pace)?;
             Ok(matches!(result, SearchResult::NotFound { states } if states < MAX_STATES))
         };
-        // Removing one expectation after the other gives a set in which each is needed.
+        // Removes each expectation that the set does not need to exclude a plan.
         let mut core = expectations.to_vec();
         let mut index = 0;
         while index < core.len() {
@@ -275,7 +277,7 @@
                 index += 1;
             }
         }
-        // Another set may be smaller still.
+        // Another set may be smaller: all smaller sets are tried, up to a limit.
         let mut searches = 0;
         let mut smallest = true;
         'sizes: for size in 1..core.len() {
@@ -308,7 +310,7 @@
 fn joint_fleet(old: &Fleet, new: &Fleet, old_list: &List, new_list: &List) -> Result<Fleet, PlanError> {
     let is_leaving = |entry: &&Entry| new.searcher(&entry.name).is_err() && old.searcher(&entry.name).is_ok();
     let mut union = new_list.clone();
-    // A leaving searcher has no set in the new layout. Any set will do, as its group determines its slices.
+    // A leaving searcher has no set in the new layout. Its set is arbitrary, as its group determines its slices.
     union.entries.extend(old_list.entries.iter().filter(is_leaving).map(|e| Entry { cell: 0, ..e.clone() }));
     let mut fleet = Fleet::new(new.config().clone(), &union).map_err(not_comparable)?;
     for owned in new.customer_slices() {
--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -106,7 +106,7 @@
     /// Resolves all names.
     ///
     /// # Errors
-    /// Position of a word that is not valid there, or of a name that the fleet does not have.
+    /// Position of an expression that is not valid there, or of a name that the fleet does not have.
     pub fn resolve(&self, fleet: &Fleet) -> Result<Vec<Expectation>, ParseError> {
         let parser = ClaimParser { fleet };
         let resolve = |unresolved: &UnresolvedExpectation| {
--- a/crates/expect/src/structural.rs
+++ b/crates/expect/src/structural.rs
@@ -1,4 +1,4 @@
-//! Structural checks: what follows from the placement, in every case of the failures named.
+//! Structural checks: claims that depend on the placement only, checked in every case of the failures that they name.
 //!
 //! The alternatives are discussed in `docs/expectations.md`. Three exact reductions keep the number of cases small:
 //!
@@ -8,8 +8,8 @@
 //!    once.
 //! 3. Interchangeable searchers are counted in groups ([`crate::groups`]).
 //!
-//! The first does not hold under `some` and `not`; there the cases of the whole fleet are enumerated by group, up to a
-//! bound. Beyond it the verdict is *undecided*.
+//! The first reduction is not valid under `some` and `not`. For these, the cases of the whole fleet are enumerated by
+//! group, up to a bound. Beyond it the verdict is *undecided*.
 
 use std::collections::HashSet;
 use std::ops::{ControlFlow, Range, RangeInclusive};
@@ -27,7 +27,7 @@
 pub struct Case {
     pub failures: Vec<AppliedFailure>,
     pub slice: Option<u32>,
-    /// What was found instead of what the claim expects.
+    /// Description of the state that violates the claim.
     pub observed: String,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl<'a> StructuralChecker<'a> {
-    /// A checker for a list that is `list_age_ms` old and gets outdated at this pace.
+    /// Creates a checker for a list that is `list_age_ms` old and becomes outdated at this pace.
     pub fn new(fleet: &'a Fleet, pace: Pace, list_age_ms: f64) -> Self {
         let placement = fleet.placement();
         let slice_weights = fleet.weights();
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Checks a claim in every case of a failure of the whole fleet, where slices can't be checked on their own.
+    /// Checks a claim in every case of a failure of the whole fleet, if slices can't be checked separately.
     fn check_in_all_cases(
         &mut self,
         claim: &Claim,
@@ -383,7 +383,7 @@
     ranges
 }
 
-/// What distinguishes a [`Group`] in a check of one class: its set by order of appearance, not by number.
+/// The properties of a [`Group`] that matter in a check of one class. Sets are numbered in order of appearance.
 #[derive(PartialEq, Eq, Hash)]
 struct GroupShape {
     nth_set: u32,
@@ -464,7 +464,7 @@
     format!("{count} {noun}{}", if count == 1 { "" } else { "s" })
 }
 
-/// The first minimum in a claim, which its failure is described by.
+/// The first minimum in a claim; it determines what the description of a failure states.
 fn first_reachability(claim: &SliceClaim) -> Reachability {
     match claim {
         SliceClaim::Reachable(minimum) => minimum.clone(),
--- a/crates/expect/src/suite.rs
+++ b/crates/expect/src/suite.rs
@@ -34,8 +34,8 @@
     pub cases: u64,
     /// States of the decision module.
     pub states: u64,
-    /// All runs with up to this number of departures were explored; `None` if the module was not run, or if not even the
-    /// runs without departures were completed.
+    /// All runs with up to this number of departures were explored. `None` if the module was not run, or if the state limit
+    /// was reached within the runs without departures.
     pub departures: Option<u32>,
     /// Number of explorations.
     pub explorations: u32,
@@ -44,10 +44,10 @@
 /// A case in which an expectation fails, to be reported and replayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counterexample {
-    /// Descriptions of the failures that occur first.
+    /// Descriptions of the failures that precede the counterexample.
     pub failures: Vec<String>,
     pub slice: Option<u32>,
-    /// What was found instead of what was expected.
+    /// Description of what violates the expectation.
     pub observed: String,
     /// Inputs and actions of the decision module, one per line.
     pub trace: Vec<String>,
@@ -57,6 +57,15 @@
     pub scenario: Option<usize>,
 }
 
+/// A replayed counterexample.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Replay {
+    /// Inputs and actions of the decision module, one per line.
+    pub trace: Vec<String>,
+    /// Whether the run violated a rule or a behaviour claim.
+    pub has_violation: bool,
+}
+
 /// Result of a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -73,8 +82,8 @@
     /// Line in the file; `None` for the six rules, which are always checked.
     pub line: Option<usize>,
     pub outcome: Outcome,
-    /// Age of the list in milliseconds from which the expectation fails; `None` if the age does not matter, or if it holds
-    /// at all ages checked.
+    /// Age of the list in milliseconds from which on the expectation fails; `None` if it does not refer to the age, or if it
+    /// holds at all ages checked.
     pub fails_at_ms: Option<f64>,
     /// Age of the list in milliseconds up to which the expectation must hold, if it states one.
     pub required_ms: Option<f64>,
@@ -124,12 +133,12 @@
     EventLimits { listed_changes: 2, unlisted_changes: 1, restarts: 1, client_departures: 1 };
 /// Maximum number of ages of the list that are checked for one expectation.
 const MAX_AGES: usize = 64;
-/// Periods of the pace that are checked beyond the required age, to report how long the expectation holds.
+/// Number of list periods that are checked beyond the required age, to report how long the expectation holds.
 const PERIODS_BEYOND_REQUIRED: u32 = 8;
 /// Maximum number of cases of a failure for which the module is run. Cases that the module can't distinguish share one run.
 const MAX_EXPLORED_CASES: usize = 20_000;
 
-/// Index of an expectation, and index of the age of its list.
+/// Index of an expectation, and index of an age in [`Suite::ages`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ExpectationAtAge {
     expectation: usize,
@@ -140,11 +149,39 @@
 struct Job {
     scenario: Scenario,
     claims: Vec<BehaviourClaim>,
-    /// Where each claim comes from.
+    /// The expectation of each claim, in the same order.
     origins: Vec<ExpectationAtAge>,
     failures: Vec<AppliedFailure>,
 }
 
+/// Jobs in the order in which they were added. A job that claims share is found by its [`scenario_key`].
+#[derive(Default)]
+struct JobList {
+    jobs: Vec<Job>,
+    index_by_key: BTreeMap<String, usize>,
+}
+
+impl JobList {
+    /// Adds a job without claims, and returns its index.
+    fn push(&mut self, scenario: Scenario, failures: Vec<AppliedFailure>) -> usize {
+        self.jobs.push(Job { scenario, claims: Vec::new(), origins: Vec::new(), failures });
+        self.jobs.len() - 1
+    }
+
+    /// The job with this key, which is added if there is none.
+    fn shared_job(&mut self, key: String, scenario: Scenario, failures: &[AppliedFailure]) -> &mut Job {
+        let index = match self.index_by_key.get(&key) {
+            Some(index) => *index,
+            None => {
+                let index = self.push(scenario, failures.to_vec());
+                self.index_by_key.insert(key, index);
+                index
+            }
+        };
+        &mut self.jobs[index]
+    }
+}
+
 /// A behaviour claim, with the state of the fleet in which it is checked.
 struct ClaimCase {
     claim: BehaviourClaim,
@@ -153,7 +190,7 @@
     limits: EventLimits,
 }
 
-/// A violated behaviour claim, in the order of preference for a counterexample.
+/// Sort key of a violated behaviour claim: the least one becomes the counterexample.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ViolationRank {
     age: usize,
@@ -205,27 +242,15 @@
         progress(self.expectations.len(), steps);
         let found =
             run_all(&jobs, options, open, &|finished| progress(self.expectations.len() + finished, steps));
-        let mut rules: Vec<Verdict> = RULES.iter().map(|rule| Verdict::new(rule.to_string(), None)).collect();
-        for (index, (job, found)) in jobs.iter().zip(&found).enumerate() {
-            if job.claims.is_empty() {
-                for (rule, verdict) in RULES.iter().zip(&mut rules) {
-                    verdict.coverage.add(found);
-                    if let Some(FoundViolation { moves, .. }) = found.violations.get(rule)
-                        && verdict.holds()
-                    {
-                        let case = self.counterexample(index, job, options, open, moves, *rule);
-                        verdict.outcome = Outcome::Fails(Box::new(case));
-                    }
-                }
-                continue;
-            }
+        for (job, found) in jobs.iter().zip(&found) {
             for origin in &job.origins {
                 verdicts[origin.expectation].coverage.add(found);
             }
         }
+        let rule_verdicts = self.rule_verdicts(&jobs, &found, options, open);
         self.apply_violations(&jobs, &found, options, open, &mut verdicts);
-        verdicts.extend(rules);
-        // If not even the runs without departures were completed, nothing is known to hold.
+        verdicts.extend(rule_verdicts);
+        // An expectation holds only if at least the runs without departures were completed.
         for verdict in &mut verdicts {
             if verdict.holds() && verdict.coverage.explorations > 0 && verdict.coverage.departures.is_none() {
                 verdict.outcome = Outcome::Undecided;
@@ -234,7 +259,33 @@
         verdicts
     }
 
-    /// Replays the moves of a counterexample on its scenario. Returns the trace, and whether anything was violated.
+    /// The verdicts on the six rules, from the jobs without claims. The first job that violates a rule gives its
+    /// counterexample.
+    fn rule_verdicts(
+        &self,
+        jobs: &[Job],
+        found: &[Exploration],
+        options: CheckOptions,
+        open: &SubjectFactory,
+    ) -> Vec<Verdict> {
+        let mut verdicts: Vec<Verdict> =
+            RULES.iter().map(|rule| Verdict::new(rule.to_string(), None)).collect();
+        let rule_jobs = jobs.iter().zip(found).enumerate().filter(|(_, (job, _))| job.claims.is_empty());
+        for (index, (job, found)) in rule_jobs {
+            for (rule, verdict) in RULES.iter().zip(&mut verdicts) {
+                verdict.coverage.add(found);
+                if let Some(FoundViolation { moves, .. }) = found.violations.get(rule)
+                    && verdict.holds()
+                {
+                    let case = self.counterexample(index, job, options, open, moves, *rule);
+                    verdict.outcome = Outcome::Fails(Box::new(case));
+                }
+            }
+        }
+        verdicts
+    }
+
+    /// Replays the moves of a counterexample on its scenario.
     ///
     /// # Errors
     /// If the check of this file has no such scenario, or a move can't be parsed.
@@ -244,7 +295,7 @@
         moves: &[&str],
         seed: u64,
         open: &SubjectFactory,
-    ) -> Result<(Vec<String>, bool), String> {
+    ) -> Result<Replay, String> {
         let options =
             CheckOptions { bounds: Bounds { departures: 0, states: 0, merge: true }, threads: 1, seed };
         let mut verdicts: Vec<Verdict> = self.expectations.iter().map(|e| self.check_structure(e)).collect();
@@ -252,9 +303,9 @@
         let job =
             jobs.get(scenario).ok_or_else(|| format!("there is no arena {scenario} of {}", jobs.len()))?;
         let moves = moves.iter().map(|m| m.parse()).collect::<Result<Vec<Move>, String>>()?;
-        let lines = trace(&job.scenario, &job.claims, open, &moves);
-        let violated = lines.iter().any(|line| line.contains(VIOLATION_MARK));
-        Ok((lines, violated))
+        let trace = trace(&job.scenario, &job.claims, open, &moves);
+        let has_violation = trace.iter().any(|line| line.contains(VIOLATION_MARK));
+        Ok(Replay { trace, has_violation })
     }
 
     /// Sets the outcome of the expectations whose behaviour claims are violated: the counterexample is the one with the
@@ -282,7 +333,7 @@
             let verdict = &mut verdicts[expectation];
             let ages = self.ages(&self.expectations[expectation].claim);
             let at_ms = ages.get(age).copied().filter(|_| verdict.required_ms.is_some());
-            // The structural check comes first, and may have failed at a lower age.
+            // The structural check ran before, and may have failed at the same or a lower age.
             if !verdict.holds() && verdict.fails_at_ms.unwrap_or(0.0) <= at_ms.unwrap_or(0.0) {
                 continue;
             }
@@ -324,7 +375,7 @@
         }
     }
 
-    /// Ages of the list, from 0 on, at which the list may lack another change.
+    /// Ages of the list to check: 0, and each age at which the list may lack one more change.
     fn ages(&self, claim: &Claim) -> Vec<f64> {
         // Ages are compared as integers.
         const UNITS_PER_MS: f64 = 1024.0;
@@ -391,60 +442,76 @@
         }
     }
 
-    /// The explorations of all behaviour claims, where equivalent scenarios share one, and then those of the six rules.
+    /// The explorations of all behaviour claims, followed by those of the six rules. [`Counterexample::scenario`] is an
+    /// index into this list.
     fn jobs(&self, options: CheckOptions, verdicts: &mut [Verdict]) -> Vec<Job> {
-        let mut jobs: Vec<Job> = Vec::new();
-        let mut job_by_key: BTreeMap<String, usize> = BTreeMap::new();
+        let mut jobs = JobList::default();
         for (index, expectation) in self.expectations.iter().enumerate() {
-            if expectation.claim.is_structural() {
+            if !expectation.claim.is_structural() {
+                self.add_expectation_jobs(index, &mut verdicts[index], options, &mut jobs);
+            }
+        }
+        self.add_rule_jobs(options, &mut jobs);
+        jobs.jobs
+    }
+
+    /// Adds the behaviour claims of an expectation, at each age of the list that it has to be checked at.
+    fn add_expectation_jobs(
+        &self,
+        index: usize,
+        verdict: &mut Verdict,
+        options: CheckOptions,
+        jobs: &mut JobList,
+    ) {
+        let claim = &self.expectations[index].claim;
+        let mut previous = None;
+        for (age, age_ms) in self.ages(claim).into_iter().enumerate() {
+            // Beyond the required age the module is not run: it takes seconds, and adds little.
+            if verdict.required_ms.is_some_and(|required| age_ms >= required) && age > 0 {
+                break;
+            }
+            let grouping = Grouping::new(&self.fleet, age_ms, self.pace.every_ms);
+            let checker = StructuralChecker::new(&self.fleet, self.pace, age_ms);
+            let max_unlisted_changes = checker.max_unlisted_changes();
+            let maybe_stale = grouping.listed.iter().filter(|g| g.maybe_stale).count();
+            // If the list can't lack more than at the previous age, the explorations are the same.
+            let staleness = (max_unlisted_changes, maybe_stale);
+            if previous.replace(staleness) == Some(staleness) {
                 continue;
             }
-            let mut previous = None;
-            for (age, age_ms) in self.ages(&expectation.claim).into_iter().enumerate() {
-                // Beyond the required age the module is not run: it takes seconds, and adds little.
-                if verdicts[index].required_ms.is_some_and(|required| age_ms >= required) && age > 0 {
-                    break;
-                }
-                let grouping = Grouping::new(&self.fleet, age_ms, self.pace.every_ms);
-                let checker = StructuralChecker::new(&self.fleet, self.pace, age_ms);
-                let max_unlisted_changes = checker.max_unlisted_changes();
-                let maybe_stale = grouping.listed.iter().filter(|g| g.maybe_stale).count();
-                let staleness = (max_unlisted_changes, maybe_stale);
-                if previous.replace(staleness) == Some(staleness) {
-                    continue;
-                }
-                let mut collector =
-                    ClaimCollector { grouping: &grouping, max_unlisted_changes, cases: Vec::new() };
-                if !collector.collect(&expectation.claim, &[]) {
-                    verdicts[index].outcome = Outcome::Undecided;
-                }
-                let origin = ExpectationAtAge { expectation: index, age };
-                for case in &collector.cases {
-                    self.add_jobs(case, origin, &grouping, options, &mut jobs, &mut job_by_key);
-                }
+            let mut collector =
+                ClaimCollector { grouping: &grouping, max_unlisted_changes, cases: Vec::new() };
+            if !collector.collect(claim, &[]) {
+                verdict.outcome = Outcome::Undecided;
+            }
+            let origin = ExpectationAtAge { expectation: index, age };
+            for case in &collector.cases {
+                self.add_jobs(case, origin, &grouping, options, jobs);
             }
         }
+    }
+
+    /// Adds the explorations of the six rules, on the fleet as listed.
+    fn add_rule_jobs(&self, options: CheckOptions, jobs: &mut JobList) {
         let grouping = Grouping::new(&self.fleet, 0.0, 0.0);
+        let grouped = GroupsAndOrder { groups: &grouping.listed, order: &grouping.order };
         for table_type in 0..self.fleet.config().table_types.len() {
-            let grouped = GroupsAndOrder { groups: &grouping.listed, order: &grouping.order };
             let scenarios =
                 Scenario::for_table_type(&self.fleet, grouped, table_type, RULES_LIMITS, false, options.seed);
             for scenario in scenarios {
-                jobs.push(Job { scenario, claims: Vec::new(), origins: Vec::new(), failures: Vec::new() });
+                jobs.push(scenario, Vec::new());
             }
         }
-        jobs
     }
 
-    /// Adds a behaviour claim to the jobs of its scenarios.
+    /// Adds a behaviour claim to the jobs of its scenarios. Equivalent scenarios share a job.
     fn add_jobs(
         &self,
         case: &ClaimCase,
         origin: ExpectationAtAge,
         grouping: &Grouping,
         options: CheckOptions,
-        jobs: &mut Vec<Job>,
-        job_by_key: &mut BTreeMap<String, usize>,
+        jobs: &mut JobList,
     ) {
         let table_types = match case.claim.table_type {
             Some(table_type) => table_type..table_type + 1,
@@ -463,14 +530,10 @@
             );
             for scenario in scenarios {
                 let key = scenario_key(&scenario, halls_matter);
-                let job = *job_by_key.entry(key).or_insert_with(|| {
-                    let failures = case.failures.clone();
-                    jobs.push(Job { scenario, claims: Vec::new(), origins: Vec::new(), failures });
-                    jobs.len() - 1
-                });
-                if !jobs[job].origins.contains(&origin) {
-                    jobs[job].claims.push(case.claim.clone());
-                    jobs[job].origins.push(origin);
+                let job = jobs.shared_job(key, scenario, &case.failures);
+                if !job.origins.contains(&origin) {
+                    job.claims.push(case.claim.clone());
+                    job.origins.push(origin);
                 }
             }
         }
@@ -549,7 +612,7 @@
     }
 }
 
-/// Scenarios that the module can't distinguish have the same key.
+/// A key that is the same for scenarios that the module can't distinguish.
 fn scenario_key(scenario: &Scenario, halls_matter: bool) -> String {
     let searchers = signature(&scenario.searchers, scenario.config.placement.zone, halls_matter);
     let scans: Vec<_> = scenario.templates.iter().map(|t| (t.table_type, t.parts.len())).collect();
--- a/crates/expect/tests/explore.rs
+++ b/crates/expect/tests/explore.rs
@@ -8,7 +8,7 @@
 use pewterwharf::interface::{Action, DecisionModule, DispatchOutcome, Event, RetryBudget, SearcherStatus};
 use pewterwharf::logic::Mixer;
 use pewterwharf_expect::explore::Subject;
-use pewterwharf_expect::{Outcome, Verdict};
+use pewterwharf_expect::{Outcome, Replay, Verdict};
 use pewterwharf_fleet::Fleet;
 
 /// A planted fault.
@@ -158,7 +158,7 @@
     let Outcome::Fails(case) = &single_threaded[0].outcome else { panic!("it holds") };
     let moves: Vec<&str> = case.moves.iter().map(String::as_str).collect();
     let replayed = suite.replay(case.scenario.expect("a scenario"), &moves, CHECK_OPTIONS.seed, &open);
-    assert_eq!(replayed, Ok((case.trace.clone(), true)));
+    assert_eq!(replayed, Ok(Replay { trace: case.trace.clone(), has_violation: true }));
     let invalid =
         suite.replay(case.scenario.expect("a scenario"), &["scan 0", "jump"], CHECK_OPTIONS.seed, &open);
     assert_eq!(invalid, Err("no move is written \"jump\"".to_owned()));
