--- a/crates/bgp/src/announce.rs
+++ b/crates/bgp/src/announce.rs
@@ -1,20 +1,21 @@
 //! Decides whether each service address is announced, depreferenced or withdrawn, and when a draining mixer may stop
 //! accepting scans. No I/O: inputs and the current time in, effects out.
 //!
-//! Addresses are announced by what the mixer can serve, not by its being alive. The decision module reports what it can
-//! serve as [`Health`]; this module applies hysteresis and rate limits:
+//! The state of an address depends on what the mixer can serve, not only on whether its process runs. The decision module
+//! reports what can be served as [`Health`]; this module applies hysteresis and rate limits:
 //!
 //! - A change for the worse applies after it has lasted `down_delay_ms`, a change for the better after `up_delay_ms`.
 //!   Between the two shares an address keeps its state.
 //! - The number of changes per minute is limited: at the limit no address improves until the rate falls below it. Changes
 //!   for the worse are never delayed by the limit, or scans would be routed to a mixer that cannot serve them.
 //! - If the operator asks for it (`keep_last`), the last announcer of an address is depreferenced instead of withdrawn,
-//!   unless it drains or can serve nothing at all. One that withdrew because of another announcer comes back depreferenced
-//!   once that one is gone. Other announcers are known from the routes that peers send ([`is_other_announcer`]); a route
-//!   that may be the mixer's own, or that is itself a last resort, does not count.
+//!   unless it drains or can serve nothing at all. An address that was withdrawn because of another announcer is announced
+//!   again, depreferenced, once the other announcer's route is withdrawn. Other announcers are detected from the routes
+//!   that peers send ([`is_other_announcer`]); a route that may be the mixer's own, or that is depreferenced, does not
+//!   count.
 //! - A drain has a fixed order: depreference, wait, withdraw, wait for the withdrawal to propagate, stop.
 //!
-//! A lost session changes nothing here: the peer drops the routes and gets all of them again with the next session.
+//! The loss of a session changes no address: the peer drops the routes and receives all of them in the next session.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
@@ -91,7 +92,7 @@
     Drain,
     /// Skips the waiting times of a drain: the mixer has been asked to stop a second time.
     DrainNow,
-    /// The time returned by [`Announcer::next_timer`] has come.
+    /// The time returned by [`Announcer::next_timer`] is reached.
     Timer,
 }
 
@@ -147,9 +148,9 @@
 /// Whether a received route certainly comes from another announcer, for a mixer with this BGP Identifier that announced
 /// `next_hop` to the peer.
 ///
-/// A peer that sets itself as next hop sends routes back in a form that cannot be told from another announcer's route in
-/// the same AS. Mistaking the mixer's own route for another's would withdraw the last route, so a doubtful route does not
-/// count. Neither does a depreferenced route: two last announcers would otherwise make each other withdraw.
+/// If a peer sets itself as next hop, a route that it sends back cannot be distinguished from another announcer's route in
+/// the same AS. Taking the mixer's own route for another's would withdraw the last route, so a doubtful route does not
+/// count. Neither does a depreferenced route: otherwise two last announcers would make each other withdraw.
 pub fn is_other_announcer(route: &ObservedRoute, bgp_id: Ipv4Addr, next_hop: Option<IpAddr>) -> bool {
     let other_originator = route.originator_id.map(|originator| originator != bgp_id);
     let other_next_hop = route.next_hop.is_some() && route.next_hop != next_hop;
@@ -160,7 +161,8 @@
 pub enum Effect {
     /// An address changes to this state.
     SetState { prefix: IpNet, state: RouteState, reason: Reason },
-    /// The drain is complete: as far as can be known no route leads to this mixer, and it may stop accepting scans.
+    /// The drain is complete: all routes are withdrawn and the waiting time for their propagation is over, or there is no
+    /// session. The mixer may stop accepting scans.
     DrainComplete,
 }
 
@@ -190,9 +192,9 @@
 struct AddressRecord {
     state: RouteState,
     reason: Reason,
-    /// State that the health calls for.
+    /// State that follows from the health alone.
     target: Target,
-    /// Since when the target has been on the same side of the current state: better, worse or equal.
+    /// Since when the target has been better than, worse than, or equal to the current state.
     target_since: f64,
     other_announcer: bool,
     /// Time of the last change of state; `None` before the first.
@@ -342,7 +344,7 @@
 
     /// Advances a drain; phases that have no effect on any peer are skipped.
     fn advance_drain(&mut self, effects: &mut Vec<Effect>) {
-        // Without a session, or with nothing announced, there is nothing to wait for.
+        // Without a session or an announced address, no peer has a route to this mixer, and the waiting times are skipped.
         let has_session = self.sessions > 0;
         let announced = self.addresses.iter().any(|a| a.state > RouteState::Withdrawn);
         if let Drain::Depreferenced(until) = self.drain
@@ -378,7 +380,7 @@
         effects.push(Effect::SetState { prefix: self.config.addresses[address].prefix, state, reason });
     }
 
-    /// State that the current health calls for, without delays and rate limits.
+    /// State that follows from the current health, without delays and rate limits.
     fn target(&self, address: usize) -> Target {
         let withdrawn = |reason| Target { state: RouteState::Withdrawn, reason };
         let depreferenced = |reason| Target { state: RouteState::Depreferenced, reason };
@@ -405,9 +407,10 @@
         let threshold =
             if record.state == RouteState::Withdrawn { config.up_share } else { config.down_share };
         if servable < threshold {
-            return match *keep_last && !record.other_announcer {
-                true => depreferenced(Reason::LastAnnouncer),
-                false => withdrawn(Reason::TooLittleUsable),
+            return if *keep_last && !record.other_announcer {
+                depreferenced(Reason::LastAnnouncer)
+            } else {
+                withdrawn(Reason::TooLittleUsable)
             };
         }
         if health.list_age_ms > config.max_list_age_ms {
@@ -437,6 +440,7 @@
         (record.target_since + self.config.up_delay_ms).max(below_limit_at)
     }
 
+    /// Updates the target of an address, and changes its state if the target has lasted long enough.
     fn evaluate(&mut self, address: usize, effects: &mut Vec<Effect>) {
         while self.changes.front().is_some_and(|at| *at <= self.now - MINUTE_MS) {
             self.changes.pop_front();
@@ -444,8 +448,8 @@
         let target = self.target(address);
         let now = self.now;
         let record = &mut self.addresses[address];
-        // The delay restarts only if the target moves to another side of the state: a further change for the worse does
-        // not restart the delay of an earlier one, and likewise for the better.
+        // The delay restarts only if the target changes between better, worse and equal. A target that gets still worse
+        // does not restart the delay of a worse one, and likewise for better ones.
         let side = |state: RouteState| state.cmp(&record.state);
         if side(target.state) != side(record.target.state) {
             record.target_since = now;
--- a/crates/bgp/src/lib.rs
+++ b/crates/bgp/src/lib.rs
@@ -1,7 +1,7 @@
 //! A small BGP speaker, without I/O.
 //!
-//! It announces a mixer's service addresses and does nothing else. It does not learn routes: of the routes that peers send
-//! it keeps only their number and whether they include one of its own addresses. Modules:
+//! It announces a mixer's service addresses and does nothing else. It stores no received routes: of the routes that peers
+//! send it keeps only their number and whether they include one of its own addresses. Modules:
 //!
 //! - [`message`]: the codec (RFC 4271 section 4; RFC 4760, 5492, 6793, 7606, 9003, 2918).
 //! - [`session`]: the state machine of one peer (RFC 4271 section 8, with collision detection, flap damping and bounded
--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -13,7 +13,7 @@
 pub const HEADER_LEN: usize = 19;
 /// Maximum length of a message in bytes (RFC 4271 section 4.1).
 pub const MAX_MESSAGE_LEN: usize = 4096;
-/// Stands for an AS number above 65,535 in a two-octet field (RFC 6793 section 9).
+/// Replaces an AS number above 65,535 in a two-octet field (RFC 6793 section 9).
 pub const AS_TRANS: u16 = 23456;
 /// Well-known community GRACEFUL_SHUTDOWN, attached to depreferenced routes (RFC 8326 section 5).
 pub const GRACEFUL_SHUTDOWN: u32 = 0xFFFF_0000;
@@ -154,7 +154,7 @@
     pub watched: Vec<(IpNet, Option<ObservedRoute>)>,
 }
 
-/// Properties of a received route that show which speaker originated it.
+/// Properties of a received route from which its originator can be inferred.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ObservedRoute {
     pub next_hop: Option<IpAddr>,
@@ -167,7 +167,7 @@
 }
 
 impl ObservedRoute {
-    /// Takes over the properties that a valid attribute states.
+    /// Sets the properties that a valid attribute determines.
     fn add_attribute(&mut self, kind: u8, value: &[u8], four_octets: bool, own_asn: u32) {
         match kind {
             attribute::AS_PATH => self.own_as_in_path = as_path_contains(value, four_octets, own_asn),
@@ -265,9 +265,9 @@
             (3, _) => "malformed update",
             (4, _) => "hold timer expired",
             (5, _) => "message not expected in this state",
-            (6, 1) => "most prefixes reached",
+            (6, 1) => "maximum number of prefixes reached",
             (6, 2) => "administrative shutdown",
-            (6, 3) => "peer taken out of the configuration",
+            (6, 3) => "peer de-configured",
             (6, 4) => "administrative reset",
             (6, 5) => "connection rejected",
             (6, 6) => "other configuration change",
@@ -311,6 +311,7 @@
     }
     let Some(header) = bytes.get(..HEADER_LEN) else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([header[16], header[17]]));
+    // RFC 4271 section 4; RFC 2918 section 3 for ROUTE-REFRESH.
     let min_length = match header[18] {
         kind::OPEN => 29,
         kind::UPDATE | kind::ROUTE_REFRESH => 23,
@@ -397,20 +398,51 @@
         four_octets: false,
         route_refresh: false,
     };
+    let mut has_multiprotocol = false;
+    let mut has_four_octet_asn = false;
+    for_each_capability(&body[9..], |capability, value| match (capability, value) {
+        (capability::MULTIPROTOCOL, [afi_high, afi_low, _, safi]) => {
+            has_multiprotocol = true;
+            let family = Family::from_afi_safi(u16::from_be_bytes([*afi_high, *afi_low]), *safi);
+            open.families.extend(family.filter(|f| !open.families.contains(f)));
+        }
+        (capability::ROUTE_REFRESH, []) => open.route_refresh = true,
+        (capability::FOUR_OCTET_ASN, value) if value.len() == 4 => {
+            has_four_octet_asn = true;
+            open.asn = decode_u32(value).unwrap_or(0);
+            open.four_octets = true;
+        }
+        _ => {}
+    })?;
+    // Without the multiprotocol capability the session carries IPv4 unicast (RFC 4760 section 8).
+    if !has_multiprotocol {
+        open.families.push(Family::V4);
+    }
+    open.families.sort();
+    if open.asn == 0 || has_four_octet_asn && asn != AS_TRANS && u32::from(asn) != open.asn {
+        return error(code::OPEN, code::BAD_PEER_AS, &[]);
+    }
+    Ok(open)
+}
+
+/// Calls `visit` for the code and value of each capability in the optional parameters of an OPEN, which begin with their
+/// total length.
+///
+/// # Errors
+/// If a length is wrong, or a parameter does not hold capabilities. Capabilities before it may have been visited.
+fn for_each_capability(field: &[u8], mut visit: impl FnMut(u8, &[u8])) -> Result<(), MessageError> {
     let malformed = || MessageError(Notification::new(code::OPEN, 0));
-    let mut parameters = Cursor(&body[10..]);
-    let mut length = usize::from(body[9]);
+    let mut parameters = Cursor(field);
+    let mut total_length = usize::from(parameters.u8().ok_or_else(malformed)?);
     // Optional parameters longer than 255 bytes (RFC 9072).
-    let extended = length == 255 && parameters.0.first() == Some(&255);
+    let extended = total_length == 255 && parameters.0.first() == Some(&255);
     if extended {
         parameters.u8();
-        length = usize::from(parameters.u16().ok_or_else(malformed)?);
+        total_length = usize::from(parameters.u16().ok_or_else(malformed)?);
     }
-    if parameters.0.len() != length {
+    if parameters.0.len() != total_length {
         return Err(malformed());
     }
-    let mut has_multiprotocol = false;
-    let mut has_four_octet_asn = false;
     while let Some(parameter) = parameters.u8() {
         let length = if extended { parameters.u16() } else { parameters.u8().map(u16::from) };
         let value = length.and_then(|l| parameters.take(usize::from(l))).ok_or_else(malformed)?;
@@ -420,32 +452,10 @@
         let mut capabilities = Cursor(value);
         while let Some(capability) = capabilities.u8() {
             let length = capabilities.u8().ok_or_else(malformed)?;
-            let value = capabilities.take(usize::from(length)).ok_or_else(malformed)?;
-            match (capability, value) {
-                (capability::MULTIPROTOCOL, [afi_high, afi_low, _, safi]) => {
-                    has_multiprotocol = true;
-                    let family = Family::from_afi_safi(u16::from_be_bytes([*afi_high, *afi_low]), *safi);
-                    open.families.extend(family.filter(|f| !open.families.contains(f)));
-                }
-                (capability::ROUTE_REFRESH, []) => open.route_refresh = true,
-                (capability::FOUR_OCTET_ASN, value) if value.len() == 4 => {
-                    has_four_octet_asn = true;
-                    open.asn = decode_u32(value).unwrap_or(0);
-                    open.four_octets = true;
-                }
-                _ => {}
-            }
+            visit(capability, capabilities.take(usize::from(length)).ok_or_else(malformed)?);
         }
     }
-    // Without the multiprotocol capability the session carries IPv4 unicast (RFC 4760 section 8).
-    if !has_multiprotocol {
-        open.families.push(Family::V4);
-    }
-    open.families.sort();
-    if open.asn == 0 || has_four_octet_asn && asn != AS_TRANS && u32::from(asn) != open.asn {
-        return error(code::OPEN, code::BAD_PEER_AS, &[]);
-    }
-    Ok(open)
+    Ok(())
 }
 
 /// Calls `visit` for each prefix of a field and returns their number, or `None` if a prefix is malformed.
@@ -473,6 +483,126 @@
     Some(count)
 }
 
+/// Watched prefixes that occur in an UPDATE.
+struct WatchedInUpdate<'a> {
+    watch: &'a WatchedPrefixes,
+    /// Each with whether it is announced (`true`) or withdrawn.
+    found: Vec<(IpNet, bool)>,
+}
+
+impl WatchedInUpdate<'_> {
+    /// Records a prefix if it is watched. Each is recorded once as announced and once as withdrawn at most, so the cost of a
+    /// message is bounded by the watched prefixes.
+    fn record(&mut self, net: IpNet, announced: bool) {
+        if self.watch.prefixes.contains(&net) && !self.found.contains(&(net, announced)) {
+            self.found.push((net, announced));
+        }
+    }
+}
+
+/// The path attributes of an UPDATE, checked by RFC 7606.
+struct CheckedAttributes {
+    observed: ObservedRoute,
+    /// By attribute type: whether the message has it.
+    seen: [bool; 256],
+    faulty: u32,
+    /// Numbers of routes in MP_REACH_NLRI and MP_UNREACH_NLRI.
+    announced: u32,
+    withdrawn: u32,
+    /// The announced routes have to be treated as withdrawn.
+    treat_as_withdrawn: bool,
+    /// The field ended inside an attribute.
+    truncated: bool,
+}
+
+impl CheckedAttributes {
+    fn decode(field: &[u8], four_octets: bool, watched: &mut WatchedInUpdate) -> Result<Self, MessageError> {
+        let mut attributes = Self {
+            observed: ObservedRoute::default(),
+            seen: [false; 256],
+            faulty: 0,
+            announced: 0,
+            withdrawn: 0,
+            treat_as_withdrawn: false,
+            truncated: false,
+        };
+        let mut field = Cursor(field);
+        while !field.0.is_empty() {
+            let Some((flags, kind, value)) = next_attribute(&mut field) else {
+                // The attributes before the truncated one are still evaluated, and the routes are withdrawn.
+                attributes.faulty += 1;
+                attributes.treat_as_withdrawn = true;
+                attributes.truncated = true;
+                break;
+            };
+            attributes.add(flags, kind, value, four_octets, watched)?;
+        }
+        Ok(attributes)
+    }
+
+    fn add(
+        &mut self,
+        flags: u8,
+        kind: u8,
+        value: &[u8],
+        four_octets: bool,
+        watched: &mut WatchedInUpdate,
+    ) -> Result<(), MessageError> {
+        if std::mem::replace(&mut self.seen[usize::from(kind)], true) {
+            if matches!(kind, attribute::MP_REACH_NLRI | attribute::MP_UNREACH_NLRI) {
+                return error(code::UPDATE, code::MALFORMED_ATTRIBUTE_LIST, &[]);
+            }
+            // Any other repeated attribute is discarded (RFC 7606 section 3).
+            self.faulty += 1;
+            return Ok(());
+        }
+        let invalid = || MessageError(Notification::new(code::UPDATE, code::OPTIONAL_ATTRIBUTE_ERROR));
+        let is_optional = flags & OPTIONAL_TRANSITIVE == flag::OPTIONAL;
+        let valid = match kind {
+            attribute::MP_REACH_NLRI => {
+                let (count, next_hop) =
+                    decode_multiprotocol(value, true, |net| watched.record(net, true)).ok_or_else(invalid)?;
+                self.announced = count;
+                self.observed.next_hop = next_hop.or(self.observed.next_hop);
+                is_optional
+            }
+            attribute::MP_UNREACH_NLRI => {
+                let (count, _) = decode_multiprotocol(value, false, |net| watched.record(net, false))
+                    .ok_or_else(invalid)?;
+                self.withdrawn = count;
+                is_optional
+            }
+            _ => is_valid_attribute(flags, kind, value, four_octets),
+        };
+        if valid {
+            self.observed.add_attribute(kind, value, four_octets, watched.watch.own_asn);
+        } else {
+            self.faulty += 1;
+            self.treat_as_withdrawn = true;
+        }
+        Ok(())
+    }
+
+    /// Checks that the mandatory attributes are there if routes are announced, `announced` of them outside MP_REACH_NLRI.
+    fn check_mandatory(&mut self, announced: u32) {
+        let has = |kind: u8| self.seen[usize::from(kind)];
+        let complete =
+            has(attribute::ORIGIN) && has(attribute::AS_PATH) && (announced == 0 || has(attribute::NEXT_HOP));
+        if announced + self.announced > 0 && !complete && !self.truncated {
+            self.faulty += 1;
+            self.treat_as_withdrawn = true;
+        }
+    }
+}
+
+/// Flags, type and value of the next attribute; `None` if the field ends inside it.
+fn next_attribute<'a>(field: &mut Cursor<'a>) -> Option<(u8, u8, &'a [u8])> {
+    let flags = field.u8()?;
+    let kind = field.u8()?;
+    let length = if flags & flag::EXTENDED_LENGTH != 0 { field.u16()? } else { u16::from(field.u8()?) };
+    Some((flags, kind, field.take(usize::from(length))?))
+}
+
 /// Counts the routes of an UPDATE and checks its attributes by RFC 7606; no routes are stored.
 ///
 /// # Errors
@@ -485,95 +615,32 @@
     let malformed = || MessageError(Notification::new(code::UPDATE, code::MALFORMED_ATTRIBUTE_LIST));
     let mut rest = Cursor(body);
     let length = rest.u16().ok_or_else(malformed)?;
-    let withdrawn = rest.take(usize::from(length)).ok_or_else(malformed)?;
+    let withdrawn_field = rest.take(usize::from(length)).ok_or_else(malformed)?;
     let length = rest.u16().ok_or_else(malformed)?;
-    let attributes = rest.take(usize::from(length)).ok_or_else(malformed)?;
+    let attributes_field = rest.take(usize::from(length)).ok_or_else(malformed)?;
     let invalid_nlri = || MessageError(Notification::new(code::UPDATE, code::INVALID_NETWORK_FIELD));
-    let mut watched: Vec<(IpNet, bool)> = Vec::new();
-    let mut record_watched = |net: IpNet, reachable: bool| {
-        // Each prefix is recorded once per message and kind, so the cost of a message is bounded by the watched prefixes.
-        if watch.prefixes.contains(&net) && !watched.contains(&(net, reachable)) {
-            watched.push((net, reachable));
-        }
+    let mut watched = WatchedInUpdate { watch, found: Vec::new() };
+    let withdrawn = decode_nlri(withdrawn_field, Family::V4, |net| watched.record(net, false))
+        .ok_or_else(invalid_nlri)?;
+    let announced =
+        decode_nlri(rest.0, Family::V4, |net| watched.record(net, true)).ok_or_else(invalid_nlri)?;
+    let mut attributes = CheckedAttributes::decode(attributes_field, four_octets, &mut watched)?;
+    attributes.check_mandatory(announced);
+    let CheckedAttributes { observed, treat_as_withdrawn, .. } = attributes;
+    let mut summary = UpdateSummary {
+        announced: announced + attributes.announced,
+        withdrawn: withdrawn + attributes.withdrawn,
+        faulty_attributes: attributes.faulty,
+        watched: Vec::new(),
     };
-    let mut routes = UpdateSummary {
-        withdrawn: decode_nlri(withdrawn, Family::V4, |net| record_watched(net, false))
-            .ok_or_else(invalid_nlri)?,
-        announced: decode_nlri(rest.0, Family::V4, |net| record_watched(net, true))
-            .ok_or_else(invalid_nlri)?,
-        ..UpdateSummary::default()
-    };
-    let mut observed = ObservedRoute::default();
-    let mut seen = [false; 256];
-    let mut treat_as_withdrawn = false;
-    let mut multiprotocol_announced = 0;
-    let mut truncated = false;
-    let mut field = Cursor(attributes);
-    while !field.0.is_empty() {
-        let head = field.take(2).map(|h| (h[0], h[1]));
-        let length = head.and_then(|(flags, _)| {
-            if flags & flag::EXTENDED_LENGTH != 0 { field.u16() } else { field.u8().map(u16::from) }
-        });
-        let value = length.and_then(|l| field.take(usize::from(l)));
-        let (Some((flags, kind)), Some(value)) = (head, value) else {
-            // The field ends inside an attribute: the attributes before it are evaluated, the routes are withdrawn.
-            treat_as_withdrawn = true;
-            truncated = true;
-            break;
-        };
-        if std::mem::replace(&mut seen[usize::from(kind)], true) {
-            if matches!(kind, attribute::MP_REACH_NLRI | attribute::MP_UNREACH_NLRI) {
-                return Err(malformed());
-            }
-            routes.faulty_attributes += 1;
-            continue;
-        }
-        let class = flags & OPTIONAL_TRANSITIVE;
-        let valid = match kind {
-            attribute::MP_REACH_NLRI => {
-                let (count, next_hop) = decode_multiprotocol(value, true, |net| record_watched(net, true))
-                    .ok_or_else(|| {
-                        MessageError(Notification::new(code::UPDATE, code::OPTIONAL_ATTRIBUTE_ERROR))
-                    })?;
-                multiprotocol_announced = count;
-                observed.next_hop = next_hop.or(observed.next_hop);
-                class == flag::OPTIONAL
-            }
-            attribute::MP_UNREACH_NLRI => {
-                let (count, _) = decode_multiprotocol(value, false, |net| record_watched(net, false))
-                    .ok_or_else(|| {
-                        MessageError(Notification::new(code::UPDATE, code::OPTIONAL_ATTRIBUTE_ERROR))
-                    })?;
-                routes.withdrawn += count;
-                class == flag::OPTIONAL
-            }
-            _ => is_valid_attribute(flags, kind, value, four_octets),
-        };
-        if !valid {
-            routes.faulty_attributes += 1;
-            treat_as_withdrawn = true;
-            continue;
-        }
-        observed.add_attribute(kind, value, four_octets, watch.own_asn);
-    }
-    let announces = routes.announced + multiprotocol_announced > 0;
-    let lacks_mandatory = !seen[usize::from(attribute::ORIGIN)]
-        || !seen[usize::from(attribute::AS_PATH)]
-        || routes.announced > 0 && !seen[usize::from(attribute::NEXT_HOP)];
-    if announces && lacks_mandatory && !truncated {
-        routes.faulty_attributes += 1;
-        treat_as_withdrawn = true;
-    }
-    routes.faulty_attributes += u32::from(truncated);
-    routes.announced += multiprotocol_announced;
     if treat_as_withdrawn {
-        routes.withdrawn += std::mem::take(&mut routes.announced);
+        summary.withdrawn += std::mem::take(&mut summary.announced);
     }
-    let route = |reachable: bool| Some(observed).filter(|_| reachable && !treat_as_withdrawn);
-    routes.watched = watched.into_iter().map(|(net, reachable)| (net, route(reachable))).collect();
+    let route = |announced: bool| Some(observed).filter(|_| announced && !treat_as_withdrawn);
+    summary.watched = watched.found.into_iter().map(|(net, announced)| (net, route(announced))).collect();
     // For a prefix that is both withdrawn and announced, the announcement applies (RFC 4271 section 4.3).
-    routes.watched.sort_by_key(|(net, route)| (*net, route.is_some()));
-    Ok(routes)
+    summary.watched.sort_by_key(|(net, route)| (*net, route.is_some()));
+    Ok(summary)
 }
 
 /// Whether an attribute other than MP_REACH_NLRI and MP_UNREACH_NLRI has valid flags and a valid value.
@@ -879,10 +946,8 @@
     let length = rest.u16()?;
     let mut field = Cursor(rest.take(usize::from(length))?);
     decode_nlri(rest.0, Family::V4, |net| announced.push(net))?;
-    while let Some(flags) = field.u8() {
-        let kind = field.u8()?;
-        let length = if flags & flag::EXTENDED_LENGTH != 0 { field.u16()? } else { u16::from(field.u8()?) };
-        let value = field.take(usize::from(length))?;
+    while !field.0.is_empty() {
+        let (_, kind, value) = next_attribute(&mut field)?;
         match (kind, value) {
             (attribute::MP_REACH_NLRI, [0, 2, SAFI_UNICAST, hop_len, rest @ ..]) => {
                 let rest = rest.get(usize::from(*hop_len) + 1..)?;
--- a/crates/bgp/src/rib.rs
+++ b/crates/bgp/src/rib.rs
@@ -1,10 +1,10 @@
 //! Adj-RIB-Out (RFC 4271 section 3.2): the routes wanted for a peer and those sent to it.
 //!
-//! Pending changes are stored by prefix and not in a queue: a route that changes ten times before it can be sent is sent
-//! once, and the memory for a peer that stops reading is bounded by the number of routes. [`Trie`] is a path-compressed
+//! Pending changes are stored by prefix, not in a queue: a route that changes ten times before it can be sent is sent once,
+//! and the memory for a peer that stops reading is bounded by the number of routes. [`Trie`] is a path-compressed
 //! binary trie; `benches/rib.rs` compares it with a `BTreeMap`, with results in `docs/bgp.md`.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -31,7 +31,7 @@
     value: Option<V>,
 }
 
-/// Index that stands for no node.
+/// Index that means no node.
 const NO_NODE: u32 = u32::MAX;
 
 /// Family index, left-aligned address bits and length of a prefix.
@@ -102,17 +102,20 @@
             }
             let Node { bits: node_bits, len: node_len, .. } = self.nodes[current as usize];
             let shared = common_len(bits, node_bits, len.min(node_len));
+            // The node has this prefix.
             if shared == node_len && shared == len {
                 let old = self.nodes[current as usize].value.replace(value);
                 self.count += usize::from(old.is_none());
                 return old;
             }
+            // The node contains the prefix.
             if shared == node_len {
                 let side = bit(bits, shared);
                 parent = Some((current, side));
                 current = self.nodes[current as usize].children[side];
                 continue;
             }
+            // The node becomes a child, either of the prefix that contains it or of a new node without a value.
             let mut children = [NO_NODE; 2];
             children[bit(node_bits, shared)] = current;
             if shared == len {
@@ -250,7 +253,7 @@
 pub struct AdjRibOut {
     routes: Trie<Route>,
     /// Prefixes with a change to send.
-    pending: BTreeMap<IpNet, ()>,
+    pending: BTreeSet<IpNet>,
 }
 
 impl AdjRibOut {
@@ -268,10 +271,11 @@
         route.resend &= route.wanted.is_some();
         let is_current = route.wanted == route.sent && !route.resend;
         let is_unused = route.wanted.is_none() && route.sent.is_none();
-        match is_current {
-            true => self.pending.remove(&prefix),
-            false => self.pending.insert(prefix, ()),
-        };
+        if is_current {
+            self.pending.remove(&prefix);
+        } else {
+            self.pending.insert(prefix);
+        }
         if is_unused {
             self.routes.remove(&prefix);
         }
@@ -291,7 +295,7 @@
         for prefix in prefixes {
             if let Some(route) = self.routes.get_mut(&prefix).filter(|r| r.wanted.is_some()) {
                 route.resend = true;
-                self.pending.insert(prefix, ());
+                self.pending.insert(prefix);
             }
         }
     }
@@ -300,7 +304,7 @@
     pub fn take_updates(&mut self) -> Vec<Update> {
         let mut withdrawn = Vec::new();
         let mut announced: BTreeMap<Attributes, Vec<IpNet>> = BTreeMap::new();
-        for (prefix, ()) in std::mem::take(&mut self.pending) {
+        for prefix in std::mem::take(&mut self.pending) {
             let Some(route) = self.routes.get_mut(&prefix) else { continue };
             route.sent.clone_from(&route.wanted);
             route.resend = false;
--- a/crates/bgp/src/session.rs
+++ b/crates/bgp/src/session.rs
@@ -12,9 +12,10 @@
 //! | OpenConfirm | the peer's OPEN accepted | the peer's KEEPALIVE (Established) |
 //! | Established | one | NOTIFICATION, expiry of the hold timer, error, stop |
 //!
-//! Deviations from the RFC: DelayOpen is not implemented, as nothing here needs it. Every error starts the idle hold timer,
-//! which doubles with each flap; the flap count falls by one for each minute that a session stays established (section
-//! 8.1.1, DampPeerOscillations). A connection accepted while Idle is refused without an OPEN.
+//! Deviations from the RFC: DelayOpen is not implemented, as nothing here needs it. An error that leaves no connection
+//! starts the idle hold timer. The timer damps oscillations (section 8.1.1, DampPeerOscillations): its duration doubles
+//! with each flap from the third on. A flap is an error before a session has been established for a minute; each full
+//! minute of a longer session takes one flap off the count. A connection accepted while Idle is refused without an OPEN.
 
 use std::net::Ipv4Addr;
 
@@ -36,11 +37,11 @@
     /// Hold time in seconds: zero disables the hold timer, otherwise at least three.
     pub hold_time_s: u16,
     pub families: Vec<Family>,
-    /// Whether this side opens connections; otherwise it waits for the peer.
+    /// Whether this side opens connections. Otherwise it only accepts those of the peer.
     pub connects: bool,
     /// ConnectRetryTime in milliseconds, before jitter.
     pub connect_retry_ms: f64,
-    /// IdleHoldTime in milliseconds after a first error.
+    /// IdleHoldTime in milliseconds after the first and the second flap, before jitter. It doubles from the third on.
     pub idle_hold_ms: f64,
     /// Prefixes that the peer may announce; above this the session ends with Cease/1.
     pub max_prefixes: u64,
@@ -83,7 +84,7 @@
     Malformed(Direction, MessageError),
     /// Sends ROUTE-REFRESH to a peer that supports it, so that newly watched prefixes are reported.
     RequestRefresh,
-    /// The time returned by [`Session::next_timer`] has come.
+    /// The time returned by [`Session::next_timer`] is reached.
     Timer,
 }
 
@@ -110,9 +111,10 @@
     WatchedRoute(IpNet, Option<ObservedRoute>),
 }
 
-/// Maximum of the flap count. It limits the idle hold time to 16 times its first value: 5 s grows to 80 s.
+/// Maximum of the flap count. It limits the idle hold time to 16 times [`SessionConfig::idle_hold_ms`], 80 s for 5 s.
 const MAX_FLAPS: u32 = 6;
-/// A session that stays established this long is not a flap; each such period also takes one flap off the count.
+/// The end of a session that was established for at least this long is not a flap; each such period takes one flap off
+/// the count.
 const STABLE_MS: f64 = 60_000.0;
 /// Hold time while waiting for an OPEN. Section 8.2.2 suggests four minutes; a client that is not a BGP peer must not
 /// occupy the connection that long.
@@ -195,9 +197,9 @@
     pub fn next_timer(&self) -> f64 {
         let connections = self.connections.iter().flatten().map(|c| c.hold_at.min(c.keepalive_at));
         let idle = self.started && self.connections.iter().all(Option::is_none) && !self.connecting;
-        let begin =
+        let idle_hold_at =
             if idle && self.now < self.idle_hold_until { self.idle_hold_until } else { f64::INFINITY };
-        connections.fold(self.retry_at.min(begin), f64::min)
+        connections.fold(self.retry_at.min(idle_hold_at), f64::min)
     }
 
     /// Processes an input at time `now` in milliseconds. If `now` is before the time of an earlier input, that time is used.
@@ -215,7 +217,7 @@
             Input::Connected(direction) => self.on_connected(direction, &mut effects),
             Input::Closed(direction) => self.on_closed(direction, &mut effects),
             Input::Received(direction, message) => self.on_message(direction, message, &mut effects),
-            Input::Malformed(direction, refusal) => self.fail(direction, refusal.0, &mut effects),
+            Input::Malformed(direction, error) => self.fail(direction, error.0, &mut effects),
             Input::RequestRefresh => self.request_refresh(&mut effects),
             Input::Timer => self.on_timer(&mut effects),
         }
@@ -246,7 +248,7 @@
         let started = self.started;
         if identity(&before) != identity(&self.config) {
             self.stop(Notification::new(code::CEASE, code::OTHER_CONFIG_CHANGE), effects);
-            // Earlier errors say nothing about the new configuration.
+            // The flap count and the idle hold belong to the earlier configuration.
             self.flaps = 0;
             self.idle_hold_until = self.now;
         } else if started && self.config.connects && !before.connects && self.state() == State::Active {
@@ -327,7 +329,7 @@
         if connection.state == State::Established {
             self.end_session("the connection was lost".to_owned(), true, effects);
         } else if self.connections.iter().all(Option::is_none) {
-            // Section 8.2.2 goes from OpenSent to Active; here the idle hold timer starts, as after any error.
+            // In section 8.2.2 OpenSent changes to Active; here the idle hold timer starts, as after any error.
             self.last_error = Some("the connection was lost before it was up".to_owned());
             self.count_flap();
             self.start_idle_hold();
@@ -344,9 +346,9 @@
                 self.connections[direction as usize] = None;
                 effects.push(Effect::Close(direction));
                 if state == State::Established {
-                    self.end_session(format!("the peer said {notification}"), true, effects);
+                    self.end_session(format!("received NOTIFICATION {notification}"), true, effects);
                 } else if !collision && self.connections.iter().all(Option::is_none) {
-                    self.last_error = Some(format!("the peer said {notification}"));
+                    self.last_error = Some(format!("received NOTIFICATION {notification}"));
                     self.count_flap();
                     self.start_idle_hold();
                 }
@@ -472,8 +474,8 @@
                 effects.push(Effect::Send(direction, encode_keepalive()));
             }
         }
-        let none = self.connections.iter().all(Option::is_none);
-        if self.started && none && self.now >= self.idle_hold_until {
+        let has_no_connection = self.connections.iter().all(Option::is_none);
+        if self.started && has_no_connection && self.now >= self.idle_hold_until {
             if self.retry_at <= self.now {
                 // An attempt still pending when the ConnectRetryTimer expires is abandoned (event 9 in Connect).
                 if std::mem::take(&mut self.connecting) {
@@ -486,11 +488,12 @@
         }
     }
 
-    /// Sends a NOTIFICATION, closes the connection and starts the idle hold timer.
+    /// Handles an error on a connection: sends a NOTIFICATION and closes it. Starts the idle hold timer if the session was
+    /// established or no connection is left.
     fn fail(&mut self, direction: Direction, notification: Notification, effects: &mut Vec<Effect>) {
         let Some(connection) = &self.connections[direction as usize] else { return };
         let state = connection.state;
-        let reason = format!("we said {notification}");
+        let reason = format!("sent NOTIFICATION {notification}");
         self.close(direction, Some(notification), effects);
         if state == State::Established {
             self.end_session(reason, true, effects);
@@ -509,8 +512,9 @@
         effects.push(Effect::Close(direction));
     }
 
-    /// Drops all connections and reports the end of an established session; `flapped` starts the idle hold timer.
-    fn end_session(&mut self, reason: String, flapped: bool, effects: &mut Vec<Effect>) {
+    /// Drops all connections and reports the end of an established session. With `by_error`, also updates the flap count and
+    /// starts the idle hold timer.
+    fn end_session(&mut self, reason: String, by_error: bool, effects: &mut Vec<Effect>) {
         let was_established = self.established_at.is_finite();
         let duration = self.now - self.established_at;
         self.connections = [None, None];
@@ -520,10 +524,11 @@
             effects.push(Effect::Down(reason.clone()));
         }
         self.last_error = Some(reason);
-        if flapped {
-            match duration >= STABLE_MS {
-                true => self.flaps = self.flaps.saturating_sub((duration / STABLE_MS) as u32),
-                false => self.count_flap(),
+        if by_error {
+            if duration >= STABLE_MS {
+                self.flaps = self.flaps.saturating_sub((duration / STABLE_MS) as u32);
+            } else {
+                self.count_flap();
             }
             self.start_idle_hold();
         }
@@ -533,11 +538,12 @@
         self.flaps = (self.flaps + 1).min(MAX_FLAPS);
     }
 
-    /// Starts the idle hold timer. Its duration is the same for the first two errors and doubles from the third on.
+    /// Starts the idle hold timer and stops the ConnectRetryTimer. The idle hold time is the configured one for a flap count
+    /// up to two, and doubles with each further flap.
     fn start_idle_hold(&mut self) {
-        let doubled = self.flaps.saturating_sub(2);
-        let hold = self.config.idle_hold_ms * f64::from(1u32 << doubled.min(MAX_FLAPS));
-        self.idle_hold_until = self.now + self.with_jitter(hold);
+        let doublings = self.flaps.saturating_sub(2).min(MAX_FLAPS);
+        let hold_ms = self.config.idle_hold_ms * f64::from(1u32 << doublings);
+        self.idle_hold_until = self.now + self.with_jitter(hold_ms);
         self.retry_at = f64::INFINITY;
     }
 }
--- a/crates/bgp/src/show.rs
+++ b/crates/bgp/src/show.rs
@@ -22,12 +22,13 @@
 impl Display for PeerStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Self { address, state, flaps, times_established, .. } = self;
-        write!(f, "{address} {state:?}, up {times_established} times, {flaps} flaps count")?;
-        write!(f, "; it announces {} routes", self.received_prefixes)?;
+        write!(f, "{address} {state:?}, up {times_established} times, flap count {flaps}")?;
+        write!(f, "; receives {} routes", self.received_prefixes)?;
         let advertised: Vec<String> = self.advertised.iter().map(ToString::to_string).collect();
-        match advertised.is_empty() {
-            true => write!(f, "; it is told none")?,
-            false => write!(f, "; it is told {}", advertised.join(" "))?,
+        if advertised.is_empty() {
+            write!(f, "; advertises none")?;
+        } else {
+            write!(f, "; advertises {}", advertised.join(" "))?;
         }
         self.last_error.as_ref().map_or(Ok(()), |error| write!(f, "; last error: {error}"))
     }
@@ -39,7 +40,7 @@
         if let Some(ms) = self.since_change_ms {
             write!(f, ", for {}", DurationMs(ms))?;
         }
-        write!(f, "; somebody else announces it: {}", if self.other_announcer { "yes" } else { "not known" })
+        write!(f, "; another announcer: {}", if self.other_announcer { "yes" } else { "not known" })
     }
 }
 
@@ -58,16 +59,16 @@
         section(f, "peers", self.peers.iter().map(ToString::to_string).collect())?;
         section(f, "addresses", self.addresses.iter().map(ToString::to_string).collect())?;
         let changes = self.changes.iter().rev().map(ToString::to_string);
-        section(f, "changes, the last first", changes.collect())?;
+        section(f, "changes, latest first", changes.collect())?;
         let health = &self.health;
         let servable: Vec<String> =
             health.servable_shares.iter().map(|share| format!("{share:.2}")).collect();
-        writeln!(f, "health\n  {:?}{}", health.phase, if self.is_draining { ", drains" } else { "" })?;
+        writeln!(f, "health\n  {:?}{}", health.phase, if self.is_draining { ", draining" } else { "" })?;
         writeln!(f, "  can serve by table type: {}", servable.join(" "))?;
-        writeln!(f, "  refused at the door: {:.2}", health.rejected_share)?;
+        writeln!(f, "  share of scans rejected at admission: {:.2}", health.rejected_share)?;
         let capacity = if health.has_client_capacity { "left" } else { "none left" };
-        writeln!(f, "  places for clients: {capacity}")?;
-        writeln!(f, "  discovery last heard: {} ago", DurationMs(health.list_age_ms))?;
+        writeln!(f, "  capacity for clients: {capacity}")?;
+        writeln!(f, "  last message from discovery: {} ago", DurationMs(health.list_age_ms))?;
         let counters = self.counters.named().map(|(name, count)| format!("{name} {count}"));
         section(f, "counts", counters.to_vec())
     }
--- a/crates/bgp/src/speaker.rs
+++ b/crates/bgp/src/speaker.rs
@@ -64,7 +64,7 @@
     Announce(announce::Input),
     /// The configuration has changed; sessions of peers that remain are kept as far as [`session::Input::Configure`] allows.
     Configure(Box<SpeakerConfig>),
-    /// The time returned by [`Speaker::next_timer`] has come.
+    /// The time returned by [`Speaker::next_timer`] is reached.
     Timer,
     /// Ends all sessions with this shutdown communication.
     Stop(String),
@@ -79,7 +79,7 @@
     Refuse(PeerId, Direction),
     /// Prefixes to pass to the message decoder from now on.
     Watch(WatchedPrefixes),
-    /// As far as can be known no route leads to this mixer any more.
+    /// As [`announce::Effect::DrainComplete`].
     DrainComplete,
     /// A line for the log.
     Log(String),
--- a/crates/bgp/tests/session.rs
+++ b/crates/bgp/tests/session.rs
@@ -196,7 +196,7 @@
     let effects = session.step(1.0, Input::Received(Direction::Out, update(1_000_000, 0)));
     assert_eq!(
         describe(&effects),
-        "Out NOTIFICATION 6/1 most prefixes reached, close Out, down: we said 6/1 most prefixes reached"
+        "Out NOTIFICATION 6/1 maximum number of prefixes reached, close Out, down: sent NOTIFICATION 6/1 maximum number of prefixes reached"
     );
 }
 
--- a/crates/speaker/src/lib.rs
+++ b/crates/speaker/src/lib.rs
@@ -1,8 +1,8 @@
 //! Runs the BGP speaker of `pewterwharf_bgp::speaker` on sockets and threads.
 //!
-//! One thread owns the state machine and takes all decisions. Each connection has a reader and a writer thread, and each
-//! attempt to connect has a thread of its own. Only the state machine's thread waits for other threads. A peer that does
-//! not read fills the bounded queue of its writer, and its connection is then closed.
+//! One thread owns the state machine. Each connection has a reader and a writer thread, and each attempt to connect has a
+//! thread of its own. The state machine's thread never blocks on a socket: if a peer does not read, the bounded queue of its
+//! writer fills up, and the connection is closed.
 //!
 //! Memory per connection is bounded by one message being read (4,096 bytes) and [`WRITE_QUEUE_LEN`] messages to write.
 
@@ -30,14 +30,14 @@
 const INPUT_QUEUE_LEN: usize = 256;
 /// Timeout of an attempt to connect and of one write.
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
-/// After the last message a connection is half-closed, and received data is discarded until the peer closes or for this
-/// long. With a receive window that stays closed, a peer that is still sending would hang.
-const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time for which received data is discarded after the last message was sent and the connection half-closed. Without
+/// this, the receive window would close, and a peer that is still sending would hang.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for the last messages of all sessions to be written at shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay after a failed accept, which usually means that no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for a message, in milliseconds; it keeps the conversion to a `Duration` in range.
+/// Maximum wait for a message, in milliseconds; it keeps the conversion to a `Duration` in range.
 const MAX_WAIT_MS: f64 = 1e9;
 
 /// Handle of a running speaker; dropping it shuts the speaker down.
@@ -49,7 +49,7 @@
     counters: Arc<Mutex<Counters>>,
 }
 
-/// Handle to query the status of a speaker, for other threads than the speaker's owner.
+/// Handle with which threads that do not own the speaker query its status.
 #[derive(Clone)]
 pub struct StatusHandle(Sender<Message>);
 
@@ -153,7 +153,7 @@
         self.announce(announce::Input::DrainNow);
     }
 
-    /// Receives one message when no route leads to this mixer any more.
+    /// Receives one message once the drain is complete: all routes to this mixer are withdrawn.
     pub fn drain_complete(&self) -> &Receiver<()> {
         &self.drain_complete
     }
@@ -185,7 +185,7 @@
         if let Some(core) = self.core.take() {
             let _ = self.messages.send(Message::Shutdown(text.to_owned())); // fails only after the end
             let _ = core.join(); // a panic has been printed by the panic hook
-            // Wakes the listener thread, which then finds that the state machine has ended.
+            // Unblocks the listener thread, which then ends because the state machine has ended.
             self.local_addr.and_then(|at| TcpStream::connect_timeout(&at, IO_TIMEOUT).ok());
         }
     }
@@ -213,9 +213,9 @@
     peer: PeerId,
     direction: Direction,
     stream: Arc<TcpStream>,
-    /// Queue of the writer; when it is dropped, the writer closes the connection after the last message.
+    /// Queue of the writer. Once it is dropped, the writer half-closes the connection after the last queued message.
     write: Option<Sender<Vec<u8>>>,
-    /// Disconnected once the last message is written.
+    /// Carries no messages; disconnected once the writer has finished.
     written: Receiver<()>,
 }
 
@@ -230,7 +230,7 @@
     received: Receiver<Message>,
     drained: Sender<()>,
     connections: HashMap<ConnectionId, Connection>,
-    /// The connection that the state machine refers to by a peer and a direction.
+    /// The connection that the state machine means by a peer and a direction. Others are being closed.
     current: HashMap<(PeerId, Direction), ConnectionId>,
     next_connection: ConnectionId,
 }
@@ -307,14 +307,14 @@
         let effects =
             self.core.step(self.now_ms(), Input::Session(peer, session::Input::Connected(direction)));
         if effects.contains(&Effect::Refuse(peer, direction)) {
-            // The state machine keeps referring to the earlier connection.
+            // The earlier connection stays the current one.
             match before {
                 Some(before) => drop(self.current.insert((peer, direction), before)),
                 None => drop(self.current.remove(&(peer, direction))),
             }
             if let Some(connection) = self.connections.get_mut(&id) {
                 connection.write = None;
-                // Nothing was sent on it that the peer needs time to read.
+                // Closed at once, as nothing was sent on it.
                 let _ = connection.stream.shutdown(Shutdown::Both); // fails if the peer has reset it
             }
         }
@@ -334,7 +334,7 @@
         stream.set_write_timeout(Some(IO_TIMEOUT))?;
         let stream = Arc::new(stream);
         let (write, messages) = bounded::<Vec<u8>>(WRITE_QUEUE_LEN);
-        // The two channels carry no messages: they are disconnected when the writer, or the reader, has finished.
+        // These two channels carry no messages. Each is disconnected when its thread has finished.
         let (writing, written) = bounded::<()>(0);
         let (reading, read_done) = bounded::<()>(0);
         let half_close = Arc::new(HalfClose::default());
@@ -349,13 +349,13 @@
             write_half_close.start(&write_stream);
             drop(writing);
             write_sender.send(Message::Closed(id));
-            let _ = read_done.recv_timeout(DRAIN_TIMEOUT); // disconnected once the reader has finished
-            let _ = write_stream.shutdown(Shutdown::Both); // wakes the reader of a peer that does not close
+            let _ = read_done.recv_timeout(DISCARD_TIMEOUT); // disconnected once the reader has finished
+            let _ = write_stream.shutdown(Shutdown::Both); // unblocks the reader if the peer does not close
         })?;
         spawn("bgp read", move || {
             read_messages(&read_stream, id, &half_close, &watch, &read_sender);
             drop(reading);
-            let _ = read_stream.shutdown(Shutdown::Both); // wakes the writer
+            let _ = read_stream.shutdown(Shutdown::Both); // unblocks the writer
             read_sender.send(Message::Closed(id));
         })?;
         Ok(Connection { peer, direction, stream, write: Some(write), written })
@@ -411,9 +411,9 @@
     fn send(&mut self, peer: PeerId, direction: Direction, bytes: Vec<u8>) {
         let id = self.current.get(&(peer, direction));
         let Some(connection) = id.and_then(|id| self.connections.get_mut(id)) else { return };
-        let full = connection.write.as_ref().is_some_and(|write| write.try_send(bytes).is_err());
-        if full {
-            // The peer does not read: the failing writer reports the connection as closed.
+        let is_full = connection.write.as_ref().is_some_and(|write| write.try_send(bytes).is_err());
+        if is_full {
+            // The peer does not read. The shutdown makes the writer fail, which reports the connection as closed.
             debug!("the write queue of peer {peer} is full; closing its connection");
             let _ = connection.stream.shutdown(Shutdown::Write); // fails if it is shut down already
         }
@@ -426,7 +426,7 @@
         for connection in self.connections.values_mut() {
             connection.write = None;
             let _ = connection.written.recv_deadline(deadline); // disconnected once all is written
-            let _ = connection.stream.shutdown(Shutdown::Write); // wakes a writer whose peer does not read
+            let _ = connection.stream.shutdown(Shutdown::Write); // unblocks the writer if the peer does not read
         }
     }
 }
@@ -446,9 +446,9 @@
         self.0.get().is_some()
     }
 
-    /// Whether received data has been discarded for [`DRAIN_TIMEOUT`].
+    /// Whether received data has been discarded for [`DISCARD_TIMEOUT`].
     fn has_expired(&self) -> bool {
-        self.0.get().is_some_and(|since| since.elapsed() >= DRAIN_TIMEOUT)
+        self.0.get().is_some_and(|since| since.elapsed() >= DISCARD_TIMEOUT)
     }
 }
 
@@ -475,6 +475,27 @@
     }
 }
 
+/// Removes the first message from the received bytes and decodes it; `None` until it is complete. An OPEN sets
+/// `four_octets` for the messages after it.
+fn take_message(
+    buffer: &mut Vec<u8>,
+    four_octets: &mut bool,
+    watch: &Mutex<Arc<WatchedPrefixes>>,
+) -> Option<Result<BgpMessage, MessageError>> {
+    let length = match message::message_length(buffer) {
+        Ok(Some(length)) if buffer.len() >= length => length,
+        Ok(_) => return None,
+        Err(error) => return Some(Err(error)),
+    };
+    let watch = watch.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let decoded = message::decode(&buffer[..length], *four_octets, &watch);
+    if let Ok(BgpMessage::Open(open)) = &decoded {
+        *four_octets = open.four_octets;
+    }
+    buffer.drain(..length);
+    Some(decoded)
+}
+
 /// Reads messages until the connection ends or one cannot be decoded.
 fn read_messages(
     mut stream: &TcpStream,
@@ -488,20 +509,7 @@
     // This side always supports four-octet AS numbers, so the peer's OPEN decides.
     let mut four_octets = true;
     loop {
-        loop {
-            let decoded = match message::message_length(&buffer) {
-                Ok(Some(length)) if buffer.len() >= length => {
-                    let watch = watch.lock().unwrap_or_else(PoisonError::into_inner).clone();
-                    let decoded = message::decode(&buffer[..length], four_octets, &watch);
-                    if let Ok(BgpMessage::Open(open)) = &decoded {
-                        four_octets = open.four_octets;
-                    }
-                    buffer.drain(..length);
-                    decoded
-                }
-                Ok(_) => break,
-                Err(error) => Err(error),
-            };
+        while let Some(decoded) = take_message(&mut buffer, &mut four_octets, watch) {
             let is_malformed = decoded.is_err();
             if !sender.send(Message::Received(id, decoded)) {
                 return;
--- a/crates/speaker/tests/loopback.rs
+++ b/crates/speaker/tests/loopback.rs
@@ -209,10 +209,10 @@
 #[test]
 fn session_restart_in_each_state() {
     let cases = [
-        (PeerBehavior::ResetsBeforeOpen, "the peer said 6/4"),
-        (PeerBehavior::ResetsAfterOpen, "the peer said 6/4"),
-        (PeerBehavior::ResetsEstablished, "the peer said 6/4"),
-        (PeerBehavior::DuplicateIdentity, "we said 2/3"),
+        (PeerBehavior::ResetsBeforeOpen, "received NOTIFICATION 6/4"),
+        (PeerBehavior::ResetsAfterOpen, "received NOTIFICATION 6/4"),
+        (PeerBehavior::ResetsEstablished, "received NOTIFICATION 6/4"),
+        (PeerBehavior::DuplicateIdentity, "sent NOTIFICATION 2/3"),
     ];
     for (behavior, reason) in cases {
         let peer = Peer::start(&[behavior, PeerBehavior::Conforms]);
