--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,7 +1,7 @@
-//! Checks the invariants against the events of a run, without I/O, so that tests can show what each check finds.
+//! Checks the invariants against the events of a run. It does no I/O, so tests can run each check on made-up events.
 //!
-//! The names of rules are those of `docs/promises.md`. Violations that the issue "Stricter terms" names as seen before are counted
-//! separately, as [`Report::known`].
+//! The names of rules are those of `docs/promises.md`. Violations that the issue "Stricter terms" lists as seen before are
+//! counted separately, as [`Report::known`].
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,17 +9,17 @@
 use crate::record::{Event, Status};
 use crate::settings::{self, Class, Effect, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 
-/// How long processes of a busy machine may wait for a core, beyond what a rule allows.
+/// Tolerance of rules for processes that wait for a core of a busy machine.
 const SCHEDULING_SLACK_MS: f64 = 150.0;
-/// An answer is worth nothing after its deadline, and counts as lost this long after it.
+/// An answer has no value after its deadline, and counts as lost this long after it.
 const ANSWER_LOST_AFTER_MS: f64 = 500.0;
 /// Attempts may still begin for this long after a client closed its connection.
 const ATTEMPTS_AFTER_CLOSE_MS: f64 = 100.0;
-/// Attempts may still begin for this long after a drain was sent to the mixer: 250 ms by the rule, and 50 ms for sockets.
+/// Attempts may still begin for this long after a drain was sent to the mixer: 250 ms by the rule and 50 ms for the sockets.
 const ATTEMPTS_AFTER_DRAIN_MS: f64 = 250.0 + 50.0;
-/// A change counts as sent to the mixer at the latest this long after discovery had it.
+/// Maximum delay until a change in discovery counts as sent to the mixer.
 const CHANGE_SENT_WITHIN_MS: f64 = 6000.0;
-/// The time that a searcher is given may exceed what its client has left by this much.
+/// Tolerance by which the timeout of an attempt may exceed the time left until the client's deadline.
 const DEADLINE_SLACK_MS: f64 = 150.0;
 /// A client that stopped within a request is answered or closed within this time.
 const ABANDONED_ENDED_WITHIN_MS: f64 = 3000.0;
@@ -27,16 +27,16 @@
 const READY_WITHIN_MS: f64 = 10_000.0;
 /// The limit on threads of a mixer.
 const MAX_THREADS: u64 = 12;
-/// Weights are rounded.
+/// Tolerance for the rounding of weights.
 const WEIGHT_TOLERANCE: f64 = 1e-3;
 /// The longest time that a slow client takes to write a request.
 const SLOW_WRITE_MS: f64 = 3000.0;
-/// A close that crosses the first half of a request is seen by its client within this time.
+/// A client sees a close that crossed the first half of its request within this time.
 const CROSSING_CLOSE_MS: f64 = SCHEDULING_SLACK_MS;
 /// A killed process resets its connections within this time.
 const KILL_RESETS_WITHIN_MS: f64 = 500.0;
 
-/// A broken promise.
+/// An event that violates a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub rule: &'static str,
@@ -104,7 +104,7 @@
     }
 }
 
-/// A request and what became of it.
+/// A request with its end, its attempts and the executions of its parts.
 struct Request<'a> {
     sent_at: TimeMs,
     mixer: usize,
@@ -140,7 +140,7 @@
 }
 
 impl Request<'_> {
-    /// Replaces the times of attempts by those of their recorded writes: a searcher may read them much later.
+    /// Replaces the time at which a searcher read an attempt by that of its recorded write, as the read may be much later.
     fn time_attempts_by_writes(&mut self) {
         for attempt in &mut self.attempts {
             let is_same = |write: &&Write| {
@@ -181,6 +181,20 @@
 }
 
 impl MixerHistory {
+    fn add_signal(&mut self, at: TimeMs, signal: &str) {
+        match signal {
+            "KILL" => self.kills.push(Kill { at, follows_sigterm: false }),
+            "KILL after TERM" => self.kills.push(Kill { at, follows_sigterm: true }),
+            "STOP" => self.pauses.push(Span { from: at, until: TimeMs::INFINITY }),
+            "CONT" => {
+                if let Some(pause) = self.pauses.last_mut() {
+                    pause.until = pause.until.min(at);
+                }
+            }
+            _ => {}
+        }
+    }
+
     /// Whether the mixer was stopped at some time of a span.
     fn is_paused(&self, from: TimeMs, until: TimeMs) -> bool {
         overlaps(&self.pauses, from, until)
@@ -201,7 +215,7 @@
 struct Run<'a> {
     requests: HashMap<&'a str, Request<'a>>,
     mixers: BTreeMap<usize, MixerHistory>,
-    /// From when on a mixer may send nothing to a searcher.
+    /// The time from which on a mixer must not send attempts to a searcher.
     closed_from: HashMap<MixerSearcher<'a>, TimeMs>,
 }
 
@@ -287,23 +301,9 @@
             }
         }
         Event::Attempt { at, part, searcher, timeout_ms, holds_shard, .. } => {
-            report.attempts += 1;
-            let violation = |description: String| Violation { rule: "R4", at: *at, description };
-            if !holds_shard {
-                report
-                    .violations
-                    .push(violation(format!("{part} went to {searcher}, which does not hold its shard")));
-            }
-            match run.requests.get_mut(request_of(part)) {
-                Some(request) => request.attempts.push(Attempt {
-                    at: *at,
-                    is_write_recorded: false,
-                    part,
-                    searcher,
-                    timeout_ms: *timeout_ms,
-                }),
-                None => report.violations.push(violation(format!("{part} belongs to no request"))),
-            }
+            let attempt =
+                Attempt { at: *at, is_write_recorded: false, part, searcher, timeout_ms: *timeout_ms };
+            index_attempt(run, attempt, *holds_shard, report);
         }
         Event::Written { at, part, timeout_ms } => {
             if let Some(request) = run.requests.get_mut(request_of(part)) {
@@ -316,24 +316,12 @@
             }
         }
         Event::Signalled { at, mixer, signal } => {
-            let history = run.mixers.entry(*mixer).or_default();
-            match signal.as_str() {
-                "KILL" => history.kills.push(Kill { at: *at, follows_sigterm: false }),
-                "KILL after TERM" => history.kills.push(Kill { at: *at, follows_sigterm: true }),
-                "STOP" => history.pauses.push(Span { from: *at, until: TimeMs::INFINITY }),
-                "CONT" => {
-                    if let Some(pause) = history.pauses.last_mut() {
-                        pause.until = pause.until.min(*at);
-                    }
-                }
-                _ => {}
-            }
+            run.mixers.entry(*mixer).or_default().add_signal(*at, signal);
         }
         Event::Exited { at, mixer, .. } => run.mixers.entry(*mixer).or_default().exits.push(*at),
         Event::Fault { at, until, description } => {
             report.faults += 1;
-            if let Some(rest) = description.strip_prefix("ClientsCrowd { mixer: ") {
-                let mixer = rest.split(',').next().and_then(|mixer| mixer.parse().ok()).unwrap_or(usize::MAX);
+            if let Some(mixer) = crowded_mixer(description) {
                 let crowd = Span { from: *at, until: until + SCHEDULING_SLACK_MS };
                 run.mixers.entry(mixer).or_default().crowds.push(crowd);
             }
@@ -342,7 +330,27 @@
     }
 }
 
-/// From when on each mixer may send nothing to a searcher that drains or is removed.
+/// Adds an attempt to its request, and checks that the searcher holds its shard.
+fn index_attempt<'a>(run: &mut Run<'a>, attempt: Attempt<'a>, holds_shard: bool, report: &mut Report) {
+    let Attempt { at, part, searcher, .. } = attempt;
+    report.attempts += 1;
+    let mut add = |description: String| report.violations.push(Violation { rule: "R4", at, description });
+    if !holds_shard {
+        add(format!("{part} went to {searcher}, which does not hold its shard"));
+    }
+    match run.requests.get_mut(request_of(part)) {
+        Some(request) => request.attempts.push(attempt),
+        None => add(format!("{part} belongs to no request")),
+    }
+}
+
+/// The mixer of a `ClientsCrowd` fault, from its description; `None` for any other fault.
+fn crowded_mixer(description: &str) -> Option<usize> {
+    let rest = description.strip_prefix("ClientsCrowd { mixer: ")?;
+    Some(rest.split(',').next().and_then(|mixer| mixer.parse().ok()).unwrap_or(usize::MAX))
+}
+
+/// The time from which on each mixer must not send attempts to a searcher that drains or is removed.
 fn closed_from(events: &[Event]) -> HashMap<MixerSearcher<'_>, TimeMs> {
     let mut closed = HashMap::new();
     for (nth, event) in events.iter().enumerate() {
@@ -381,15 +389,8 @@
             let description = format!("{id}: {problem} ({how:?})");
             report.violations.push(Violation { rule: "L2", at: *at, description });
         }
-        // A client gives up 1.5 s after its deadline; a stopped mixer may have missed much of that time.
-        Some(Event::Unanswered { at, .. })
-            if *at
-                > request.sent_at
-                    + request.deadline_ms
-                    + ANSWER_LOST_AFTER_MS
-                    + SCHEDULING_SLACK_MS
-                    + run.mixer(request.mixer).paused_ms(request.sent_at, *at) =>
-        {
+        // A client waits until 1.5 s after its deadline, but the mixer may have been stopped for much of that time.
+        Some(Event::Unanswered { at, .. }) if *at > latest_answer_at(run, request, *at) => {
             let description = format!("{id}: no answer, {:.0} ms after it was sent", at - request.sent_at);
             report_late(request, *at, description, report);
         }
@@ -397,6 +398,15 @@
     }
 }
 
+/// The latest time at which a request must be answered. Pauses of its mixer until `at` extend it.
+fn latest_answer_at(run: &Run, request: &Request, at: TimeMs) -> TimeMs {
+    request.sent_at
+        + request.deadline_ms
+        + ANSWER_LOST_AFTER_MS
+        + SCHEDULING_SLACK_MS
+        + run.mixer(request.mixer).paused_ms(request.sent_at, at)
+}
+
 /// An answer as its client read it.
 struct Answer {
     at: TimeMs,
@@ -422,8 +432,7 @@
     {
         add("A1", format!("{id}: answered {status} though a part was executed"));
     }
-    let paused_ms = run.mixer(request.mixer).paused_ms(request.sent_at, at);
-    if at > request.sent_at + request.deadline_ms + ANSWER_LOST_AFTER_MS + SCHEDULING_SLACK_MS + paused_ms {
+    if at > latest_answer_at(run, request, at) {
         let late_ms = at - request.sent_at - request.deadline_ms;
         report_late(request, at, format!("{id}: answered {late_ms:.0} ms after its deadline"), report);
     }
@@ -443,7 +452,7 @@
     }
 }
 
-/// What is wrong with a connection that ended without a complete answer; `None` if the run explains it.
+/// Why it is a violation that a connection ended without a complete answer; `None` if an event of the run justifies it.
 fn connection_end_problem(
     run: &Run,
     request: &Request,
@@ -456,7 +465,7 @@
         kill.at >= request.sent_at - KILL_RESETS_WITHIN_MS && kill.at <= at + KILL_RESETS_WITHIN_MS
     });
     let is_crowded = overlaps(&history.crowds, request.sent_at, at);
-    // The last bytes of the request crossed the end of the process, which never had the whole request.
+    // The process ended while the client was still writing the request, so it did not read all of it.
     let crossed_exit =
         history.exits.iter().any(|exit| *exit <= request.sent_at && *exit >= request.sent_at - SLOW_WRITE_MS);
     let first = request.pipelined_behind.and_then(|first| run.requests.get(first));
@@ -510,12 +519,12 @@
     }
 }
 
-/// A remark for violations of a request whose mixer was stopped between its sending and this time.
+/// A suffix for descriptions of violations, if the mixer was stopped between the sending of the request and this time.
 fn pause_suffix(run: &Run, request: &Request, at: TimeMs) -> &'static str {
     if run.mixer(request.mixer).is_paused(request.sent_at, at) { " (the mixer had been stopped)" } else { "" }
 }
 
-/// Checks that a part gave its searcher no more time than its client had left.
+/// Checks that the timeout of a part does not exceed the time left until its client's deadline.
 fn check_deadline(run: &Run, id: &str, request: &Request, write: &Write, slack_ms: f64, report: &mut Report) {
     let Write { at, part, timeout_ms } = *write;
     let left_ms = request.deadline_ms - (at - request.sent_at);
@@ -528,8 +537,8 @@
     report.violations.push(Violation { rule: "T1", at, description });
 }
 
-/// Checks that the mixer itself wrote each part while its client was connected and its query open, with no more time than was left.
-/// The machine does not influence these times, so that there is no slack for it.
+/// Checks that the mixer wrote each part while its client was connected and its query open, with a timeout within the time
+/// left. These times are those of the mixer's own system calls, so there is no tolerance for scheduling.
 fn check_writes(run: &Run, id: &str, request: &Request, report: &mut Report) {
     for write in &request.written {
         let Write { at, part, .. } = write;
@@ -550,7 +559,7 @@
     }
 }
 
-/// Checks that parts which must not be executed again were not.
+/// Checks that non-replayable parts were executed once, and keyed ones again only within their window.
 fn check_effects(id: &str, request: &Request, report: &mut Report) {
     for (part, executions) in &request.executions {
         let at = executions.last().copied().unwrap_or_default();
@@ -574,7 +583,7 @@
     }
 }
 
-/// Checks what a mixer did itself, and the resources that it held.
+/// Checks the events of a mixer's process: client errors, exits, violation counters and resources.
 fn check_mixer(run: &Run, event: &Event, report: &mut Report) {
     let violation = match event {
         Event::Abandoned { mixer, ended_after_ms, at } => {
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -22,8 +22,8 @@
 const STACK_BYTES: usize = 192 * 1024;
 /// The length of a long query text.
 const LONG_TEXT_BYTES: usize = 4096;
-/// A client gives up this long after the deadline of its request.
-const GIVE_UP_AFTER_DEADLINE_MS: f64 = 1500.0;
+/// A client stops waiting for an answer this long after the deadline of its request.
+const WAIT_AFTER_DEADLINE_MS: f64 = 1500.0;
 /// A client that stopped within a request waits this long for an error or the end of the connection.
 const ABANDONED_WAIT_MS: f64 = 6000.0;
 /// The read timeout after which a blocked read checks for commands.
@@ -73,8 +73,8 @@
 
 /// Further clients of a mixer that send their requests in two halves, in runs with [`Setup::halves`].
 const HALF_SENDING_CLIENTS: u64 = 4;
-/// Bounds on the time between the two halves: most of the duration of a drain, so that many drains begin and stop listening in
-/// between.
+/// Bounds on the time between the two halves. They cover most of the duration of a drain, so that many drains begin and stop
+/// listening in between.
 const MIN_HALVES_DISTANCE_MS: f64 = 300.0;
 const MAX_HALVES_DISTANCE_MS: f64 = 1800.0;
 
@@ -267,7 +267,7 @@
         Some(Connection { stream, input, requests: 0 })
     }
 
-    /// Does one round of the client's behavior; returns the connection if it stays open.
+    /// Executes one round of the client's behavior. Returns the connection if it stays open.
     fn run_round(&self, mut connection: Connection) -> Option<Connection> {
         if self.behavior == ClientBehavior::Idle && !self.check_idle(&mut connection) {
             return None;
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Whether nothing arrived while the connection was idle; an unsolicited error is recorded.
+    /// Returns whether nothing arrived while the connection was idle. An unsolicited error is recorded.
     fn check_idle(&self, connection: &mut Connection) -> bool {
         let mut line = String::new();
         match connection.input.read_line(&mut line) {
@@ -382,10 +382,10 @@
         self.shared.recorder.record(&Event::ClientClosed { at: now_ms(), id: request.id.clone() });
     }
 
-    /// Reads the answer to a request; returns the connection if it stays open, or who ended it.
+    /// Reads and records the answer to a request. Returns the connection if it stays open, or else who ended it.
     fn await_answer(&self, mut connection: Connection, request: &Request) -> Result<Connection, EndedBy> {
         let sent_at = now_ms();
-        match self.read_answer(&mut connection, sent_at + request.deadline_ms + GIVE_UP_AFTER_DEADLINE_MS) {
+        match self.read_answer(&mut connection, sent_at + request.deadline_ms + WAIT_AFTER_DEADLINE_MS) {
             Ok(answer) => {
                 self.record_answer(request, &answer);
                 if answer.closes_connection { Err(EndedBy::Mixer) } else { Ok(connection) }
@@ -433,8 +433,8 @@
         Some(connection)
     }
 
-    /// Sends the second half of a request long after the first. If the connection ends in between, the request was read and has no
-    /// answer; an answer may also arrive before the second half is sent.
+    /// Sends the second half of a request long after the first. Waiting ends early if the connection ends or an answer arrives
+    /// in between.
     fn send_halves(&self, mut connection: Connection) -> Option<Connection> {
         if !self.check_idle(&mut connection) {
             return None;
@@ -452,7 +452,7 @@
         self.await_answer(connection, &request).ok()
     }
 
-    /// Waits briefly; whether neither bytes nor the end of the connection arrived.
+    /// Waits for up to [`POLL_INTERVAL`]. Returns whether neither bytes nor the end of the connection arrived.
     fn is_silent(&self, connection: &Connection) -> bool {
         matches!(connection.stream.peek(&mut [0]), Err(error) if is_timeout(&error))
     }
--- a/crates/soak/src/control.rs
+++ b/crates/soak/src/control.rs
@@ -72,7 +72,7 @@
     Change(Vec<ListedSearcher>),
     /// Open watches send nothing for this time; new ones are answered.
     Silent(u64),
-    /// The agent answers nothing and learns of no change for this time.
+    /// The agent answers nothing and receives no change for this time.
     Down(u64),
     /// Closes open watches.
     Reset,
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -53,7 +53,7 @@
         bail!("all port ranges are in use by other runs")
     }
 
-    /// The next port that nobody listens on.
+    /// The next port on which no process listens.
     ///
     /// # Errors
     /// If no port is left.
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Writes the received chunks as the mode says, and closes both sides at the end.
+/// Writes the received chunks according to the mode, and closes both sides at the end.
 fn write_chunks(mut to: &TcpStream, from: &TcpStream, chunks: &Receiver<Vec<u8>>, shared: &Shared) {
     for chunk in chunks {
         while shared.mode() == ProxyMode::Stalled {
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! The events that the processes of a run record, as lines of JSON. Each is written at once, so that a kill loses none.
+//! The events that the processes of a run record, as lines of JSON. Each is written immediately, so that SIGKILL loses none.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -171,7 +171,7 @@
     assert!(broken_rules(&read_late).is_empty(), "written in time and read late");
     let stopped =
         [sent("lookup"), signalled(1090.0, "STOP"), closed, signalled(1290.0, "CONT"), written(1291.0, 50.0)];
-    assert_eq!(broken_rules(&stopped), ["L3"], "a stop is no excuse");
+    assert_eq!(broken_rules(&stopped), ["L3"], "a stop of the mixer does not justify it");
     assert_eq!(
         broken_rules(&[sent("lookup"), answered(1020.0, 200), written(1021.0, 50.0)]),
         ["L3"],
