--- a/crates/drill/src/checks.rs
+++ b/crates/drill/src/checks.rs
@@ -1,20 +1,20 @@
-//! Checks of the invariants of a drill on what the harness recorded. They do no I/O, so that tests can show that each check
-//! finds the violation it is for.
+//! Checks the invariants of a drill against the harness's record. They do no I/O, so tests can run each check on made-up
+//! records.
 
 use std::collections::BTreeMap;
 
 use crate::report::Violation;
 
-/// Time after a drain during which a mixer may still send to the searcher: the rule's 250 ms and the time that processes
-/// may wait for a core on a busy machine. A mixer that ignores the drain goes on sending after it.
+/// Time after a drain during which a mixer may still send to the searcher: the rule's 250 ms and a tolerance for processes
+/// that wait for a core of a busy machine. A mixer that ignores the drain sends beyond it.
 pub const DRAIN_GRACE_MS: f64 = 3000.0;
-/// Warm-up time of a searcher that has returned, and the share of its full rate that it bears at the start of it.
+/// Warm-up time of a searcher that has returned, and the share of its full rate that it can process at its start.
 const WARM_UP_MS: f64 = 10_000.0;
 const COLD_RATE_SHARE: f64 = 0.2;
-/// A cold searcher fails under this multiple of the rate that it bears, held for `OVERLOAD_WINDOW_MS`.
+/// A cold searcher fails if it receives this multiple of the rate that it can process for `OVERLOAD_WINDOW_MS`.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
 const OVERLOAD_WINDOW_MS: f64 = 1000.0;
-/// Time from a client's seeing the reset of its connection until the harness has recorded the end of the process.
+/// Maximum delay from the reset of a client's connection until the harness records the exit of the process.
 const EXIT_RECORD_DELAY_MS: f64 = 100.0;
 /// Maximum number of violations reported for one rule: more would hide the others.
 const MAX_VIOLATIONS_PER_RULE: usize = 5;
@@ -44,7 +44,7 @@
     pub began_ms: f64,
     pub ended_ms: f64,
     pub outcome: Outcome,
-    /// More bytes followed the answer.
+    /// Whether more bytes followed the answer.
     pub extra_bytes: bool,
 }
 
@@ -53,7 +53,7 @@
 pub struct PartArrival {
     pub at_ms: f64,
     pub searcher: usize,
-    /// The scan's id, which starts with its mixer's name, and the shard.
+    /// The scan's id and the shard, as `m1-1-17.7`. The id starts with the name of its mixer.
     pub part: String,
 }
 
@@ -89,7 +89,7 @@
 pub struct Record {
     pub scans: Vec<ScanRecord>,
     pub arrivals: Vec<PartArrival>,
-    /// Processes that have ended, by number, and the times at which they did.
+    /// Exit times of the processes that have ended, by number.
     pub ended_processes: BTreeMap<u64, f64>,
     pub stalls: Vec<Interval>,
     pub without_discovery: Vec<Interval>,
@@ -102,7 +102,7 @@
     pub length_ms: f64,
 }
 
-/// Whether a scan is an entry, which must not run twice: each fifth is.
+/// Whether a scan is an entry, which must not run twice. Every fifth scan is one.
 pub fn is_entry(scan_number: u64) -> bool {
     scan_number.is_multiple_of(5)
 }
@@ -123,7 +123,7 @@
         all
     }
 
-    /// Scans that did not get exactly one valid answer, though their process ran on.
+    /// Scans that did not get exactly one valid answer although their process kept running.
     fn answer_violations(&self) -> Vec<Violation> {
         let violations = self.scans.iter().filter_map(|scan| {
             let process_ended = self
@@ -172,7 +172,7 @@
             let grace_end_ms = drain.at_ms + DRAIN_GRACE_MS;
             for arrival in self.arrivals.iter().filter(|a| a.searcher == drain.searcher) {
                 let Some(mixer) = arrival.mixer() else { continue };
-                // A mixer that was without discovery or stalled could not know of the drain.
+                // A mixer that was without discovery or stalled may not have received the drain.
                 let overlaps = |i: &Interval| {
                     i.mixer == mixer && i.from_ms <= arrival.at_ms && i.to_ms + DRAIN_GRACE_MS >= drain.at_ms
                 };
@@ -195,7 +195,7 @@
         violations
     }
 
-    /// Cold searchers that received so many parts within a window that they would fail.
+    /// Cold searchers that received more parts within a window than they can process.
     fn overloaded_cold_searchers(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for SearcherEvent { searcher, at_ms: returned_ms } in &self.returned {
@@ -304,7 +304,7 @@
         let mut record = valid_record();
         record.returned.push(SearcherEvent { searcher: 2, at_ms: 5000.0 });
         assert_eq!(rules(&record), [], "25 parts a second are no overload");
-        // At a fifth of its full rate it bears 40 parts of 5 ms a second and fails above twice as many.
+        // At a fifth of its full rate it processes 40 parts of 5 ms a second and fails above twice as many.
         let extra_arrival = |nth: u64| PartArrival {
             at_ms: 5100.0 + nth as f64,
             searcher: 2,
--- a/crates/drill/src/gate.rs
+++ b/crates/drill/src/gate.rs
@@ -26,7 +26,7 @@
     Refuse,
     /// Accepts connections and discards their bytes.
     Drop,
-    /// As `Drop`, and closes the far side of open connections; the near side sees nothing of it.
+    /// As `Drop`, and closes the far side of open connections while the near side stays open.
     HalfOpen,
 }
 
@@ -56,9 +56,9 @@
 struct Connection {
     /// To the process that opened the connection.
     near: TcpStream,
-    /// To the process that it was opened to; `None` if the path swallowed it from the start.
+    /// To the process that it was opened to; `None` if the path discarded bytes when it was opened.
     far: Option<TcpStream>,
-    /// Bytes of the stream were discarded, so it must not carry any further ones.
+    /// Whether bytes of the stream were discarded. No further bytes are forwarded after that.
     lost_bytes: AtomicBool,
     closed: AtomicBool,
 }
@@ -101,7 +101,7 @@
     }
 }
 
-/// The address that a gate forwards to; `None` while nobody listens there.
+/// The address that a gate forwards to; `None` while no process listens there.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
 /// Opens a gate and returns its address. Bytes from the process that opens a connection follow `path`, those in the other
@@ -130,8 +130,8 @@
     if matches!(mode, Mode::Cut | Mode::Refuse) {
         return;
     }
-    let swallows = matches!(mode, Mode::Drop | Mode::HalfOpen);
-    let far = if swallows {
+    let discards_bytes = matches!(mode, Mode::Drop | Mode::HalfOpen);
+    let far = if discards_bytes {
         None
     } else {
         let Some(address) = *locked(target) else { return };
@@ -143,7 +143,7 @@
     let connection = Arc::new(Connection {
         near,
         far,
-        lost_bytes: AtomicBool::new(swallows),
+        lost_bytes: AtomicBool::new(discards_bytes),
         closed: AtomicBool::new(false),
     });
     {
@@ -193,7 +193,7 @@
             }
         }
     }
-    // On a path that discards bytes, the end of one side is not shown to the other.
+    // On a path that discards bytes, the other side is not closed when one side ends.
     let discards = matches!(path.behavior().mode, Mode::Drop | Mode::HalfOpen);
     if !discards || connection.closed.load(Ordering::SeqCst) {
         connection.close();
--- a/crates/drill/src/harness.rs
+++ b/crates/drill/src/harness.rs
@@ -41,7 +41,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two checks of an expected condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for a process to exit after SIGTERM: longer than the longest query timeout and a drain together.
+/// Time for a process to exit after SIGTERM: longer than the longest query timeout plus a drain.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay until discovery removes a searcher that died.
 const REMOVAL_DELAY_MS: f64 = 1000.0;
@@ -50,7 +50,7 @@
 /// Maximum number of log lines of one process in the timeline.
 const MAX_TIMELINE_LINES: usize = 400;
 
-/// An entry of the schedule: a step of the script, or the later part of one.
+/// An entry of the schedule: a step of the script, or the follow-up of one.
 #[derive(Clone, Debug)]
 enum ScheduledAction {
     Step(Action),
@@ -90,12 +90,12 @@
     paths: Vec<Vec<Arc<NetworkPath>>>,
     /// Addresses of the gates, indexed as `paths`; `None` on the diagonal.
     gates: Vec<Vec<Option<SocketAddr>>>,
-    /// Where each mixer listens for the others.
+    /// The address at which each mixer listens for the others.
     targets: Vec<Target>,
     discovery_gates: Vec<DiscoveryGate>,
     /// The current process of each mixer.
     processes: Vec<Option<Process>>,
-    /// Processes that the script ended, and those replaced by a later one of the same name, each with its mixer.
+    /// Processes that the script ended or replaced by a later one of the same name, each with its mixer.
     former_processes: Vec<(usize, Process)>,
     ready_mixers: ReadyMixers,
     began: Instant,
@@ -114,8 +114,8 @@
 /// Runs one drill.
 ///
 /// # Errors
-/// If the harness itself can't be set up, as for want of a port, a file or the executable. Failures that the drill
-/// finds are in the report.
+/// If the harness itself can't be set up, for example if a port, a file or the executable is not available. Failures
+/// that the drill finds are in the report.
 pub fn run(script: &Script, options: &Options) -> Result<Report> {
     static DRILLS: AtomicU64 = AtomicU64::new(0);
     let drill_number = DRILLS.fetch_add(1, Ordering::SeqCst);
@@ -236,7 +236,7 @@
         Ok(())
     }
 
-    /// Directs clients to the processes that have become ready. Returns whether all running ones are.
+    /// Directs clients to the processes that are ready. Returns whether all running ones are.
     fn update_ready_mixers(&self) -> bool {
         let mut ready_mixers = self.ready_mixers.lock().unwrap_or_else(PoisonError::into_inner);
         let mut all_ready = true;
@@ -259,7 +259,7 @@
         for expect in self.script.expects.iter().filter(|e| !matches!(e, Expect::Answered { .. })) {
             expectations.push(self.check_expectation(expect));
         }
-        // Waits until the grace period of each drain is over, so that a mixer that ignores a drain is seen.
+        // A mixer that ignores a drain is detected only after the grace period, so this waits for its end.
         let drained_ms =
             self.record.drains.iter().map(|d| d.at_ms + DRAIN_GRACE_MS + 500.0).fold(0.0, f64::max);
         self.wait_until(drained_ms);
@@ -345,7 +345,7 @@
         Ok(())
     }
 
-    /// Waits until a time of the drill; meanwhile records processes that end.
+    /// Waits until a time of the drill, and records processes that exit meanwhile.
     fn wait_until(&mut self, at_ms: f64) {
         loop {
             self.check_processes();
@@ -357,7 +357,8 @@
         }
     }
 
-    /// Directs clients to processes that have become ready, and records those that ended without the script's doing.
+    /// Directs clients to the processes that are ready, and records those that exited although the script did not end
+    /// them.
     fn check_processes(&mut self) {
         self.update_ready_mixers();
         let now = self.now_ms();
@@ -388,7 +389,7 @@
         }
     }
 
-    /// Executes a scheduled action. Returns the later part of it, if it has one.
+    /// Executes a scheduled action. Returns its follow-up, if it has one.
     fn execute(&mut self, action: ScheduledAction) -> Result<Option<Scheduled>> {
         let now = self.now_ms();
         match action {
@@ -417,7 +418,7 @@
         }
     }
 
-    /// Applies an action of the script. Returns the later part of it, if it has one.
+    /// Applies an action of the script. Returns its follow-up, if it has one.
     fn apply(&mut self, action: Action, now: f64) -> Result<Option<Scheduled>> {
         match action {
             Action::Partition(groups) => self.partition(&groups),
@@ -612,7 +613,7 @@
         Observation { holds, seen: seen.collect::<Vec<_>>().join(", ") }
     }
 
-    /// Whether a replaced process of the mixer stands aside from the fleet.
+    /// Whether a replaced process of the mixer was superseded, which its standing shows as `aside`.
     fn observe_standing(&self, mixer: usize) -> Observation {
         let replaced = self
             .former_processes
@@ -645,7 +646,7 @@
         }
     }
 
-    /// Reports processes that use half a core or more: the loads of drills take a tenth of one.
+    /// Reports processes that use more than half a core. The load of a drill takes a tenth of one.
     fn check_processor_use(&mut self) {
         const MIN_LIFETIME_MS: f64 = 3000.0;
         const MAX_SHARE: f64 = 0.5;
@@ -741,7 +742,8 @@
         self.hung.iter().map(|hang| self.hung_searcher(hang)).collect()
     }
 
-    /// When each mixer marked the searcher, and the parts that reached it, between its hang and its return.
+    /// The delays until mixers marked the searcher, and the number of parts that reached it, between its hang and its
+    /// return.
     fn hung_searcher(&self, hang: &SearcherEvent) -> HungSearcher {
         let returned_ms = self
             .record
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -18,12 +18,12 @@
 /// Maximum number of log lines that are kept of one process.
 const MAX_KEPT_LINES: usize = 10_000;
 
-/// What the log of a process has shown so far.
+/// The state of a process, from its log so far.
 #[derive(Default)]
 pub struct ProcessOutput {
-    /// Where it listens for clients.
+    /// The address at which it listens for clients.
     pub client_address: Option<SocketAddr>,
-    /// Where it listens for other mixers.
+    /// The address at which it listens for other mixers.
     pub mixer_address: Option<SocketAddr>,
     pub ready: bool,
     /// The log has ended, as the process has.
@@ -46,11 +46,11 @@
 
     fn add_line(&self, line: String) {
         let mut output = self.lock();
-        let last_word = || line.rsplit(' ').next().and_then(|a| a.parse().ok());
+        let trailing_address = || line.rsplit(' ').next().and_then(|a| a.parse().ok());
         if line.contains(" listens on ") {
-            output.client_address = last_word();
+            output.client_address = trailing_address();
         } else if line.contains(" listens for mixers at ") {
-            output.mixer_address = last_word();
+            output.mixer_address = trailing_address();
         }
         output.ready |= line.ends_with(": ready");
         let kept = [" fleet:", " marked at ", " readmitted ", " ERROR ", " drains", "panicked"];
@@ -184,7 +184,7 @@
         output.client_address.filter(|_| output.ready)
     }
 
-    /// Waits until the process listens. Returns its address for other mixers, which one without a fleet has not.
+    /// Waits until the process listens. Returns its address for other mixers; `None` without a fleet.
     pub fn wait_until_listening(&self, alone: bool) -> Result<Option<SocketAddr>> {
         const TIMEOUT: Duration = Duration::from_secs(60);
         let output = self.output.lock();
@@ -201,7 +201,7 @@
         Ok(output.mixer_address)
     }
 
-    /// Processor time so far and resident memory, as /proc has them.
+    /// Processor time so far and resident memory, from `/proc`.
     pub fn usage(&self) -> Option<ProcessUsage> {
         // Linux counts processor time in ticks of 10 ms.
         const TICK_MS: f64 = 10.0;
--- a/crates/drill/src/random.rs
+++ b/crates/drill/src/random.rs
@@ -96,7 +96,7 @@
         Expect::Members { count: mixers, within_ms: 10_000.0 },
         Expect::Answered { share: 0.3 },
     ];
-    // In half of the scripts, an absence of a second is longer than deletions are remembered.
+    // In half of the scripts, the lifetime of tombstones is as short as a second.
     let forget_ms = (rng.rand_float() < 0.5).then_some(1000.0);
     let mut title = String::new();
     let _ = write!(title, "seed {seed}"); // writing to a String can't fail
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -8,7 +8,7 @@
 const MAX_MIXERS: u32 = 16;
 const MAX_SEARCHERS: u32 = 64;
 const MAX_SCANS_PER_S: u32 = 2000;
-/// Time limit of an expectation that names none.
+/// Time limit of an expectation that states none.
 const DEFAULT_WITHIN_MS: f64 = 10_000.0;
 
 /// The ends of a directed path between two mixers.
@@ -38,7 +38,7 @@
     Drop(Paths),
     /// Closes new connections before any byte passes; open ones stay.
     Refuse(Paths),
-    /// Closes the far side of connections without the near side's noticing.
+    /// Closes the far side of connections; the near side stays open.
     HalfOpen(Paths),
     /// Delays bytes by a time in milliseconds.
     Delay(Paths, f64),
@@ -55,7 +55,7 @@
     /// Ends a mixer's process with SIGTERM.
     Term(usize),
     Start(usize, StateOnStart),
-    /// Starts a second process under the name of a running mixer; the other mixers' paths lead to it from then on.
+    /// Starts a second process under the name of a running mixer; the other mixers are connected to it from then on.
     Twin(usize),
     /// A searcher no longer answers.
     Hang(usize),
@@ -92,7 +92,7 @@
     Answered { share: f64 },
     /// No running mixer holds a mark.
     NoMarks { within_ms: f64 },
-    /// The earlier process of a mixer stands aside from the fleet, as a later process has its name.
+    /// An earlier process of a mixer has left the fleet, superseded by a later one of the same name.
     Aside { mixer: usize, within_ms: f64 },
 }
 
@@ -104,7 +104,7 @@
     pub searchers: usize,
     /// Scans a second, over all mixers.
     pub load: u32,
-    /// Time for which mixers remember deletions; the mixers' default if absent.
+    /// Time for which mixers keep the tombstones of deleted records; the mixers' default if absent.
     pub forget_ms: Option<f64>,
     pub steps: Vec<Step>,
     pub expects: Vec<Expect>,
@@ -224,7 +224,7 @@
     /// Parses `A B`, which is both directions, or `(from A) (to B)`.
     fn parse_paths(&self, whole: &Node, nodes: &[Node]) -> Result<Paths, ParseError> {
         let [a, b] = nodes else {
-            return Err(whole.error("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
+            return Err(whole.error("expected two mixers, as m1 m2, or one direction, as (from m1) (to m2)"));
         };
         if let (NodeKind::List(_), NodeKind::List(_)) = (&a.kind, &b.kind) {
             let end = |node: &Node, word: &str| match node.head_and_args(&format!("({word} MIXER)"))? {
--- a/crates/drill/src/test_bed.rs
+++ b/crates/drill/src/test_bed.rs
@@ -127,22 +127,22 @@
     }
 }
 
-/// The names of the parts in a dispatch frame: `D`, then for each part a line of four words and its text, which holds no
-/// line break. Other frames have none.
+/// The names of the parts in a dispatch frame: `D`, then for each part a line of four fields and its text, which contains
+/// no line break. Other frames have none.
 fn part_names(frame: &str) -> impl Iterator<Item = String> {
     let lines = frame.strip_prefix("D ").unwrap_or("").lines();
     lines.filter_map(|line| {
-        let mut words = line.rsplit("find").next()?.split_whitespace();
-        let (part, _shard, wait) = (words.next()?, words.next()?, words.next()?);
-        wait.starts_with("d=").then(|| part.to_owned())
+        let mut fields = line.rsplit("find").next()?.split_whitespace();
+        let (part, _shard, deadline) = (fields.next()?, fields.next()?, fields.next()?);
+        deadline.starts_with("d=").then(|| part.to_owned())
     })
 }
 
-/// Milliseconds of the wall clock, as discovery has the starts of searchers.
+/// Milliseconds of the wall clock, in which discovery states the starts of searchers.
 pub fn unix_time_ms() -> f64 {
     #[expect(
         clippy::disallowed_methods,
-        reason = "discovery says when searchers started, as its own host's clock has it"
+        reason = "discovery states the starts of searchers by the wall clock of its own host"
     )]
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
@@ -167,7 +167,7 @@
 /// Query timeout that clients send with each scan.
 pub const QUERY_TIMEOUT_MS: u64 = 1500;
 
-/// A process that takes requests of clients.
+/// A process that accepts requests of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct MixerEndpoint {
     /// Number of the process.
@@ -230,7 +230,7 @@
         let mut turn = 0_usize;
         let began = Instant::now();
         while self.scans_per_s > 0 && !self.stop.load(Ordering::SeqCst) {
-            // Times are counted from the start, not from the scan before, so that delays do not lower the load.
+            // Times are computed from the start, not from the previous scan, so that delays do not lower the load.
             let due = began + Duration::from_secs_f64(scan_number as f64 / f64::from(self.scans_per_s));
             thread::sleep(due.saturating_duration_since(Instant::now()).min(Duration::from_millis(100)));
             if Instant::now() < due {
@@ -256,8 +256,8 @@
         let id = format!("m{}-{:x}-{scan_number}", mixer + 1, self.seed);
         let client = Builder::new().stack_size(64 * 1024).spawn(move || {
             let began = Instant::now();
-            let (outcome, extra_bytes) =
-                send_scan(endpoint.address, &id, scan_number).unwrap_or((Outcome::ConnectionLost, false));
+            let ScanEnd { outcome, extra_bytes } = send_scan(endpoint.address, &id, scan_number)
+                .unwrap_or_else(|_| ScanEnd::without_answer(Outcome::ConnectionLost));
             let ended = Instant::now();
             let process = endpoint.process;
             let scan = ClientScan { id, mixer, process, began, ended, outcome, extra_bytes };
@@ -270,10 +270,23 @@
     }
 }
 
-/// Sends a scan and reads its answer. Returns the outcome, and whether more bytes followed the answer.
-fn send_scan(address: SocketAddr, id: &str, scan_number: u64) -> io::Result<(Outcome, bool)> {
+/// The end of a scan at its client.
+struct ScanEnd {
+    outcome: Outcome,
+    /// More bytes followed the answer.
+    extra_bytes: bool,
+}
+
+impl ScanEnd {
+    fn without_answer(outcome: Outcome) -> Self {
+        Self { outcome, extra_bytes: false }
+    }
+}
+
+/// Sends a scan and reads its answer.
+fn send_scan(address: SocketAddr, id: &str, scan_number: u64) -> io::Result<ScanEnd> {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
-        return Ok((Outcome::ConnectFailed, false));
+        return Ok(ScanEnd::without_answer(Outcome::ConnectFailed));
     };
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     stream.set_nodelay(true)?;
@@ -292,12 +305,12 @@
     let mut input = BufReader::new(stream);
     let mut line = String::new();
     match input.read_line(&mut line) {
-        Ok(0) => return Ok((Outcome::ConnectionLost, false)),
+        Ok(0) => return Ok(ScanEnd::without_answer(Outcome::ConnectionLost)),
         Ok(_) => {}
         Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-            return Ok((Outcome::TimedOut, false));
+            return Ok(ScanEnd::without_answer(Outcome::TimedOut));
         }
-        Err(_) => return Ok((Outcome::ConnectionLost, false)),
+        Err(_) => return Ok(ScanEnd::without_answer(Outcome::ConnectionLost)),
     }
     let status: u16 = line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
     let mut length = 0;
@@ -323,7 +336,7 @@
         504 => Outcome::Abandoned,
         other => Outcome::UnexpectedStatus(other),
     };
-    Ok((outcome, extra_bytes))
+    Ok(ScanEnd { outcome, extra_bytes })
 }
 
 /// Starts a listener of the discovery server and returns its address.
