--- a/crates/council/src/file.rs
+++ b/crates/council/src/file.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// If the file can't be opened, belongs to another member, is corrupt, or is open in another process. An
-    /// existing file is never replaced: that would be a member that has forgotten what it promised.
+    /// existing file is never replaced: the member would lose the votes and entries that it has acknowledged.
     pub fn open(path: &Path, owner: &Owner, new_member: MemberId) -> Result<OpenedFile, StorageError> {
         if !path.exists() {
             Self::create(path, owner, new_member)?;
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,19 +1,18 @@
 //! A replicated log among the few mixers that the operator names, agreed upon by consensus.
 //!
-//! The consensus algorithm itself is `raft`, a core without I/O (`docs/duties.md` tells why this one was
-//! chosen and what was measured of others). This package adds what surrounds it:
+//! The consensus algorithm itself is `raft`, a core without I/O (`docs/duties.md` compares it with others).
+//! This package adds:
 //!
-//! - All changes of a turn are written to [`StableStorage`] in one piece before any message of that turn is
-//!   sent ([`ConsensusNode::messages`]), so that whatever was promised is durable.
-//! - A failed write ends this member's participation ([`ConsensusNode::failure`]): the process keeps serving,
-//!   and no other member learns of what was not stored.
-//! - [`StateMachine`] is what the log is about. Snapshots of its state keep the log short, and a member that
-//!   is far behind is sent a snapshot instead of the entries.
-//! - If the direct path to a member fails, messages are relayed by other members ([`Router`]).
-//! - Messages have an encoding of their own (`wire`), so that no data from other members is parsed by the
-//!   core's.
-//! - [`mod@file`] stores everything in a file that contains the names of its fleet and its member. Files of
-//!   others are rejected.
+//! - Durability: all changes of a turn are written to [`StableStorage`] in one piece before any message of that
+//!   turn is sent ([`ConsensusNode::messages`]), so other members can rely on what the messages state.
+//! - Storage failures: a failed write ends this member's participation ([`ConsensusNode::failure`]). The
+//!   process keeps serving, and no message that depends on the failed write is sent.
+//! - The [`StateMachine`] to which the log's commands are applied. Snapshots of its state keep the log short,
+//!   and a member that is far behind is sent a snapshot instead of the entries.
+//! - Relaying: if the direct path to a member fails, messages go over other members ([`Router`]).
+//! - An encoding of messages (`wire`), so that the core's decoder parses no data from other members.
+//! - A storage file ([`mod@file`]), which contains the names of its fleet and its member. Files of others are
+//!   rejected.
 
 pub mod file;
 mod log;
--- a/crates/council/src/node.rs
+++ b/crates/council/src/node.rs
@@ -17,7 +17,7 @@
 /// Interval of the leader's heartbeats: longer than a write to a slow disk and a round trip.
 const HEARTBEAT_TICKS: usize = 5;
 /// Shortest election timeout. The actual one is random, up to twice as long: a stall of a fifth of a second
-/// causes no election, and a leader that is gone is replaced within a second.
+/// causes no election, and a failed leader is replaced within a second.
 const ELECTION_TICKS: usize = 20;
 /// Entries that are kept before the latest snapshot. A member that is further behind is sent the snapshot.
 const RETAINED_ENTRIES: u64 = 512;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The core draws a new election timeout from an unseeded generator whenever its role changes. It is
-    /// replaced here by one from a seeded generator, so that test runs can be reproduced.
+    /// Replaces the election timeout by one from the seeded generator, so that test runs can be reproduced. The
+    /// core draws a new one from an unseeded generator whenever its role changes.
     fn reseed_election_timeout(&mut self) {
         if self.raft.raft.randomized_election_timeout() != self.election_timeout_ticks {
             self.election_timeout_ticks =
@@ -178,8 +178,8 @@
         self.raft.propose(Vec::new(), encode(command)).map_err(|_| ProposeError::NoLeader)
     }
 
-    /// Returns the messages to send. Everything they depend on is persisted by then; if that fails, nothing
-    /// is sent any more.
+    /// Persists pending changes, applies committed entries, and returns the messages to send. All state that
+    /// the messages depend on is persisted before they are returned; once that fails, none are.
     pub fn messages(&mut self) -> Vec<OutgoingMessage> {
         let mut outgoing = Vec::new();
         while self.failure.is_none() && self.raft.has_ready() {
@@ -239,8 +239,8 @@
 
     fn encode_message(&mut self, message: &Message, outgoing: &mut Vec<OutgoingMessage>) {
         if message.get_msg_type() == MessageType::MsgSnapshot {
-            // If the snapshot is lost, the core would wait for its outcome for ever. Reported as finished, it
-            // is sent again with the next heartbeat that is answered.
+            // The core would wait for ever for the outcome of a lost snapshot. As it is reported as finished
+            // here, it is sent again after the next heartbeat response.
             self.raft.report_snapshot(message.to, raft::SnapshotStatus::Finish);
         }
         let bytes = wire::encode(message);
@@ -285,12 +285,12 @@
         self.failure.as_ref()
     }
 
-    /// The leader, as far as this member knows.
+    /// The leader that this member has accepted, if any.
     pub fn leader(&self) -> Option<MemberId> {
         Some(self.raft.raft.leader_id).filter(|leader| *leader != 0 && self.failure.is_none())
     }
 
-    /// Whether this member is the leader, as far as it knows.
+    /// Whether this member considers itself the leader. Another one may have been elected since.
     pub fn is_leader(&self) -> bool {
         self.failure.is_none() && self.raft.raft.state == StateRole::Leader
     }
--- a/crates/council/src/routing.rs
+++ b/crates/council/src/routing.rs
@@ -1,9 +1,10 @@
-//! Routes between members whose direct path is cut: over one or several other members.
+//! Link-state routing between members whose direct path is cut: over one or several other members.
 //!
-//! Each member periodically tells all others which members it hears, and passes on what others told it. So
-//! each member knows which paths work in which direction, and sends over the shortest route. This guards
-//! against partial partitions in which each member hears different neighbours: without relaying, consensus
-//! stops once its leader dies, although every member could reach every other one over some route.
+//! Each member periodically sends its link state, the members that it receives packets from, to all others,
+//! together with the link states that it received from them. From these each member computes which paths work
+//! in which direction, and sends over the shortest route. This guards against partial partitions, in which
+//! members are connected to different subsets: without relaying, consensus would stop once the leader fails,
+//! although every member can reach every other one over some route.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,14 +14,15 @@
 
 /// Interval at which link states are sent.
 const SEND_INTERVAL_MS: f64 = 100.0;
-/// A member that was not heard for this long counts as unreachable; a few link states may be lost before.
+/// A member from which no packet arrived for this long counts as unreachable. A few link states may be lost
+/// within this time.
 const HEARD_TIMEOUT_MS: f64 = 450.0;
 /// Validity of a link state.
 const LINK_STATE_VALIDITY_MS: f64 = 1000.0;
 /// Largest consensus group, including members that are being replaced.
 const MAX_MEMBERS: usize = 16;
 
-/// Which members one member hears, as reported by itself.
+/// The members that one member receives packets from over direct paths, as reported by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkState {
     pub member: MemberId,
@@ -29,20 +31,20 @@
     /// Grows with each report of one process.
     pub sequence: u64,
     pub hears: Vec<MemberId>,
-    /// Age of the report, if it is passed on by another member.
+    /// Age of the report if another member forwards it, otherwise zero.
     pub age_ms: u32,
 }
 
 /// What one member sends to another over the direct path.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Packet {
-    /// All link states that the sender knows.
+    /// All link states that the sender holds.
     LinkStates(Vec<LinkState>),
-    /// A message for a member, to be forwarded if that is not the receiver.
+    /// A message for a member. A receiver other than that member forwards it.
     Message { to: MemberId, bytes: Vec<u8>, hops_left: u8 },
 }
 
-/// What to do after a packet was received.
+/// What the caller has to do with a received packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     Nothing,
@@ -57,11 +59,11 @@
     start: u64,
     sequence: u64,
     hears: BTreeSet<MemberId>,
-    /// When it was reported, by this member's clock.
+    /// Time of the report, by this member's clock.
     reported_at_ms: f64,
 }
 
-/// The routes that one member knows.
+/// Computes the routes of one member from the link states of all members.
 #[derive(Clone, Debug)]
 pub struct Router {
     member: MemberId,
@@ -69,7 +71,7 @@
     sequence: u64,
     /// The other members.
     members: BTreeSet<MemberId>,
-    /// When each member was heard last over its direct path.
+    /// When the last packet from each member arrived over its direct path.
     heard_at_ms: BTreeMap<MemberId, f64>,
     link_states: BTreeMap<MemberId, KnownLinkState>,
     next_send_ms: f64,
@@ -91,7 +93,7 @@
         router
     }
 
-    /// Sets the members of the group. Whether this member is among them makes no difference.
+    /// Sets the members of the group. It may include this member.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = MemberId>) {
         self.members = members.into_iter().filter(|m| *m != self.member).take(MAX_MEMBERS).collect();
         self.heard_at_ms.retain(|member, _| self.members.contains(member));
@@ -164,7 +166,7 @@
             if known.start == link_state.start {
                 known.sequence < link_state.sequence
             } else {
-                // Of two processes the one that reported later: the earlier one has ended.
+                // Of two processes of a member, the one that reported later runs; the other one has ended.
                 known.reported_at_ms < reported_at_ms
             }
         };
@@ -188,8 +190,9 @@
 
     /// The first hop of the shortest route, by breadth-first search.
     fn next_hop(&self, now_ms: f64, to: MemberId) -> Option<MemberId> {
-        let hears = |listener: MemberId, sender: MemberId| {
-            let known = self.link_states.get(&listener);
+        // Whether the direct path works in this direction, by the receiver's link state.
+        let works = |receiver: MemberId, sender: MemberId| {
+            let known = self.link_states.get(&receiver);
             known
                 .filter(|known| now_ms - known.reported_at_ms <= LINK_STATE_VALIDITY_MS)
                 .is_some_and(|known| known.hears.contains(&sender))
@@ -197,7 +200,7 @@
         let mut seen = BTreeSet::from([self.member]);
         // First hop and last member of each route found so far.
         let mut routes: VecDeque<(MemberId, MemberId)> = VecDeque::new();
-        for first in self.members.iter().copied().filter(|first| hears(*first, self.member)) {
+        for first in self.members.iter().copied().filter(|first| works(*first, self.member)) {
             seen.insert(first);
             routes.push_back((first, first));
         }
@@ -205,7 +208,7 @@
             if last == to {
                 return Some(first);
             }
-            for next in self.members.iter().copied().filter(|next| hears(*next, last)) {
+            for next in self.members.iter().copied().filter(|next| works(*next, last)) {
                 if seen.insert(next) {
                     routes.push_back((first, next));
                 }
@@ -267,7 +270,7 @@
         let (mut routers, now_ms) = exchange_link_states(3, |a, b| (a, b) != (1, 3), 5);
         assert_eq!(route(&mut routers, now_ms, 1, 3), [2, 3]);
         assert_eq!(route(&mut routers, now_ms, 3, 1), [1]);
-        // A ring of seven that works in one direction: all the way round.
+        // A ring of seven that works in one direction: the route from 1 to 7 passes all members.
         let (mut routers, now_ms) = exchange_link_states(7, |a, b| b == a % 7 + 1, 20);
         assert_eq!(route(&mut routers, now_ms, 1, 7), [2, 3, 4, 5, 6, 7]);
         assert_eq!(route(&mut routers, now_ms, 7, 1), [1]);
--- a/crates/council/src/storage.rs
+++ b/crates/council/src/storage.rs
@@ -12,7 +12,7 @@
     CompactLog { first: u64, term: u64 },
     /// The current term, and the member that got this member's vote in it.
     Vote(Vec<u8>),
-    /// The highest index that this member knows to be committed.
+    /// The highest index that is committed, as far as this member has been informed.
     Commit(u64),
     /// A snapshot of the state machine, with the index it covers.
     Snapshot(Vec<u8>),
--- a/crates/duties/src/assigner.rs
+++ b/crates/duties/src/assigner.rs
@@ -5,7 +5,7 @@
 use crate::table::{DutyTable, LeaseCommand};
 
 /// A mixer whose lease has expired gets the duty again only after a cooldown, which doubles with each
-/// consecutive loss: a mixer that stalls again and again would otherwise keep the duty from being performed.
+/// consecutive loss: otherwise the duty would often be held by a mixer that stalls repeatedly.
 const MIN_COOLDOWN_MS: f64 = 2000.0;
 const MAX_COOLDOWN_MS: f64 = 120_000.0;
 /// Consecutive losses up to which the cooldown doubles.
@@ -49,7 +49,7 @@
     renewals: BTreeMap<String, ObservedRenewal>,
     /// When a lease of each mixer expired, by this mixer's clock.
     lost_at_ms: BTreeMap<LossKey, f64>,
-    /// Grants that may still be applied.
+    /// Proposed grants, by duty. They may still be applied.
     proposed: BTreeMap<String, ProposedGrant>,
 }
 
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Observes the log. Has to be called after every turn in which a command may have been applied, and
-    /// before [`LeaseAssigner::grants`]. A late call is safe: a renewal only counts as later than it was.
+    /// Records the renewals and losses since the last call. Has to be called after every turn in which a command
+    /// may have been applied, and before [`LeaseAssigner::grants`]. A late call is safe: leases then expire
+    /// later.
     pub fn observe(&mut self, now_ms: f64, table: &DutyTable) {
         for (name, duty) in &table.duties {
             let (epoch, renewals) = (duty.epoch, duty.renewals);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// When the lease of a duty expires, by this mixer's clock; `None` if nobody holds the duty.
+    /// When the lease of a duty expires, by this mixer's clock; `None` if the duty has no holder.
     pub fn expires_at_ms(&self, table: &DutyTable, name: &str) -> Option<f64> {
         let duty = table.duties.get(name).filter(|duty| duty.holder.is_some())?;
         let current = |seen: &&ObservedRenewal| (seen.epoch, seen.renewals) == (duty.epoch, duty.renewals);
@@ -93,8 +94,8 @@
     }
 
     fn is_cooling_down(&self, now_ms: f64, table: &DutyTable, duty: &str, name: &str) -> bool {
-        // If another holder is looked for, the lease of the current one has just expired. Its loss is not in
-        // the log yet.
+        // Called for a new grant only, so the lease of the current holder has expired. The loss is counted when
+        // the grant is applied.
         if table.duties.get(duty).is_some_and(|duty| duty.holder.as_deref() == Some(name)) {
             return true;
         }
@@ -132,8 +133,8 @@
         candidates.iter().min_by_key(|candidate| rank(candidate))
     }
 
-    /// Returns the grants to propose. Only for a leader that has applied everything that was committed before
-    /// it was elected. `wanted` are all duties with their lease lengths in milliseconds.
+    /// Returns the grants to propose. May be called only on a leader that has applied all entries committed
+    /// before its election. `wanted` are all duties with their lease lengths in milliseconds.
     pub fn grants(
         &mut self,
         now_ms: f64,
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -4,8 +4,8 @@
 
 use crate::table::{DutyTable, LeaseCommand};
 
-/// Share of the lease length after which a renewal is requested, counted from the request of the last applied
-/// renewal. If it is not applied, another one is requested after half of that.
+/// A renewal is requested once this share of the lease length has passed since the request of the last applied
+/// renewal. While it is not applied, it is requested again after each half of this time.
 const RENEWAL_SHARE: f64 = 1.0 / 3.0;
 
 /// A renewal request and when it was made.
@@ -21,7 +21,7 @@
     length_ms: f64,
     /// Until when this mixer may act, by its clock; in the past until a renewal is applied.
     valid_until_ms: f64,
-    /// When each request was made that may still be applied.
+    /// Requests that may still be applied, by number, with the times at which they were made.
     pending_requests: BTreeMap<u64, f64>,
     /// The request of the renewal that is in effect.
     applied_request: RenewalRequest,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Extends the lease if the log contains a pending request.
+    /// Extends the lease if `request`, the latest one applied by the log, is pending.
     fn renewal_applied(&mut self, request: u64, clock_drift: f64) {
         if let Some(requested_at_ms) = self.pending_requests.get(&request).copied() {
             let until_ms = requested_at_ms + self.length_ms * (1.0 - clock_drift);
@@ -76,8 +76,8 @@
 
     /// Updates the leases from the log, and returns the renewals to propose.
     ///
-    /// A lease begins with an applied renewal request of this mixer's own, because it can rely only on the
-    /// time before it made the request. So a grant alone does not allow it to act; the first renewal does.
+    /// A lease is counted from the time of this mixer's own request for the applied renewal, which is before the
+    /// log applied it. So a grant alone does not allow the mixer to act; the first renewal does.
     pub fn update(&mut self, now_ms: f64, table: &DutyTable) -> Vec<LeaseCommand> {
         let is_held = |name: &String, epoch: u64| {
             table
@@ -95,7 +95,7 @@
             if lease.is_renewal_due(now_ms) {
                 self.last_request += 1;
                 lease.pending_requests.insert(self.last_request, now_ms);
-                // A request older than the lease length would begin a lease that is over already.
+                // A lease that is counted from an older request would have expired already.
                 let length_ms = lease.length_ms;
                 lease.pending_requests.retain(|_, requested_at_ms| now_ms - *requested_at_ms <= length_ms);
                 commands.push(LeaseCommand::Renew {
@@ -109,8 +109,8 @@
         commands
     }
 
-    /// The epoch under which this mixer may act now, if it may. Has to be called right before each effect,
-    /// with the time as it is then.
+    /// The epoch under which this mixer may act now, if it may. Has to be called right before each effect, with
+    /// the current time.
     pub fn valid_epoch(&self, now_ms: f64, duty: &str) -> Option<u64> {
         self.leases.get(duty).filter(|lease| now_ms < lease.valid_until_ms).map(|lease| lease.epoch)
     }
@@ -131,7 +131,7 @@
     }
 }
 
-/// For the receiver of effects: rejects those with a lower epoch than the highest seen.
+/// Fencing at the receiver of effects: rejects those with a lower epoch than the highest seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence(BTreeMap<String, u64>);
 
--- a/crates/duties/src/table.rs
+++ b/crates/duties/src/table.rs
@@ -6,22 +6,21 @@
 use serde::{Deserialize, Serialize};
 
 const MAX_DUTIES: usize = 256;
-/// Past holders that are remembered of each duty.
+/// Maximum number of past holders kept for each duty.
 const MAX_HISTORY: usize = 8;
-/// Consecutive losses that are counted at most.
+/// Maximum of the count of consecutive losses.
 const MAX_LOSSES: u32 = 16;
 
 /// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseCommand {
     /// From the leader: grants a duty to a mixer. Void if the duty's epoch or number of renewals has changed
-    /// by then.
+    /// before it is applied.
     Grant { duty: String, to: String, length_ms: u64, epoch: u64, renewals: u64 },
-    /// From the holder, which acts on only until the end of the lease that this renewal begins. `request`
-    /// tells its own renewals apart.
+    /// From the holder: extends its lease. `request` identifies the renewal among those of the holder.
     Renew { duty: String, by: String, epoch: u64, request: u64 },
-    /// From the holder, which has stopped before: releases a duty to a certain mixer, or to whoever is
-    /// chosen.
+    /// From the holder, after it has stopped acting: releases a duty to a given mixer, or to one that the
+    /// assigner chooses.
     Release { duty: String, by: String, epoch: u64, to: Option<String> },
 }
 
@@ -90,7 +89,7 @@
             return;
         }
         let duty = self.duties.entry(name.to_owned()).or_default();
-        // Guards against a renewal that the assigner did not know of.
+        // The assigner had not observed the latest epoch or renewal.
         if epoch != duty.epoch + 1 || renewals != duty.renewals {
             return;
         }
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -54,8 +54,8 @@
 
 impl Frame {
     /// Encodes the frame with its length and checksum. The checksum guards against corruption that still
-    /// decodes: a single flipped bit in the incarnation of a hello once made a mixer give way to a process
-    /// that never existed.
+    /// decodes: a single flipped bit in the incarnation of a hello once made a mixer leave the fleet as superseded
+    /// by a process that never existed.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
         // Serialization into a vector can't fail.
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether the frame may be dropped if there is no room for it: a later gossip round makes up for it.
+    /// Whether the frame may be dropped when a queue is full. A later gossip round compensates for the loss.
     pub fn is_droppable(&self) -> bool {
         !matches!(self, Self::Hello(_) | Self::Rejected(_) | Self::Bye(_))
     }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -11,7 +11,7 @@
 //! A frame consists of its length (4 bytes, little-endian, at most [`MAX_FRAME_BYTES`]), the CRC-32 of its
 //! body (4 bytes, little-endian), and its body, a [`Frame`] in `postcard` encoding. An unreadable frame
 //! closes its link and is counted; nothing else is affected. No scan ever waits for a frame. There is no
-//! encryption and no authentication: the listener belongs on a network that only mixers can reach.
+//! encryption and no authentication, so the listener must be on a network that only mixers can reach.
 
 mod frame;
 mod links;
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -22,8 +22,8 @@
 const STACK_BYTES: usize = 256 * 1024;
 /// Commands that may be queued for the thread. A caller that finds the queue full has to try again later.
 const COMMAND_QUEUE: usize = 64;
-/// Up to this number of peers, each has a permanent link. In a larger fleet links are opened on demand, and
-/// the least recently used one is closed for another.
+/// Maximum number of open links to peers. Up to this number of peers, each has a permanent link. In a larger
+/// fleet links are opened on demand, and the least recently used one is closed for a new one.
 const MAX_OUTGOING_LINKS: usize = 32;
 /// Links that peers may hold open to this mixer.
 const MAX_INCOMING_LINKS: usize = 64;
@@ -33,8 +33,8 @@
 const MIN_RETRY_DELAY_MS: f64 = 100.0;
 const MAX_RETRY_DELAY_MS: f64 = 2000.0;
 const RETRY_JITTER: f64 = 0.25;
-/// A link that was open for this long counts as a success: one that breaks earlier may only have seemed to
-/// work.
+/// A link that was open for at least this long counts as a success, which resets its retry delay. One that breaks
+/// earlier may only have appeared to work.
 const STABLE_LINK_MS: f64 = 2000.0;
 /// A link to a peer that is down is opened anew once it is this old: longer than all timeouts of membership.
 const DEAD_LINK_AGE_MS: f64 = 5000.0;
@@ -100,7 +100,7 @@
 }
 
 impl MeshHandle {
-    /// Returns false if the command queue is full.
+    /// Sends a command to the thread. Returns false if the command queue is full.
     fn send(&self, command: Command) -> bool {
         let sent = self.commands.try_send(command).is_ok();
         let _ = self.waker.wake(); // fails only if the thread has ended
@@ -143,10 +143,10 @@
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         let counters_text = Arc::new(Mutex::new(String::new()));
         let shared_text = counters_text.clone();
-        let (alive, thread_ended) = bounded(1);
+        let (running, thread_ended) = bounded(1);
         let run = move || {
             EventLoop::new(config, poll, listener, commands, Box::new(on_advice), shared_text).run();
-            drop(alive);
+            drop(running);
         };
         Builder::new().name("mesh".to_owned()).stack_size(STACK_BYTES).spawn(run)?;
         let handle = MeshHandle { commands: sender, waker };
@@ -180,8 +180,7 @@
     /// Leaves the fleet and announces it to the peers. Takes at most twice `LEAVE_TIMEOUT_MS`.
     pub fn leave(self) {
         self.handle.send(Command::Leave);
-        // Does not wait longer, because the thread may be blocked handing advice to the very caller of this
-        // function.
+        // The wait is bounded because the thread may be blocked in `on_advice`, which waits for this caller.
         let _ = self.thread_ended.recv_timeout(Duration::from_secs_f64(2.0 * LEAVE_TIMEOUT_MS / 1000.0));
     }
 }
@@ -207,10 +206,10 @@
     /// Bytes of the first queued frame that are already written.
     written: usize,
     queued_bytes: usize,
-    /// What was received in the reverse direction.
+    /// Bytes received in the reverse direction.
     reverse_buffer: Vec<u8>,
     used_at_ms: f64,
-    /// Why it was closed.
+    /// Why it was closed last.
     close_reason: String,
 }
 
@@ -278,11 +277,52 @@
         }
     }
 
+    /// Reads into the buffer, within the allowance of the link and the size of two frames.
+    fn read(&mut self, now_ms: f64) -> ReadResult {
+        let elapsed_ms = now_ms - self.refilled_at_ms;
+        self.read_tokens_bytes =
+            (self.read_tokens_bytes + elapsed_ms * READ_BYTES_PER_S / 1000.0).min(READ_BURST_BYTES);
+        self.refilled_at_ms = now_ms;
+        let mut chunk = [0; 8192];
+        let mut bytes = 0;
+        loop {
+            if self.read_tokens_bytes <= 0.0 {
+                return ReadResult { bytes, has_more: true, is_closed: false };
+            }
+            match self.stream.read(&mut chunk) {
+                Ok(0) => return ReadResult { bytes, has_more: false, is_closed: true },
+                Ok(count) => {
+                    bytes += count;
+                    self.read_tokens_bytes -= count as f64;
+                    self.received_at_ms = now_ms;
+                    self.buffer.extend_from_slice(&chunk[..count]);
+                    if self.buffer.len() > 2 * MAX_FRAME_BYTES {
+                        return ReadResult { bytes, has_more: true, is_closed: false };
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return ReadResult { bytes, has_more: false, is_closed: false };
+                }
+                Err(_) => return ReadResult { bytes, has_more: false, is_closed: true },
+            }
+        }
+    }
+
     fn is_from(&self, name: &str) -> bool {
         self.peer.as_ref().is_some_and(|peer| peer.name == name)
     }
 }
 
+/// Result of reading a link from a peer.
+struct ReadResult {
+    bytes: usize,
+    /// More bytes may be available; reading stopped at a limit.
+    has_more: bool,
+    /// The link has ended or failed.
+    is_closed: bool,
+}
+
 /// Why a link from a peer is closed.
 enum CloseReason {
     Closed,
@@ -313,7 +353,7 @@
     incoming: HashMap<usize, IncomingLink>,
     peer_ips: BTreeSet<IpAddr>,
     last_token: usize,
-    /// Incoming links that have more to be read.
+    /// Incoming links to read in the next turn.
     readable: BTreeSet<usize>,
     counters: Counters,
     /// Until when further warnings of a kind are logged at debug level.
@@ -454,7 +494,7 @@
         let end_ms = self.ends_at_ms.unwrap_or(f64::INFINITY);
         let opens_links = self.keeps_permanent_links() && self.node.membership.is_active();
         let link_due_ms = self.outgoing.values().map(|link| match link.state {
-            // A superseded mixer opens no links. Were it due for them nevertheless, the thread would spin.
+            // A superseded mixer opens no links, so their retry times must not count: the thread would spin.
             LinkState::Closed { retry_at_ms } if opens_links => retry_at_ms,
             LinkState::Connecting { since_ms, .. } => since_ms + HANDSHAKE_TIMEOUT_MS,
             _ => f64::INFINITY,
@@ -476,7 +516,7 @@
                     self.apply_output(now_ms, output);
                 }
                 Command::Status(reply) => {
-                    let _ = reply.send(self.status(now_ms)); // fails if the caller has given up
+                    let _ = reply.send(self.status(now_ms)); // fails if the caller's timeout has passed
                 }
                 Command::BeginShutdown => self.node.membership.begin_shutdown(),
                 Command::Leave => {
@@ -534,7 +574,7 @@
         self.enqueue(name, frame);
     }
 
-    /// Queues a frame. If the queues are full, the oldest droppable frames of this link make room.
+    /// Queues a frame. If the queues are full, the oldest droppable frames of this link are dropped.
     fn enqueue(&mut self, name: &str, frame: &Frame) {
         let total_bytes: usize = self.outgoing.values().map(|link| link.queued_bytes).sum();
         let Some(link) = self.outgoing.get_mut(name) else { return };
@@ -557,7 +597,8 @@
         }
     }
 
-    /// Closes an open link that no longer reaches the peer. One that is being opened is already the new link.
+    /// Closes an open link that no longer reaches the peer, so that it is opened again. A link that is connecting
+    /// already is the new one.
     fn reopen(&mut self, now_ms: f64, name: &str) {
         if self.outgoing.get(name).is_some_and(OutgoingLink::is_open) {
             self.close(now_ms, name, "the peer at the other end is down", true);
@@ -568,7 +609,7 @@
         let Some(link) = self.outgoing.get_mut(name) else { return };
         match &mut link.state {
             LinkState::Closed { retry_at_ms } => {
-                // The peer has just been heard from, so there is no need to wait.
+                // A message from the peer has just arrived, so the link is retried without delay.
                 *retry_at_ms = now_ms;
                 link.retry_delay_ms = MIN_RETRY_DELAY_MS;
                 if !self.keeps_permanent_links() {
@@ -728,8 +769,8 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    // For example out of descriptors. The listener becomes ready again with the next
-                    // connection.
+                    // For example because no descriptors are left. The listener becomes ready again with the
+                    // next connection.
                     self.warn("accept", &format!("accepting a link failed: {error}"));
                     return;
                 }
@@ -769,42 +810,12 @@
     fn read_incoming(&mut self, now_ms: f64, token: usize) {
         let buffered_bytes: usize = self.incoming.values().map(|link| link.buffer.len()).sum();
         let Some(link) = self.incoming.get_mut(&token) else { return };
-        let elapsed_ms = now_ms - link.refilled_at_ms;
-        link.read_tokens_bytes =
-            (link.read_tokens_bytes + elapsed_ms * READ_BYTES_PER_S / 1000.0).min(READ_BURST_BYTES);
-        link.refilled_at_ms = now_ms;
-        let mut chunk = [0; 8192];
-        let mut close_reason = None;
-        let mut read = 0;
-        loop {
-            if link.read_tokens_bytes <= 0.0 {
-                self.readable.insert(token);
-                break;
-            }
-            match link.stream.read(&mut chunk) {
-                Ok(0) => {
-                    close_reason = Some(CloseReason::Closed);
-                    break;
-                }
-                Ok(count) => {
-                    read += count;
-                    link.read_tokens_bytes -= count as f64;
-                    link.received_at_ms = now_ms;
-                    link.buffer.extend_from_slice(&chunk[..count]);
-                    if link.buffer.len() > 2 * MAX_FRAME_BYTES {
-                        self.readable.insert(token);
-                        break;
-                    }
-                }
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => {
-                    close_reason = Some(CloseReason::Closed);
-                    break;
-                }
-            }
+        let ReadResult { bytes, has_more, is_closed } = link.read(now_ms);
+        if has_more {
+            self.readable.insert(token);
         }
-        if buffered_bytes + read > MAX_BUFFERED_BYTES_TOTAL {
+        let mut close_reason = is_closed.then_some(CloseReason::Closed);
+        if buffered_bytes + bytes > MAX_BUFFERED_BYTES_TOTAL {
             close_reason = Some(CloseReason::BuffersFull);
         }
         if let Err(reason) = self.handle_frames(now_ms, token) {
@@ -896,7 +907,7 @@
         for token in tokens {
             self.close_incoming(token, CloseReason::Rejected(LinkRejection::Superseded(by)));
         }
-        // Frames that were queued for the earlier incarnation mean nothing to the later one.
+        // Droppable frames that were queued for the earlier incarnation are of no use to the later one.
         if let Some(link) = self.outgoing.get_mut(name)
             && link.written == 0
         {
@@ -940,8 +951,7 @@
         for name in &names {
             self.close(now_ms, name, "connecting timed out", false);
         }
-        // Guards against a link whose other end vanished without closing it: writes succeed but nothing
-        // arrives.
+        // Guards against a link whose other end has failed without closing it: writes succeed but do not arrive.
         let up = self.node.membership.up();
         let dead = self
             .outgoing
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -21,10 +21,10 @@
 
 /// Memory for the records of all mixers together.
 const MAX_RECORD_BYTES: usize = 2 << 20;
-/// A longer time between two turns is a pause of this process: records received then may be older than they
-/// say by the length of the pause.
+/// A longer time between two turns is a pause of this process. The records that are received after it may have
+/// waited for the length of the pause, which is added to their ages.
 const PAUSE_THRESHOLD_MS: f64 = 300.0;
-/// How long the departure of a searcher stays published: well above the time in which every list contains it.
+/// How long the departure of a searcher stays published: well above the time until every mixer's list reflects it.
 const GONE_RETENTION_MS: f64 = 60_000.0;
 /// Name of the record about this mixer's searcher list.
 const LIST_RECORD: &str = "list";
@@ -34,9 +34,8 @@
 /// An observation of this mixer to publish.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LocalReport {
-    /// What this mixer knows about a searcher; `status` is `None` once its list no longer contains the
-    /// searcher. `latency_ratio` and `parts` are the evidence for a mark; `cold` tells whether it is cold
-    /// since its start.
+    /// The state of a searcher; `status` is `None` once this mixer's list no longer contains it. `latency_ratio`
+    /// and `parts` are the evidence for a mark. `cold` is whether it is still cold after its start.
     Searcher {
         address: SocketAddrV4,
         status: Option<LocalStatus>,
@@ -84,10 +83,10 @@
     pub exchange: Exchange,
     pub policy: PeerReportPolicy,
     last_turn_ms: Option<f64>,
-    /// How much older the records that are read in this turn may be than they say.
+    /// Time for which the messages that are read in this turn may have waited.
     delay_ms: f64,
-    /// Searchers that have left the list, and when. Their departure is retracted once all mixers had time to
-    /// receive it.
+    /// Searchers that are no longer on the list, and since when. Their departures are retracted after
+    /// [`GONE_RETENTION_MS`].
     gone_since_ms: BTreeMap<SocketAddrV4, f64>,
     /// Longest time between two turns since the start.
     longest_pause_ms: f64,
@@ -196,8 +195,8 @@
         None
     }
 
-    /// Publishes what peers need to know about a searcher. Nothing is published about one that has always
-    /// been up, warm and not marked.
+    /// Publishes the records about a searcher: mark, departure and process start. None are published for one that
+    /// has always been up, warm and without late parts.
     fn publish_searcher(
         &mut self,
         now_ms: f64,
@@ -242,7 +241,7 @@
         self.membership.next_tick_ms().min(self.exchange.next_tick_ms())
     }
 
-    /// Runs what is due.
+    /// Runs the membership, replication and policy work that is due.
     pub fn tick(&mut self, now_ms: f64) -> Vec<NodeOutput> {
         let mut output = Vec::new();
         for effect in self.membership.tick(now_ms) {
@@ -271,7 +270,7 @@
                 self.exchange.peer_up(&name, incarnation);
             }
             Effect::PeerDown { name } => {
-                // A mixer that leaves still has its last messages on its links.
+                // A mixer that is leaving keeps its links open, as its last messages are queued on them.
                 if self.membership.is_active() {
                     output.push(NodeOutput::ReopenLink { to: name.clone() });
                 }
@@ -280,7 +279,7 @@
             }
             Effect::PeerRestarted { name, incarnation } => {
                 self.exchange.peer_restarted(&name, incarnation);
-                // A link that was opened to the earlier process is dead, even if this end was not told.
+                // The link to the earlier process can't be used any more, even if its end was not reported here.
                 output.push(NodeOutput::ReopenLink { to: name });
             }
             Effect::IncarnationChanged(incarnation) => {
@@ -322,7 +321,7 @@
         }
     }
 
-    /// Leaves the fleet and says goodbye to all peers that are up.
+    /// Leaves the fleet and announces that to all peers that are up.
     pub fn leave(&mut self, now_ms: f64) -> Vec<NodeOutput> {
         if !self.membership.is_active() {
             return Vec::new();
@@ -394,7 +393,7 @@
     NodeOutput::Send { to, frame: Frame::Replica(message) }
 }
 
-/// What this mixer itself has published about a subject.
+/// The record that this mixer itself has published about a subject.
 fn own_report<K: kinds::RecordKind>(replica: &Replica, now_ms: f64, name: &str) -> Option<K> {
     let mut reports = replica.reports::<K>(now_ms, name).into_iter();
     reports.find(|report| report.origin == replica.local_name()).map(|report| report.value)
@@ -405,7 +404,7 @@
         CatchUpProgress::Alone => "alone".to_owned(),
         CatchUpProgress::Done => "caught up".to_owned(),
         CatchUpProgress::CatchingUp { source, pieces, records, remaining } => {
-            let source = source.unwrap_or_else(|| "nobody yet".to_owned());
+            let source = source.unwrap_or_else(|| "none yet".to_owned());
             format!("catching up from {source}, {pieces} pieces, {records} rows, {remaining} behind")
         }
     }
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -1,4 +1,4 @@
-//! What a mixer knows about its fleet, for operators and programs.
+//! Status of the fleet as one mixer sees it, for operators and programs.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -109,7 +109,7 @@
         writeln!(f, "  refused: {}", comma_separated(&self.rejected))?;
         writeln!(
             f,
-            "  words that could not be read {}, passed over {}",
+            "  unusable membership messages {}, ignored peer reports {}",
             self.rejected_messages, self.ignored_reports
         )?;
         writeln!(f, "  longest pause of this process {:.0} ms", self.longest_pause_ms)?;
--- a/crates/peers/src/hello.rs
+++ b/crates/peers/src/hello.rs
@@ -22,7 +22,7 @@
     pub incarnation: Incarnation,
     /// Time for which the sender's process has run.
     pub age_ms: u64,
-    /// The highest incarnation of the receiver that the sender knows.
+    /// The highest incarnation of the receiver that the sender has received.
     pub receiver: Option<KnownIncarnation>,
 }
 
--- a/crates/peers/src/incarnation.rs
+++ b/crates/peers/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Tells apart the processes that run under one mixer name.
+//! Identifies the processes that run under one mixer name.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 /// Identifies one process among all that ever ran under a name. The greater incarnation supersedes the
-/// others. The number grows when a process learns of another one under its name that it has to supersede; the
-/// nonce, drawn at process start, tells any two processes apart.
+/// others. A process increases its number to supersede another process under its name. The nonce is drawn at
+/// process start and distinguishes processes with the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     pub number: u64,
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -22,12 +22,12 @@
 /// Timeout of a direct probe before other members probe indirectly: a hundred round trips within a data
 /// centre.
 const PROBE_TIMEOUT_MS: u64 = 200;
-/// Members that are asked for an indirect probe, that gossip is sent to, or that are asked whether they are
-/// down.
+/// Number of members that are asked for an indirect probe, that gossip is sent to, or that are contacted again
+/// while they are down.
 const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Time that a suspect has to refute the suspicion: four probes.
 const SUSPICION_TIMEOUT_MS: u64 = 2000;
-/// Time for which a member is remembered as down, so that old messages do not bring it back.
+/// Time for which a member is kept as down, so that old messages do not make it a live member again.
 const DOWN_RETENTION_MS: u64 = 60_000;
 /// Interval at which changes are gossiped in addition to probes.
 const GOSSIP_INTERVAL_MS: u64 = 200;
@@ -37,15 +37,15 @@
 const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1400).unwrap();
 /// A longer time between two ticks is a pause of this process: ticks come about twenty times as often.
 const PAUSE_THRESHOLD_MS: f64 = 300.0;
-/// Process ages that differ by less are not told apart, as messages take time to arrive: the greater nonce
-/// then counts as the later process.
+/// Process ages that differ by less count as equal, as messages take time to arrive. The process with the
+/// greater nonce then counts as the later one.
 const AGE_TOLERANCE_MS: f64 = 3000.0;
-/// Number of other processes of its own name that a mixer remembers.
+/// Maximum number of other processes of its own name that a mixer keeps track of.
 const MAX_RIVALS: usize = 16;
-/// Longest time between two ticks.
+/// Maximum time between two ticks.
 const TICK_INTERVAL_MS: f64 = 50.0;
 
-/// A mixer's identity in `foca`. The generation grows when a mixer that was thought down turns out to be up.
+/// A mixer's identity in `foca`. The generation grows when a mixer that was declared down is still running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Identity {
     name: String,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Collects what `foca` wants to be done.
+/// Collects the messages, timers and notifications of `foca`.
 #[derive(Default)]
 struct FocaOutput {
     sends: Vec<(Identity, Vec<u8>)>,
@@ -184,13 +184,13 @@
     /// No peer has confirmed this incarnation yet.
     Joining,
     Member,
-    /// A later incarnation uses this name. This process still serves its clients but sends nothing more to
+    /// A later incarnation uses this name. This process still serves its clients, but sends no more messages to
     /// mixers.
     Superseded(Incarnation),
     Left,
 }
 
-/// What a peer is believed to be.
+/// Status of a peer by failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerStatus {
     /// Nothing was received from it since the start.
@@ -234,7 +234,7 @@
     PeerDown {
         name: String,
     },
-    /// A later incarnation has taken a peer's name: what the earlier one published is void.
+    /// A later incarnation uses a peer's name: the records of the earlier one are void.
     PeerRestarted {
         name: String,
         incarnation: Incarnation,
@@ -260,7 +260,7 @@
     sequence: u64,
 }
 
-/// The mixers of a fleet, as seen by one of them.
+/// The membership of a fleet as one of its mixers sees it.
 pub struct Membership {
     local_name: String,
     fleet: String,
@@ -271,7 +271,7 @@
     processes: BTreeMap<String, KnownProcess>,
     /// When this process started.
     started_at_ms: Option<f64>,
-    /// The number that this mixer took to supersede another process of its own name, by that process's nonce.
+    /// By the nonce of another process under this mixer's name: the number that this mixer took to supersede it.
     superseded_numbers: BTreeMap<u64, u64>,
     shutting_down: bool,
     up: BTreeMap<String, Incarnation>,
@@ -520,16 +520,19 @@
         let by = KnownIncarnation { incarnation, age_ms: None };
         self.effects.push(Effect::CloseSupersededLinks { name: name.to_owned(), by });
         self.effects.push(Effect::PeerRestarted { name: name.to_owned(), incarnation });
-        // The new process may not be able to reach this mixer yet, and may have to be told which incarnation
-        // of itself is known here.
+        // The new process may not be able to reach this mixer yet, and may have to receive the incarnation under
+        // which this mixer knows it.
         self.effects.push(Effect::SendHello { to: name.to_owned() });
     }
 
-    /// A peer knows a later incarnation under this mixer's name. This mixer takes a number above it: a dead
-    /// process does not react to that, a live one takes a higher number in turn. Only in the second case the
-    /// process that has run for less time is the later one, and the other is superseded. Otherwise a
-    /// restarted mixer could give way to its own dead predecessor: a peer that did not know of the restart
-    /// may have accepted it already, and a process that died young keeps a small age for long.
+    /// Handles a report of a later incarnation under this mixer's name. At first this mixer takes a number above
+    /// it. If the other process is still running, it takes a higher number in turn, which shows that it is alive.
+    /// Only then are the ages compared: the process that has run for less time is the later one and supersedes
+    /// the other.
+    ///
+    /// Without the proof that the other process is alive, a restarted mixer could be superseded by its own
+    /// predecessor, which has ended: a peer that has not noticed the restart may have accepted the predecessor's
+    /// incarnation, and the age of a process that ended soon after its start stays small for long.
     pub fn handle_later_incarnation(&mut self, now_ms: f64, by: KnownIncarnation) {
         if by.incarnation <= self.incarnation || !self.is_active() {
             return;
@@ -544,9 +547,9 @@
             .superseded_numbers
             .get(&by.incarnation.nonce)
             .is_some_and(|number| by.incarnation.number > *number);
+        let is_superseded = self.shutting_down || is_later && is_alive;
         // An incarnation with this mixer's own nonce is this process itself, reported back by a peer.
-        let gives_way = self.shutting_down || is_later && is_alive;
-        if gives_way && by.incarnation.nonce != self.incarnation.nonce {
+        if is_superseded && by.incarnation.nonce != self.incarnation.nonce {
             self.state = MembershipState::Superseded(by.incarnation);
             self.stop();
             self.effects.push(Effect::Superseded(by.incarnation));
@@ -559,9 +562,9 @@
         self.supersede(by.incarnation);
     }
 
-    /// This mixer was asked to shut down: any other process under its name counts as the later one from now
-    /// on, whatever the ages. Otherwise a process restarted within `AGE_TOLERANCE_MS` could lose, by nonce,
-    /// to the one that is still serving its last scans.
+    /// Has to be called when this mixer begins to shut down. From then on any other process under its name counts
+    /// as the later one, whatever the ages. Otherwise a process started less than `AGE_TOLERANCE_MS` after this
+    /// one could be superseded, by nonce, while this one serves its last scans.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
@@ -576,9 +579,9 @@
         self.effects.extend(self.names.iter().map(|to| Effect::SendHello { to: to.clone() }));
     }
 
-    /// A replication message mentions an incarnation of a mixer. `beyond_held_version` tells whether it
-    /// attributes records to that mixer that are not held here. Guards against records of a dead incarnation
-    /// that arrive through a third mixer: the live process of that name has to supersede it.
+    /// Handles an incarnation that a replication message mentions. `beyond_held_version` is whether the message
+    /// attributes records to that mixer that are not held here. Guards against records of an ended incarnation
+    /// that arrive through a third mixer: the running process of that name has to supersede it.
     pub fn observe_incarnation(
         &mut self,
         now_ms: f64,
@@ -591,7 +594,7 @@
         }
         if name == self.local_name {
             self.handle_later_incarnation(now_ms, KnownIncarnation { incarnation, age_ms: None });
-            // Records under this very incarnation that it never published: a new incarnation makes them void.
+            // This process never published these records of its incarnation; a new incarnation makes them void.
             if incarnation == self.incarnation && beyond_held_version {
                 self.supersede(incarnation);
             }
@@ -658,7 +661,8 @@
         self.last_tick_ms.map_or(0.0, |last_ms| last_ms + TICK_INTERVAL_MS)
     }
 
-    /// Runs what is due and returns the effects since the last call. `now_ms` is read from a monotonic clock.
+    /// Runs the timers that are due and returns the effects since the last call. `now_ms` is read from a monotonic
+    /// clock.
     pub fn tick(&mut self, now_ms: f64) -> Vec<Effect> {
         self.age_ms(now_ms);
         if let Some(last_ms) = self.last_tick_ms
@@ -685,8 +689,8 @@
         mem::take(&mut self.effects)
     }
 
-    /// After a pause of this process: answers of others that arrived meanwhile are still unread, so nobody is
-    /// late.
+    /// Postpones all timers by the length of a pause of this process: answers that arrived during the pause are
+    /// still unread, so no peer counts as late.
     fn postpone_timers(&mut self, pause_ms: f64) {
         let pause_us = to_micros(pause_ms);
         let postponed = |(key, timer): (TimerKey, Timer<Identity>)| {
@@ -695,9 +699,9 @@
         self.timers = mem::take(&mut self.timers).into_iter().map(postponed).collect();
     }
 
-    /// `foca` may hold a dead incarnation of a name that is above the one known to be alive, and would then
-    /// ignore the live one until it supersedes the dead one. It sends no notification about a member that it
-    /// never knew alive.
+    /// Adopts incarnations that `foca` holds and that are later than the known ones. `foca` sends no notification
+    /// about a member that it has never seen alive. It may hold an ended incarnation that is above the running
+    /// one's, and ignores the running process until that one supersedes the ended incarnation.
     fn compare_with_foca_state(&mut self) {
         let known_to_foca = |member: &Member<Identity>| (member.id().name.clone(), member.id().incarnation);
         let members: Vec<(String, Incarnation)> =
@@ -729,7 +733,7 @@
         }
     }
 
-    /// Turns what `foca` wants to be done into effects and timers.
+    /// Converts the output of `foca` into effects and timers.
     fn process_foca_output(&mut self, now_ms: f64) {
         let FocaOutput { sends, timers, members_changed } = mem::take(&mut self.foca_output);
         if !self.is_active() {
@@ -746,8 +750,8 @@
         self.effects.extend(sends.into_iter().map(|(to, bytes)| Effect::Send { to: to.name, bytes }));
     }
 
-    /// Compares the known live members with those of `foca`. Its notifications only tell that something has
-    /// changed: there is none if a name moves from one live incarnation to the next.
+    /// Compares the known live members with those of `foca`. The content of its notifications is not sufficient:
+    /// there is none if a name changes from one live incarnation to the next.
     fn update_live_members(&mut self) {
         let identities: Vec<Identity> = self.foca.iter_members().map(|member| member.id().clone()).collect();
         for identity in &identities {
--- a/crates/replica/src/exchange.rs
+++ b/crates/replica/src/exchange.rs
@@ -1,9 +1,10 @@
 //! Anti-entropy: what is sent to whom, and when.
 //!
-//! This mixer's new records go to all peers at once, or to some of them in a large fleet. In periodic rounds
-//! a random peer that is up gets a digest of everything that is held. Only if it differs do version vectors
-//! follow, then the missing records in pieces, then digests of counter ranges where versions agree and
-//! records do not. Whatever is lost, cut off or reordered is made up for by a later round.
+//! This mixer's new records are pushed to all peers immediately, or to some of them in a large fleet. In
+//! periodic rounds a random peer that is up is sent a digest of all held records. If it differs from the
+//! peer's, version vectors are exchanged, then the missing records in pieces, then digests of counter ranges
+//! for origins whose versions agree but whose records differ. Later rounds repair the loss, truncation or
+//! reordering of messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -85,15 +86,15 @@
 const ROUND_JITTER: f64 = 0.25;
 /// Bytes of records in one message.
 const MAX_MESSAGE_BYTES: usize = 12 * 1024;
-/// New records go at once to all peers up to this number, and to this many random ones of a larger fleet.
+/// Maximum number of peers that new records are pushed to. In a larger fleet they are chosen at random.
 const MAX_PUSH_PEERS: usize = 32;
-/// Rate and burst of the records that one peer is sent: catch-up of a restarted mixer must not delay messages
-/// to others.
+/// Rate and burst of the records that one peer is sent, so that the catch-up of a restarted mixer does not delay
+/// messages to others.
 const PEER_BYTES_PER_S: f64 = 512.0 * 1024.0;
 const PEER_BURST_BYTES: f64 = 64.0 * 1024.0;
 /// Bytes that a record counts against the rate besides its name.
 const RECORD_COST_BYTES: usize = 48;
-/// A catch-up source that is silent for this long is given up for another.
+/// A catch-up source that sends nothing for this long is replaced by another.
 const SOURCE_TIMEOUT_MS: f64 = 500.0;
 /// Minimum interval between requests to one peer for records that its batches show to be missing.
 const REQUEST_INTERVAL_MS: f64 = 50.0;
@@ -194,7 +195,7 @@
         if let Some(held) = self.up.get_mut(name) {
             *held = incarnation;
         }
-        // The new process holds nothing yet, whatever its predecessor was sent.
+        // The new process holds nothing of what was sent to the earlier one, so its budget starts anew.
         self.budgets.remove(name);
     }
 
@@ -230,7 +231,7 @@
         among.get(index).cloned()
     }
 
-    /// Runs what is due and returns the messages to send.
+    /// Pushes new records and starts a gossip round if one is due. Returns the messages to send.
     pub fn tick(&mut self, now_ms: f64) -> Vec<OutgoingMessage> {
         let mut messages = Vec::new();
         self.push_new_records(now_ms, &mut messages);
@@ -260,7 +261,7 @@
         let sources: Vec<String> =
             up.iter().filter(|name| !catch_up.also_catching_up.contains(*name)).cloned().collect();
         if sources.is_empty() && !up.is_empty() {
-            // All peers restarted together: none holds more than what each publishes anew.
+            // All peers have restarted too and are catching up, so none holds records that could be requested.
             self.catch_up = None;
         } else if let Some(to) = self.random_peer(&sources) {
             if let Some(catch_up) = &mut self.catch_up {
@@ -306,7 +307,7 @@
         (budget.tokens_bytes as usize).min(MAX_MESSAGE_BYTES)
     }
 
-    /// Handles a message from a peer. `delay_ms` is how much older the records in it may be than they say.
+    /// Handles a message from a peer. `delay_ms` is as in [`Replica::apply`].
     pub fn handle_message(
         &mut self,
         now_ms: f64,
@@ -359,7 +360,8 @@
         Handled { changes, messages: replies.into_iter().map(to_sender).collect() }
     }
 
-    /// Sends what the peer lacks; asks for what this mixer lacks; sends range digests of diverging origins.
+    /// Sends the records that the peer lacks, requests those that this mixer lacks, and sends range digests of
+    /// diverging origins.
     fn answer_version_vector(
         &mut self,
         now_ms: f64,
--- a/crates/replica/src/kinds/mark.rs
+++ b/crates/replica/src/kinds/mark.rs
@@ -2,9 +2,8 @@
 
 use super::RecordKind;
 
-/// Evidence against a searcher, identified by its address: either this mixer marked it, or a single part is
-/// late there. A late part alone is no mark, but the late parts of several mixers add up to a slice sooner
-/// than those of one.
+/// Evidence against a searcher, identified by its address: either the origin has marked it, or a single part
+/// there is late. A late part alone is not a mark, but late parts of several mixers are added up.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
     /// Average latency in the slice that caused the mark, as a multiple of the baseline.
@@ -26,8 +25,8 @@
         self.latency_ratio.is_finite() && self.latency_ratio >= 0.0
     }
 
-    /// The better evidence: a mark before a late part, then more parts, then the higher average. Where the
-    /// number of marks matters they are counted one by one instead.
+    /// The stronger evidence: a mark before a late part, then more parts, then the higher average. Code that needs
+    /// the number of marks counts the separate reports instead.
     fn join(self, other: Self) -> Self {
         let more =
             (!other.late, other.parts, other.latency_ratio) > (!self.late, self.parts, self.latency_ratio);
--- a/crates/replica/src/kinds/mod.rs
+++ b/crates/replica/src/kinds/mod.rs
@@ -1,5 +1,5 @@
 //! The kinds of records, one type in one file each. A new kind needs a file and a line in `known_kinds`. A
-//! mixer that does not know a kind keeps its records undecoded and passes them on.
+//! mixer without the type of a kind keeps its records undecoded and forwards them.
 
 mod departure;
 mod idle_loss;
@@ -23,7 +23,7 @@
 /// What one mixer reports about one subject.
 ///
 /// [`RecordKind::join`] combines the reports of several origins. It has to be commutative, associative and
-/// idempotent, and errs on the side on which no rule can be broken. The table is in `docs/copies.md`.
+/// idempotent, and to choose the value with which no rule can be violated. `docs/copies.md` has the table.
 pub trait RecordKind: Serialize + DeserializeOwned + Clone + PartialEq + Debug {
     /// Number of this kind on the wire; never reused.
     const CODE: u8;
--- a/crates/replica/src/kinds/process_start.rs
+++ b/crates/replica/src/kinds/process_start.rs
@@ -11,7 +11,7 @@
 impl RecordKind for ProcessStart {
     const CODE: u8 = 2;
     const NAME: &'static str = "start";
-    /// Longer than the warm-up of any searcher; a report about one that is warm already does no harm.
+    /// Longer than the warm-up of any searcher. A report about one that is warm already has no effect.
     const VALIDITY_MS: f64 = 60_000.0;
 
     fn is_valid(&self) -> bool {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -10,15 +10,15 @@
 //!   whose counter lies in an interval. Batches are applied without gaps only, so one version for each origin
 //!   describes everything that a mixer holds (delta-state CRDTs, Almeida et al., 2018; the ordering of
 //!   Scuttlebutt, van Renesse et al., 2008).
-//! - [`Exchange`] decides what is sent to whom and when: new records at once, digests in periodic rounds,
+//! - [`Exchange`] decides what is sent to whom and when: new records immediately, digests in periodic rounds,
 //!   deltas where version vectors differ, digests of counter ranges where versions agree and records do not,
 //!   and catch-up in pieces.
-//! - [`PeerReportPolicy`] decides what a mixer makes of its peers' reports: bounded advice to its decision
-//!   module, weighted by how often each peer was right lately.
+//! - [`PeerReportPolicy`] turns the reports of peers into bounded advice for the decision module. It ignores peers
+//!   whose recent reports were wrong.
 //!
 //! Invariants: merges are commutative, associative and idempotent; wall clocks are never compared; the number
-//! of records, their bytes and an origin's quota are bounded whatever is received; a deleted record never
-//! comes back from an old copy.
+//! of records and their bytes are bounded for each origin, whatever is received; a deleted record is never
+//! restored from an old copy.
 
 pub mod kinds;
 
--- a/crates/replica/src/policy.rs
+++ b/crates/replica/src/policy.rs
@@ -1,9 +1,9 @@
-//! Policy on peer reports: which advice for the decision module follows from them.
+//! Turns peer reports into advice for the decision module.
 //!
-//! The effect of a report is limited twice. Here: probes are rate-limited whatever peers report, departures
-//! and restarts that this mixer's own list does not confirm are retracted, and a peer that was wrong loses
-//! trust. In the decision module: advice can't make it send anything that the rules forbid, because all that
-//! it does on advice is to probe a searcher, to send it less, or to leave it alone.
+//! The effect of a report is limited in two places. This policy limits the rate of probes, retracts departures
+//! and restarts that this mixer's own list does not confirm, and lowers the trust in a peer that was wrong. The
+//! decision module only probes a searcher, sends it less, or sends it nothing because of advice, so advice
+//! can't make it send what the rules forbid.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -14,7 +14,7 @@
 use crate::kinds::{Departure, IdleConnectionsLost, Mark, ProcessStart, RecordKind, Stage};
 use crate::store::{RecordChange, Replica, Report};
 
-/// How often a peer was right lately: 1 for always, 0 for never.
+/// Trust in a peer: how often its recent reports were right, from 0 (never) to 1 (always).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trust {
     score: f64,
@@ -22,12 +22,12 @@
 }
 
 impl Trust {
-    /// Score of a peer that nothing is known about.
+    /// Score of a peer without recent reports.
     const NEUTRAL: f64 = 0.5;
     /// Reports of a peer with a lower score are ignored.
     const THRESHOLD: f64 = 0.2;
-    /// Within this time a score returns two thirds of the way to neutral, because a faulty mixer may have
-    /// been repaired.
+    /// Time constant with which a score decays to neutral, because a faulty mixer may have been repaired: within
+    /// this time the difference shrinks by two thirds.
     const DECAY_MS: f64 = 30_000.0;
     /// Weight of one outcome: three wrong reports in a row take a neutral score below the threshold.
     const OUTCOME_WEIGHT: f64 = 0.3;
@@ -46,8 +46,8 @@
 
     fn record_outcome(&mut self, now_ms: f64, right: bool) {
         let score = self.score(now_ms);
-        let goal = f64::from(u8::from(right));
-        *self = Self { score: score + Self::OUTCOME_WEIGHT * (goal - score), updated_at_ms: now_ms };
+        let outcome = f64::from(u8::from(right));
+        *self = Self { score: score + Self::OUTCOME_WEIGHT * (outcome - score), updated_at_ms: now_ms };
     }
 }
 
@@ -56,13 +56,14 @@
 pub enum Advice {
     /// A peer has marked this searcher: probe it.
     Probe(SocketAddrV4),
-    /// Several peers agree on a mark: send one part at a time until one returns in time.
+    /// Several peers have marked this searcher: send it one part at a time until one is answered in time.
     Suspect(SocketAddrV4),
     /// The searcher is draining or gone, according to a peer.
     Departing(SocketAddrV4),
-    /// The reported departure was not confirmed, or this mixer's own list decides from now on.
+    /// The reported departure was not confirmed in time, or it was confirmed, so that the own list applies alone.
     DepartureRetracted(SocketAddrV4),
-    /// The searcher was started later than this mixer's own list says, and is cold. With its start time.
+    /// The searcher was restarted after the start time in this mixer's own list, and is cold. With the later
+    /// start time.
     Restarted(SocketAddrV4, f64),
     /// The reported restart was not confirmed.
     RestartRetracted(SocketAddrV4),
@@ -91,15 +92,15 @@
     }
 }
 
-/// What this mixer itself knows about a searcher on its list.
+/// This mixer's own observations of a searcher, and the searcher's entry in its list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalStatus {
     pub marked: bool,
-    /// Not marked, but a part is late there.
+    /// A part sent to it is overdue.
     pub late: bool,
-    /// Start time of its process, as the list says.
+    /// Start time of its process, by the list.
     pub started_at_ms: f64,
-    /// Lifecycle stage, as the list says.
+    /// Lifecycle stage, by the list.
     pub stage: Stage,
 }
 
@@ -120,22 +121,23 @@
     }
 }
 
-/// Parts in a slice of the decision module: as many late parts of several mixers count as a mark of one.
+/// Number of parts over which the decision module averages the latency for a mark (a slice). As many late parts,
+/// of several mixers together, count as much as one mark.
 const SLICE_PARTS: u32 = 3;
 /// Rate and burst of the probes that all peers together may cause.
 const PROBES_PER_S: f64 = 8.0;
 const PROBE_BURST: f64 = 8.0;
 /// Share of these probes that one peer may cause.
 const PROBE_SHARE_PER_PEER: f64 = 0.5;
-/// Time after which a probe has shown who was right: a probe and the next slice.
+/// Time after which a report counts as wrong if this mixer has not marked the searcher itself: long enough for a
+/// probe and the next slice.
 const PROBE_OUTCOME_MS: f64 = 1500.0;
-/// A reported departure or restart is retracted if this mixer's own list does not confirm it in time. Lists
-/// are seconds late, not more.
+/// A reported departure or restart is retracted if this mixer's own list does not confirm it within this time.
+/// Lists are only seconds late.
 const CONFIRMATION_TIMEOUT_MS: f64 = 10_000.0;
-/// Share of the searchers that are up by this mixer's own list that peer reports alone may take out of use at
-/// a time.
+/// Maximum share of the searchers listed as up that peer reports alone may take out of use at a time.
 const MAX_SHARE_TAKEN_OUT: f64 = 0.25;
-/// Share of all mixers, and minimum number of them, that count as several.
+/// Number of mixers that count as several: the number of all divided by this, and at least the minimum.
 const AGREEING_MIXERS_DIVISOR: usize = 10;
 const MIN_AGREEING_MIXERS: usize = 2;
 
@@ -144,7 +146,7 @@
 struct PendingProbe {
     reporters: BTreeSet<String>,
     decided_at_ms: f64,
-    /// This mixer has marked the searcher by its own evidence since.
+    /// Whether this mixer has marked the searcher by its own evidence since then.
     confirmed: bool,
 }
 
@@ -154,7 +156,7 @@
     reporter: String,
     expires_at_ms: f64,
     started_at_ms: f64,
-    /// Retracted, and kept for a while only so that the same report is not accepted again.
+    /// Already retracted. It is kept for some time so that the same report is not accepted again.
     retracted: bool,
 }
 
@@ -218,8 +220,8 @@
         self.trust.entry(peer.to_owned()).or_insert(Trust::NEW).record_outcome(now_ms, right);
     }
 
-    /// Updates what this mixer itself knows about a searcher; `None` once its own list no longer contains the
-    /// searcher. Compares peer reports with it and returns the retraction of advice that is no longer needed.
+    /// Updates this mixer's own status of a searcher; `None` once its list no longer contains the searcher. Compares
+    /// pending peer reports with the status, and returns the retraction of advice that is no longer needed.
     #[must_use]
     pub fn local_status_changed(
         &mut self,
@@ -234,8 +236,8 @@
         if let Some(probe) = self.pending_probes.get_mut(&searcher) {
             probe.confirmed |= local.marked;
         }
-        // Once this mixer's own list confirms a departure, the list alone decides when it is over. Otherwise
-        // a drain that is undone within one process lifetime would stay in effect for ever.
+        // Once this mixer's own list confirms a departure, only the list applies. Otherwise a drain that ends
+        // without a restart of the searcher would stay in effect for ever.
         let mut retraction = None;
         let confirmed = |report: &UnconfirmedReport| {
             local.stage > Stage::Up || local.started_at_ms > report.started_at_ms
@@ -278,7 +280,7 @@
         (self.mixers as usize).div_ceil(AGREEING_MIXERS_DIVISOR).max(MIN_AGREEING_MIXERS)
     }
 
-    /// Evaluates records that have changed, as the replica now holds them.
+    /// Evaluates changed records with their current values in the replica.
     pub fn apply_changes(&mut self, now_ms: f64, changes: &[RecordChange], replica: &Replica) -> Vec<Advice> {
         let mut advice = Vec::new();
         for change in changes {
@@ -292,7 +294,7 @@
             if ![Mark::CODE, Departure::CODE, ProcessStart::CODE].contains(&change.kind) {
                 continue;
             }
-            // A mixer sends only to searchers on its own list, so reports about others are of no use to it.
+            // A mixer sends only to searchers on its own list, so it ignores reports about others.
             let Some(subject) = self.subject(change) else {
                 self.ignored_reports += 1;
                 continue;
@@ -343,14 +345,13 @@
             .filter(|report| report.age_ms <= Mark::VALIDITY_MS)
             .filter(|report| report.origin != self.local_name && self.is_trusted(report.origin, now_ms))
             .collect();
-        // A mark counts as a whole slice; late parts of several mixers, including this one, add up to a
-        // slice.
+        // A mark counts as a whole slice. The late parts of other mixers and of this one are added up.
         let reported_parts = reports.iter().map(|report| if report.value.late { 1 } else { SLICE_PARTS });
         let parts: u32 = reported_parts.sum::<u32>() + u32::from(local.late);
         let reporters: BTreeSet<String> = reports.iter().map(|report| report.origin.to_owned()).collect();
-        let counts = reporters.contains(&change.origin);
-        if local.marked || local.stage != Stage::Up || !counts {
-            self.ignored_reports += u64::from(!counts && !local.marked);
+        let is_valid = reporters.contains(&change.origin);
+        if local.marked || local.stage != Stage::Up || !is_valid {
+            self.ignored_reports += u64::from(!is_valid && !local.marked);
             return;
         }
         if parts < SLICE_PARTS {
@@ -379,8 +380,7 @@
         }
     }
 
-    /// Whether peer reports may take another searcher out of use besides those that they have taken out
-    /// already.
+    /// Whether peer reports may take one more searcher out of use, besides the `taken_out` ones.
     fn may_take_out_another(&self, taken_out: usize) -> bool {
         let up = self.searchers.values().filter(|local| local.stage == Stage::Up).count();
         (taken_out + 1) as f64 <= MAX_SHARE_TAKEN_OUT * up as f64
@@ -395,7 +395,7 @@
     ) {
         let &Subject { searcher, local, change } = subject;
         let Some(departure) = valid_report::<Departure>(now_ms, change, replica) else { return };
-        // Only new information counts: about the process that this mixer knows or a later one.
+        // Reports that the list already confirms, or about an earlier process than the listed one, are obsolete.
         if departure.stage == Stage::Up
             || local.stage != Stage::Up
             || departure.started_at_ms < local.started_at_ms
@@ -455,7 +455,8 @@
         }
     }
 
-    /// Settles probes whose outcome is known, and retracts reports that were not confirmed in time.
+    /// Updates the trust in the reporters of probes that are decided, and retracts reports that were not confirmed
+    /// in time.
     pub fn tick(&mut self, now_ms: f64) -> Vec<Advice> {
         let mut advice = Vec::new();
         let decided: Vec<SocketAddrV4> = self
@@ -504,8 +505,8 @@
     reports.into_iter().find(valid).map(|report| report.value)
 }
 
-/// Retracts expired reports, and forgets those that were retracted long ago. Returns the retracted searchers
-/// with their reporters.
+/// Retracts expired reports, and removes those that were retracted long ago. Returns the searchers of the
+/// retracted reports with the reporters.
 fn retract_expired(
     reports: &mut BTreeMap<SocketAddrV4, UnconfirmedReport>,
     now_ms: f64,
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -10,8 +10,8 @@
     RejectReason, WireRecord,
 };
 
-/// Default lifetime of a tombstone: well above the time in which gossip reaches every mixer that is up. A
-/// mixer that was away for longer gets a full sync.
+/// Default lifetime of a tombstone: well above the time in which gossip reaches every mixer that is up. A mixer
+/// that was unreachable for longer gets a full sync.
 pub const TOMBSTONE_TTL_MS: f64 = 60_000.0;
 /// Memory that a record takes besides its name and value: its entries in two maps.
 const RECORD_OVERHEAD_BYTES: usize = 160;
@@ -183,7 +183,7 @@
 
     fn insert(&mut self, key: RecordKey, record: Record) {
         self.remove(&key);
-        // Versions can't tell two records with the same counter apart: the one that arrives later replaces
+        // Versions can't distinguish two records with the same counter, so the one that arrives later replaces
         // the other.
         if let Some(other) = self.by_counter.get(&record.counter).cloned() {
             self.remove(&other);
@@ -271,17 +271,17 @@
         match self.records.get_mut(key) {
             Some(held) if held.counter > record.counter => false,
             Some(held) if held.counter == record.counter && held.value == record.value => {
-                // The same record over another path: assuming the older evidence is the safe side.
+                // The same record over another path: the older age is the conservative choice.
                 held.evidence_at_ms = held.evidence_at_ms.min(record.evidence_at_ms);
                 false
             }
-            // Two values under one counter are a fault of the origin. The greater value wins on all mixers,
-            // in whatever order they arrive.
+            // Two values under one counter are a fault of the origin. The greater value wins, so that all mixers
+            // hold the same one in whatever order they arrive.
             Some(held) if held.counter == record.counter && held.value > record.value && !sent_by_origin => {
                 false
             }
-            // A record below the version that is not held was deleted or lost: only a repair or a full sync
-            // can tell.
+            // A record below the version that is not held was deleted or lost. A delta can't show which; a
+            // repair or a full sync can.
             None if record.counter <= self.version && batch.kind == BatchKind::Delta => false,
             None if record.counter <= self.tombstone_floor
                 && batch.kind == BatchKind::Repair
@@ -304,8 +304,8 @@
             }
             BatchKind::FullSync { last: true } => {
                 if let Some(sync) = self.full_sync.take() {
-                    // Deletions whose tombstones were discarded during the sync may have been missed: the
-                    // version then stays below them.
+                    // Deletions whose tombstones the sender discarded during the sync may have been missed. The
+                    // version then stays below them, so that another full sync follows.
                     let complete_through = if batch.tombstone_floor > sync.tombstone_floor {
                         sync.tombstone_floor
                     } else {
@@ -321,8 +321,8 @@
 }
 
 impl Replica {
-    /// Creates a replica without records. `configured` are the mixers of the settings file; whether this
-    /// mixer is among them makes no difference.
+    /// Creates a replica without records. `configured` are the mixers of the settings file, which may include this
+    /// one.
     pub fn new(
         local_name: &str,
         incarnation: Incarnation,
@@ -389,8 +389,7 @@
         self.origins.entry(self.local_name.clone()).or_default()
     }
 
-    /// Publishes a value of this mixer, with the time of its evidence. Returns false if there is no room for
-    /// it.
+    /// Publishes a value of this mixer, with the time of its evidence. Returns false if it would exceed a limit.
     pub fn publish<K: RecordKind>(
         &mut self,
         now_ms: f64,
@@ -519,7 +518,7 @@
             let last = through >= held.version;
             remaining = remaining.saturating_add(held.version.saturating_sub(through));
             if records.is_empty() && !last {
-                continue; // No room for the first record: the next piece begins with it.
+                continue; // The first record exceeds the budget: the next piece begins with it.
             }
             let kind = if full_sync { BatchKind::FullSync { last } } else { BatchKind::Delta };
             batches.push(RecordBatch {
@@ -617,8 +616,8 @@
         batches
     }
 
-    /// Applies a batch from a peer. `delay_ms` is how much older the records may be than they say, because
-    /// the message waited to be read.
+    /// Applies a batch from a peer. `delay_ms` is the time for which the message may have waited to be read; it is
+    /// added to the ages of the records.
     ///
     /// # Errors
     /// Why the batch was rejected; the rejection is counted.
@@ -646,8 +645,8 @@
         self.validate(batch)?;
         let limits = self.limits;
         let held = self.records_for(batch)?;
-        // A full sync lists everything that exists in its interval. In a repair, only the origin itself can
-        // tell that a record does not exist.
+        // A full sync contains all existing records of its interval. A repair is known to do so only if the origin
+        // sent it.
         let lists_all_records = match batch.kind {
             BatchKind::Delta => {
                 if batch.after > held.version {
@@ -720,7 +719,7 @@
         Ok(self.origins.entry(batch.origin.clone()).or_default())
     }
 
-    /// Discards tombstones that every mixer had time to receive.
+    /// Discards tombstones whose lifetime has passed.
     pub fn tick(&mut self, now_ms: f64) {
         let ttl_ms = self.tombstone_ttl_ms;
         for held in self.origins.values_mut().filter(|held| held.tombstones > 0 && held.full_sync.is_none()) {
@@ -777,7 +776,7 @@
     }
 }
 
-/// Whether a record keeps to the size limits and, if its kind is known, decodes to a valid value.
+/// Whether a record is within the size limits and, if its kind is known, decodes to a valid value.
 fn is_valid(record: &WireRecord) -> bool {
     let value = record.value.as_deref();
     record.name.len() <= MAX_NAME_BYTES
