--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -152,7 +152,8 @@
 fn drain(peer: &Peer, mixer: SocketAddr, mixer_thread: thread::JoinHandle<Result<()>>) -> Result<bool> {
     let mut events: Vec<TimelineEvent> = Vec::new();
     for text in ["announce 198.51.100.1", "announce 198.51.100.2"] {
-        events.push(TimelineEvent { at: peer.wait_for(text).0.at, text: format!("the peer heard {text}") });
+        events
+            .push(TimelineEvent { at: peer.wait_for(text).0.at, text: format!("the peer received {text}") });
     }
     let clients: Vec<_> = (0..4).map(|client| thread::spawn(move || load(client, mixer))).collect();
     let drain_started = Instant::now();
@@ -165,7 +166,7 @@
             withdrawn.push(event.at);
         }
         let is_closed = event.text == "closed";
-        events.push(TimelineEvent { at: event.at, text: format!("the peer heard {}", event.text) });
+        events.push(TimelineEvent { at: event.at, text: format!("the peer received {}", event.text) });
         if is_closed {
             break;
         }
@@ -255,7 +256,7 @@
         let ms = sent_at.elapsed().as_millis();
         println!("scan q{nth} {table_type}: {status} after {ms} ms {}", answer.trim());
         for frame in frames.try_iter() {
-            println!("    a searcher heard {}", frame.replace('\n', " | "));
+            println!("    a searcher received {}", frame.replace('\n', " | "));
         }
     }
     if let Some(peer) = peer {
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -13,7 +13,7 @@
     let position =
         |text: &str| output_text.find(text).unwrap_or_else(|| panic!("no {text:?} in {output_text}"));
     let order = [
-        "the peer heard announce 198.51.100.1\n",
+        "the peer received announce 198.51.100.1\n",
         "SIGTERM",
         "path of 3, depreferenced",
         "withdraw 198.51.100.2/32",
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -57,7 +57,7 @@
 impl Drop for Console {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
-        // Wakes the thread so that it ends. It is not joined, as it may be waiting for a response from the very thread
+        // Unblocks the thread, which then ends. It is not joined, as it may be waiting for a response from the very thread
         // that drops the console.
         let _ = UnixStream::connect(&self.path); // fails if the socket file is gone
         let _ = fs::remove_file(&self.path); // fails if it was removed already
--- a/crates/fleet/src/conditions.rs
+++ b/crates/fleet/src/conditions.rs
@@ -17,7 +17,7 @@
 }
 
 impl Condition {
-    /// The condition that the list states. It states nobody as cold, because there is no time to compare the
+    /// The condition that the list states. It is never `Cold`, because there is no current time to compare the
     /// start time with.
     pub fn listed(status: SearcherStatus) -> Self {
         match status {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,13 @@
 //! The model of a fleet of searchers, for all packages that analyse one without sending anything to it.
 //!
 //! A [`Fleet`] is built from a mixer's settings ([`MixerConfig`]) and a searcher list as discovery sends it
-//! ([`List`]). It never changes; failures are described by [`Conditions`] on top of it. MixerConfig:
+//! ([`List`]). It never changes; failures are described by [`Conditions`] on top of it. Terms:
 //!
 //! - **hall**: the location of a searcher (`zone` on the wire).
 //! - **set**: searchers that hold the same slices (`group` on the wire, a cell of the layout).
 //! - **slice**: a shard of the data. Slices that are held by the same sets form a **class**: every structural
 //!   question has the same answer for all of them, so it is evaluated once for the class.
-//! - **kind**: searchers that no structural question can tell apart: same hall, set, state and age.
+//! - **kind**: searchers that no structural question distinguishes: same hall, set, state and age.
 //!
 //! Invariants: halls, sets, customers and table types are small indices; a searcher belongs to one hall and
 //! one set; the members of a set are ascending; every slice has exactly one class. Nothing here does I/O or
@@ -80,8 +80,8 @@
 }
 
 impl Fleet {
-    /// Builds the model. An entry with a set outside the layout can hold nothing and is skipped with its
-    /// reason. A name that is listed twice is an error, because it is undefined which entry counts.
+    /// Builds the model. An entry with a set outside the layout can't hold any slice and is skipped; the reason is
+    /// recorded. A name that is listed twice is an error, because it is undefined which entry applies.
     ///
     /// # Errors
     /// Names the entry that is listed twice, or the figure that is too large.
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,12 +1,12 @@
-//! Simulation of mixers and searchers under faults that begin and end: how long does service take to recover once the
-//! cause is gone? Only the decision module is real. The time is simulated, so that seconds take milliseconds, and the same
-//! seed gives the same run.
+//! Simulation of mixers and searchers under faults that begin and end. It measures how long service takes to recover after
+//! the end of a fault. Only the decision module is real. The time is simulated, so that seconds take milliseconds, and the
+//! same seed gives the same run.
 //!
 //! A [`Fleet`] has searchers in sets, each with cores and a queue, and mixers that share no state or exchange reports. A
 //! [`Fault`] is injected for a time. [`simulate`] returns a [`RunResult`], with counts for each tenth of a second: scans that
-//! arrived, that completed in time, and that were refused at once. What the host process does for the module (timeouts,
-//! connections, probes) is modelled after the network code. The model does not predict the figures of a real fleet; it shows
-//! whether a state of the module outlives its cause.
+//! arrived, that completed in time, and that were refused immediately. The host process's part (timeouts, connections,
+//! probes) is modelled after the network code. The model does not predict the figures of a real fleet; it shows whether the
+//! module keeps reacting to a fault after its end.
 
 mod reports;
 mod searcher;
@@ -174,8 +174,8 @@
         &self.intervals[(from_ms / INTERVAL_MS) as usize..end]
     }
 
-    /// Milliseconds from `end_ms` until service has recovered and stays so until the end of the run. It has recovered when
-    /// the share completed in time of every half second is not significantly below `usual_share`. `None` if it never does.
+    /// Milliseconds from `end_ms` until service has recovered for the rest of the run: from then on, the share completed in
+    /// time is in no half second significantly below `usual_share`. `None` if the last half seconds are still below it.
     pub fn recovery_ms(&self, end_ms: f64, usual_share: f64) -> Option<f64> {
         const HALF: usize = INTERVALS_PER_HALF_SECOND;
         let first = (end_ms / INTERVAL_MS) as usize;
--- a/crates/rehearse/src/reports.rs
+++ b/crates/rehearse/src/reports.rs
@@ -16,6 +16,9 @@
 /// Maximum size of a batch of records, in bytes.
 const BATCH_BYTES: usize = 12 * 1024;
 
+/// Latency ratio and number of parts in the marks of a faulty mixer.
+const FABRICATED_EVIDENCE: (f64, u32) = (9.0, 9);
+
 /// A mark that a mixer has published.
 struct PublishedMark {
     searcher: String,
@@ -89,10 +92,12 @@
                 if now - self.published_marks[index].at < REPUBLISH_MS
                     && self.published_marks[index].late == late => {}
             (true, published) => {
-                let (latency_ratio, parts) = match reports_all_slow {
-                    true => (9.0, 9),
-                    false if late => (searcher.overdue, 1),
-                    false => (searcher.evidence.relative_latency, searcher.evidence.parts),
+                let (latency_ratio, parts) = if reports_all_slow {
+                    FABRICATED_EVIDENCE
+                } else if late {
+                    (searcher.overdue, 1)
+                } else {
+                    (searcher.evidence.relative_latency, searcher.evidence.parts)
                 };
                 let mark = Mark { latency_ratio, parts, late: late && !reports_all_slow };
                 self.replica.publish(now, name, &mark, now);
--- a/crates/rehearse/src/simulation.rs
+++ b/crates/rehearse/src/simulation.rs
@@ -21,16 +21,17 @@
 const PROBE_TIMEOUT_MS: f64 = 250.0;
 /// Interval at which a mixer sends new reports.
 const REPORT_INTERVAL_MS: f64 = 50.0;
-/// Delay after which a mixer that missed a message is repaired.
+/// Delay after which a mixer receives the records of a message that it missed.
 const REPAIR_MS: f64 = 200.0;
-/// Delay of a client's retry, unless the answer names one.
+/// Delay of a client's retry, unless the answer states one.
 const RETRY_MS: f64 = 300.0;
 /// Query timeout of a client.
 const CLIENT_TIMEOUT_MS: f64 = 1500.0;
 /// Time after the last deadline until the simulation stops.
-const DRAIN_MS: f64 = 1000.0;
+const SETTLE_MS: f64 = 1000.0;
 
-/// Table types: whole with 60% of the weight; needing all of it; non-replayable, with a single part.
+/// The table types: one that requires 60% of the weight, one that requires all of it, and a non-replayable one, which has
+/// a single part.
 fn table_types(fleet: &Fleet) -> Vec<TableType> {
     let table_type = |idempotency, required_weight: f64| TableType {
         target_ms: fleet.target_ms,
@@ -89,7 +90,7 @@
         searcher: usize,
         job: Job,
     },
-    /// The mixer learns how a dispatch ended; ignored if it is no longer in flight.
+    /// A mixer is notified of the end of a dispatch; ignored if it is no longer in flight.
     DispatchEnds {
         job: Job,
         end: DispatchEnd,
@@ -310,7 +311,7 @@
 
     fn schedule(&mut self, at: f64, event: SimEvent) {
         self.last_sequence_number += 1;
-        // Whole microseconds, which are ordered.
+        // Whole microseconds, as `f64` has no total order.
         let at_us = (at.max(self.now) * 1000.0) as u64;
         self.queue.push(Reverse((at_us, self.last_sequence_number, event)));
     }
@@ -335,8 +336,8 @@
     }
 
     fn run(&mut self) {
-        // Scans that arrive at the end still have their full time.
-        let last = self.end_ms + CLIENT_TIMEOUT_MS + DRAIN_MS;
+        // Scans that arrive last still have their full timeout.
+        let last = self.end_ms + CLIENT_TIMEOUT_MS + SETTLE_MS;
         while let Some(Reverse((at_us, _, event))) = self.queue.pop() {
             self.now = at_us as f64 / 1000.0;
             if self.now > last {
@@ -433,7 +434,7 @@
             self.result.report_bytes +=
                 batch.records.iter().map(|r| r.name.len() as u64 + RECORD_BYTES).sum::<u64>();
             if self.rng.rand_float() < exchange.loss_share {
-                // The gap shows at the next message, or the repair fills it.
+                // The receiver detects the gap at the next message, unless the repair has filled it before.
                 self.schedule(self.now + REPAIR_MS, SimEvent::Repair { from: mixer, to });
                 continue;
             }
@@ -461,7 +462,8 @@
         self.notify(mixer, Event::DispatchEnded { part, dispatch, searcher, outcome, took_ms, busy: None });
     }
 
-    /// Applies the begin or end of a fault. Faults without state are looked up while they are active.
+    /// Applies the begin or end of a fault that changes searchers. The others are looked up where they have an effect, see
+    /// [`Self::active_faults`].
     fn change_fault(&mut self, period: usize, begins: bool) {
         let fault = self.faults[period].fault.clone();
         match fault {
--- a/crates/settings/src/sexpr.rs
+++ b/crates/settings/src/sexpr.rs
@@ -25,7 +25,7 @@
     pub column: usize,
 }
 
-/// An error in the text with its position; the message says what was expected.
+/// An error in the text with its position; the message states what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
     pub position: Position,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -77,7 +77,7 @@
         if behavior == SearcherBehavior::DisconnectsAlways {
             return output.shutdown(std::net::Shutdown::Both);
         }
-        // Nobody may be receiving.
+        // The receiver may have been dropped.
         let _ = frames.send(format!("{} {}", char::from(*frame_type), String::from_utf8_lossy(payload)));
         match (*frame_type, behavior) {
             (FRAME_CANCEL, _) | (_, SearcherBehavior::Hangs) => {}
