--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -34,7 +34,7 @@
     /// Seed of the decision module
     #[arg(long, value_name = "N", default_value_t = 7)]
     seed: u64,
-    /// Things that may go wrong in one run [default: from the settings]
+    /// Departures from the expected course in one run [default: from the settings]
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(0..=8))]
     departures: Option<u32>,
     /// States visited in one exploration [default: from the settings]
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -128,7 +128,7 @@
         print!("{report}");
         if !report.held() {
             let fails = |less: &Script| run(less, &options).is_ok_and(|report| !report.held());
-            println!("the smallest that was found to fail:\n{}", shrink(&script, args.tries, fails));
+            println!("the smallest script that fails:\n{}", shrink(&script, args.tries, fails));
         }
         reports.push(report);
         args.drill.write_files(&reports)?;
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -39,9 +39,11 @@
                 println!("{:>4}  {action} {} {preposition} {names}", nth + 1, step.slice);
             }
             for name in &plan.initially_failing {
-                println!("\"{name}\" does not hold before the change, and is asked of its end alone");
+                println!(
+                    "\"{name}\" does not hold before the change, and is required only after the last step"
+                );
             }
-            println!("{} steps, {} states looked at", plan.steps.len(), plan.states);
+            println!("{} steps, {} states visited", plan.steps.len(), plan.states);
             Ok(true)
         }
         Err(stuck) => {
@@ -57,7 +59,7 @@
                 }
                 PlanError::DependsOnSets { name } => {
                     println!(
-                        "\"{name}\" speaks of sets, which have no meaning while searchers move between them"
+                        "\"{name}\" depends on sets, which are undefined while searchers move between them"
                     );
                 }
                 PlanError::NotComparable { reason } => println!("the two fleets can't be compared: {reason}"),
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -65,7 +65,7 @@
         if verdict.outcome == Outcome::Undecided {
             let _ = writeln!(
                 out,
-                "          more cases or states than are gone through; ask less of it, or raise --states"
+                "          more cases or states than the limits allow; narrow the expectation, or raise --states"
             );
         }
     }
@@ -105,7 +105,7 @@
         }
     }
     for removed in before.iter().filter(|b| !after.iter().any(|v| v.name == b.name)) {
-        let _ = writeln!(out, "{}: no longer asked", removed.name);
+        let _ = writeln!(out, "{}: removed from the file", removed.name);
     }
     if out.is_empty() {
         out.push_str("no verdict changes\n");
@@ -146,7 +146,7 @@
             Outcome::Holds => TestCaseStatus::success(),
             Outcome::Undecided => {
                 let mut status = TestCaseStatus::non_success(NonSuccessKind::Error);
-                status.set_message("undecided: more cases than are gone through");
+                status.set_message("undecided: more cases or states than the limits allow");
                 status
             }
             Outcome::Fails(case) => {
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -158,7 +158,7 @@
     let clients: Vec<_> = (0..4).map(|client| thread::spawn(move || load(client, mixer))).collect();
     let drain_started = Instant::now();
     raise(SIGTERM)?;
-    events.push(TimelineEvent { at: drain_started, text: "SIGTERM; scans keep coming".to_owned() });
+    events.push(TimelineEvent { at: drain_started, text: "SIGTERM; clients still send scans".to_owned() });
     let mut withdrawn = Vec::new();
     loop {
         let event = peer.next_event();
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -119,7 +119,7 @@
     }
     let reply = match std::str::from_utf8(&request) {
         Ok(text) => answer(text.lines().next().unwrap_or_default().trim()),
-        Err(_) => Err("the question is not UTF-8".to_owned()),
+        Err(_) => Err("the request is not UTF-8".to_owned()),
     };
     let (status, text) = match reply {
         Ok(text) => ("ok", text),
--- a/crates/expect/src/brute_force.rs
+++ b/crates/expect/src/brute_force.rs
@@ -1,5 +1,5 @@
-//! Brute-force evaluator: it goes through every case of every failure, every slice and every searcher. Tests compare
-//! the structural checker with it, and the benchmark measures both.
+//! Brute-force evaluator: it evaluates every case of every failure, for every slice and every searcher. Tests compare the
+//! structural checker with it, and the benchmark measures both.
 
 use pewterwharf_fleet::{Condition, Conditions, Fleet};
 
--- a/crates/expect/src/explore/simulation.rs
+++ b/crates/expect/src/explore/simulation.rs
@@ -1,7 +1,7 @@
 //! One run of the decision module through given moves, and the rules that it is checked against.
 //!
-//! The simulation keeps the actual state of the searchers and what the list reports, carries out the module's actions,
-//! and checks each of them. The checks are independent: they never ask the module whether an action was allowed.
+//! The simulation tracks the actual state of the searchers and the state that the list reports. It executes the module's
+//! actions and checks each of them. The checks are independent: they never use the module's own state.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Write};
@@ -79,7 +79,7 @@
 const WORK_SHARE: f64 = 0.1;
 /// Rounding error that is tolerated in a sum of part weights.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
-/// Distance of the ids of consecutive scans; the ids of a scan's parts lie in between.
+/// Difference between the ids of consecutive scans. The ids of a scan's parts are between them.
 const IDS_PER_SCAN: u64 = 100;
 
 #[derive(Clone, Debug)]
@@ -930,7 +930,7 @@
             }
             Move::DispatchEnds(id, end) => {
                 let end = match end {
-                    DispatchEnd::Ok => "comes back",
+                    DispatchEnd::Ok => "is answered",
                     DispatchEnd::Error => "fails",
                     DispatchEnd::Full => "is rejected as full",
                     DispatchEnd::Refused => "fails to connect",
@@ -953,7 +953,7 @@
                 let condition = condition_text(self.searchers[searcher].actual);
                 format!("the list now reports {} as {condition}", name(searcher))
             }
-            Move::ProbeEnds(searcher, true) => format!("the probe to {} comes back", name(searcher)),
+            Move::ProbeEnds(searcher, true) => format!("the probe to {} succeeds", name(searcher)),
             Move::ProbeEnds(searcher, false) => format!("the probe to {} fails", name(searcher)),
             Move::ClientLeaves(scan) => format!("the client of scan {scan} leaves"),
             Move::Wait => "time passes".to_owned(),
--- a/crates/expect/src/read.rs
+++ b/crates/expect/src/read.rs
@@ -15,7 +15,7 @@
 /// Maximum number of forms in a file.
 const MAX_FORMS: usize = 10_000;
 
-/// The `(fleet ...)` form: the files that describe the fleet, and what they lack.
+/// The `(fleet ...)` form: the files that describe the fleet, and what the files do not contain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSource {
     /// Paths as written, relative to the directory of the expectation file.
@@ -250,7 +250,7 @@
             }
             ("never" | "always", [action]) => {
                 if context.under_some_or_not {
-                    return Err(node.error(format!("{head} can't stand under some or not")));
+                    return Err(node.error(format!("{head} is not allowed under some or not")));
                 }
                 Claim::Behaviour(self.behaviour(action, head == "always")?)
             }
@@ -270,10 +270,10 @@
         context: Context,
     ) -> Result<Claim, ParseError> {
         if context.under_list_age {
-            return Err(node.error("while-list-younger can't stand in another while-list-younger"));
+            return Err(node.error("while-list-younger is not allowed in another while-list-younger"));
         }
         if context.under_some_or_not {
-            return Err(node.error("while-list-younger can't stand under some or not"));
+            return Err(node.error("while-list-younger is not allowed under some or not"));
         }
         let max_changes = match options {
             [] => None,
--- a/crates/expect/src/structural.rs
+++ b/crates/expect/src/structural.rs
@@ -148,7 +148,7 @@
         match claim {
             Claim::Not(inner) => Ok(match self.check(inner, groups, applied, &[])? {
                 Some(_) => None,
-                None => Some(case(applied, None, "what stands under not holds".to_owned())),
+                None => Some(case(applied, None, "the negated claim holds".to_owned())),
             }),
             Claim::Some(claims) => {
                 let mut observed = Vec::new();
--- a/crates/expect/tests/verdicts.rs
+++ b/crates/expect/tests/verdicts.rs
@@ -110,7 +110,7 @@
 fn duplicate_and_misplaced_searchers() {
     let mut list = searcher_list(&[("a", 0, "up", 0.0), ("a", 7, "up", 0.0)]);
     let fleet = Fleet::new(config(2, 1, 4), &list).expect("a fleet");
-    assert_eq!(fleet.skipped_entries(), ["s1 stands in set 7 of 2"]);
+    assert_eq!(fleet.skipped_entries(), ["s1 is in set 7, but the layout has 2 sets"]);
     list.entries.push(list.entries[0].clone());
     assert_eq!(
         Fleet::new(config(2, 1, 4), &list).err().map(|e| e.to_string()),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -102,7 +102,8 @@
         for entry in &list.entries {
             if entry.cell as usize >= fleet.members_by_set.len() {
                 let sets = fleet.members_by_set.len();
-                let reason = format!("{} stands in set {} of {sets}", entry.name, entry.cell);
+                let reason =
+                    format!("{} is in set {}, but the layout has {sets} sets", entry.name, entry.cell);
                 fleet.skipped_entries.push(reason);
                 continue;
             }
--- a/crates/settings/src/bgp.rs
+++ b/crates/settings/src/bgp.rs
@@ -70,7 +70,7 @@
     pub passive: bool,
     /// Time between attempts to connect; key `retry`.
     pub connect_retry_ms: f64,
-    /// Idle hold time after a first error; key `rest`.
+    /// Idle hold time after the first and the second flap; key `rest`.
     pub idle_hold_ms: f64,
     /// Routes that the peer may announce; key `routes`.
     pub max_routes: u32,
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -25,7 +25,7 @@
 /// Limits of an exploration of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Explore {
-    /// Deviations from the usual course in one run, such as a failed part: 0 to 8.
+    /// Departures from the expected course in one run, such as a failed part: 0 to 8.
     pub departures: u32,
     /// States visited in one exploration: 1 to 10,000,000.
     pub states: u32,
--- a/crates/settings/src/sexpr.rs
+++ b/crates/settings/src/sexpr.rs
@@ -199,7 +199,7 @@
     let mut quoted = false;
     let mut escaped = false;
     let mut in_comment = false;
-    let mut in_word = false;
+    let mut in_token = false;
     for c in text.chars() {
         position.column += 1;
         if c == '\n' {
@@ -217,28 +217,28 @@
         let starts_item = match c {
             ';' => {
                 in_comment = true;
-                in_word = false;
+                in_token = false;
                 false
             }
             '"' => {
                 quoted = true;
-                in_word = false;
+                in_token = false;
                 true
             }
             '(' | '[' => {
-                in_word = false;
+                in_token = false;
                 true
             }
             ')' | ']' => {
                 lengths.pop();
-                in_word = false;
+                in_token = false;
                 false
             }
             c if c.is_whitespace() => {
-                in_word = false;
+                in_token = false;
                 false
             }
-            _ => !std::mem::replace(&mut in_word, true),
+            _ => !std::mem::replace(&mut in_token, true),
         };
         if starts_item && let Some(length) = lengths.last_mut() {
             *length += 1;
@@ -274,7 +274,7 @@
         Value::Bool(_) | Value::Char(_) | Value::Vector(_) | Value::Bytes(_) | Value::Nil => {
             return Err(ParseError {
                 position,
-                message: "expected a word, a number, a text or a list".to_owned(),
+                message: "expected a symbol, a number, a string or a list".to_owned(),
             });
         }
         Value::Null | Value::Cons(_) => {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -42,7 +42,7 @@
                     self.lists.insert(slot, searchers);
                 }
                 other => {
-                    let mixer = current_mixer.context("a record stands before the first 'at'")?;
+                    let mixer = current_mixer.context("a record precedes the first 'at'")?;
                     self.record(mixer, other, &mut events)?;
                 }
             }
