--- a/crates/bgp/tests/announce.rs
+++ b/crates/bgp/tests/announce.rs
@@ -136,7 +136,7 @@
     fixture.log += "another announces it too\n";
     fixture.step(Input::OtherAnnouncer(prefix(1), true));
     fixture.advance(10_000.0);
-    fixture.log += "that other is gone\n";
+    fixture.log += "the other announcer has withdrawn\n";
     fixture.step(Input::OtherAnnouncer(prefix(1), false));
     fixture.advance(10_000.0);
     fixture.log += "nothing at all is usable\n";
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use log::StateMachine;
 pub use node::{ConsensusConfig, ConsensusNode, OutgoingMessage, ProposeError, TICK_INTERVAL_MS};
-pub use routing::{LinkState, Packet, Received, Router};
+pub use routing::{LinkState, Packet, Received, RoutedPacket, Router};
 pub use storage::{PersistedState, StableStorage, StorageChange, StorageError};
 
 /// Number of a member. It is drawn together with the member's storage, so a mixer that has lost its storage
--- a/crates/council/src/log.rs
+++ b/crates/council/src/log.rs
@@ -1,4 +1,4 @@
-//! The log as the consensus core sees it: in memory, with every change recorded for the storage.
+//! The in-memory log that the consensus core reads. Every change is recorded for the storage.
 
 use std::fmt::Debug;
 
@@ -10,8 +10,8 @@
 use crate::storage::{PersistedState, StorageChange};
 use crate::wire::{WireEntry, WireSnapshot};
 
-/// What the log is about. Commands are applied in log order, once each, and with the same result on all
-/// members: they must not depend on clocks or random numbers.
+/// The state machine that the log replicates. Commands are applied in log order, once each, and with the same
+/// result on all members: they must not depend on clocks or random numbers.
 pub trait StateMachine: Clone + Debug + Default + Serialize + DeserializeOwned {
     type Command: Clone + Debug + Serialize + DeserializeOwned;
 
--- a/crates/council/src/routing.rs
+++ b/crates/council/src/routing.rs
@@ -54,6 +54,13 @@
     Forward(MemberId, Packet),
 }
 
+/// A packet, and the member to send it to over the direct path.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RoutedPacket {
+    pub next: MemberId,
+    pub packet: Packet,
+}
+
 #[derive(Clone, Debug)]
 struct KnownLinkState {
     start: u64,
@@ -181,11 +188,10 @@
         }
     }
 
-    /// Wraps a message and returns the member to send it to over the direct path. If no route is known, the
-    /// direct path to the receiver is tried.
-    pub fn send(&self, now_ms: f64, to: MemberId, bytes: Vec<u8>) -> (MemberId, Packet) {
+    /// Wraps a message for a member. If no route is known, the direct path to the receiver is tried.
+    pub fn send(&self, now_ms: f64, to: MemberId, bytes: Vec<u8>) -> RoutedPacket {
         let next = self.next_hop(now_ms, to).unwrap_or(to);
-        (next, Packet::Message { to, bytes, hops_left: self.members.len() as u8 })
+        RoutedPacket { next, packet: Packet::Message { to, bytes, hops_left: self.members.len() as u8 } }
     }
 
     /// The first hop of the shortest route, by breadth-first search.
@@ -248,7 +254,8 @@
 
     /// The members that a message passes, including its receiver.
     fn route(routers: &mut [Router], now_ms: f64, from: MemberId, to: MemberId) -> Vec<MemberId> {
-        let (mut current, mut packet) = routers[from as usize - 1].send(now_ms, to, vec![7]);
+        let RoutedPacket { next: mut current, mut packet } =
+            routers[from as usize - 1].send(now_ms, to, vec![7]);
         let mut previous = from;
         let mut route = vec![current];
         while let Received::Forward(next, forwarded) =
@@ -280,7 +287,7 @@
     fn stale_link_states_and_unknown_members() {
         let (mut routers, now_ms) = exchange_link_states(3, |a, b| (a, b) != (1, 3), 5);
         let late_ms = now_ms + LINK_STATE_VALIDITY_MS + HEARD_TIMEOUT_MS;
-        assert_eq!(routers[0].send(late_ms, 3, Vec::new()).0, 3, "no route is known: the direct path");
+        assert_eq!(routers[0].send(late_ms, 3, Vec::new()).next, 3, "no route is known: the direct path");
         let from_unknown = Packet::Message { to: 1, bytes: vec![1], hops_left: 3 };
         assert_eq!(routers[0].receive(late_ms, 9, from_unknown), Received::Nothing);
         let forged = LinkState { member: 9, start: 1, sequence: 1, hears: vec![1], age_ms: 0 };
--- a/crates/council/src/storage.rs
+++ b/crates/council/src/storage.rs
@@ -1,16 +1,16 @@
-//! What has to be durable, and the interface to where it is stored.
+//! The durable state of a member, and the interface to its storage.
 
 use std::fmt;
 
-/// A change to durable state. Values of the consensus core are opaque bytes here, so a storage need not
-/// understand them.
+/// A change to durable state. Values of the consensus core are opaque bytes, so storages do not depend on their
+/// encoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StorageChange {
     /// Replaces the log from this index on.
     WriteLog { from: u64, entries: Vec<Vec<u8>> },
     /// Drops the entries before this index. `term` is the term of the last one dropped.
     CompactLog { first: u64, term: u64 },
-    /// The current term, and the member that got this member's vote in it.
+    /// The current term, and the member that this member voted for in it.
     Vote(Vec<u8>),
     /// The highest index that is committed, as far as this member has been informed.
     Commit(u64),
--- a/crates/council/tests/agreement.rs
+++ b/crates/council/tests/agreement.rs
@@ -8,8 +8,8 @@
 
 use oorandom::Rand64;
 use pewterwharf_council::{
-    ConsensusConfig, ConsensusNode, MemberId, Packet, PersistedState, Received, Router, StableStorage,
-    StateMachine, StorageChange, StorageError, TICK_INTERVAL_MS,
+    ConsensusConfig, ConsensusNode, MemberId, Packet, PersistedState, Received, RoutedPacket, Router,
+    StableStorage, StateMachine, StorageChange, StorageError, TICK_INTERVAL_MS,
 };
 use serde::{Deserialize, Serialize};
 
@@ -237,7 +237,7 @@
         }
         for message in messages {
             let router = &self.processes[i].router;
-            let (next, packet) = router.send(self.now_ms as f64, message.to, message.bytes);
+            let RoutedPacket { next, packet } = router.send(self.now_ms as f64, message.to, message.bytes);
             self.send(i, next, packet);
         }
     }
@@ -456,7 +456,7 @@
 
 #[test]
 fn detection_of_lost_writes() {
-    // The core itself may panic because its log is shorter than what other members know of it.
+    // The core itself may panic because its log is shorter than other members have recorded.
     let is_undetected = |seed: u64| {
         let run = std::panic::catch_unwind(|| run_faults(seed, DiskFault::LostWrites));
         run.is_ok_and(|result| result.is_ok())
@@ -521,7 +521,7 @@
 }
 
 /// Partial partitions in which every member can still reach every other one over some route, also after the
-/// leader dies.
+/// leader has failed.
 #[test]
 fn relaying_across_partial_partitions() {
     type Works = fn(usize, usize) -> bool;
--- a/crates/drill/src/checks.rs
+++ b/crates/drill/src/checks.rs
@@ -29,7 +29,7 @@
     UnexpectedStatus(u16),
     /// The connection ended without an answer.
     ConnectionLost,
-    /// No answer came within the client's timeout.
+    /// No answer arrived within the client's timeout.
     TimedOut,
     ConnectFailed,
 }
--- a/crates/drill/src/harness.rs
+++ b/crates/drill/src/harness.rs
@@ -37,7 +37,7 @@
     pub alone: bool,
 }
 
-/// Time for the whole fleet to come up before the first step.
+/// Time for the whole fleet to become ready before the first step.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two checks of an expected condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -414,7 +414,7 @@
             self.processes[mixer].iter().chain(self.former_processes.iter().map(|former| &former.1));
         if let Some(process) = processes.find(|p| p.number == number) {
             process.signal(Signal::CONT);
-            self.add_to_timeline(HARNESS_LANE, format!("m{} goes on", mixer + 1));
+            self.add_to_timeline(HARNESS_LANE, format!("m{} continues", mixer + 1));
         }
     }
 
@@ -692,9 +692,9 @@
             match process.wait_for_exit(EXIT_TIMEOUT) {
                 Some(status) if status.success() || self.killed.contains(&process.number) => {}
                 Some(status) => {
-                    failures.push((*mixer, format!("it was asked to end, and ended with {status}")));
+                    failures.push((*mixer, format!("it ended with {status} after SIGTERM")));
                 }
-                None => failures.push((*mixer, "it was asked to end, and did not".to_owned())),
+                None => failures.push((*mixer, "it did not end after SIGTERM".to_owned())),
             }
         }
         for (mixer, what) in failures {
--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -65,7 +65,7 @@
     pub p99_ms: f64,
 }
 
-/// How mixers dealt with a searcher that hung.
+/// The reaction of the mixers to a searcher that hung.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HungSearcher {
     pub searcher: String,
@@ -242,10 +242,10 @@
             )?;
         }
         for expectation in &self.expectations {
-            let word = if expectation.held { "held after" } else { "not within" };
+            let verdict = if expectation.held { "held after" } else { "not within" };
             writeln!(
                 f,
-                "  {} {word} {:.1} s{}{}",
+                "  {} {verdict} {:.1} s{}{}",
                 expectation.expect,
                 expectation.took_ms / 1000.0,
                 if expectation.held { "" } else { ": " },
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -150,9 +150,9 @@
     }
 
     fn parse_drill(node: &Node) -> Result<Self, ParseError> {
-        let (word, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
-        if word != "drill" {
-            return Err(unexpected_name(node, word, &["drill"]));
+        let (head, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
+        if head != "drill" {
+            return Err(unexpected_name(node, head, &["drill"]));
         }
         let Some((title, rest)) = rest.split_first() else {
             return Err(node.error("found (drill), expected a title in quotes"));
@@ -166,7 +166,7 @@
             steps: Vec::new(),
             expects: Vec::new(),
         };
-        // Numbers first, wherever they stand: the names of mixers and searchers are checked against them.
+        // Numbers are read first, wherever they are written: the names of mixers and searchers are checked against them.
         for node in rest {
             match node.head_and_args("(mixers N), (at TIME ACTION) or (expect ...)")? {
                 ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MAX_MIXERS)? as usize,
@@ -205,11 +205,11 @@
 
     /// Parses a name made of a letter and a number from 1 to `count`. Returns the number, counted from zero.
     fn numbered_name(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, ParseError> {
-        let word = node.symbol(what)?;
-        let number = word.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
+        let name = node.symbol(what)?;
+        let number = name.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
         match number {
             Some(n) if (1..=count).contains(&n) => Ok(n - 1),
-            _ => Err(node.error(format!("found {word}, expected {what}, {letter}1 to {letter}{count}"))),
+            _ => Err(node.error(format!("found {name}, expected {what}, {letter}1 to {letter}{count}"))),
         }
     }
 
@@ -227,9 +227,9 @@
             return Err(whole.error("expected two mixers, as m1 m2, or one direction, as (from m1) (to m2)"));
         };
         if let (NodeKind::List(_), NodeKind::List(_)) = (&a.kind, &b.kind) {
-            let end = |node: &Node, word: &str| match node.head_and_args(&format!("({word} MIXER)"))? {
-                (found, [mixer]) if found == word => self.mixer(mixer),
-                (other, _) => Err(unexpected_name(node, other, &[word])),
+            let end = |node: &Node, head: &str| match node.head_and_args(&format!("({head} MIXER)"))? {
+                (found, [mixer]) if found == head => self.mixer(mixer),
+                (other, _) => Err(unexpected_name(node, other, &[head])),
             };
             return Ok(vec![PathEnds { from: end(a, "from")?, to: end(b, "to")? }]);
         }
@@ -238,13 +238,13 @@
     }
 
     fn parse_action(&self, node: &Node) -> Result<Action, ParseError> {
-        let (word, args) = node.head_and_args("an action, as (kill m2)")?;
+        let (head, args) = node.head_and_args("an action, as (kill m2)")?;
         let expect_count = |n: usize| match args.len() {
             found if found == n => Ok(()),
-            found => Err(node.error(format!("{word} has {found} values, expected {n}"))),
+            found => Err(node.error(format!("{head} has {found} values, expected {n}"))),
         };
         let mixers = || args.iter().map(|a| self.mixer(a)).collect::<Result<Vec<_>, _>>();
-        match word {
+        match head {
             "partition" => self.parse_partition(node, args),
             "cut" => Ok(Action::Cut(self.parse_paths(node, args)?)),
             "drop" => Ok(Action::Drop(self.parse_paths(node, args)?)),
@@ -326,7 +326,7 @@
     }
 
     fn parse_expect(&self, node: &Node) -> Result<Expect, ParseError> {
-        let (word, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
+        let (head, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
         let within = |rest: &[Node]| match rest {
             [] => Ok(DEFAULT_WITHIN_MS),
             [one] => match one.head_and_args("(within TIME)")? {
@@ -335,7 +335,7 @@
             },
             [_, more, ..] => Err(more.error(format!("found {}, expected nothing more", more.describe()))),
         };
-        match (word, args) {
+        match (head, args) {
             ("agree", rest) => Ok(Expect::Agree { within_ms: within(rest)? }),
             ("members", [count, rest @ ..]) => {
                 let count = count.integer("members", 1, self.mixers as u32)? as usize;
@@ -352,8 +352,8 @@
             ("aside", [mixer, rest @ ..]) => {
                 Ok(Expect::Aside { mixer: self.mixer(mixer)?, within_ms: within(rest)? })
             }
-            (word, _) if EXPECT_NAMES.contains(&word) => {
-                Err(node.error(format!("{word} has {} values, which do not fit it", args.len())))
+            (head, _) if EXPECT_NAMES.contains(&head) => {
+                Err(node.error(format!("{head} has {} values, which do not fit it", args.len())))
             }
             (other, _) => Err(unexpected_name(node, other, &EXPECT_NAMES)),
         }
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,5 +1,5 @@
 //! Model checking of the actual code: all orders of events within bounds. Two mixers hold leases and two
-//! assign them; clocks drift; messages are lost, delayed and reordered; turns come late; and a pause
+//! assign them; clocks drift; messages are lost, delayed and reordered; turns are late; and a pause
 //! separates the check of the clock from the effect.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -273,7 +273,7 @@
     let result = check(bounds);
     println!("{} states with effects", result.states);
     assert_eq!(result.violated, [] as [&str; 0]);
-    assert!(result.both_act, "the bounds are wide enough for the duty to change hands");
+    assert!(result.both_act, "the bounds are wide enough for a change of the holder");
 }
 
 #[test]
--- a/crates/mesh/tests/fleet.rs
+++ b/crates/mesh/tests/fleet.rs
@@ -99,7 +99,8 @@
     run_all_seeds(0..2000);
 }
 
-/// A mixer held a dead incarnation that was above the live one, and ignored the live one's messages.
+/// Guards against a mixer that ignores the messages of a running process because it holds an ended incarnation of
+/// the same name with a higher number.
 #[test]
 fn forged_death_of_later_incarnation() {
     assert_eq!(run_faults(25_656).map(|_| ()), Ok(()));
@@ -169,7 +170,7 @@
     net.run(3000.0);
     net.cut[0][1] = true;
     net.run(10_000.0);
-    assert!(net.has_converged(), "one cut path of six takes nobody down");
+    assert!(net.has_converged(), "with one cut path of six no mixer counts as down");
     net.mark(0, 4, true);
     assert!(net.run_until_converged(2000.0).is_some(), "its records still reach all others");
 }
--- a/crates/mesh/tests/links.rs
+++ b/crates/mesh/tests/links.rs
@@ -237,8 +237,8 @@
     m2.leave();
 }
 
-/// At shutdown the service no longer takes advice while the thread of the links may be handing some to it:
-/// neither may wait for the other.
+/// Guards against a deadlock at shutdown: the service no longer receives advice, while the thread of the links may be
+/// blocked in delivering it.
 #[test]
 fn leave_with_blocked_advice() {
     let (a, b) = (free_address(), free_address());
--- a/crates/mesh/tests/net/mod.rs
+++ b/crates/mesh/tests/net/mod.rs
@@ -290,7 +290,7 @@
         self.tick(i);
     }
 
-    /// A mixer marks a searcher, or takes the mark back.
+    /// A mixer marks a searcher, or retracts the mark.
     pub fn mark(&mut self, i: usize, searcher: u16, marked: bool) {
         let now_ms = self.local_time_ms(i);
         if let Some(node) = self.processes[i].node.as_mut() {
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Whether all running mixers hold the same records, and see all others and nobody else as up.
+    /// Whether all running mixers hold the same records, and see exactly the others as up.
     pub fn has_converged(&self) -> bool {
         let running: Vec<&Node> = self.processes.iter().filter_map(|process| process.node.as_ref()).collect();
         let digests: Vec<u64> = running.iter().map(|node| node.exchange.replica.digest()).collect();
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -87,8 +87,7 @@
 
 impl std::error::Error for CodecError {}
 
-/// Accepts messages about configured names only. Otherwise a peer that keeps sending new names would fill the
-/// memory.
+/// Accepts messages about configured names only. Otherwise a peer could exhaust the memory with new names.
 struct ConfiguredNamesCodec {
     local_name: String,
     names: Arc<BTreeSet<String>>,
--- a/crates/rehearse/src/simulation.rs
+++ b/crates/rehearse/src/simulation.rs
@@ -112,7 +112,7 @@
     ReportsArrive {
         message: u64,
     },
-    /// A mixer gets the records of another that it missed.
+    /// A mixer receives the records of another that it missed.
     Repair {
         from: usize,
         to: usize,
--- a/crates/rehearse/tests/reports.rs
+++ b/crates/rehearse/tests/reports.rs
@@ -81,7 +81,7 @@
             let count = detections.len() as f64;
             let mean = |field: fn(&Detection) -> f64| detections.iter().map(field).sum::<f64>() / count;
             let (median_ms, last_ms) = (mean(|d| d.median_ms), mean(|d| d.last_ms));
-            format!("{median_ms:.0}/{last_ms:.0} ms, {:.1} know", mean(|d| d.mixers as f64))
+            format!("{median_ms:.0}/{last_ms:.0} ms, {:.1} mixers", mean(|d| d.mixers as f64))
         };
         println!(
             "{mixers:>6} {:>12.1} {:>13.1}  {:>24}  {:>24} {:>10.0}",
--- a/crates/replica/tests/records.rs
+++ b/crates/replica/tests/records.rs
@@ -1,5 +1,4 @@
-//! Replicas converge whatever the order, number and size of the batches and whoever sends them, and stay
-//! within their limits.
+//! Replicas converge whatever the order, number, size and sender of the batches, and stay within their limits.
 
 use pewterwharf_peers::Incarnation;
 use pewterwharf_replica::kinds::{
@@ -104,7 +103,7 @@
         assert_join_laws(a, b, c);
     }
 
-    /// An origin publishes, retracts and restarts; its batches arrive in any order and number. Whoever
+    /// An origin publishes, retracts and restarts; its batches arrive in any order and number. A replica that
     /// catches up then holds the same as the origin.
     #[test]
     fn convergence_in_any_batch_order(
@@ -148,7 +147,7 @@
 }
 
 /// All orders of six batches, a deletion and a restart among them: after a final catch-up the receiver holds
-/// the same as the origin, and its version never goes back on the way.
+/// the same as the origin, and its version never decreases.
 #[test]
 fn convergence_in_all_orders_of_six() {
     let mut origin = replica("a");
@@ -175,7 +174,7 @@
         for index in order {
             let _ = other.apply(0.0, 0.0, "a", &batches[index]);
             let held = other.origin("a").unwrap_or_default();
-            assert!((held.incarnation, held.version) >= newest, "a version never goes back");
+            assert!((held.incarnation, held.version) >= newest, "a version never decreases");
             newest = (held.incarnation, held.version);
         }
         catch_up(&origin, &mut other, 0.0, UNLIMITED);
@@ -183,32 +182,34 @@
     }
 }
 
-/// A mixer that was away while records were deleted and their tombstones discarded must neither keep nor
-/// spread them.
+/// A mixer that was unreachable while records were deleted and their tombstones discarded must neither keep nor
+/// send these records.
 #[test]
 fn deletions_and_an_absent_mixer() {
-    let (mut a, mut b, mut away) = (replica("a"), replica("b"), replica("c"));
+    let (mut a, mut b, mut absent) = (replica("a"), replica("b"), replica("c"));
     for n in 0..50 {
         a.publish(0.0, &format!("s{n}"), &mark(4.0), 0.0);
     }
     catch_up(&a, &mut b, 0.0, UNLIMITED);
-    catch_up(&a, &mut away, 0.0, UNLIMITED);
+    catch_up(&a, &mut absent, 0.0, UNLIMITED);
     for n in 0..40 {
         a.retract::<Mark>(10.0, &format!("s{n}"));
     }
     catch_up(&a, &mut b, 10.0, UNLIMITED);
-    // All discard the tombstones but the mixer that is away.
+    // All but the absent mixer discard the tombstones.
     a.tick(100_000.0);
     b.tick(100_000.0);
     assert_eq!(a.size().records, 10);
-    // Its records are not accepted, and it loses the deleted ones whoever it catches up from, in small
-    // pieces.
-    let from_away = away.delta(100_000.0, &b.version_vector(), UNLIMITED).batches;
-    assert!(from_away.iter().all(|batch| batch.origin == "c" || batch.records.is_empty()), "{from_away:?}");
-    let pieces = catch_up(&b, &mut away, 100_000.0, 200);
+    // The others accept none of its records, and it removes the deleted ones when it catches up in small pieces.
+    let from_absent = absent.delta(100_000.0, &b.version_vector(), UNLIMITED).batches;
+    assert!(
+        from_absent.iter().all(|batch| batch.origin == "c" || batch.records.is_empty()),
+        "{from_absent:?}"
+    );
+    let pieces = catch_up(&b, &mut absent, 100_000.0, 200);
     assert!(pieces >= 2, "in {pieces}");
-    assert_eq!(records(&away), records(&a));
-    assert_eq!(away.digest(), b.digest());
+    assert_eq!(records(&absent), records(&a));
+    assert_eq!(absent.digest(), b.digest());
 }
 
 /// A record of an earlier piece is deleted, and its tombstone discarded, before a full sync ends.
--- a/crates/soak/src/control.rs
+++ b/crates/soak/src/control.rs
@@ -78,7 +78,7 @@
     Reset,
     /// Lists are sent in small pieces for this time.
     Slow(u64),
-    /// Discovery moves to the other address, and the current one falls silent.
+    /// Discovery moves to the other address, and no longer answers at the current one.
     Move,
 }
 
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -103,8 +103,8 @@
     Fault::MixerStutters { mixer, count, ms, apart_ms }
 }
 
-/// Draws the faults of a run with small buffers. Beside those of [`draw`], searchers read nothing, mixers stop repeatedly meanwhile,
-/// and clients leave.
+/// Draws the faults of a run with small buffers: those of [`draw`], and groups in which a proxy reads nothing while mixers
+/// stop repeatedly and clients leave.
 pub fn draw_for_small_buffers(seed: u64, length_ms: u64, sizes: Sizes) -> Vec<ScheduledFault> {
     let mut random = Rand64::new(u128::from(seed) * 7 + 2);
     let mut faults = draw(seed, length_ms, sizes);
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -19,7 +19,7 @@
 use crate::role::{ROLE_VARIABLE, Role};
 use crate::settings::MAX_DESCRIPTORS;
 
-/// The first port of the first range. The ranges lie below the ephemeral ports of the system.
+/// The first port of the first range. All ranges are below the ephemeral ports of the system.
 const FIRST_PORT: u16 = 10_000;
 const PORTS_PER_RANGE: u16 = 200;
 const RANGES: u16 = 100;
@@ -155,8 +155,8 @@
 pub enum ShimLibrary {
     /// Makes system calls on sockets fail, be interrupted, or transfer only a few bytes.
     Faults,
-    /// Records when calls to searchers are written. Can also set the size of their send buffers, stop the process between two calls,
-    /// and delay threads after they read the clock.
+    /// Records when calls to searchers are written. Can also set the size of their send buffers, stop the process between two
+    /// calls, and delay threads after they read the clock.
     Sends,
     /// Makes accepting clients' connections, or registering them with a poll, fail for a while at regular intervals.
     Accepts,
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -97,8 +97,8 @@
     let spawn = |run: Box<dyn FnOnce() + Send>| Builder::new().stack_size(STACK_BYTES).spawn(run).map(drop);
     let (stream, recording) = (mixer_side.try_clone()?, shared.clone());
     spawn(Box::new(move || {
-        let is_deaf = || recording.mode() == ProxyMode::Deaf;
-        read_chunks(&stream, &to_searcher, &is_deaf, &mut |bytes, times| {
+        let is_paused = || recording.mode() == ProxyMode::Deaf;
+        read_chunks(&stream, &to_searcher, &is_paused, &mut |bytes, times| {
             recording.recorder.record_frames(bytes, times, &route)
         });
     }))?;
@@ -110,18 +110,18 @@
     Ok(())
 }
 
-/// Reads all that arrives and passes it on. `observe` gets the bytes that it has not consumed yet, with the time at which each
-/// arrived, and returns how many of them it consumes.
+/// Reads all that arrives and forwards it, except while `is_paused`. `observe` receives the bytes that it has not consumed
+/// yet, with the time at which each arrived, and returns how many of them it consumes.
 fn read_chunks(
     mut stream: &TcpStream,
     to: &Sender<Vec<u8>>,
-    is_deaf: &dyn Fn() -> bool,
+    is_paused: &dyn Fn() -> bool,
     observe: &mut dyn FnMut(&[u8], &mut Vec<TimeMs>) -> usize,
 ) {
     let (mut unconsumed, mut times) = (Vec::new(), Vec::new());
     let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
-        while is_deaf() {
+        while is_paused() {
             thread::sleep(POLL_INTERVAL);
         }
         let Ok(count @ 1..) = stream.read(&mut bytes) else { return };
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -70,7 +70,7 @@
         #[serde(rename = "partly")]
         is_partial: bool,
     },
-    /// No answer came until long after the deadline, and the connection is still open.
+    /// No answer arrived until long after the deadline, and the connection is still open.
     #[serde(rename = "Silent")]
     Unanswered { at: TimeMs, id: String },
     /// A client that stopped within a request: how long until it was answered or closed, `None` if it never was.
--- a/crates/soak/src/searcher.rs
+++ b/crates/soak/src/searcher.rs
@@ -52,7 +52,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The value of a part, which clients can distinguish from that of any other part.
+/// The value of a part: a hash of the part's name and text, by which clients recognize values of other parts.
 pub fn value(part: &str, text: &str) -> String {
     let mut hasher = DefaultHasher::new();
     (part, text).hash(&mut hasher);
--- a/crates/speaker/tests/loopback.rs
+++ b/crates/speaker/tests/loopback.rs
@@ -380,8 +380,8 @@
     );
 }
 
-/// A peer stops reading while updates keep coming. Its connection is closed once its write queue is full; another peer gets
-/// all updates, and a drain waits for neither.
+/// A peer stops reading while further updates are sent. Its connection is closed once its write queue is full; another peer
+/// receives all updates, and a drain does not wait for the blocked one.
 #[test]
 fn peer_with_full_write_queue() {
     let (stalled, peer) = (
@@ -421,7 +421,7 @@
 }
 
 /// Peers that send more routes than the buffers of a connection hold. If the receive window stayed closed, such a peer would
-/// hang until its operating system gives up.
+/// block until its operating system ends the connection.
 #[test]
 fn peers_flooding_routes() {
     let start_flood = || Peer::start(&[PeerBehavior::FloodsRoutes(1_000_000), PeerBehavior::Conforms]);
