--- a/crates/bgp/src/message.rs
+++ b/crates/bgp/src/message.rs
@@ -528,26 +528,25 @@
         };
         let mut field = Cursor(field);
         while !field.0.is_empty() {
-            let Some((flags, kind, value)) = next_attribute(&mut field) else {
+            let Some(attribute) = next_attribute(&mut field) else {
                 // The attributes before the truncated one are still evaluated, and the routes are withdrawn.
                 attributes.faulty += 1;
                 attributes.treat_as_withdrawn = true;
                 attributes.truncated = true;
                 break;
             };
-            attributes.add(flags, kind, value, four_octets, watched)?;
+            attributes.add(&attribute, four_octets, watched)?;
         }
         Ok(attributes)
     }
 
     fn add(
         &mut self,
-        flags: u8,
-        kind: u8,
-        value: &[u8],
+        attribute: &RawAttribute,
         four_octets: bool,
         watched: &mut WatchedInUpdate,
     ) -> Result<(), MessageError> {
+        let RawAttribute { flags, kind, value } = *attribute;
         if std::mem::replace(&mut self.seen[usize::from(kind)], true) {
             if matches!(kind, attribute::MP_REACH_NLRI | attribute::MP_UNREACH_NLRI) {
                 return error(code::UPDATE, code::MALFORMED_ATTRIBUTE_LIST, &[]);
@@ -560,15 +559,16 @@
         let is_optional = flags & OPTIONAL_TRANSITIVE == flag::OPTIONAL;
         let valid = match kind {
             attribute::MP_REACH_NLRI => {
-                let (count, next_hop) =
+                let MultiprotocolRoutes { count, next_hop } =
                     decode_multiprotocol(value, true, |net| watched.record(net, true)).ok_or_else(invalid)?;
                 self.announced = count;
                 self.observed.next_hop = next_hop.or(self.observed.next_hop);
                 is_optional
             }
             attribute::MP_UNREACH_NLRI => {
-                let (count, _) = decode_multiprotocol(value, false, |net| watched.record(net, false))
-                    .ok_or_else(invalid)?;
+                let MultiprotocolRoutes { count, .. } =
+                    decode_multiprotocol(value, false, |net| watched.record(net, false))
+                        .ok_or_else(invalid)?;
                 self.withdrawn = count;
                 is_optional
             }
@@ -595,12 +595,19 @@
     }
 }
 
-/// Flags, type and value of the next attribute; `None` if the field ends inside it.
-fn next_attribute<'a>(field: &mut Cursor<'a>) -> Option<(u8, u8, &'a [u8])> {
+/// A path attribute as received.
+struct RawAttribute<'a> {
+    flags: u8,
+    kind: u8,
+    value: &'a [u8],
+}
+
+/// Reads the next attribute; `None` if the field ends inside it.
+fn next_attribute<'a>(field: &mut Cursor<'a>) -> Option<RawAttribute<'a>> {
     let flags = field.u8()?;
     let kind = field.u8()?;
     let length = if flags & flag::EXTENDED_LENGTH != 0 { field.u16()? } else { u16::from(field.u8()?) };
-    Some((flags, kind, field.take(usize::from(length))?))
+    Some(RawAttribute { flags, kind, value: field.take(usize::from(length))? })
 }
 
 /// Counts the routes of an UPDATE and checks its attributes by RFC 7606; no routes are stored.
@@ -689,13 +696,14 @@
     false
 }
 
-/// Decodes MP_REACH_NLRI (`reach`) or MP_UNREACH_NLRI (RFC 4760 sections 3 and 4). Returns the number of prefixes and the
-/// next hop.
-fn decode_multiprotocol(
-    value: &[u8],
-    reach: bool,
-    visit: impl FnMut(IpNet),
-) -> Option<(u32, Option<IpAddr>)> {
+/// Content of MP_REACH_NLRI or MP_UNREACH_NLRI.
+struct MultiprotocolRoutes {
+    count: u32,
+    next_hop: Option<IpAddr>,
+}
+
+/// Decodes MP_REACH_NLRI (`reach`) or MP_UNREACH_NLRI (RFC 4760 sections 3 and 4), and calls `visit` for each prefix.
+fn decode_multiprotocol(value: &[u8], reach: bool, visit: impl FnMut(IpNet)) -> Option<MultiprotocolRoutes> {
     let mut field = Cursor(value);
     let afi = field.u16()?;
     let safi = field.u8()?;
@@ -713,7 +721,7 @@
         Some(family) => decode_nlri(field.0, family, visit)?,
         None => 0,
     };
-    Some((count, next_hop))
+    Some(MultiprotocolRoutes { count, next_hop })
 }
 
 /// Encodes a message of the given type with its header.
@@ -848,9 +856,10 @@
             for segment in self.as_path.chunks(255) {
                 value.extend([AS_SEQUENCE, segment.len() as u8]);
                 for asn in segment {
-                    match four_octets {
-                        true => value.extend(asn.to_be_bytes()),
-                        false => value.extend(u16::try_from(*asn).unwrap_or(AS_TRANS).to_be_bytes()),
+                    if four_octets {
+                        value.extend(asn.to_be_bytes());
+                    } else {
+                        value.extend(u16::try_from(*asn).unwrap_or(AS_TRANS).to_be_bytes());
                     }
                 }
             }
@@ -947,8 +956,8 @@
     let mut field = Cursor(rest.take(usize::from(length))?);
     decode_nlri(rest.0, Family::V4, |net| announced.push(net))?;
     while !field.0.is_empty() {
-        let (_, kind, value) = next_attribute(&mut field)?;
-        match (kind, value) {
+        let attribute = next_attribute(&mut field)?;
+        match (attribute.kind, attribute.value) {
             (attribute::MP_REACH_NLRI, [0, 2, SAFI_UNICAST, hop_len, rest @ ..]) => {
                 let rest = rest.get(usize::from(*hop_len) + 1..)?;
                 decode_nlri(rest, Family::V6, |net| announced.push(net))?;
--- a/crates/bgp/src/speaker.rs
+++ b/crates/bgp/src/speaker.rs
@@ -441,10 +441,11 @@
             if let Some(peer) = self.peers.get_mut(&id) {
                 let bgp_id = peer.config.session.bgp_id;
                 let next_hop = peer.config.next_hop(Family::of(&prefix));
-                match route.is_some_and(|route| is_other_announcer(&route, bgp_id, next_hop)) {
-                    true => peer.other_announcers.insert(prefix),
-                    false => peer.other_announcers.remove(&prefix),
-                };
+                if route.is_some_and(|route| is_other_announcer(&route, bgp_id, next_hop)) {
+                    peer.other_announcers.insert(prefix);
+                } else {
+                    peer.other_announcers.remove(&prefix);
+                }
             }
             let known = self.peers.values().any(|peer| peer.other_announcers.contains(&prefix));
             let is_known = |a: AddressState| a.prefix == prefix && a.other_announcer;
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -34,7 +34,7 @@
     DriftIgnored,
     /// A grant is applied although the log has a renewal before it.
     RenewalsIgnored,
-    /// A new holder gets the epoch of the one before.
+    /// A new holder has the epoch of the previous one.
     EpochNotIncremented,
     /// A holder acts for longer than its lease.
     HeldTooLong,
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -66,11 +66,10 @@
         bytes
     }
 
-    /// Decodes the first frame and returns it with the number of bytes it took, or `None` while it is
-    /// incomplete.
+    /// Decodes the first frame and returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// If the bytes can't become a frame.
+    /// If the bytes are not the beginning of a valid frame.
     pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, FrameError> {
         let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
