--- a/crates/bgp/src/speaker.rs
+++ b/crates/bgp/src/speaker.rs
@@ -64,7 +64,7 @@
     Announce(announce::Input),
     /// The configuration has changed; sessions of peers that remain are kept as far as [`session::Input::Configure`] allows.
     Configure(Box<SpeakerConfig>),
-    /// The time returned by [`Speaker::next_timer`] has come.
+    /// The time returned by [`Speaker::next_timer`] is reached.
     Timer,
     /// Ends all sessions with this shutdown communication.
     Stop(String),
@@ -79,7 +79,7 @@
     Refuse(PeerId, Direction),
     /// Prefixes to pass to the message decoder from now on.
     Watch(WatchedPrefixes),
-    /// As far as can be known no route leads to this mixer any more.
+    /// As [`announce::Effect::DrainComplete`].
     DrainComplete,
     /// A line for the log.
     Log(String),
@@ -441,10 +441,11 @@
             if let Some(peer) = self.peers.get_mut(&id) {
                 let bgp_id = peer.config.session.bgp_id;
                 let next_hop = peer.config.next_hop(Family::of(&prefix));
-                match route.is_some_and(|route| is_other_announcer(&route, bgp_id, next_hop)) {
-                    true => peer.other_announcers.insert(prefix),
-                    false => peer.other_announcers.remove(&prefix),
-                };
+                if route.is_some_and(|route| is_other_announcer(&route, bgp_id, next_hop)) {
+                    peer.other_announcers.insert(prefix);
+                } else {
+                    peer.other_announcers.remove(&prefix);
+                }
             }
             let known = self.peers.values().any(|peer| peer.other_announcers.contains(&prefix));
             let is_known = |a: AddressState| a.prefix == prefix && a.other_announcer;
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -34,7 +34,7 @@
     /// Seed of the decision module
     #[arg(long, value_name = "N", default_value_t = 7)]
     seed: u64,
-    /// Things that may go wrong in one run [default: from the settings]
+    /// Departures from the expected course in one run [default: from the settings]
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(0..=8))]
     departures: Option<u32>,
     /// States visited in one exploration [default: from the settings]
@@ -131,7 +131,7 @@
     let open = |seed| Box::new(loaded.suite.fleet().config().open(seed)) as Box<dyn Subject>;
     let scenario = verdict["counterexample"]["arena"].as_u64().context("arena is missing")?;
     let replayed = loaded.suite.replay(scenario as usize, &moves, args.seed, &open);
-    let (lines, broken) = replayed.map_err(|error| anyhow!(error))?;
-    lines.iter().for_each(|line| println!("{line}"));
-    Ok(!broken)
+    let replay = replayed.map_err(|error| anyhow!(error))?;
+    replay.trace.iter().for_each(|line| println!("{line}"));
+    Ok(!replay.has_violation)
 }
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 #[test]
-fn trial_of_a_drain() {
+fn drain_trial() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["try", "--bgp", "--scans", "2", "--hung", "0"])
         .output()
@@ -13,7 +13,7 @@
     let position =
         |text: &str| output_text.find(text).unwrap_or_else(|| panic!("no {text:?} in {output_text}"));
     let order = [
-        "the peer heard announce 198.51.100.1\n",
+        "the peer received announce 198.51.100.1\n",
         "SIGTERM",
         "path of 3, depreferenced",
         "withdraw 198.51.100.2/32",
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn console_that_does_not_exist() {
+fn missing_console() {
     let ended = Command::new(env!("CARGO_BIN_EXE_pewterwharf"))
         .args(["bgp", "show", "--console", "/nowhere/at/all"])
         .output()
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -57,7 +57,7 @@
 impl Drop for Console {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
-        // Wakes the thread so that it ends. It is not joined, as it may be waiting for a response from the very thread
+        // Unblocks the thread, which then ends. It is not joined, as it may be waiting for a response from the very thread
         // that drops the console.
         let _ = UnixStream::connect(&self.path); // fails if the socket file is gone
         let _ = fs::remove_file(&self.path); // fails if it was removed already
@@ -119,7 +119,7 @@
     }
     let reply = match std::str::from_utf8(&request) {
         Ok(text) => answer(text.lines().next().unwrap_or_default().trim()),
-        Err(_) => Err("the question is not UTF-8".to_owned()),
+        Err(_) => Err("the request is not UTF-8".to_owned()),
     };
     let (status, text) = match reply {
         Ok(text) => ("ok", text),
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -8,7 +8,7 @@
 const MAX_MIXERS: u32 = 16;
 const MAX_SEARCHERS: u32 = 64;
 const MAX_SCANS_PER_S: u32 = 2000;
-/// Time limit of an expectation that names none.
+/// Time limit of an expectation that states none.
 const DEFAULT_WITHIN_MS: f64 = 10_000.0;
 
 /// The ends of a directed path between two mixers.
@@ -38,7 +38,7 @@
     Drop(Paths),
     /// Closes new connections before any byte passes; open ones stay.
     Refuse(Paths),
-    /// Closes the far side of connections without the near side's noticing.
+    /// Closes the far side of connections; the near side stays open.
     HalfOpen(Paths),
     /// Delays bytes by a time in milliseconds.
     Delay(Paths, f64),
@@ -55,7 +55,7 @@
     /// Ends a mixer's process with SIGTERM.
     Term(usize),
     Start(usize, StateOnStart),
-    /// Starts a second process under the name of a running mixer; the other mixers' paths lead to it from then on.
+    /// Starts a second process under the name of a running mixer; the other mixers are connected to it from then on.
     Twin(usize),
     /// A searcher no longer answers.
     Hang(usize),
@@ -92,7 +92,7 @@
     Answered { share: f64 },
     /// No running mixer holds a mark.
     NoMarks { within_ms: f64 },
-    /// The earlier process of a mixer stands aside from the fleet, as a later process has its name.
+    /// An earlier process of a mixer has left the fleet, superseded by a later one of the same name.
     Aside { mixer: usize, within_ms: f64 },
 }
 
@@ -104,7 +104,7 @@
     pub searchers: usize,
     /// Scans a second, over all mixers.
     pub load: u32,
-    /// Time for which mixers remember deletions; the mixers' default if absent.
+    /// Time for which mixers keep the tombstones of deleted records; the mixers' default if absent.
     pub forget_ms: Option<f64>,
     pub steps: Vec<Step>,
     pub expects: Vec<Expect>,
@@ -150,9 +150,9 @@
     }
 
     fn parse_drill(node: &Node) -> Result<Self, ParseError> {
-        let (word, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
-        if word != "drill" {
-            return Err(unexpected_name(node, word, &["drill"]));
+        let (head, rest) = node.head_and_args("(drill \"TITLE\" (mixers N) ...)")?;
+        if head != "drill" {
+            return Err(unexpected_name(node, head, &["drill"]));
         }
         let Some((title, rest)) = rest.split_first() else {
             return Err(node.error("found (drill), expected a title in quotes"));
@@ -166,7 +166,7 @@
             steps: Vec::new(),
             expects: Vec::new(),
         };
-        // Numbers first, wherever they stand: the names of mixers and searchers are checked against them.
+        // Numbers are read first, wherever they are written: the names of mixers and searchers are checked against them.
         for node in rest {
             match node.head_and_args("(mixers N), (at TIME ACTION) or (expect ...)")? {
                 ("mixers", [n]) => script.mixers = n.integer("mixers", 1, MAX_MIXERS)? as usize,
@@ -205,11 +205,11 @@
 
     /// Parses a name made of a letter and a number from 1 to `count`. Returns the number, counted from zero.
     fn numbered_name(node: &Node, letter: char, count: usize, what: &str) -> Result<usize, ParseError> {
-        let word = node.symbol(what)?;
-        let number = word.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
+        let name = node.symbol(what)?;
+        let number = name.strip_prefix(letter).and_then(|n| n.parse::<usize>().ok());
         match number {
             Some(n) if (1..=count).contains(&n) => Ok(n - 1),
-            _ => Err(node.error(format!("found {word}, expected {what}, {letter}1 to {letter}{count}"))),
+            _ => Err(node.error(format!("found {name}, expected {what}, {letter}1 to {letter}{count}"))),
         }
     }
 
@@ -224,12 +224,12 @@
     /// Parses `A B`, which is both directions, or `(from A) (to B)`.
     fn parse_paths(&self, whole: &Node, nodes: &[Node]) -> Result<Paths, ParseError> {
         let [a, b] = nodes else {
-            return Err(whole.error("expected two mixers, as m1 m2, or one way, as (from m1) (to m2)"));
+            return Err(whole.error("expected two mixers, as m1 m2, or one direction, as (from m1) (to m2)"));
         };
         if let (NodeKind::List(_), NodeKind::List(_)) = (&a.kind, &b.kind) {
-            let end = |node: &Node, word: &str| match node.head_and_args(&format!("({word} MIXER)"))? {
-                (found, [mixer]) if found == word => self.mixer(mixer),
-                (other, _) => Err(unexpected_name(node, other, &[word])),
+            let end = |node: &Node, head: &str| match node.head_and_args(&format!("({head} MIXER)"))? {
+                (found, [mixer]) if found == head => self.mixer(mixer),
+                (other, _) => Err(unexpected_name(node, other, &[head])),
             };
             return Ok(vec![PathEnds { from: end(a, "from")?, to: end(b, "to")? }]);
         }
@@ -238,13 +238,13 @@
     }
 
     fn parse_action(&self, node: &Node) -> Result<Action, ParseError> {
-        let (word, args) = node.head_and_args("an action, as (kill m2)")?;
+        let (head, args) = node.head_and_args("an action, as (kill m2)")?;
         let expect_count = |n: usize| match args.len() {
             found if found == n => Ok(()),
-            found => Err(node.error(format!("{word} has {found} values, expected {n}"))),
+            found => Err(node.error(format!("{head} has {found} values, expected {n}"))),
         };
         let mixers = || args.iter().map(|a| self.mixer(a)).collect::<Result<Vec<_>, _>>();
-        match word {
+        match head {
             "partition" => self.parse_partition(node, args),
             "cut" => Ok(Action::Cut(self.parse_paths(node, args)?)),
             "drop" => Ok(Action::Drop(self.parse_paths(node, args)?)),
@@ -326,7 +326,7 @@
     }
 
     fn parse_expect(&self, node: &Node) -> Result<Expect, ParseError> {
-        let (word, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
+        let (head, args) = node.head_and_args("what is expected, as (agree (within 10s))")?;
         let within = |rest: &[Node]| match rest {
             [] => Ok(DEFAULT_WITHIN_MS),
             [one] => match one.head_and_args("(within TIME)")? {
@@ -335,7 +335,7 @@
             },
             [_, more, ..] => Err(more.error(format!("found {}, expected nothing more", more.describe()))),
         };
-        match (word, args) {
+        match (head, args) {
             ("agree", rest) => Ok(Expect::Agree { within_ms: within(rest)? }),
             ("members", [count, rest @ ..]) => {
                 let count = count.integer("members", 1, self.mixers as u32)? as usize;
@@ -352,8 +352,8 @@
             ("aside", [mixer, rest @ ..]) => {
                 Ok(Expect::Aside { mixer: self.mixer(mixer)?, within_ms: within(rest)? })
             }
-            (word, _) if EXPECT_NAMES.contains(&word) => {
-                Err(node.error(format!("{word} has {} values, which do not fit it", args.len())))
+            (head, _) if EXPECT_NAMES.contains(&head) => {
+                Err(node.error(format!("{head} has {} values, which do not fit it", args.len())))
             }
             (other, _) => Err(unexpected_name(node, other, &EXPECT_NAMES)),
         }
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,5 +1,5 @@
 //! Model checking of the actual code: all orders of events within bounds. Two mixers hold leases and two
-//! assign them; clocks drift; messages are lost, delayed and reordered; turns come late; and a pause
+//! assign them; clocks drift; messages are lost, delayed and reordered; turns are late; and a pause
 //! separates the check of the clock from the effect.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
     DriftIgnored,
     /// A grant is applied although the log has a renewal before it.
     RenewalsIgnored,
-    /// A new holder gets the epoch of the one before.
+    /// A new holder has the epoch of the previous one.
     EpochNotIncremented,
     /// A holder acts for longer than its lease.
     HeldTooLong,
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn one_mixer_at_a_time_may_act() {
+fn mutual_exclusion() {
     let bounds = Bounds { planted: PlantedFault::None, max_time: 3, effects: false, assigners: 2 };
     let result = check(bounds);
     println!("{} states", result.states);
@@ -268,16 +268,16 @@
 }
 
 #[test]
-fn two_mixers_never_have_effects_under_one_epoch() {
+fn one_holder_per_epoch() {
     let bounds = Bounds { planted: PlantedFault::None, max_time: 4, effects: true, assigners: 1 };
     let result = check(bounds);
     println!("{} states with effects", result.states);
     assert_eq!(result.violated, [] as [&str; 0]);
-    assert!(result.both_act, "the bounds are wide enough for the duty to change hands");
+    assert!(result.both_act, "the bounds are wide enough for a change of the holder");
 }
 
 #[test]
-fn planted_faults_are_detected() {
+fn detection_of_planted_faults() {
     let violated = |planted, effects| check(Bounds { planted, max_time: 3, effects, assigners: 2 }).violated;
     assert_eq!(violated(PlantedFault::GrantTooEarly, false), [ONE_HOLDER]);
     assert_eq!(violated(PlantedFault::DriftIgnored, false), [ONE_HOLDER]);
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -54,8 +54,8 @@
 
 impl Frame {
     /// Encodes the frame with its length and checksum. The checksum guards against corruption that still
-    /// decodes: a single flipped bit in the incarnation of a hello once made a mixer give way to a process
-    /// that never existed.
+    /// decodes: a single flipped bit in the incarnation of a hello once made a mixer leave the fleet as superseded
+    /// by a process that never existed.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
         // Serialization into a vector can't fail.
@@ -66,11 +66,10 @@
         bytes
     }
 
-    /// Decodes the first frame and returns it with the number of bytes it took, or `None` while it is
-    /// incomplete.
+    /// Decodes the first frame and returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// If the bytes can't become a frame.
+    /// If the bytes are not the beginning of a valid frame.
     pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, FrameError> {
         let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Whether the frame may be dropped if there is no room for it: a later gossip round makes up for it.
+    /// Whether the frame may be dropped when a queue is full. A later gossip round compensates for the loss.
     pub fn is_droppable(&self) -> bool {
         !matches!(self, Self::Hello(_) | Self::Rejected(_) | Self::Bye(_))
     }
--- a/crates/soak/src/control.rs
+++ b/crates/soak/src/control.rs
@@ -72,13 +72,13 @@
     Change(Vec<ListedSearcher>),
     /// Open watches send nothing for this time; new ones are answered.
     Silent(u64),
-    /// The agent answers nothing and learns of no change for this time.
+    /// The agent answers nothing and receives no change for this time.
     Down(u64),
     /// Closes open watches.
     Reset,
     /// Lists are sent in small pieces for this time.
     Slow(u64),
-    /// Discovery moves to the other address, and the current one falls silent.
+    /// Discovery moves to the other address, and no longer answers at the current one.
     Move,
 }
 
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! The events that the processes of a run record, as lines of JSON. Each is written at once, so that a kill loses none.
+//! The events that the processes of a run record, as lines of JSON. Each is written immediately, so that SIGKILL loses none.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -70,7 +70,7 @@
         #[serde(rename = "partly")]
         is_partial: bool,
     },
-    /// No answer came until long after the deadline, and the connection is still open.
+    /// No answer arrived until long after the deadline, and the connection is still open.
     #[serde(rename = "Silent")]
     Unanswered { at: TimeMs, id: String },
     /// A client that stopped within a request: how long until it was answered or closed, `None` if it never was.
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn late_writes_have_no_scheduling_slack() {
+fn writes_after_their_time() {
     let written = |at: f64, timeout_ms: f64| Event::Written { at, part: PART.to_owned(), timeout_ms };
     let closed = Event::ClientClosed { at: 1100.0, id: ID.to_owned() };
     let signalled = |at: f64, signal: &str| Event::Signalled { at, mixer: 0, signal: signal.to_owned() };
@@ -171,7 +171,7 @@
     assert!(broken_rules(&read_late).is_empty(), "written in time and read late");
     let stopped =
         [sent("lookup"), signalled(1090.0, "STOP"), closed, signalled(1290.0, "CONT"), written(1291.0, 50.0)];
-    assert_eq!(broken_rules(&stopped), ["L3"], "a stop is no excuse");
+    assert_eq!(broken_rules(&stopped), ["L3"], "a stop of the mixer does not justify it");
     assert_eq!(
         broken_rules(&[sent("lookup"), answered(1020.0, 200), written(1021.0, 50.0)]),
         ["L3"],
