--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -78,7 +78,12 @@
         let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
         sockopt::set_socket_reuseaddr(&socket, true).expect("the socket option can be set");
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-        net::bind(&socket, &address).expect("the port is free");
+        // A process that another test is just starting holds a copy of a closed listener until it runs its program.
+        let latest_at = Instant::now() + TIMEOUT;
+        while let Err(error) = net::bind(&socket, &address) {
+            assert!(Instant::now() < latest_at, "the port is not free: {error}");
+            std::thread::sleep(POLL_INTERVAL);
+        }
         let address = net::getsockname(&socket).expect("the socket's address");
         let address = SocketAddrV4::try_from(address).expect("an IPv4 address").into();
         Self { socket, address }
